--- a/src/decisions/across.rs
+++ b/src/decisions/across.rs
@@ -1,21 +1,20 @@
-//! What a sender may send to other availability zones, for one service on one entry VM.
+//! Decides which requests of one service an entry VM sends to other availability zones.
 //!
-//! Load pattern: the own availability zone is saturated, cold or gone, while others have room.
-//! Sent nowhere, callers are refused though they could be answered; sent freely, the surge runs
-//! from place to place, which one notices by regions going over their limit one after the other.
+//! Load pattern: the local availability zone is saturated, cold or lost while others have free
+//! slots. Without cross-AZ routing, callers are refused although they could be answered. Without
+//! limits, the surge overloads one region after the other.
 //!
-//! [`Across`] is owned by the policy of the service and asked only when the own availability zone
-//! cannot take a request in time. A request goes to the nearest place that all of these let it go
-//! to: the service's shift cap, a live grant, the link's limit, the request's own deadline. Without
-//! a live grant nothing is sent across.
+//! The policy of the service calls [`Across`] only when the local availability zone cannot serve a
+//! request in time. The request goes to the nearest availability zone that the service's shift cap,
+//! a live grant, the link's limit and the request's deadline all allow.
 //!
-//! A grant says that there is room; answers say whether it is true. Each answer that the other
-//! side did not run it, or that did not come, halves the pace there; each answer wins a part of it
-//! back. So a place whose reports are frozen or wrong loses its work within a few requests.
+//! Each refusal or missing answer halves the send rate to an availability zone, and each answer
+//! restores a part. Therefore an AZ with frozen or wrong load reports loses its traffic within a
+//! few requests.
 //!
-//! The policy calls [`Across::arrived`] for each request that a caller brought to this VM: the
-//! caps are a share of these. For each `Some` of [`Across::choose`] it calls [`Across::ended`]
-//! once.
+//! The policy calls [`Across::arrived`] for each request that a caller sent to this VM, because the
+//! caps are a share of these requests. It calls [`Across::ended`] once for each `Some` that
+//! [`Across::choose`] returns.
 
 use std::collections;
 use std::sync;
@@ -25,38 +24,38 @@
 use crate::id;
 use policy::Ended;
 
-/// What remains of a place's pace at least. At a sixteenth a place that mends is found out within
-/// some twenty requests.
+/// Lower bound of an availability zone's trust. At a sixteenth, the recovery of an AZ is detected
+/// within about twenty requests.
 const LEAST_TRUST: f64 = 1.0 / 16.0;
 
-/// What one answer wins back. Eight answers make up for one refusal from full trust.
+/// Trust that one answer restores. Eight answers compensate for one refusal at full trust.
 const TRUST_GAIN: f64 = 1.0 / 16.0;
 
-/// The share of own slots in use from which a small grant is asked for ahead, so that the first
-/// requests of a surge need not wait for a round trip.
+/// Share of local slots in use from which a small grant is requested in advance, so that the first
+/// requests of a surge do not wait for a round trip.
 const ASK_AHEAD: f64 = 0.8;
 
-/// What is kept free below the limit when displaced callers are taken: their caches are cold here,
-/// and the plan sends callers here too.
+/// Share of slots kept free below the limit when displaced callers are accepted: their data is not
+/// cached here, and the plan may assign more callers to this availability zone.
 const MARGIN: f64 = 0.1;
 
-/// Over how long the own load is averaged for that.
+/// Time constant of the moving averages of the local load.
 const USUAL: time::Duration = time::Duration::from_secs(1);
 
-/// How long demand is counted before the next asking.
+/// How long demand is counted before the rates are updated.
 const DEMAND_WINDOW: time::Duration = time::Duration::from_millis(500);
 
-/// How long a receiver lets a request under a live grant wait for room. A refusal costs a round trip
-/// between regions, and room comes and goes within a few service times.
+/// How long a receiver lets a request under a live grant wait for a free slot. A refusal costs a
+/// round trip between regions, while slots become free within a few service times.
 pub const ROOM_WAIT: time::Duration = time::Duration::from_millis(100);
 
 /// Thresholds of one sender.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The service's cap.
+    /// The service's shift cap.
     pub caps: caps::Config,
-    /// The load of the own availability zone from which displaced callers are not taken, as a
-    /// share of its slots: the region's limit.
+    /// The region's load limit, as a share of slots. Displaced callers are accepted only while the
+    /// local load is below it by a margin.
     pub max_load: f64,
 }
 
@@ -69,27 +68,27 @@
     }
 }
 
-/// Another availability zone that runs the service and may take its callers.
+/// Another availability zone that runs the service and may serve its callers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// The availability zone.
     pub az: id::AzId,
-    /// The other region it lies in; `None` in the own region, where no link is counted.
+    /// Its region; `None` if this is the local region, where no link is counted.
     pub region: Option<id::RegionId>,
     /// One-way delay.
     pub one_way: time::Duration,
 }
 
-/// A wish for a grant.
+/// A grant that this VM should request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Wish {
-    /// The availability zone to ask.
+    /// The availability zone that should grant it.
     pub az: id::AzId,
-    /// Requests a second.
+    /// Requested rate, in requests per second.
     pub per_s: f64,
 }
 
-/// The shares of links of one entry VM, which all of its services use.
+/// The link shares of one entry VM, used by all of its services.
 pub type SharedLinks = sync::Arc<parking_lot::Mutex<links::Links>>;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -101,14 +100,14 @@
     arrived_per_s: f64,
 }
 
-/// One sender's view of the other availability zones.
+/// Routes requests of one service to other availability zones.
 #[derive(Debug)]
 pub struct Across {
     cfg: Config,
     own: id::AzId,
     caps: caps::Caps,
     wallet: grants::Wallet,
-    // A leaf lock: nothing else is locked while it is held.
+    // A leaf lock: no other lock is taken while it is held.
     links: SharedLinks,
     routes: Vec<Route>,
     trust: collections::BTreeMap<id::AzId, f64>,
@@ -118,21 +117,21 @@
     usual_used: f64,
 }
 
-/// The own availability zone as this VM sees it.
+/// Load of the local availability zone as this VM sees it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Own {
-    /// Slots that take work.
+    /// Slots of the backend servers that accept requests.
     pub slots: u32,
-    /// Requests that backend servers work on or have queued.
+    /// Requests running or queued at backend servers.
     pub in_flight: u32,
-    /// Requests that wait on this VM.
+    /// Requests queued on this VM.
     pub queued: u32,
-    /// Slots in use, on average over the last second.
+    /// Slots in use, averaged over the last second.
     pub in_use: f64,
 }
 
 impl Own {
-    /// The share of slots that is in use; 1 where there are none.
+    /// Running and queued requests as a share of slots; 1 without slots.
     fn used(&self) -> f64 {
         match self.slots {
             0 => 1.0,
@@ -142,7 +141,7 @@
 }
 
 impl Across {
-    /// A sender in the availability zone `own`, without routes and grants yet.
+    /// Creates a sender in availability zone `own` without routes and grants.
     pub fn new(cfg: Config, own: id::AzId) -> Self {
         Self {
             caps: caps::Caps::new(cfg.caps.clone()),
@@ -159,32 +158,32 @@
         }
     }
 
-    /// Shares the links with the other services of this VM.
+    /// Sets the link shares that all services of this VM use.
     pub fn set_links(&mut self, links: SharedLinks) {
         self.links = links;
     }
 
-    /// Changes the cap. What was moved before still counts.
+    /// Replaces the configuration. Earlier moves still count unless the step length changes.
     pub fn set_config(&mut self, cfg: Config) {
         self.caps.set_config(cfg.caps.clone());
         self.cfg = cfg;
     }
 
-    /// The places that may take the service's callers. Those that a drain empties are left out.
+    /// Sets the availability zones that may serve callers. `routes` must omit those being drained.
     pub fn set_routes(&mut self, mut routes: Vec<Route>) {
         routes.retain(|route| route.az != self.own);
         routes.sort_by(|a, b| (a.one_way, &a.az).cmp(&(b.one_way, &b.az)));
         self.routes = routes;
     }
 
-    /// A caller brought a request to this VM.
+    /// Counts a request that a caller sent to this VM.
     pub fn arrived(&mut self, now: policy::Moment) {
         self.caps.arrived(now);
         self.demand.arrived += 1;
     }
 
-    /// Whether a request may be served here whose caller belongs to another place by the plan. It
-    /// is a shift like any other and counts against the cap; own callers go first.
+    /// Decides whether to serve a caller that the plan assigns to another availability zone. An
+    /// accepted request counts against the shift cap; local callers have priority.
     pub fn takes_displaced(&mut self, now: policy::Moment, worth: u32) -> bool {
         let room = self.usual_used < self.cfg.max_load - MARGIN;
         let allowed = room && self.caps.allows(now, worth);
@@ -194,8 +193,8 @@
         allowed
     }
 
-    /// Picks the availability zone that takes a request that the own one cannot, and counts the
-    /// attempt. `None`: nowhere; the request waits or is refused.
+    /// Picks the availability zone for a request that the local one cannot serve, and counts the
+    /// attempt. Returns `None` if no AZ may serve it; the request then waits or is refused.
     pub fn choose(
         &mut self,
         now: policy::Moment,
@@ -228,7 +227,7 @@
         None
     }
 
-    /// An attempt that [`Self::choose`] counted ended.
+    /// Updates the trust in `az` after an attempt that [`Self::choose`] counted.
     pub fn ended(&mut self, _now: policy::Moment, az: &id::AzId, how: Ended, _bytes: u64) {
         let trust = self.trust.entry(az.clone()).or_insert(1.0);
         *trust = match how {
@@ -240,7 +239,7 @@
         };
     }
 
-    /// Time passed.
+    /// Drops expired grants and updates the demand rates once per demand window.
     pub fn tick(&mut self, now: policy::Moment) {
         self.wallet.tick(now);
         let passed = now.saturating_sub(self.demand.since);
@@ -256,7 +255,7 @@
         };
     }
 
-    /// The state of the own availability zone as this VM sees it.
+    /// Updates the load of the local availability zone.
     pub fn own_load(&mut self, now: policy::Moment, slots: u32, in_flight: u32, queued: u32) {
         let passed = now.saturating_sub(self.loaded).as_secs_f64();
         let gain = 1.0 - (-passed / USUAL.as_secs_f64()).exp();
@@ -272,13 +271,13 @@
         self.usual_used += gain * (self.load.used() - self.usual_used);
     }
 
-    /// The own availability zone as it was last told.
+    /// The last load given to [`Self::own_load`].
     pub fn own(&self) -> Own {
         self.load
     }
 
-    /// The grants that this VM should ask for, nearest place first. Each takes over what the ones
-    /// before it leave, so that a surge asks one place for all and the next for the rest.
+    /// The grants that this VM should request, nearest availability zone first. Each request covers
+    /// the demand that the live grants of nearer AZs do not cover.
     pub fn wishes(&self, now: policy::Moment) -> Vec<Wish> {
         let most = self.cfg.caps.sender_share() * self.demand.arrived_per_s;
         let ahead = if self.load.used() >= ASK_AHEAD {
@@ -304,17 +303,17 @@
         wishes
     }
 
-    /// A grant came in. `asked` is when this VM asked for it.
+    /// Stores a received grant. `asked` is the time at which this VM requested it.
     pub fn set_grant(&mut self, asked: policy::Moment, grant: grants::Grant) {
         self.wallet.put(asked, grant);
     }
 
-    /// The live grant for an availability zone, which a request sent there has to name.
+    /// The live grant of an availability zone. Each request sent there must carry its id.
     pub fn grant(&self, now: policy::Moment, az: &id::AzId) -> Option<&grants::Grant> {
         self.wallet.live(now, az)
     }
 
-    /// When a caller that was refused should come back.
+    /// How long a refused caller should wait before it retries.
     pub fn retry_after(&self) -> time::Duration {
         self.caps.retry_after()
     }
@@ -363,7 +362,7 @@
         across
     }
 
-    /// Sends at each of `n` milliseconds from `from` and returns how many went where.
+    /// Offers one request per millisecond, `n` from `from` on; returns counts by availability zone.
     fn surge(
         across: &mut Across,
         from: u32,
@@ -417,8 +416,8 @@
         assert!((180..=201).contains(&all), "the cap: {went:?}");
     }
 
-    /// A place lends on reports that froze before its backend servers died. Callers sent there
-    /// come back refused, some of them too late to be answered elsewhere.
+    /// Guards against an availability zone that grants slots on frozen load reports after its
+    /// backend servers died and then refuses each request sent to it.
     #[test]
     fn a_place_that_lends_and_refuses_loses_its_work() {
         let mut across = across();
@@ -436,8 +435,8 @@
         assert!(sent <= 16, "{sent} of 152 at the grant's pace");
     }
 
-    /// A caller has 100 ms left and the next region is 55 ms away. Sent there, it would get its
-    /// answer too late and the slot there would be wasted.
+    /// Guards against wasted slots: with 100 ms to the deadline and a one-way delay of 55 ms, the
+    /// answer would arrive too late.
     #[test]
     fn what_cannot_come_back_in_time_stays() {
         let mut across = across();
