--- a/src/decisions/caps.rs
+++ b/src/decisions/caps.rs
@@ -1,24 +1,23 @@
-//! Shift caps that hold without agreement.
+//! Limits the share of a service's traffic that one sender moves to other availability zones.
 //!
-//! Load pattern: a place is lost or overfull, and all of its traffic wants to move at once.
-//! Without a cap it lands on cold caches elsewhere, which then fail too; one notices a second
-//! region's latency rising seconds after the first one's failure.
+//! Load pattern: a region is lost or overloaded, and all of its traffic moves at once. Without a
+//! cap it reaches cold caches in another region, whose latency rises seconds later until it fails
+//! too.
 //!
-//! Each sender moves at most its own part of its own traffic. The sum over all senders then keeps
-//! the service's cap whatever the partition and however many senders there are, because a part of
-//! each is a part of the whole. No sender has to know of another.
+//! Each sender moves at most a fixed share of its own traffic. The sum over all senders then stays
+//! within the service's cap without coordination, for any number of senders and any partition.
 //!
-//! - Borders of steps: there are none. Moves are counted over at least the last whole step and
-//!   arrivals over at most the last whole step, so that the full cap at the end of one step and
-//!   again at the start of the next cannot happen. Leave to move is earned by arrivals and at
-//!   most two requests of it are kept, so that a quiet minute does not buy a burst.
-//! - Low traffic: a sender whose part is less than one request of a step moves nothing. Twelve
-//!   senders that each round up to one request could move all of a quiet service.
-//! - Restarts: a fresh sender has seen no arrivals, so it may move nothing yet. A sender that
-//!   restarts again and again never earns leave.
-//! - Versions of the plan: [`Config::plan_part`] of the cap is kept for them, and the rest for
-//!   what senders move themselves. One sender's look-ups may concern callers that use another
-//!   sender, so the two cannot be set off against each other on one VM; a fixed split is safe.
+//! - Sliding window: moves are counted over at least the last full step and arrivals over at most
+//!   the last full step. A sender therefore cannot use the full cap at the end of one step and
+//!   again at the start of the next. A token bucket, filled by arrivals, holds at most two
+//!   requests, so that a period without moves does not permit a burst.
+//! - Low traffic: a sender whose share is less than one request per step moves nothing. Twelve
+//!   senders that each round up to one request could move all traffic of a quiet service.
+//! - Restarts: a new sender has counted no arrivals, so it moves nothing yet. A sender that
+//!   restarts repeatedly never collects a token.
+//! - Plan versions: [`Config::plan_part`] of the cap is reserved for them and the rest for requests
+//!   that senders move. A look-up on one sender may concern a caller that uses another sender, so
+//!   one VM cannot offset the two against each other; a fixed split is safe.
 
 use std::collections;
 use std::time;
@@ -26,27 +25,27 @@
 use super::policy;
 use crate::settings;
 
-/// Parts that a step is counted in. More would be more exact and cost more memory; with 8 at most
-/// an eighth of the cap is lost to counting moves over longer than arrivals.
+/// Buckets per step. More buckets are more exact and cost more memory; with 8, at most an eighth of
+/// the cap is lost because moves are counted over a longer time than arrivals.
 const BUCKETS: u32 = 8;
 
-/// Leave that is kept at most, in requests. One is for work that counts less than the usual; the
-/// second is kept for work that counts more.
+/// Capacity of the token bucket, in requests. A request below the average worth needs a full
+/// bucket, so that one token stays for a request of higher worth.
 const BURST: f64 = 2.0;
 
-/// How fast the usual worth follows: over about 32 requests.
+/// Gain of the moving average of the requests' worth: over about 32 requests.
 const WORTH_GAIN: f64 = 1.0 / 32.0;
 
-/// A service's cap.
+/// A service's shift cap.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The share of the service's traffic that may move in one step, above 0 and at most 1.
+    /// The share of the service's traffic that may move in one step; above 0 and at most 1.
     pub cap: f64,
-    /// One step, from 100 ms to an hour.
+    /// The length of one step, from 100 ms to an hour.
     pub step: time::Duration,
-    /// The part of the cap that is kept for versions of the plan, from 0 to 1. Three quarters: the
-    /// plan goes on from step to step and a sender's own part does not, so that a lost or overfull
-    /// region is left faster and more is answered (`cargo bench --bench steering`).
+    /// The share of the cap reserved for plan versions, from 0 to 1. Three quarters: the plan adds
+    /// up from step to step and a sender's share does not, so that traffic leaves a lost or
+    /// overloaded region sooner and more requests are answered.
     pub plan_part: f64,
 }
 
@@ -61,7 +60,7 @@
 }
 
 impl Config {
-    /// The cap that a service declares.
+    /// The cap declared in a service's settings.
     pub fn of(service: &settings::Service) -> Self {
         Self {
             cap: service.shift_cap,
@@ -84,13 +83,13 @@
         Ok(())
     }
 
-    /// The share of its own traffic that a sender may have moved in any one step.
+    /// The share of its own traffic that a sender may move in one step.
     pub fn sender_share(&self) -> f64 {
         self.cap * (1.0 - self.plan_part)
     }
 
-    /// How many of the callers one version of the plan may move. Half of the plan's part: two
-    /// adjoining steps can show three versions, so that two changes may count as one shift.
+    /// The share of callers that one plan version may move. Half of the plan's share: three
+    /// versions can be in force within one step length, so that two changes count as one shift.
     pub fn version_share(&self) -> f64 {
         self.cap * self.plan_part / 2.0
     }
@@ -103,7 +102,7 @@
     moved: u32,
 }
 
-/// What one sender moved of its own traffic of one service.
+/// Counts the requests of one service that arrived at one sender and that it moved.
 #[derive(Debug)]
 pub struct Caps {
     cfg: Config,
@@ -113,7 +112,7 @@
 }
 
 impl Caps {
-    /// A sender that has seen no traffic yet, and so may move none.
+    /// Creates a sender that has counted no arrivals and so may move nothing yet.
     pub fn new(cfg: Config) -> Self {
         Self {
             cfg,
@@ -123,17 +122,17 @@
         }
     }
 
-    /// Changes the cap. What was moved before still counts.
+    /// Replaces the configuration. Earlier moves still count unless the step length changes.
     pub fn set_config(&mut self, cfg: Config) {
         if cfg.step != self.cfg.step {
-            // Old counts are of another length; starting over is the safe side.
+            // The old buckets have another length. Without them the sender moves less, not more.
             self.buckets.clear();
             self.leave = 0.0;
         }
         self.cfg = cfg;
     }
 
-    /// A caller brought a request to this VM.
+    /// Counts a request that a caller sent to this VM.
     pub fn arrived(&mut self, now: policy::Moment) {
         self.bucket(now).arrived += 1;
         self.leave = (self.leave + self.cfg.sender_share()).min(BURST);
@@ -155,7 +154,7 @@
                 arrived += u64::from(bucket.arrived);
             }
         }
-        // Enough leave may be missing by a rounding error of the additions.
+        // The added tokens may fall short of `needed` by a rounding error.
         let earned = self.leave + 1e-9 >= needed;
         earned && (moved + 1) as f64 <= self.cfg.sender_share() * arrived as f64 + 1e-9
     }
@@ -166,7 +165,7 @@
         self.leave -= 1.0;
     }
 
-    /// When asking again makes sense for a request that may not move now.
+    /// How long to wait before retrying a request that may not move now.
     pub fn retry_after(&self) -> time::Duration {
         self.cfg.step
     }
@@ -181,12 +180,12 @@
                 ..Bucket::default()
             });
         }
-        // One more than a step is kept, so that moves are counted over a whole step at least.
+        // Keeps one bucket more than a step, so that moves are counted over at least a full step.
         let keep_from = number.max(last).saturating_sub(u64::from(BUCKETS));
         while self.buckets.front().is_some_and(|b| b.number < keep_from) {
             self.buckets.pop_front();
         }
-        self.buckets.back_mut().expect("one was pushed above")
+        self.buckets.back_mut().expect("a bucket exists: one was pushed if there was none")
     }
 }
 
@@ -211,8 +210,8 @@
         allowed
     }
 
-    /// A sender process dies and is replaced every few seconds while its place is overfull. If
-    /// each start had the cap anew, callers' traffic would move many times as fast as declared.
+    /// Guards against a crash loop under overload: a fresh cap per restart would move traffic many
+    /// times as fast as declared.
     #[test]
     fn a_fresh_sender_may_move_nothing() {
         let mut moved = 0;
@@ -238,8 +237,8 @@
         assert!((900..=1_000).contains(&moved), "{moved}");
     }
 
-    /// A quiet minute goes before a burst. Leave saved up in it would let the burst move whole,
-    /// onto cold caches.
+    /// Guards against tokens collected during a time without moves: they would let a whole burst
+    /// move to cold caches.
     #[test]
     fn a_quiet_time_buys_no_burst() {
         let mut caps = caps();
@@ -252,8 +251,8 @@
         assert!(burst <= 2, "{burst}");
     }
 
-    /// Reads and bookings both want to move and there is leave for one in ten. A booking that
-    /// stays behind reads leaves an aircraft outside.
+    /// Guards against reads that use up the cap, which allows one request in ten, before bookings
+    /// of higher worth.
     #[test]
     fn what_counts_more_moves_first() {
         let mut caps = caps();
