--- a/src/decisions/grants.rs
+++ b/src/decisions/grants.rs
@@ -1,21 +1,21 @@
-//! Headroom that a receiving availability zone lends to senders.
+//! Grants other availability zones a share of the local headroom for a short time.
 //!
-//! Load pattern: several places are overfull at once and one has room. If each sender acts on the
-//! same lagging report of room, all of them send there together, and one notices the place with
-//! room fall over a second after the first ones, then the next: a herd.
+//! Load pattern: several availability zones are overloaded and one has free slots. If all senders
+//! act on the same lagging load report (a thundering herd), they overload that AZ within a second
+//! and then the next one.
 //!
-//! So the receiver decides. Each of its entry VMs lends slices of its own share of the headroom
-//! for a short time. Nothing is sent without a live grant, the receiver honours none beyond its
-//! time or its slots, and its own callers go first: a request under a grant is refused as not run
-//! as soon as own work needs the room.
+//! Therefore the receiver decides. Each of its entry VMs issues short-lived grants from its share
+//! of the headroom. A sender needs a live grant for each request. The receiver refuses requests
+//! that exceed a grant's lifetime or slots, and it refuses any request under a grant, as not run,
+//! once local callers need the slot.
 //!
-//! - Several entry VMs lend from the same backend servers. Each lends from an equal share, counted
-//!   by the most members seen lately, and from what reports leave over, divided alike. A fresh one
-//!   lends nothing until the others have had time to learn of it, and one that knows of no members
-//!   lends nothing at all.
-//! - Caches are cold: what is lent grows only while it is used, doubling each [`Config::ttl`].
-//! - A restarted receiver knows none of its predecessor's grants and refuses them. What still runs
-//!   under them has ended before [`Config::settle`] is over.
+//! - Several entry VMs grant slots of the same backend servers. Each one grants at most an equal
+//!   share of the limit and of the headroom that load reports show. The highest recent member count
+//!   determines the share. A new process grants nothing until the other members have had time to
+//!   count it, and a VM that does not know the member count grants nothing at all.
+//! - Caches are cold: the granted slots grow only while used, doubling each [`Config::ttl`].
+//! - A restarted receiver refuses the grants of its previous process. The requests that still run
+//!   under them end before [`Config::settle`] is over.
 
 use std::collections;
 use std::time;
@@ -23,72 +23,72 @@
 use super::{links, policy};
 use crate::id;
 
-/// A sender's pace under its grant, as a share of what the slots could do. Service times vary; at
-/// the whole pace about every other request would find its slot taken.
+/// A sender's rate under a grant, as a share of the slots' throughput. Service times vary; at the
+/// full throughput, about every other request would find no free slot.
 const PACE: f64 = 0.8;
 
-/// The service time that is assumed at least. A lower one would turn a slot into any rate.
+/// Lower bound of the assumed service time, which bounds the rate granted per slot.
 const SHORTEST: time::Duration = time::Duration::from_millis(1);
 
-/// Over how long a load is averaged before headroom is lent from it. With a handful of slots the
-/// load of one moment is a matter of chance; a second holds some hundred requests.
+/// Time constant of the load averages from which headroom is computed. With few slots, the load at
+/// one moment is random; one second covers some hundred requests.
 const USUAL: time::Duration = time::Duration::from_secs(1);
 
 key! {
-    /// One grant: the process that gave it and its number there.
+    /// Identifies a grant by the process that issued it and its number in that process.
     pub struct GrantId {
-        /// The start of the process that gave it. A later start knows nothing of it.
+        /// The incarnation of the issuing process. A later incarnation refuses the grant.
         pub incarnation: id::Incarnation,
-        /// Its number in that process.
+        /// Its number within the incarnation.
         pub number: u64,
     }
 }
 
 data! {
-    /// Leave to send work of one service across, short and on the receiver's terms.
+    /// Permits requests of one service from another availability zone for a short time.
     pub struct Grant {
-        /// Its name.
+        /// Its id.
         pub id: GrantId,
-        /// The service it is for.
+        /// The service.
         pub service: id::ServiceId,
-        /// The availability zone that lends.
+        /// The receiving availability zone.
         pub az: id::AzId,
-        /// The entry VM that lends, which alone honours it.
+        /// The entry VM that issued it; only this VM accepts requests under it.
         pub vm: id::VmId,
-        /// Requests that may be in hand there at a time.
+        /// Maximum number of concurrent requests.
         pub slots: u32,
-        /// Requests a second that may be sent.
+        /// Maximum rate of the sender, in requests per second.
         pub per_s: f64,
-        /// How long it lasts.
+        /// Lifetime of the grant.
         pub ttl: time::Duration,
     }
 
-    /// Why a request under a grant was refused. It has not run.
+    /// Why a request under a grant was refused without running.
     #[derive(Copy, Eq, Hash)]
     pub enum Refused {
-        /// This process did not give the grant, or it is over.
+        /// The grant has expired, or this process did not issue it to this sender.
         NoGrant,
         /// All slots of the grant are in use.
         Full,
-        /// Own work needs the room.
+        /// Local callers need the slots.
         OwnFirst,
     }
 }
 
-/// How a receiver lends.
+/// Thresholds of a [`Granter`].
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// How long a grant lasts, from 100 ms to 30 s. Two seconds: several round trips between
-    /// regions, and shorter than a surge takes to fill a queue that callers notice.
+    /// Lifetime of a grant, from 100 ms to 30 s. Two seconds: several round trips between regions,
+    /// and less than a surge takes to build up a queue that delays callers noticeably.
     pub ttl: time::Duration,
-    /// The share of the limit that is never lent, from 0 to 1, for loads that lag. A tenth: about
-    /// what load grows by in the time that a report takes.
+    /// The share of the limit that is never granted, from 0 to below 1, because load reports lag. A
+    /// tenth: about the growth of load during the delay of a report.
     pub margin: f64,
-    /// The share of the limit that is lent at first, above 0 and at most 1.
+    /// The share of the limit that is granted at first; above 0 and at most 1.
     pub first: f64,
-    /// How long a fresh process lends nothing. Longer than `ttl` and than the list of VMs lags.
+    /// How long a new process grants nothing. Longer than `ttl` and than the list of VMs lags.
     pub settle: time::Duration,
-    /// How long a VM that has gone counts on as a member.
+    /// How long a VM still counts as a member after it is no longer seen.
     pub hold: time::Duration,
 }
 
@@ -122,20 +122,20 @@
     }
 }
 
-/// The state of the receiving availability zone, as one of its entry VMs sees it.
+/// Load of the receiving availability zone as one of its entry VMs sees it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
-    /// Slots of all its live backend servers of the service.
+    /// Slots of all live backend servers of the service in the availability zone.
     pub slots: u32,
-    /// The region's limit, as a share of slots.
+    /// The region's load limit, as a share of slots.
     pub max_load: f64,
-    /// Entry VMs of the availability zone, this one among them. 0: not known, lend nothing.
+    /// Entry VMs of the availability zone, including this one. 0: unknown, nothing is granted.
     pub members: u32,
-    /// Own callers' requests in hand on this VM, waiting or sent.
+    /// Requests of local callers on this VM, queued or in flight.
     pub own: u32,
-    /// Requests in flight in the whole availability zone: the most that any report says.
+    /// Requests in flight in the whole availability zone: the highest value in any report.
     pub az_in_flight: u32,
-    /// How long a backend server works on a request, on average.
+    /// Average service time of a backend server.
     pub service_time: time::Duration,
 }
 
@@ -147,7 +147,7 @@
     in_hand: u32,
 }
 
-/// The lending side of one service on one entry VM.
+/// Issues grants for one service on one entry VM, and admits requests under them.
 #[derive(Debug)]
 pub struct Granter {
     cfg: Config,
@@ -170,7 +170,7 @@
     warmed: policy::Moment,
 }
 
-/// Who lends.
+/// Identifies the issuer of grants.
 #[derive(Clone, Debug)]
 pub struct Lender {
     /// The service.
@@ -179,12 +179,12 @@
     pub az: id::AzId,
     /// The entry VM.
     pub vm: id::VmId,
-    /// This start of its process.
+    /// The incarnation of its process.
     pub incarnation: id::Incarnation,
 }
 
 impl Granter {
-    /// A granter that has lent nothing. `now` is the start of the process.
+    /// Creates a granter without grants. `now` is the start time of the process.
     pub fn new(cfg: Config, now: policy::Moment, lender: Lender) -> Self {
         Self {
             cfg,
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Takes in the state of the availability zone.
+    /// Updates the load of the availability zone and the member count.
     pub fn set_load(&mut self, now: policy::Moment, load: Load) {
         let passed = now.saturating_sub(self.loaded).as_secs_f64();
         let gain = 1.0 - (-passed / USUAL.as_secs_f64()).exp();
@@ -222,7 +222,8 @@
         };
     }
 
-    /// Answers a sender that wants to send `per_s` requests a second.
+    /// Issues or renews the grant of a sender that requests `per_s` requests per second. Returns
+    /// `None` if less than one slot can be granted or the process has just started.
     pub fn ask(&mut self, now: policy::Moment, from: &id::VmId, per_s: f64) -> Option<Grant> {
         self.tick(now);
         self.asked.insert(from.clone(), now);
@@ -261,7 +262,7 @@
         })
     }
 
-    /// Lets a request in that came under a grant. Each `Ok` is ended by one [`Self::done`].
+    /// Admits a request under a grant. Each `Ok` must be followed by one [`Self::done`].
     pub fn admit(
         &mut self,
         now: policy::Moment,
@@ -288,14 +289,14 @@
         Ok(())
     }
 
-    /// A request that [`Self::admit`] let in is answered or given up.
+    /// Releases the slot of a request that [`Self::admit`] admitted.
     pub fn done(&mut self, grant: GrantId) {
         if let Some(lent) = self.lent.get_mut(&grant.number) {
             lent.in_hand = lent.in_hand.saturating_sub(1);
         }
     }
 
-    /// Time passed.
+    /// Drops expired grants and updates the warm-up limit once per [`Config::ttl`].
     pub fn tick(&mut self, now: policy::Moment) {
         self.lent
             .retain(|_, lent| now < lent.until || lent.in_hand > 0);
@@ -308,18 +309,18 @@
         }
     }
 
-    /// Requests in hand under grants.
+    /// Requests currently admitted under grants.
     pub fn in_hand(&self) -> u32 {
         self.lent.values().map(|lent| lent.in_hand).sum()
     }
 
-    /// Slots that are lent, or still in use after their grant.
+    /// Slots that are granted, or still in use after their grant expired.
     pub fn lent_slots(&self) -> u32 {
         let held = |lent: &Lent| lent.slots.max(lent.in_hand);
         self.lent.values().map(held).sum()
     }
 
-    /// What this VM may lend: its share of the limit, less usual own work and the margin, in slots.
+    /// Slots that this VM may grant: its share of the limit, less the average load and the margin.
     pub fn headroom(&self) -> f64 {
         self.room(self.usual_own, self.usual_in_flight)
     }
@@ -328,9 +329,9 @@
         f64::from(self.load.slots) * self.load.max_load
     }
 
-    /// Slots that work under grants may use, beside own work and what is in flight in the whole
-    /// availability zone. Both count, whichever leaves less: own counts miss what other members do,
-    /// and reports lag. The margin is kept so that own callers can grow until a report tells of it.
+    /// Slots available for requests under grants: the smaller of the values computed from this VM's
+    /// own counts and from load reports. The counts miss the other members' requests, and the
+    /// reports lag. The margin lets the load of local callers grow until a report shows it.
     fn room(&self, own: f64, in_flight: f64) -> f64 {
         if self.sharers == 0 {
             return 0.0;
@@ -380,7 +381,7 @@
     }
 }
 
-/// A grant at its sender.
+/// A grant held by its sender, with the token bucket of its rate.
 #[derive(Clone, Debug)]
 struct Held {
     grant: Grant,
@@ -389,15 +390,15 @@
     filled: policy::Moment,
 }
 
-/// The grants that a sender holds, one for each availability zone.
+/// The grants that a sender holds, at most one per availability zone.
 #[derive(Clone, Debug, Default)]
 pub struct Wallet {
     held: collections::BTreeMap<id::AzId, Held>,
 }
 
 impl Wallet {
-    /// Takes a grant in. `asked` is when this VM asked for it: the time is counted from there, so
-    /// that the sender never uses it longer than the receiver honours it.
+    /// Stores a grant. Its lifetime counts from `asked`, when this VM requested it, so that the
+    /// sender never uses it after it has expired at the receiver.
     pub fn put(&mut self, asked: policy::Moment, grant: Grant) {
         let until = asked + grant.ttl;
         let old = self.held.get(&grant.az);
@@ -421,7 +422,7 @@
         (now < held.until).then_some(&held.grant)
     }
 
-    /// Whether the grant's pace, times `trust`, has room for one request.
+    /// Whether the grant's rate, multiplied by `trust`, permits one more request.
     pub fn allows(&mut self, now: policy::Moment, az: &id::AzId, trust: f64) -> bool {
         let Some(held) = self.held.get_mut(az) else {
             return false;
@@ -433,14 +434,14 @@
         now < held.until && held.saved >= 1.0
     }
 
-    /// Counts a request that goes under the grant.
+    /// Takes one token for a request sent under the grant.
     pub fn take(&mut self, az: &id::AzId) {
         if let Some(held) = self.held.get_mut(az) {
             held.saved -= 1.0;
         }
     }
 
-    /// Drops what has expired.
+    /// Drops expired grants.
     pub fn tick(&mut self, now: policy::Moment) {
         self.held.retain(|_, held| now < held.until);
     }
@@ -479,8 +480,8 @@
         granter
     }
 
-    /// Three regions are overfull and see the same room in a fourth. Were each given the whole of
-    /// it, its own callers would be answered late as well.
+    /// Guards against a thundering herd: three overloaded regions see the same headroom in a fourth
+    /// one, whose local callers would be answered late if each region got all of it.
     #[test]
     fn a_herd_shares_the_headroom() {
         let mut granter = granter();
@@ -499,7 +500,7 @@
         assert!(granter.lent_slots() >= 9, "{}", granter.lent_slots());
     }
 
-    /// Cold caches answer slowly at first. Callers sent there all at once would wait in a queue.
+    /// Guards against a queue in front of cold caches, which answer slowly at first.
     #[test]
     fn lending_starts_small_and_grows_with_use() {
         let mut granter = granter();
@@ -528,8 +529,8 @@
         assert_eq!(refused, Err(Refused::OwnFirst));
     }
 
-    /// A partition holds requests back on their way. When they come out, the room they were sent
-    /// for is long used by others.
+    /// Guards against requests that a partition delays until their grant has expired and others use
+    /// its slots.
     #[test]
     fn an_expired_grant_is_refused() {
         let mut granter = granter();
@@ -541,8 +542,8 @@
         );
     }
 
-    /// The receiver's process is replaced while senders hold its grants. Were the old grants
-    /// honoured beside new ones, the headroom would be lent twice.
+    /// Guards against granting the headroom twice after a restart: senders still hold grants of the
+    /// replaced process.
     #[test]
     fn a_restarted_receiver_honours_no_older_grant_and_lends_late() {
         let old = granter().ask(START, &"b1".into(), 100.0).unwrap();
@@ -555,8 +556,8 @@
         assert_eq!(new.ask(START, &"b1".into(), 100.0), None);
     }
 
-    /// Two entry VMs of a place cannot see each other for a while and each takes itself for the
-    /// only one. Both would lend the whole headroom.
+    /// Guards against granting the headroom twice: two entry VMs that a partition separates each
+    /// see only themselves.
     #[test]
     fn a_member_that_went_unseen_keeps_its_share() {
         let mut granter = granter();
@@ -567,7 +568,7 @@
         granter.set_load(START + MS * 1_000, alone);
         let before = granter.headroom();
         granter.set_load(START + MS * 30_000, alone);
-        // Averages still settle by a thousandth of a slot.
+        // The load averages still change by up to a thousandth of a slot.
         assert!((granter.headroom() - before).abs() < 1e-3);
         let none = Load {
             members: 0,
