--- a/src/decisions/links.rs
+++ b/src/decisions/links.rs
@@ -1,13 +1,13 @@
-//! Links with a limit of their own.
+//! Limits the bytes per second that an entry VM sends over each link to another region.
 //!
-//! Load pattern: a region spills while the link to the next one is thin. Caps and headroom count
-//! requests, so a few long answers fill the link; one notices answers of every service that crosses
-//! it coming late, also of those that did not spill.
+//! Load pattern: a region sends requests to another one over a link of low capacity. Shift caps and
+//! grants count requests, so a few large answers saturate the link. Then the answers of every
+//! service that uses the link are late, even of services that send no requests to other regions.
 //!
-//! Each entry VM uses only its share of a link. A link from A to B carries requests that A sends
-//! and answers to what B sends, so both regions' entry VMs share it, and each counts the bytes of
-//! request and answer against both directions. The share is counted by the most members seen
-//! lately: counting a VM that has gone wastes a part of the link, missing one would overfill it.
+//! Each entry VM uses only its share of a link. A link from A to B carries the requests of A and
+//! the answers to requests of B, so the entry VMs of both regions share it, and each counts the
+//! bytes of request and answer against both directions. The highest recent VM count determines the
+//! share: counting a stopped VM wastes a part of the link, missing a running one would overload it.
 
 use std::collections;
 use std::time;
@@ -15,16 +15,16 @@
 use super::policy;
 use crate::id;
 
-/// How a sender uses its share.
+/// Token bucket parameters of a link share.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The part of the share that is used lastingly; above 0 and, with `depth`, at most 1 together.
+    /// Sustained rate, as a part of the share; above 0, and at most 1 together with `depth`.
     pub fill: f64,
-    /// What may be saved up, in seconds of the share. With `fill` it is 1 at most, so that any one
-    /// second keeps the link's limit. A request longer than that stays home: for the others behind
-    /// it the link would be gone for longer.
+    /// Bucket capacity, in seconds of the share. Together with `fill` it is at most 1, so that no
+    /// second exceeds the link's limit. A larger request is not sent over the link, because it
+    /// would delay the requests behind it for longer.
     pub depth: f64,
-    /// How long a VM that has gone counts on.
+    /// How long a VM still counts after it is no longer seen.
     pub hold: time::Duration,
 }
 
@@ -50,14 +50,14 @@
     }
 }
 
-/// The most members that were seen within a time.
+/// The maximum of a count over a sliding time window.
 #[derive(Clone, Debug, Default)]
 pub struct MostSeen {
     seen: collections::VecDeque<(policy::Moment, u32)>,
 }
 
 impl MostSeen {
-    /// Notes how many there are now and returns the most within `hold`, at least 1.
+    /// Records the current count and returns the maximum within the last `hold`, at least 1.
     pub fn note(&mut self, now: policy::Moment, count: u32, hold: time::Duration) -> u32 {
         while self.seen.back().is_some_and(|(_, c)| *c < count) {
             self.seen.pop_back();
@@ -65,7 +65,7 @@
         if self.seen.back().is_none_or(|(_, c)| *c > count) {
             self.seen.push_back((now, count));
         }
-        // The most lasted until the next, smaller count was noted.
+        // The maximum was valid until the next, smaller count was recorded.
         while self.seen.len() > 1 && self.seen[1].0 + hold < now {
             self.seen.pop_front();
         }
@@ -81,7 +81,7 @@
     filled: policy::Moment,
 }
 
-/// One entry VM's shares of the links between its own and other regions, for all services.
+/// One entry VM's shares of the links from its region to others, for all services.
 #[derive(Debug, Default)]
 pub struct Links {
     cfg: Config,
@@ -89,7 +89,7 @@
 }
 
 impl Links {
-    /// No links yet: nothing may go to another region.
+    /// Creates an empty set of links, which allows no request to another region.
     pub fn new(cfg: Config) -> Self {
         Self {
             cfg,
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Declares the link to another region: the thinner of its two directions, and the entry VMs
-    /// of both regions together.
+    /// Adds or updates the link to another region. `bytes_per_s` is the smaller capacity of the two
+    /// directions, and `members` the number of entry VMs of both regions together.
     pub fn set(&mut self, now: policy::Moment, to: &id::RegionId, bytes_per_s: u64, members: u32) {
         let link = self.to.entry(to.clone()).or_insert_with(|| Link {
             bytes_per_s: 0.0,
@@ -112,12 +112,12 @@
         link.saved = link.saved.min(link.bytes_per_s * self.cfg.depth);
     }
 
-    /// Takes out links that are no longer declared.
+    /// Removes links that are no longer declared.
     pub fn keep(&mut self, declared: impl Fn(&id::RegionId) -> bool) {
         self.to.retain(|to, _| declared(to));
     }
 
-    /// Whether the own share has room for `bytes`.
+    /// Whether this VM's share of the link permits `bytes` now; false for an unknown link.
     pub fn allows(&mut self, now: policy::Moment, to: &id::RegionId, bytes: u64) -> bool {
         let Some(link) = self.to.get_mut(to) else {
             return false;
@@ -126,7 +126,7 @@
         bytes as f64 <= link.saved
     }
 
-    /// Counts `bytes` that go over a link.
+    /// Takes tokens for `bytes` sent over a link.
     pub fn take(&mut self, now: policy::Moment, to: &id::RegionId, bytes: u64) {
         if let Some(link) = self.to.get_mut(to) {
             link.fill(now, &self.cfg);
@@ -156,8 +156,8 @@
         links
     }
 
-    /// A storm sends long dossiers over a thin link. What callers of the other services notice is
-    /// that their answers are late.
+    /// Guards against a surge of large requests that saturates a link and delays the answers of all
+    /// services.
     #[test]
     fn no_second_carries_more_than_the_share() {
         let mut links = links(4);
@@ -183,8 +183,8 @@
         assert!(!links(1).allows(MS * 1_000, &"c".into(), 1));
     }
 
-    /// A link's members are seen to leave when a partition hides them. They go on using their
-    /// share; taking it over at once would overfill the link.
+    /// Guards against overloading a link during a partition: the VMs that this one no longer sees
+    /// still use their shares.
     #[test]
     fn a_member_that_went_unseen_keeps_its_share() {
         let mut links = links(4);
