--- a/src/decisions/drain.rs
+++ b/src/decisions/drain.rs
@@ -1,13 +1,13 @@
-//! Drains that are dated ahead.
+//! Computes the course of scheduled drains of regions, availability zones and VMs.
 //!
-//! Load pattern: a place is emptied for maintenance. Emptied at once, its traffic lands whole on
-//! caches that are cold to it; one notices latency at the destinations jump at the minute of the
-//! drain. Emptied by weights only, requests in flight are not cut, but a cap that is lower than the
-//! operator thought makes the drain last past its window.
+//! Load pattern: a region or availability zone is emptied for maintenance. If all of its traffic
+//! moves at once, it reaches cold caches and latency at the destinations jumps. Moving traffic by
+//! weights cuts no request in flight, but a shift cap lower than the operator assumed makes the
+//! drain last longer than its maintenance window.
 //!
-//! A drain takes its place's capacity away evenly over its ramp, and the plan follows within the
-//! caps. [`estimate`] plays the steps that nodes will take, so that an operator learns beforehand
-//! when the place will be empty.
+//! A drain reduces the capacity of its target linearly over its ramp, and the plan follows within
+//! the caps. [`estimate`] computes the plan steps, so that an operator knows in advance when the
+//! target will be empty.
 
 use std::collections;
 use std::time;
@@ -16,30 +16,30 @@
 use crate::{id, settings};
 use settings::{Drain, DrainTarget, Settings};
 
-/// How long a VM goes on with what it has in hand before it is empty: the longest patience that the
-/// settings allow. An availability zone needs it too, after its last step.
+/// How long requests in flight can keep a drained VM busy: the longest request timeout that the
+/// settings allow. A drained availability zone needs the same time after its last step.
 pub const LONGEST_PATIENCE: time::Duration = time::Duration::from_secs(600);
 
-/// Where the count of steps ends. The smallest sensible cap needs some thousands.
+/// Upper bound on counted plan steps. The smallest cap in practical use needs some thousands.
 const MOST_STEPS: u32 = 100_000;
 
 data! {
-    /// How a drain will go for one service.
+    /// The estimated course of a drain for one service.
     pub struct Estimate {
         /// The service.
         pub service: id::ServiceId,
-        /// The share of a region's callers that moves, in the region where most do.
+        /// The share of a region's callers that moves; the highest value of all regions.
         pub share: f64,
-        /// Steps that the shift cap makes it take.
+        /// The number of steps that the shift cap requires.
         pub steps: u32,
-        /// When the last caller is sent elsewhere, in seconds since 1970.
+        /// When the last callers move to another availability zone, in seconds since 1970.
         pub moved_s: u64,
-        /// Nobody is left to take its callers: it will not become empty.
+        /// No other availability zone runs the service, so the target cannot become empty.
         pub stuck: bool,
     }
 }
 
-/// The availability zones that a drain empties; none for a single VM.
+/// The availability zones that a drain empties; none if its target is a VM.
 pub fn azs(settings: &Settings, target: &DrainTarget) -> Vec<id::AzId> {
     match target {
         DrainTarget::Region(name) => settings
@@ -52,7 +52,7 @@
     }
 }
 
-/// Whether a VM is being drained by name, or with its availability zone at the drain's end.
+/// Whether a drain by name reduces this VM's capacity at `now_s`, in seconds since 1970.
 pub fn drains_vm(settings: &Settings, vm: &id::VmId, now_s: f64) -> bool {
     let named = |drain: &&Drain| drain.target == DrainTarget::Vm(vm.clone());
     settings
@@ -61,13 +61,13 @@
         .any(|drain| left(drain, now_s) < 1.0)
 }
 
-/// What a drain leaves of its target's capacity at a time, from 1 to 0.
+/// The share of its target's capacity that a drain leaves at `now_s`, in seconds since 1970.
 pub fn left(drain: &Drain, now_s: f64) -> f64 {
     let start = drain.start_s as f64;
     let ramp = (drain.ramp_s as f64).max(1.0);
     let down = 1.0 - ((now_s - start) / ramp).clamp(0.0, 1.0);
     match drain.end_s {
-        // Caches are cold after a drain too, so that the way back has the same ramp.
+        // Caches are cold after a drain, so the capacity returns over a ramp of the same length.
         Some(end) if now_s >= end as f64 => {
             let at_end = 1.0 - ((end as f64 - start) / ramp).clamp(0.0, 1.0);
             (at_end + (now_s - end as f64) / ramp).min(1.0)
@@ -76,7 +76,7 @@
     }
 }
 
-/// What all drains leave of each availability zone. Those that are not drained are left out.
+/// The share of capacity that drains leave of each availability zone; omits those at full capacity.
 pub fn all_left(settings: &Settings, now_s: f64) -> collections::BTreeMap<id::AzId, f64> {
     let mut all = collections::BTreeMap::new();
     for drain in settings.drains() {
@@ -92,7 +92,7 @@
     all
 }
 
-/// How a drain will go for each service, from the weights that are in force.
+/// Estimates a drain for each affected service, starting from the weights in force.
 pub fn estimate(
     settings: &Settings,
     drain: &Drain,
@@ -137,8 +137,8 @@
     }
 }
 
-/// Steps that versions of the plan take from some weights to others, each moving at most `most` of
-/// any region's callers.
+/// The number of plan versions from the weights `now` to `target`, each of which moves at most the
+/// share `most` of any region's callers.
 pub fn steps(mut now: plan::ByRegion, target: &plan::ByRegion, most: f64) -> u32 {
     let mut steps = 0;
     while now != *target && steps < MOST_STEPS {
@@ -152,7 +152,7 @@
     steps
 }
 
-/// The weights without the emptied places. Where no other has any, all others share alike.
+/// The weights without the emptied AZs. If no other AZ has a weight, all others get equal ones.
 fn without(
     weights: &plan::Weights,
     service: &settings::Service,
@@ -203,8 +203,8 @@
         }
     }
 
-    /// An operator takes a drain's minute for enough. The cap makes it last longer; a rack would be
-    /// switched off with callers on it.
+    /// Guards against an estimate that shows only the ramp although the shift cap makes the drain
+    /// last longer: servers would be switched off while callers still use them.
     #[test]
     fn an_estimate_tells_when_the_cap_is_slower_than_the_ramp() {
         let settings = cooperative();
