--- a/src/decisions/plan.rs
+++ b/src/decisions/plan.rs
@@ -1,22 +1,21 @@
-//! The plan: which share of a region's callers belongs to which availability zone, per service.
+//! Computes the plan: each availability zone's share of each region's callers, per service.
 //!
-//! Load pattern: a region stays over its limit, or a place is lost or drained, for longer than a
-//! spill is meant for. If each request has to be refused or carried on by the overfull place first,
-//! callers pay the detour for hours; one notices a steady rate of spills and refusals beside idle
-//! slots elsewhere.
+//! Load pattern: a region exceeds its limit, or an availability zone is lost or drained, for longer
+//! than routing single requests to other AZs is meant for. Every request would first be refused or
+//! forwarded by the overloaded AZ for hours while slots elsewhere are idle.
 //!
-//! [`target`] computes where callers should be from settings, lagging summaries and drains: own
-//! callers first, then the nearest regions that have room, never above a region's limit. What fits
-//! nowhere stays with its home. [`step`] moves from one version towards it by a bounded share, and
-//! each node steps through [`Applied`] within the same bound, so that a node that missed versions
-//! does not jump, and so that two writers that both believe they hold the lease cannot move callers
-//! faster than one.
+//! [`target`] computes the weights from settings, lagging summaries and drains: the local callers
+//! of a region first, then callers of other regions, nearest region first, never above a region's
+//! limit. Demand that fits nowhere stays in its home region. [`step`] moves the weights towards the
+//! target by a bounded share per version. Each node applies versions within the same bound
+//! ([`Applied`]), so that neither a node that missed versions nor two writers that both assume they
+//! hold the lease move callers faster than one writer.
 //!
-//! A caller is placed by its own hash ([`order`]), so that most callers stay where their data is
-//! cached; [`churn`] tells exactly which share of them a change of weights moves.
+//! A caller's hash determines its availability zones ([`order`]), so that most callers stay where
+//! their data is cached; [`churn`] computes the exact share of callers that a change moves.
 //!
-//! Summaries lag. A place whose summary is older than [`Config::fresh`] keeps what it has and is
-//! given no more; older than [`Config::gone`] it is taken for lost.
+//! Summaries lag. An availability zone with a summary older than [`Config::fresh`] gets no more
+//! callers of other regions; beyond [`Config::gone`] it counts as lost.
 
 use std::collections;
 use std::sync;
@@ -25,58 +24,58 @@
 use super::policy;
 use crate::{id, settings};
 
-/// Shares of callers per availability zone; together 1.
+/// Share of callers per availability zone; the sum is 1.
 pub type Weights = collections::BTreeMap<id::AzId, f64>;
 
-/// The weights of one service for the callers of each region.
+/// The weights of one service, by the callers' region.
 pub type ByRegion = collections::BTreeMap<id::RegionId, Weights>;
 
-/// Shares below this come from rounding.
+/// Shares below this are rounding errors.
 const NOISE: f64 = 1e-9;
 
-/// Steps of the search for the largest change within the bound; exact to less than [`NOISE`].
+/// Bisection steps to find the largest change within the bound; exact to less than [`NOISE`].
 const SEARCH: u32 = 40;
 
 data! {
     /// One version of the plan.
     #[derive(Default)]
     pub struct Plan {
-        /// Grows by one with each version.
+        /// Increases by one with each version.
         pub version: u64,
         /// The weights of each service.
         pub services: collections::BTreeMap<id::ServiceId, ByRegion>,
     }
 
-    /// What an availability zone last said of one service.
+    /// The last load report of an availability zone for one service.
     pub struct Summary {
         /// The availability zone.
         pub az: id::AzId,
         /// The service.
         pub service: id::ServiceId,
-        /// Slots of its backend servers that take work.
+        /// Slots of its backend servers that accept requests.
         pub slots: u32,
-        /// Slots in use, on average over the last second or so.
+        /// Slots in use, averaged over about one second.
         pub in_use: f64,
-        /// Work that callers bring there, answered or not, in slots, by the callers' region.
+        /// Slots that the offered load needs, answered or not, by the callers' region.
         pub demand: collections::BTreeMap<id::RegionId, f64>,
-        /// How old this is.
+        /// Age of the summary.
         pub age: time::Duration,
     }
 }
 
-/// How the plan trusts summaries.
+/// Thresholds of the plan.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Up to this age a summary counts fully. Three seconds: two may be lost on their way.
+    /// Maximum age at which a summary counts fully. Three seconds: two may be lost.
     pub fresh: time::Duration,
-    /// From this age on the place counts as lost. Ten seconds: longer than a restart of its reader,
-    /// shorter than callers go on with answers that they cached twice.
+    /// Summary age from which the availability zone counts as lost. Ten seconds: longer than a
+    /// restart of its reader, shorter than two lifetimes of callers' cached look-up answers.
     pub gone: time::Duration,
-    /// A change that moves less than this share of callers is not worth a version.
+    /// The smallest share of callers that a change must move to be written as a version.
     pub least: f64,
-    /// The share of a place's capacity kept free when it is given foreign callers. Three twentieths:
-    /// with a tenth, random arrivals and cold caches took regions of a dozen slots over their limit
-    /// for a few seconds (`cargo bench --bench steering`).
+    /// The share of capacity kept free when an availability zone serves callers of other regions.
+    /// With a tenth instead of three twentieths, random arrivals and cold caches take regions of a
+    /// dozen slots over their limit for a few seconds.
     pub margin: f64,
 }
 
@@ -104,22 +103,22 @@
     }
 }
 
-/// What a plan of one service is computed from.
+/// Inputs of the plan of one service.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs<'a> {
     /// The settings in force.
     pub settings: &'a settings::Settings,
     /// The service.
     pub service: &'a settings::Service,
-    /// The last summary of each availability zone.
+    /// The latest summary of each availability zone.
     pub summaries: &'a [Summary],
-    /// What drains leave of each availability zone, from 0 to 1. Absent: 1.
+    /// The share of capacity that drains leave of each availability zone, from 0 to 1; default 1.
     pub left: &'a collections::BTreeMap<id::AzId, f64>,
     /// The weights in force.
     pub now: &'a ByRegion,
 }
 
-/// Room of one availability zone while a plan is computed.
+/// Capacity of one availability zone while a plan is computed, in slots.
 #[derive(Clone, Debug)]
 struct Room {
     region: id::RegionId,
@@ -130,7 +129,7 @@
 
 type Rooms = collections::BTreeMap<id::AzId, Room>;
 
-/// Where the callers of each region should be, if it could be reached in one step.
+/// The weights that the plan approaches, without a bound on the share of callers that moves.
 pub fn target(cfg: &Config, inputs: &Inputs<'_>) -> ByRegion {
     let demand = demand(cfg, inputs);
     let mut rooms = rooms(cfg, inputs);
@@ -168,8 +167,8 @@
         .collect()
 }
 
-/// One version's step from `now` towards `target`, moving at most `most` of any region's callers.
-/// `None`: what is left to move is not worth a version.
+/// The weights of the next version from `now` towards `target`, which moves at most the share
+/// `most` of any region's callers. `None` if every remaining change is below [`Config::least`].
 pub fn step(cfg: &Config, now: &ByRegion, target: &ByRegion, most: f64) -> Option<ByRegion> {
     let mut moved = false;
     let mut next = now.clone();
@@ -188,7 +187,7 @@
     moved.then_some(next)
 }
 
-/// The weights on the way from `from` to `to` that move at most `most` of the callers.
+/// The weights between `from` and `to` that are closest to `to` and move at most the share `most`.
 pub fn towards(from: &Weights, to: &Weights, most: f64) -> Weights {
     if churn(from, to) <= most + NOISE {
         return to.clone();
@@ -205,11 +204,12 @@
     blend(from, to, low)
 }
 
-/// The share of callers that [`order`] places elsewhere after a change of weights.
+/// The share of callers whose first availability zone in [`order`] changes with the weights.
 ///
-/// A caller draws an exponential time for each place, scaled by the place's weight, and the first
-/// one wins. It stays at a place if that one wins under both weights, whose probability is one over
-/// the sum of the larger ratios of weights.
+/// By weighted rendezvous hashing, a caller draws an exponential time, divided by the weight, for
+/// each availability zone, and the smallest time wins. A caller stays at an AZ that wins under both
+/// sets of weights. The probability is 1 over the sum, over all AZs, of the larger ratio of an AZ's
+/// weight to the winner's.
 pub fn churn(from: &Weights, to: &Weights) -> f64 {
     let weight = |w: &Weights, az: &id::AzId| w.get(az).copied().unwrap_or(0.0);
     let azs: collections::BTreeSet<_> = from.keys().chain(to.keys()).collect();
@@ -227,8 +227,8 @@
     (1.0 - stay).max(0.0)
 }
 
-/// The availability zones for one caller, the first being its own. Places without weight are left
-/// out.
+/// The availability zones for one caller, ranked by weighted rendezvous hashing; the first serves
+/// it by the plan. AZs without weight are omitted.
 pub fn order(weights: &Weights, caller: u64) -> Vec<id::AzId> {
     let mut drawn: Vec<_> = weights
         .iter()
@@ -239,8 +239,8 @@
     drawn.into_iter().map(|(_, az)| az.clone()).collect()
 }
 
-/// The weights where nothing is measured yet: each region's callers in its own availability zones
-/// alike, or in all of the service's where it has none.
+/// The weights without load data: each region's callers are spread evenly over its availability
+/// zones that run the service, or over all of the service's AZs if it has none.
 pub fn initial(settings: &settings::Settings, service: &settings::Service) -> ByRegion {
     settings
         .regions()
@@ -248,7 +248,7 @@
         .collect()
 }
 
-/// What a node has in force, on its way to the newest version.
+/// The weights in force on one node, which approach the newest known plan version.
 #[derive(Debug, Default)]
 pub struct Applied {
     newest: sync::Arc<Plan>,
@@ -262,7 +262,7 @@
 }
 
 impl Applied {
-    /// Takes a version in. False: it is not newer than the newest one known.
+    /// Stores a plan version. Returns false if it is not newer than the newest known one.
     pub fn offer(&mut self, plan: sync::Arc<Plan>) -> bool {
         if plan.version <= self.newest.version {
             return false;
@@ -271,13 +271,13 @@
         true
     }
 
-    /// The newest version known.
+    /// The newest known version.
     pub fn newest(&self) -> &sync::Arc<Plan> {
         &self.newest
     }
 
-    /// Steps a service towards the newest version, at most one step in each `step`, and returns the
-    /// weights in force. A process that starts takes over the newest version as it is.
+    /// Moves a service's weights towards the newest version, by at most the share `most` per step
+    /// length, and returns them. The first call for a service uses the newest version unchanged.
     pub fn advance(
         &mut self,
         now: policy::Moment,
@@ -345,8 +345,9 @@
     rooms
 }
 
-/// The foreign work that a place may have by what its slots show. Callers whose caches are cold cost
-/// more than they bring by the settings; a place that is busier than its room tells gives some back.
+/// Upper bound on the load of other regions' callers in an AZ, from its slots in use. Callers with
+/// cold caches use more slots than their demand shows. If more slots are in use than the capacity
+/// less the margin, the bound is the present load of other regions' callers less the excess.
 fn foreign_bound(
     cfg: &Config,
     inputs: &Inputs<'_>,
@@ -377,7 +378,7 @@
     (now - (in_use - wanted)).max(0.0)
 }
 
-/// Places work in rooms that `fits` picks, in proportion to what they have left.
+/// Assigns load to the AZs that `fits` selects, in proportion to their free capacity.
 fn fill(rooms: &mut Rooms, wanted: f64, fits: impl Fn(&Room) -> bool) -> Weights {
     let left: f64 = rooms.values().filter(|r| fits(r)).map(|r| r.left).sum();
     let part = if left > 0.0 {
@@ -396,7 +397,7 @@
     placed
 }
 
-/// Turns placed work to shares. What found no place stays with its home.
+/// Converts assigned load to shares. Unassigned load stays in its home region.
 fn to_weights(
     region: &id::RegionId,
     wanted: f64,
@@ -417,8 +418,8 @@
     placed
 }
 
-/// A region's own places by their capacity, or alike where none has any: what fits nowhere must not
-/// be planned into a place that is full.
+/// Weights of a region's availability zones by capacity, or equal ones if none has capacity. Load
+/// that fits nowhere stays here, because the plan must not overload other regions.
 fn home_weights(region: &id::RegionId, rooms: &Rooms, inputs: &Inputs<'_>) -> Weights {
     let own = rooms.iter().filter(|(_, room)| room.region == *region);
     let sum: f64 = own.clone().map(|(_, room)| room.capacity).sum();
@@ -447,7 +448,7 @@
     azs.iter().map(|az| (az.clone(), part)).collect()
 }
 
-/// The other regions that a link leads to, nearest first.
+/// The regions that a link connects to `from`, nearest first.
 fn by_distance(settings: &settings::Settings, from: &id::RegionId) -> Vec<id::RegionId> {
     let mut links: Vec<_> = settings.links().filter(|l| l.from == *from).collect();
     links.sort_by(|a, b| {
@@ -469,7 +470,7 @@
     mixed
 }
 
-/// A number above 0 and at most 1 that a caller draws for a place: the same on every node.
+/// A pseudo-random number above 0 and at most 1 for a caller and an AZ; the same on every node.
 fn draw(caller: u64, az: &id::AzId) -> f64 {
     let mut hash = caller ^ 0x9e37_79b9_7f4a_7c15;
     for byte in az.as_str().bytes() {
@@ -478,7 +479,7 @@
     ((hash >> 11) + 1) as f64 / (1u64 << 53) as f64
 }
 
-/// The finalizer of splitmix64, which spreads each bit over all.
+/// The finalizer of splitmix64: each input bit affects all output bits.
 fn mix(mut hash: u64) -> u64 {
     hash = hash.wrapping_add(0x9e37_79b9_7f4a_7c15);
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -551,8 +552,8 @@
         assert_eq!(plan["khovd"].len(), 2);
     }
 
-    /// A storm doubles one region's load for an hour. What it cannot bear goes to the others only
-    /// as far as their own callers leave room.
+    /// Guards against an overloaded region that moves more load to other regions than their local
+    /// callers leave free: one region's load doubles.
     #[test]
     fn a_surge_goes_where_there_is_room() {
         let mut summaries = all(4.0);
@@ -562,8 +563,8 @@
         assert!((away - (13.0 - 10.8) / 13.0).abs() < 1e-6, "{away}");
     }
 
-    /// A region is lost. Its callers must not make a second one fall over; those that fit nowhere
-    /// are refused at home.
+    /// Guards against a cascade: the callers of a lost region must not overload a second one. Those
+    /// that fit nowhere stay at home and are refused there.
     #[test]
     fn a_lost_region_does_not_overfill_the_others() {
         let mut summaries = all(4.0);
@@ -586,7 +587,7 @@
         assert_eq!(weight(&plan, "khovd", "khovd-b"), 1.0);
     }
 
-    /// A summary that is some seconds old may show room that is gone.
+    /// Guards against using free capacity that only an outdated summary shows.
     #[test]
     fn a_place_that_fell_silent_gets_no_more() {
         let mut summaries = all(4.0);
@@ -612,8 +613,8 @@
         assert!((churn(&from, &towards(&from, &to, 0.05)) - 0.05).abs() < 1e-4);
     }
 
-    /// A node was cut off for an hour while the plan moved on by many versions. Applied at once,
-    /// they would throw all its callers onto places that are cold to them.
+    /// Guards against a node that was partitioned during many versions and applies them at once:
+    /// all of its callers would move to cold caches.
     #[test]
     fn a_node_that_missed_versions_steps_like_the_others() {
         let settings = cooperative();
