--- a/tests/steering.rs
+++ b/tests/steering.rs
@@ -1,4 +1,4 @@
-//! Traffic that moves between places keeps its limits, whatever splits, faults and orders occur.
+//! Property tests: traffic that moves keeps its limits under restarts, lag and reordering.
 
 use std::collections;
 use std::path;
@@ -21,7 +21,7 @@
     }
 }
 
-/// What one sender did: when requests came and when they moved, in milliseconds.
+/// The times at which requests arrived at one sender and moved, in milliseconds.
 #[derive(Default)]
 struct Trace {
     arrived: Vec<u32>,
@@ -32,7 +32,7 @@
     times.iter().filter(|t| (from..to).contains(*t)).count()
 }
 
-/// Plays arrivals at a fleet of senders, each of which wants to move all it gets.
+/// Plays arrivals at 12 senders, each of which tries to move all of its requests.
 fn play_senders(cfg: &caps::Config, arrivals: &[(usize, u32)], restarts: &[u32]) -> Vec<Trace> {
     let mut senders: Vec<_> = (0..12)
         .map(|_| (caps::Caps::new(cfg.clone()), Trace::default()))
@@ -57,8 +57,8 @@
 proptest! {
     #![proptest_config(fixed(64))]
 
-    /// All senders want to move everything, some get most of the traffic, it comes in bursts, and
-    /// processes restart. More than the cap moved would arrive on cold caches.
+    /// Guards against senders that together exceed the shift cap when all try to move all of their
+    /// traffic, which is uneven and comes in bursts, and processes restart.
     #[test]
     fn the_sum_of_shifts_keeps_the_cap(
         arrivals in proptest::collection::vec((0_usize..40, prop_oneof![Just(0_u32), 0..5_u32, Just(400)]), 500..3_000),
@@ -66,7 +66,7 @@
         cap in 0.05_f64..1.0,
         step in 500_u32..4_000,
     ) {
-        // A few senders get the most: those above 12 fall to the first four.
+        // Numbers from 12 on map to the first four senders, which get most of the traffic.
         let arrivals: Vec<_> = arrivals
             .into_iter()
             .map(|(s, gap)| (if s >= 12 { s % 4 } else { s }, gap))
@@ -87,13 +87,13 @@
                 traces.iter().map(|t| within(pick(t), from, from + step)).sum()
             };
             let (moved, arrived) = (sum(|t| &t.moved), sum(|t| &t.arrived));
-            // Two requests of leave may lie at each sender from just before.
+            // Each sender may still hold two tokens from before the window.
             prop_assert!(moved as f64 <= cfg.sender_share() * arrived as f64 + 24.0);
         }
     }
 
-    /// Several entry VMs of one availability zone lend from the same backend servers, to any
-    /// senders, while their own load changes and reports lag.
+    /// Guards against overcommitted backend servers: several entry VMs of one availability zone
+    /// grant their slots while local load changes and reports lag.
     #[test]
     fn the_sum_of_grants_stays_within_headroom(
         members in 1_usize..5,
@@ -135,7 +135,7 @@
                                 (f64::from(in_hand) - limit / members as f64).max(0.0)
                             };
                             prop_assert!(over(who) == 0.0, "one entry VM lets in over its share");
-                            // Where reports lag, only own callers that came since may be on top.
+                            // With lagging reports, only later local callers may exceed the limit.
                             let late = if lag == 0 { 0.0 } else { (0..members).map(over).sum() };
                             let all = own.iter().sum::<u32>() + held.len() as u32;
                             prop_assert!(f64::from(all) <= limit + late, "{all} in hand");
@@ -152,7 +152,7 @@
                 prop_assert!(f64::from(lent) <= limit, "{lent} lent");
                 let most = granters[who].headroom().max(f64::from(granters[who].in_hand()));
                 let lent = f64::from(granters[who].lent_slots());
-                // Grants from before the own load grew run out within their time.
+                // Grants issued before the local load grew expire within their lifetime.
                 prop_assert!(lent <= most || lent <= limit / members as f64, "{lent} of {most}");
             }
         }
@@ -185,8 +185,8 @@
         }
     }
 
-    /// Summaries lag, lie about demand and go missing, places drain. No plan and no step on the way
-    /// to it may put foreign callers into a region that its own callers fill.
+    /// Guards against plans and steps that move callers into a region without free capacity, when
+    /// summaries are old, wrong or missing and availability zones drain.
     #[test]
     fn no_plan_overfills_a_region(
         rows in proptest::collection::vec((0_u32..30, 0.0_f64..40.0, 0_u64..15, 0.0_f64..1.2), 6),
@@ -227,8 +227,8 @@
         }
     }
 
-    /// Versions arrive late, twice and out of order, and some are missed. Every node still steps by
-    /// no more than its bound, and all end at the newest.
+    /// Guards against a node that exceeds the bound per step, or does not end at the newest
+    /// version, when versions arrive late, twice, out of order or not at all.
     #[test]
     fn versions_in_any_order_move_a_bounded_share(
         versions in proptest::collection::vec((1_u64..50, 0_u64..40), 1..60),
@@ -271,8 +271,8 @@
         prop_assert!(plan::churn(end, goal) < 1e-6);
     }
 
-    /// The naive version sends each caller to the next nearest region with any backend server.
-    /// Where all fit there, the plan must do the same.
+    /// Guards against needless moves: if all callers fit into the nearest region that has backend
+    /// servers, the plan must send them there like the naive policy.
     #[test]
     fn without_overload_the_plan_is_the_naive_one(
         demand in proptest::collection::vec(0.1_f64..1.3, 6),
@@ -340,7 +340,7 @@
     settings::Settings::read(path::Path::new("examples/cooperative")).unwrap()
 }
 
-/// Weights are shares, and a region with foreign callers stays within its limit.
+/// Checks that weights sum to 1 and that regions serving other regions' callers keep their limit.
 fn check_plan(
     settings: &settings::Settings,
     inputs: &plan::Inputs<'_>,
--- a/tests/steering_model.rs
+++ b/tests/steering_model.rs
@@ -1,12 +1,12 @@
-//! Bounds on what the ways to move traffic give, in the virtual-time model of question 2. A change
-//! that moves a figure over its bound has to be measured and told.
+//! Bounds on the results of the steering policies in the virtual-time model. A change that exceeds
+//! a bound must be measured and documented.
 
 use std::path;
 use std::time;
 
 use bulrushwind::standin::steering::{self, Way, scenarios};
 
-/// The first minute of a scenario, in one of the ways.
+/// Plays the first minute of a scenario with one policy.
 fn play(name: &str, way: Way) -> steering::Tally {
     let root = path::Path::new(env!("CARGO_MANIFEST_DIR"));
     let dep = steering::Deployment::ledger(root).unwrap();
@@ -23,8 +23,8 @@
     tally.worth as f64 / tally.offered as f64
 }
 
-/// Two regions are overfull and see the same room in a third. Senders that go by what they see fill
-/// it beyond its limit, and its own callers are answered late.
+/// Guards against a thundering herd: two overloaded regions see the same free capacity in a third.
+/// Senders that rely on load reports alone take it over its limit.
 #[test]
 fn grants_keep_a_herd_away() {
     let name = "a surge on two regions, the third at 0.8";
@@ -34,8 +34,8 @@
     assert!(grants.largest_shift <= grants.cap);
 }
 
-/// A region's backend servers die at once, and its callers stay with its entry VMs. Moved as fast
-/// as they want to, they would arrive on cold caches all together.
+/// Guards against moving all callers of a region to cold caches at once after its backend servers
+/// fail while its entry VMs keep running.
 #[test]
 fn a_lost_region_keeps_the_cap_and_is_left() {
     let name = "a region's backend servers die";
@@ -55,7 +55,7 @@
     }
 }
 
-/// Long answers go over a thin link. What is promised is the link's limit in each second.
+/// Guards against large answers that take a link of low capacity over its limit in any second.
 #[test]
 fn a_link_keeps_its_limit() {
     let tally = play("a surge of large answers", Way::Grants);
