--- a/src/decisions/across.rs
+++ b/src/decisions/across.rs
@@ -26,21 +26,21 @@
 
 /// Lower bound of an availability zone's trust. At a sixteenth, the recovery of an AZ is detected
 /// within about twenty requests.
-const LEAST_TRUST: f64 = 1.0 / 16.0;
+const MIN_TRUST: f64 = 1.0 / 16.0;
 
 /// Trust that one answer restores. Eight answers compensate for one refusal at full trust.
 const TRUST_GAIN: f64 = 1.0 / 16.0;
 
 /// Share of local slots in use from which a small grant is requested in advance, so that the first
 /// requests of a surge do not wait for a round trip.
-const ASK_AHEAD: f64 = 0.8;
+const PREFETCH_LOAD_SHARE: f64 = 0.8;
 
 /// Share of slots kept free below the limit when displaced callers are accepted: their data is not
 /// cached here, and the plan may assign more callers to this availability zone.
-const MARGIN: f64 = 0.1;
+const DISPLACED_MARGIN_SHARE: f64 = 0.1;
 
 /// Time constant of the moving averages of the local load.
-const USUAL: time::Duration = time::Duration::from_secs(1);
+const LOAD_AVERAGING_TIME: time::Duration = time::Duration::from_secs(1);
 
 /// How long demand is counted before the rates are updated.
 const DEMAND_WINDOW: time::Duration = time::Duration::from_millis(500);
@@ -94,9 +94,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Demand {
     since: policy::Moment,
-    asked: u32,
+    overflow: u32,
     arrived: u32,
-    asked_per_s: f64,
+    overflow_per_s: f64,
     arrived_per_s: f64,
 }
 
@@ -104,17 +104,17 @@
 #[derive(Debug)]
 pub struct Across {
     cfg: Config,
-    own: id::AzId,
+    local_az: id::AzId,
     caps: caps::Caps,
-    wallet: grants::Wallet,
+    held_grants: grants::HeldGrants,
     // A leaf lock: no other lock is taken while it is held.
     links: SharedLinks,
     routes: Vec<Route>,
     trust: collections::BTreeMap<id::AzId, f64>,
     demand: Demand,
-    load: Own,
-    loaded: policy::Moment,
-    usual_used: f64,
+    local_load: Own,
+    load_updated_at: policy::Moment,
+    avg_load_share: f64,
 }
 
 /// Load of the local availability zone as this VM sees it.
@@ -132,7 +132,7 @@
 
 impl Own {
     /// Running and queued requests as a share of slots; 1 without slots.
-    fn used(&self) -> f64 {
+    fn load_share(&self) -> f64 {
         match self.slots {
             0 => 1.0,
             slots => (f64::from(self.in_flight) + f64::from(self.queued)) / f64::from(slots),
@@ -141,20 +141,20 @@
 }
 
 impl Across {
-    /// Creates a sender in availability zone `own` without routes and grants.
-    pub fn new(cfg: Config, own: id::AzId) -> Self {
+    /// Creates a sender in availability zone `local_az` without routes and grants.
+    pub fn new(cfg: Config, local_az: id::AzId) -> Self {
         Self {
             caps: caps::Caps::new(cfg.caps.clone()),
             cfg,
-            own,
-            wallet: grants::Wallet::default(),
+            local_az,
+            held_grants: grants::HeldGrants::default(),
             links: SharedLinks::default(),
             routes: Vec::new(),
             trust: collections::BTreeMap::new(),
             demand: Demand::default(),
-            load: Own::default(),
-            loaded: policy::Moment::ZERO,
-            usual_used: 0.0,
+            local_load: Own::default(),
+            load_updated_at: policy::Moment::ZERO,
+            avg_load_share: 0.0,
         }
     }
 
@@ -171,7 +171,7 @@
 
     /// Sets the availability zones that may serve callers. `routes` must omit those being drained.
     pub fn set_routes(&mut self, mut routes: Vec<Route>) {
-        routes.retain(|route| route.az != self.own);
+        routes.retain(|route| route.az != self.local_az);
         routes.sort_by(|a, b| (a.one_way, &a.az).cmp(&(b.one_way, &b.az)));
         self.routes = routes;
     }
@@ -185,8 +185,8 @@
     /// Decides whether to serve a caller that the plan assigns to another availability zone. An
     /// accepted request counts against the shift cap; local callers have priority.
     pub fn takes_displaced(&mut self, now: policy::Moment, worth: u32) -> bool {
-        let room = self.usual_used < self.cfg.max_load - MARGIN;
-        let allowed = room && self.caps.allows(now, worth);
+        let has_headroom = self.avg_load_share < self.cfg.max_load - DISPLACED_MARGIN_SHARE;
+        let allowed = has_headroom && self.caps.allows(now, worth);
         if allowed {
             self.caps.moved(now);
         }
@@ -202,7 +202,7 @@
         bytes: u64,
         deadline: policy::Moment,
     ) -> Option<id::AzId> {
-        self.demand.asked += 1;
+        self.demand.overflow += 1;
         if !self.caps.allows(now, worth) {
             return None;
         }
@@ -210,17 +210,20 @@
         for route in &self.routes {
             let trust = self.trust.get(&route.az).copied().unwrap_or(1.0);
             let in_time = now + 2 * route.one_way < deadline;
-            let fits = |links: &mut links::Links| match &route.region {
+            let link_allows = |links: &mut links::Links| match &route.region {
                 Some(region) => links.allows(now, region, bytes),
                 None => true,
             };
-            if !in_time || !self.wallet.allows(now, &route.az, trust) || !fits(&mut links) {
+            if !in_time
+                || !self.held_grants.allows(now, &route.az, trust)
+                || !link_allows(&mut links)
+            {
                 continue;
             }
             if let Some(region) = &route.region {
                 links.take(now, region, bytes);
             }
-            self.wallet.take(&route.az);
+            self.held_grants.take(&route.az);
             self.caps.moved(now);
             return Some(route.az.clone());
         }
@@ -233,7 +236,7 @@
         *trust = match how {
             Ended::Answered | Ended::Failed => (*trust + TRUST_GAIN).min(1.0),
             Ended::Shed | Ended::NotSent | Ended::Lost | Ended::TimedOut => {
-                (*trust / 2.0).max(LEAST_TRUST)
+                (*trust / 2.0).max(MIN_TRUST)
             }
             Ended::Cancelled => *trust,
         };
@@ -241,7 +244,7 @@
 
     /// Drops expired grants and updates the demand rates once per demand window.
     pub fn tick(&mut self, now: policy::Moment) {
-        self.wallet.tick(now);
+        self.held_grants.tick(now);
         let passed = now.saturating_sub(self.demand.since);
         if passed < DEMAND_WINDOW {
             return;
@@ -249,7 +252,7 @@
         let per_s = |count: u32| f64::from(count) / passed.as_secs_f64();
         self.demand = Demand {
             since: now,
-            asked_per_s: per_s(self.demand.asked),
+            overflow_per_s: per_s(self.demand.overflow),
             arrived_per_s: per_s(self.demand.arrived),
             ..Demand::default()
         };
@@ -257,45 +260,49 @@
 
     /// Updates the load of the local availability zone.
     pub fn own_load(&mut self, now: policy::Moment, slots: u32, in_flight: u32, queued: u32) {
-        let passed = now.saturating_sub(self.loaded).as_secs_f64();
-        let gain = 1.0 - (-passed / USUAL.as_secs_f64()).exp();
-        self.loaded = self.loaded.max(now);
-        self.load = Own {
+        let passed = now.saturating_sub(self.load_updated_at).as_secs_f64();
+        let gain = 1.0 - (-passed / LOAD_AVERAGING_TIME.as_secs_f64()).exp();
+        self.load_updated_at = self.load_updated_at.max(now);
+        self.local_load = Own {
             slots,
             in_flight,
             queued,
-            in_use: self.load.in_use,
+            in_use: self.local_load.in_use,
         };
         let in_use = f64::from(in_flight.min(slots));
-        self.load.in_use += gain * (in_use - self.load.in_use);
-        self.usual_used += gain * (self.load.used() - self.usual_used);
+        self.local_load.in_use += gain * (in_use - self.local_load.in_use);
+        self.avg_load_share += gain * (self.local_load.load_share() - self.avg_load_share);
     }
 
     /// The last load given to [`Self::own_load`].
     pub fn own(&self) -> Own {
-        self.load
+        self.local_load
     }
 
     /// The grants that this VM should request, nearest availability zone first. Each request covers
     /// the demand that the live grants of nearer AZs do not cover.
     pub fn wishes(&self, now: policy::Moment) -> Vec<Wish> {
-        let most = self.cfg.caps.sender_share() * self.demand.arrived_per_s;
-        let ahead = if self.load.used() >= ASK_AHEAD {
+        let max_per_s = self.cfg.caps.sender_share() * self.demand.arrived_per_s;
+        let prefetch_per_s = if self.local_load.load_share() >= PREFETCH_LOAD_SHARE {
             1.0
         } else {
             0.0
         };
-        let mut left = self.demand.asked_per_s.min(most).max(ahead);
+        let mut uncovered_per_s = self
+            .demand
+            .overflow_per_s
+            .min(max_per_s)
+            .max(prefetch_per_s);
         let mut wishes = Vec::new();
         for route in &self.routes {
-            if left <= 0.0 {
+            if uncovered_per_s <= 0.0 {
                 break;
             }
             wishes.push(Wish {
                 az: route.az.clone(),
-                per_s: left,
+                per_s: uncovered_per_s,
             });
-            left -= match self.wallet.live(now, &route.az) {
+            uncovered_per_s -= match self.held_grants.live(now, &route.az) {
                 Some(grant) => grant.per_s,
                 None => 0.0,
             };
@@ -303,14 +310,14 @@
         wishes
     }
 
-    /// Stores a received grant. `asked` is the time at which this VM requested it.
-    pub fn set_grant(&mut self, asked: policy::Moment, grant: grants::Grant) {
-        self.wallet.put(asked, grant);
+    /// Stores a received grant. `requested_at` is the time at which this VM requested it.
+    pub fn set_grant(&mut self, requested_at: policy::Moment, grant: grants::Grant) {
+        self.held_grants.insert(requested_at, grant);
     }
 
     /// The live grant of an availability zone. Each request sent there must carry its id.
     pub fn grant(&self, now: policy::Moment, az: &id::AzId) -> Option<&grants::Grant> {
-        self.wallet.live(now, az)
+        self.held_grants.live(now, az)
     }
 
     /// How long a refused caller should wait before it retries.
@@ -343,7 +350,7 @@
     fn across() -> Across {
         let cfg = Config {
             caps: caps::Config {
-                plan_part: 0.5,
+                plan_share: 0.5,
                 ..caps::Config::default()
             },
             ..Config::default()
@@ -369,20 +376,20 @@
         n: u32,
         bytes: u64,
     ) -> collections::BTreeMap<String, u32> {
-        let mut went = collections::BTreeMap::new();
+        let mut sent_by_az = collections::BTreeMap::new();
         for i in from..from + n {
             let now = MS * i;
             across.arrived(now);
             if let Some(az) = across.choose(now, 1, bytes, now + MS * 500) {
-                *went.entry(az.to_string()).or_default() += 1;
+                *sent_by_az.entry(az.to_string()).or_default() += 1;
             }
             across.tick(now);
         }
-        went
+        sent_by_az
     }
 
     #[test]
-    fn nothing_goes_across_without_a_grant() {
+    fn nothing_is_sent_to_another_az_without_a_grant() {
         let mut across = across();
         assert!(surge(&mut across, 0, 5_000, 100).is_empty());
         let wishes = across.wishes(MS * 5_000);
@@ -391,35 +398,38 @@
     }
 
     #[test]
-    fn the_tightest_of_cap_grant_and_link_rules() {
+    fn the_tightest_of_cap_grant_and_link_applies() {
         let mut across = across();
         surge(&mut across, 0, 1_000, 100);
         across.set_grant(MS * 1_000, grant("near", 20.0));
         across.set_grant(MS * 1_000, grant("far", 10_000.0));
-        let went = surge(&mut across, 1_000, 1_000, 100);
-        assert_eq!(went.get("far"), None, "no link is declared");
-        assert!((15..=23).contains(&went["near"]), "{went:?}");
+        let sent_by_az = surge(&mut across, 1_000, 1_000, 100);
+        assert_eq!(sent_by_az.get("far"), None, "no link is declared");
+        assert!((15..=23).contains(&sent_by_az["near"]), "{sent_by_az:?}");
 
         across.links.lock().set(MS * 2_000, &"r2".into(), 10_000, 1);
         across.set_grant(MS * 2_000, grant("near", 20.0));
         across.set_grant(MS * 2_000, grant("far", 10_000.0));
-        let went = surge(&mut across, 2_000, 1_000, 1_000);
-        assert!((5..=10).contains(&went["far"]), "the link: {went:?}");
+        let sent_by_az = surge(&mut across, 2_000, 1_000, 1_000);
+        assert!(
+            (5..=10).contains(&sent_by_az["far"]),
+            "the link: {sent_by_az:?}"
+        );
 
         across
             .links
             .lock()
             .set(MS * 3_000, &"r2".into(), u64::MAX, 1);
         across.set_grant(MS * 3_000, grant("far", 10_000.0));
-        let went = surge(&mut across, 3_000, 2_000, 1_000);
-        let all: u32 = went.values().sum();
-        assert!((180..=201).contains(&all), "the cap: {went:?}");
+        let sent_by_az = surge(&mut across, 3_000, 2_000, 1_000);
+        let all: u32 = sent_by_az.values().sum();
+        assert!((180..=201).contains(&all), "the cap: {sent_by_az:?}");
     }
 
     /// Guards against an availability zone that grants slots on frozen load reports after its
     /// backend servers died and then refuses each request sent to it.
     #[test]
-    fn a_place_that_lends_and_refuses_loses_its_work() {
+    fn an_az_that_grants_and_refuses_loses_its_traffic() {
         let mut across = across();
         surge(&mut across, 0, 1_000, 100);
         across.set_grant(MS * 1_000, grant("near", 80.0));
@@ -438,7 +448,7 @@
     /// Guards against wasted slots: with 100 ms to the deadline and a one-way delay of 55 ms, the
     /// answer would arrive too late.
     #[test]
-    fn what_cannot_come_back_in_time_stays() {
+    fn a_request_that_would_miss_its_deadline_is_not_sent() {
         let mut across = across();
         across
             .links
--- a/src/decisions/caps.rs
+++ b/src/decisions/caps.rs
@@ -15,9 +15,9 @@
 //!   senders that each round up to one request could move all traffic of a quiet service.
 //! - Restarts: a new sender has counted no arrivals, so it moves nothing yet. A sender that
 //!   restarts repeatedly never collects a token.
-//! - Plan versions: [`Config::plan_part`] of the cap is reserved for them and the rest for requests
-//!   that senders move. A look-up on one sender may concern a caller that uses another sender, so
-//!   one VM cannot offset the two against each other; a fixed split is safe.
+//! - Plan versions: [`Config::plan_share`] of the cap is reserved for them and the rest for
+//!   requests that senders move. A look-up on one sender may concern a caller that uses another
+//!   sender, so one VM cannot offset the two against each other; a fixed split is safe.
 
 use std::collections;
 use std::time;
@@ -27,11 +27,11 @@
 
 /// Buckets per step. More buckets are more exact and cost more memory; with 8, at most an eighth of
 /// the cap is lost because moves are counted over a longer time than arrivals.
-const BUCKETS: u32 = 8;
+const BUCKETS_PER_STEP: u32 = 8;
 
 /// Capacity of the token bucket, in requests. A request below the average worth needs a full
 /// bucket, so that one token stays for a request of higher worth.
-const BURST: f64 = 2.0;
+const MAX_TOKENS: f64 = 2.0;
 
 /// Gain of the moving average of the requests' worth: over about 32 requests.
 const WORTH_GAIN: f64 = 1.0 / 32.0;
@@ -46,7 +46,7 @@
     /// The share of the cap reserved for plan versions, from 0 to 1. Three quarters: the plan adds
     /// up from step to step and a sender's share does not, so that traffic leaves a lost or
     /// overloaded region sooner and more requests are answered.
-    pub plan_part: f64,
+    pub plan_share: f64,
 }
 
 impl Default for Config {
@@ -54,7 +54,7 @@
         Self {
             cap: 0.2,
             step: time::Duration::from_secs(10),
-            plan_part: 0.75,
+            plan_share: 0.75,
         }
     }
 }
@@ -74,8 +74,8 @@
         if !(self.cap > 0.0 && self.cap <= 1.0) {
             return Err("cap is out of range; give a share above 0 and at most 1");
         }
-        if !(0.0..=1.0).contains(&self.plan_part) {
-            return Err("plan_part is out of range; give a share from 0 to 1");
+        if !(0.0..=1.0).contains(&self.plan_share) {
+            return Err("plan_share is out of range; give a share from 0 to 1");
         }
         if self.step < time::Duration::from_millis(100) {
             return Err("step is too short; give at least 100 ms");
@@ -85,13 +85,13 @@
 
     /// The share of its own traffic that a sender may move in one step.
     pub fn sender_share(&self) -> f64 {
-        self.cap * (1.0 - self.plan_part)
+        self.cap * (1.0 - self.plan_share)
     }
 
     /// The share of callers that one plan version may move. Half of the plan's share: three
     /// versions can be in force within one step length, so that two changes count as one shift.
     pub fn version_share(&self) -> f64 {
-        self.cap * self.plan_part / 2.0
+        self.cap * self.plan_share / 2.0
     }
 }
 
@@ -107,8 +107,8 @@
 pub struct Caps {
     cfg: Config,
     buckets: collections::VecDeque<Bucket>,
-    leave: f64,
-    usual_worth: f64,
+    tokens: f64,
+    avg_worth: f64,
 }
 
 impl Caps {
@@ -117,8 +117,8 @@
         Self {
             cfg,
             buckets: collections::VecDeque::new(),
-            leave: 0.0,
-            usual_worth: 0.0,
+            tokens: 0.0,
+            avg_worth: 0.0,
         }
     }
 
@@ -127,7 +127,7 @@
         if cfg.step != self.cfg.step {
             // The old buckets have another length. Without them the sender moves less, not more.
             self.buckets.clear();
-            self.leave = 0.0;
+            self.tokens = 0.0;
         }
         self.cfg = cfg;
     }
@@ -135,14 +135,14 @@
     /// Counts a request that a caller sent to this VM.
     pub fn arrived(&mut self, now: policy::Moment) {
         self.bucket(now).arrived += 1;
-        self.leave = (self.leave + self.cfg.sender_share()).min(BURST);
+        self.tokens = (self.tokens + self.cfg.sender_share()).min(MAX_TOKENS);
     }
 
     /// Whether a request of worth `worth` may move now.
     pub fn allows(&mut self, now: policy::Moment, worth: u32) -> bool {
-        self.usual_worth += WORTH_GAIN * (f64::from(worth) - self.usual_worth);
-        let needed = if f64::from(worth) < self.usual_worth {
-            BURST
+        self.avg_worth += WORTH_GAIN * (f64::from(worth) - self.avg_worth);
+        let needed = if f64::from(worth) < self.avg_worth {
+            MAX_TOKENS
         } else {
             1.0
         };
@@ -150,19 +150,19 @@
         let (mut arrived, mut moved) = (0u64, 0u64);
         for bucket in &self.buckets {
             moved += u64::from(bucket.moved);
-            if bucket.number + u64::from(BUCKETS) > number {
+            if bucket.number + u64::from(BUCKETS_PER_STEP) > number {
                 arrived += u64::from(bucket.arrived);
             }
         }
         // The added tokens may fall short of `needed` by a rounding error.
-        let earned = self.leave + 1e-9 >= needed;
-        earned && (moved + 1) as f64 <= self.cfg.sender_share() * arrived as f64 + 1e-9
+        let has_tokens = self.tokens + 1e-9 >= needed;
+        has_tokens && (moved + 1) as f64 <= self.cfg.sender_share() * arrived as f64 + 1e-9
     }
 
     /// Counts a request that moves.
     pub fn moved(&mut self, now: policy::Moment) {
         self.bucket(now).moved += 1;
-        self.leave -= 1.0;
+        self.tokens -= 1.0;
     }
 
     /// How long to wait before retrying a request that may not move now.
@@ -171,8 +171,8 @@
     }
 
     fn bucket(&mut self, now: policy::Moment) -> &mut Bucket {
-        let len = (self.cfg.step / BUCKETS).as_nanos().max(1);
-        let number = (now.as_nanos() / len) as u64;
+        let bucket_ns = (self.cfg.step / BUCKETS_PER_STEP).as_nanos().max(1);
+        let number = (now.as_nanos() / bucket_ns) as u64;
         let last = self.buckets.back().map_or(0, |b| b.number);
         if self.buckets.is_empty() || number > last {
             self.buckets.push_back(Bucket {
@@ -181,11 +181,13 @@
             });
         }
         // Keeps one bucket more than a step, so that moves are counted over at least a full step.
-        let keep_from = number.max(last).saturating_sub(u64::from(BUCKETS));
+        let keep_from = number.max(last).saturating_sub(u64::from(BUCKETS_PER_STEP));
         while self.buckets.front().is_some_and(|b| b.number < keep_from) {
             self.buckets.pop_front();
         }
-        self.buckets.back_mut().expect("a bucket exists: one was pushed if there was none")
+        self.buckets
+            .back_mut()
+            .expect("a bucket exists: one was pushed if there was none")
     }
 }
 
@@ -197,7 +199,7 @@
 
     fn caps() -> Caps {
         Caps::new(Config {
-            plan_part: 0.5,
+            plan_share: 0.5,
             ..Config::default()
         })
     }
@@ -227,7 +229,7 @@
     }
 
     #[test]
-    fn saturation_moves_the_senders_part_and_no_more() {
+    fn saturation_moves_no_more_than_the_senders_share() {
         let mut caps = caps();
         let mut moved = 0;
         for i in 0..10_000 {
@@ -240,7 +242,7 @@
     /// Guards against tokens collected during a time without moves: they would let a whole burst
     /// move to cold caches.
     #[test]
-    fn a_quiet_time_buys_no_burst() {
+    fn idle_time_allows_no_burst() {
         let mut caps = caps();
         for i in 0..5_000 {
             caps.arrived(MS * i);
@@ -254,7 +256,7 @@
     /// Guards against reads that use up the cap, which allows one request in ten, before bookings
     /// of higher worth.
     #[test]
-    fn what_counts_more_moves_first() {
+    fn requests_of_higher_worth_move_first() {
         let mut caps = caps();
         let (mut reads, mut bookings) = (0, 0);
         for i in 0..10_000 {
--- a/src/decisions/grants.rs
+++ b/src/decisions/grants.rs
@@ -15,7 +15,7 @@
 //!   count it, and a VM that does not know the member count grants nothing at all.
 //! - Caches are cold: the granted slots grow only while used, doubling each [`Config::ttl`].
 //! - A restarted receiver refuses the grants of its previous process. The requests that still run
-//!   under them end before [`Config::settle`] is over.
+//!   under them end before [`Config::startup_delay`] is over.
 
 use std::collections;
 use std::time;
@@ -25,14 +25,14 @@
 
 /// A sender's rate under a grant, as a share of the slots' throughput. Service times vary; at the
 /// full throughput, about every other request would find no free slot.
-const PACE: f64 = 0.8;
+const SENDER_RATE_SHARE: f64 = 0.8;
 
 /// Lower bound of the assumed service time, which bounds the rate granted per slot.
-const SHORTEST: time::Duration = time::Duration::from_millis(1);
+const MIN_SERVICE_TIME: time::Duration = time::Duration::from_millis(1);
 
 /// Time constant of the load averages from which headroom is computed. With few slots, the load at
 /// one moment is random; one second covers some hundred requests.
-const USUAL: time::Duration = time::Duration::from_secs(1);
+const LOAD_AVERAGING_TIME: time::Duration = time::Duration::from_secs(1);
 
 key! {
     /// Identifies a grant by the process that issued it and its number in that process.
@@ -85,11 +85,11 @@
     /// tenth: about the growth of load during the delay of a report.
     pub margin: f64,
     /// The share of the limit that is granted at first; above 0 and at most 1.
-    pub first: f64,
+    pub initial_share: f64,
     /// How long a new process grants nothing. Longer than `ttl` and than the list of VMs lags.
-    pub settle: time::Duration,
+    pub startup_delay: time::Duration,
     /// How long a VM still counts as a member after it is no longer seen.
-    pub hold: time::Duration,
+    pub member_retention: time::Duration,
 }
 
 impl Default for Config {
@@ -97,9 +97,9 @@
         Self {
             ttl: time::Duration::from_secs(2),
             margin: 0.1,
-            first: 0.1,
-            settle: time::Duration::from_secs(5),
-            hold: time::Duration::from_secs(30),
+            initial_share: 0.1,
+            startup_delay: time::Duration::from_secs(5),
+            member_retention: time::Duration::from_secs(30),
         }
     }
 }
@@ -111,12 +111,12 @@
         if !ttl.contains(&self.ttl) {
             return Err("ttl is out of range; give 100 ms to 30 s");
         }
-        let first = self.first > 0.0 && self.first <= 1.0;
-        if !(0.0..1.0).contains(&self.margin) || !first {
-            return Err("margin or first is out of range; give shares from 0 to 1");
+        let initial_share = self.initial_share > 0.0 && self.initial_share <= 1.0;
+        if !(0.0..1.0).contains(&self.margin) || !initial_share {
+            return Err("margin or initial_share is out of range; give shares from 0 to 1");
         }
-        if self.settle <= self.ttl {
-            return Err("settle is too short; give more than ttl");
+        if self.startup_delay <= self.ttl {
+            return Err("startup_delay is too short; give more than ttl");
         }
         Ok(())
     }
@@ -140,10 +140,10 @@
 }
 
 #[derive(Debug)]
-struct Lent {
-    to: id::VmId,
+struct IssuedGrant {
+    sender: id::VmId,
     slots: u32,
-    until: policy::Moment,
+    expires_at: policy::Moment,
     in_hand: u32,
 }
 
@@ -156,18 +156,18 @@
     vm: id::VmId,
     incarnation: id::Incarnation,
     started: policy::Moment,
-    next: u64,
+    next_number: u64,
     load: Load,
-    loaded: policy::Moment,
-    usual_own: f64,
-    usual_in_flight: f64,
-    members: links::MostSeen,
-    sharers: u32,
-    lent: collections::BTreeMap<u64, Lent>,
-    asked: collections::BTreeMap<id::VmId, policy::Moment>,
-    warm: f64,
-    peak: u32,
-    warmed: policy::Moment,
+    load_updated_at: policy::Moment,
+    avg_local: f64,
+    avg_az_in_flight: f64,
+    member_counts: links::RecentMax,
+    member_count: u32,
+    issued: collections::BTreeMap<u64, IssuedGrant>,
+    requested_at: collections::BTreeMap<id::VmId, policy::Moment>,
+    warmup_limit: f64,
+    peak_in_flight: u32,
+    warmup_updated_at: policy::Moment,
 }
 
 /// Identifies the issuer of grants.
@@ -193,32 +193,34 @@
             vm: lender.vm,
             incarnation: lender.incarnation,
             started: now,
-            next: 1,
+            next_number: 1,
             load: Load::default(),
-            loaded: now,
-            usual_own: 0.0,
-            usual_in_flight: 0.0,
-            members: links::MostSeen::default(),
-            sharers: 0,
-            lent: collections::BTreeMap::new(),
-            asked: collections::BTreeMap::new(),
-            warm: 0.0,
-            peak: 0,
-            warmed: now,
+            load_updated_at: now,
+            avg_local: 0.0,
+            avg_az_in_flight: 0.0,
+            member_counts: links::RecentMax::default(),
+            member_count: 0,
+            issued: collections::BTreeMap::new(),
+            requested_at: collections::BTreeMap::new(),
+            warmup_limit: 0.0,
+            peak_in_flight: 0,
+            warmup_updated_at: now,
         }
     }
 
     /// Updates the load of the availability zone and the member count.
     pub fn set_load(&mut self, now: policy::Moment, load: Load) {
-        let passed = now.saturating_sub(self.loaded).as_secs_f64();
-        let gain = 1.0 - (-passed / USUAL.as_secs_f64()).exp();
-        self.usual_own += gain * (f64::from(load.own) - self.usual_own);
-        self.usual_in_flight += gain * (f64::from(load.az_in_flight) - self.usual_in_flight);
-        self.loaded = self.loaded.max(now);
+        let passed = now.saturating_sub(self.load_updated_at).as_secs_f64();
+        let gain = 1.0 - (-passed / LOAD_AVERAGING_TIME.as_secs_f64()).exp();
+        self.avg_local += gain * (f64::from(load.own) - self.avg_local);
+        self.avg_az_in_flight += gain * (f64::from(load.az_in_flight) - self.avg_az_in_flight);
+        self.load_updated_at = self.load_updated_at.max(now);
         self.load = load;
-        self.sharers = match load.members {
+        self.member_count = match load.members {
             0 => 0,
-            members => self.members.note(now, members, self.cfg.hold),
+            members => self
+                .member_counts
+                .record(now, members, self.cfg.member_retention),
         };
     }
 
@@ -226,28 +228,30 @@
     /// `None` if less than one slot can be granted or the process has just started.
     pub fn ask(&mut self, now: policy::Moment, from: &id::VmId, per_s: f64) -> Option<Grant> {
         self.tick(now);
-        self.asked.insert(from.clone(), now);
-        if now < self.started + self.cfg.settle {
+        self.requested_at.insert(from.clone(), now);
+        if now < self.started + self.cfg.startup_delay {
             return None;
         }
-        let service_s = self.load.service_time.max(SHORTEST).as_secs_f64();
-        let wanted = (per_s.max(0.0) * service_s / PACE).ceil();
-        let fair = (self.lendable() / self.asked.len() as f64).floor().max(1.0);
-        let left = (self.lendable() - self.others(from)).floor();
-        let slots = wanted.min(fair).min(left);
+        let service_s = self.load.service_time.max(MIN_SERVICE_TIME).as_secs_f64();
+        let wanted_slots = (per_s.max(0.0) * service_s / SENDER_RATE_SHARE).ceil();
+        let fair_share = (self.grantable() / self.requested_at.len() as f64)
+            .floor()
+            .max(1.0);
+        let remaining = (self.grantable() - self.slots_of_others(from)).floor();
+        let slots = wanted_slots.min(fair_share).min(remaining);
         if slots < 1.0 {
             return None;
         }
         let slots = slots as u32;
-        let number = self.number_of(from);
-        let lent = self.lent.entry(number).or_insert_with(|| Lent {
-            to: from.clone(),
+        let number = self.number_for(from);
+        let issued = self.issued.entry(number).or_insert_with(|| IssuedGrant {
+            sender: from.clone(),
             slots: 0,
-            until: now,
+            expires_at: now,
             in_hand: 0,
         });
-        lent.slots = slots;
-        lent.until = now + self.cfg.ttl;
+        issued.slots = slots;
+        issued.expires_at = now + self.cfg.ttl;
         Some(Grant {
             id: GrantId {
                 incarnation: self.incarnation,
@@ -257,7 +261,7 @@
             az: self.az.clone(),
             vm: self.vm.clone(),
             slots,
-            per_s: PACE * f64::from(slots) / service_s,
+            per_s: SENDER_RATE_SHARE * f64::from(slots) / service_s,
             ttl: self.cfg.ttl,
         })
     }
@@ -272,57 +276,58 @@
         if grant.incarnation != self.incarnation {
             return Err(Refused::NoGrant);
         }
-        let room = self.room_now();
+        let available = self.available_now();
         let in_hand = self.in_hand();
-        let lent = self.lent.get_mut(&grant.number).ok_or(Refused::NoGrant)?;
-        if lent.to != *from || now >= lent.until {
+        let issued = self.issued.get_mut(&grant.number).ok_or(Refused::NoGrant)?;
+        if issued.sender != *from || now >= issued.expires_at {
             return Err(Refused::NoGrant);
         }
-        if lent.in_hand >= lent.slots {
+        if issued.in_hand >= issued.slots {
             return Err(Refused::Full);
         }
-        if f64::from(in_hand + 1) > room {
+        if f64::from(in_hand + 1) > available {
             return Err(Refused::OwnFirst);
         }
-        lent.in_hand += 1;
-        self.peak = self.peak.max(in_hand + 1);
+        issued.in_hand += 1;
+        self.peak_in_flight = self.peak_in_flight.max(in_hand + 1);
         Ok(())
     }
 
     /// Releases the slot of a request that [`Self::admit`] admitted.
     pub fn done(&mut self, grant: GrantId) {
-        if let Some(lent) = self.lent.get_mut(&grant.number) {
-            lent.in_hand = lent.in_hand.saturating_sub(1);
+        if let Some(issued) = self.issued.get_mut(&grant.number) {
+            issued.in_hand = issued.in_hand.saturating_sub(1);
         }
     }
 
     /// Drops expired grants and updates the warm-up limit once per [`Config::ttl`].
     pub fn tick(&mut self, now: policy::Moment) {
-        self.lent
-            .retain(|_, lent| now < lent.until || lent.in_hand > 0);
-        let forget = self.cfg.ttl;
-        self.asked.retain(|_, asked| now < *asked + forget);
-        if now >= self.warmed + self.cfg.ttl {
-            self.warmed = now;
-            self.warm = self.next_warm();
-            self.peak = self.in_hand();
+        self.issued
+            .retain(|_, issued| now < issued.expires_at || issued.in_hand > 0);
+        let retention = self.cfg.ttl;
+        self.requested_at
+            .retain(|_, requested_at| now < *requested_at + retention);
+        if now >= self.warmup_updated_at + self.cfg.ttl {
+            self.warmup_updated_at = now;
+            self.warmup_limit = self.next_warmup_limit();
+            self.peak_in_flight = self.in_hand();
         }
     }
 
     /// Requests currently admitted under grants.
     pub fn in_hand(&self) -> u32 {
-        self.lent.values().map(|lent| lent.in_hand).sum()
+        self.issued.values().map(|issued| issued.in_hand).sum()
     }
 
     /// Slots that are granted, or still in use after their grant expired.
-    pub fn lent_slots(&self) -> u32 {
-        let held = |lent: &Lent| lent.slots.max(lent.in_hand);
-        self.lent.values().map(held).sum()
+    pub fn granted_slots(&self) -> u32 {
+        let held = |issued: &IssuedGrant| issued.slots.max(issued.in_hand);
+        self.issued.values().map(held).sum()
     }
 
     /// Slots that this VM may grant: its share of the limit, less the average load and the margin.
     pub fn headroom(&self) -> f64 {
-        self.room(self.usual_own, self.usual_in_flight)
+        self.available(self.avg_local, self.avg_az_in_flight)
     }
 
     fn limit(&self) -> f64 {
@@ -332,51 +337,54 @@
     /// Slots available for requests under grants: the smaller of the values computed from this VM's
     /// own counts and from load reports. The counts miss the other members' requests, and the
     /// reports lag. The margin lets the load of local callers grow until a report shows it.
-    fn room(&self, own: f64, in_flight: f64) -> f64 {
-        if self.sharers == 0 {
+    fn available(&self, local: f64, in_flight: f64) -> f64 {
+        if self.member_count == 0 {
             return 0.0;
         }
-        let sharers = f64::from(self.sharers);
-        let by_own = self.limit() / sharers - own;
-        let by_reports = (self.limit() - in_flight) / sharers + f64::from(self.in_hand());
-        let margin = self.cfg.margin * self.limit() / sharers;
-        (by_own.min(by_reports) - margin).max(0.0)
+        let member_count = f64::from(self.member_count);
+        let by_local = self.limit() / member_count - local;
+        let by_reports = (self.limit() - in_flight) / member_count + f64::from(self.in_hand());
+        let margin = self.cfg.margin * self.limit() / member_count;
+        (by_local.min(by_reports) - margin).max(0.0)
     }
 
-    fn room_now(&self) -> f64 {
+    fn available_now(&self) -> f64 {
         let load = &self.load;
-        self.room(f64::from(load.own), f64::from(load.az_in_flight))
+        self.available(f64::from(load.own), f64::from(load.az_in_flight))
     }
 
-    fn lendable(&self) -> f64 {
-        let floor = 1.0f64.max(self.cfg.first * self.limit());
-        self.headroom().min(self.warm.max(floor))
+    fn grantable(&self) -> f64 {
+        let floor = 1.0f64.max(self.cfg.initial_share * self.limit());
+        self.headroom().min(self.warmup_limit.max(floor))
     }
 
-    fn others(&self, than: &id::VmId) -> f64 {
-        let others = self.lent.values().filter(|lent| lent.to != *than);
+    fn slots_of_others(&self, than: &id::VmId) -> f64 {
+        let others = self.issued.values().filter(|issued| issued.sender != *than);
         others.map(|l| f64::from(l.slots.max(l.in_hand))).sum()
     }
 
-    fn number_of(&mut self, sender: &id::VmId) -> u64 {
-        let known = self.lent.iter().find(|(_, lent)| lent.to == *sender);
+    fn number_for(&mut self, sender: &id::VmId) -> u64 {
+        let known = self
+            .issued
+            .iter()
+            .find(|(_, issued)| issued.sender == *sender);
         if let Some((number, _)) = known {
             return *number;
         }
-        self.next += 1;
-        self.next - 1
-    }
-
-    fn next_warm(&self) -> f64 {
-        let floor = 1.0f64.max(self.cfg.first * self.limit());
-        let warm = self.warm.max(floor);
-        let used = f64::from(self.peak);
-        if used >= 0.5 * warm.floor() {
-            (2.0 * warm).min(self.limit().max(floor))
-        } else if used < 0.25 * warm {
-            (0.5 * warm).max(floor)
+        self.next_number += 1;
+        self.next_number - 1
+    }
+
+    fn next_warmup_limit(&self) -> f64 {
+        let floor = 1.0f64.max(self.cfg.initial_share * self.limit());
+        let warmup_limit = self.warmup_limit.max(floor);
+        let used = f64::from(self.peak_in_flight);
+        if used >= 0.5 * warmup_limit.floor() {
+            (2.0 * warmup_limit).min(self.limit().max(floor))
+        } else if used < 0.25 * warmup_limit {
+            (0.5 * warmup_limit).max(floor)
         } else {
-            warm
+            warmup_limit
         }
     }
 }
@@ -385,33 +393,34 @@
 #[derive(Clone, Debug)]
 struct Held {
     grant: Grant,
-    until: policy::Moment,
-    saved: f64,
-    filled: policy::Moment,
+    expires_at: policy::Moment,
+    tokens: f64,
+    refilled_at: policy::Moment,
 }
 
 /// The grants that a sender holds, at most one per availability zone.
 #[derive(Clone, Debug, Default)]
-pub struct Wallet {
+pub struct HeldGrants {
     held: collections::BTreeMap<id::AzId, Held>,
 }
 
-impl Wallet {
-    /// Stores a grant. Its lifetime counts from `asked`, when this VM requested it, so that the
-    /// sender never uses it after it has expired at the receiver.
-    pub fn put(&mut self, asked: policy::Moment, grant: Grant) {
-        let until = asked + grant.ttl;
+impl HeldGrants {
+    /// Stores a grant. Its lifetime counts from `requested_at`, when this VM requested it, so that
+    /// the sender never uses it after it has expired at the receiver.
+    pub fn insert(&mut self, requested_at: policy::Moment, grant: Grant) {
+        let expires_at = requested_at + grant.ttl;
         let old = self.held.get(&grant.az);
-        if old.is_some_and(|old| old.until > until) {
+        if old.is_some_and(|old| old.expires_at > expires_at) {
             return;
         }
-        let (saved, filled) = old.map_or((1.0, asked), |old| (old.saved, old.filled));
+        let (tokens, refilled_at) =
+            old.map_or((1.0, requested_at), |old| (old.tokens, old.refilled_at));
         let az = grant.az.clone();
         let held = Held {
             grant,
-            until,
-            saved,
-            filled,
+            expires_at,
+            tokens,
+            refilled_at,
         };
         self.held.insert(az, held);
     }
@@ -419,7 +428,7 @@
     /// The live grant for an availability zone.
     pub fn live(&self, now: policy::Moment, az: &id::AzId) -> Option<&Grant> {
         let held = self.held.get(az)?;
-        (now < held.until).then_some(&held.grant)
+        (now < held.expires_at).then_some(&held.grant)
     }
 
     /// Whether the grant's rate, multiplied by `trust`, permits one more request.
@@ -427,23 +436,23 @@
         let Some(held) = self.held.get_mut(az) else {
             return false;
         };
-        let passed = now.saturating_sub(held.filled).as_secs_f64();
-        held.filled = held.filled.max(now);
-        let most = (f64::from(held.grant.slots) / 2.0).max(1.0);
-        held.saved = (held.saved + passed * held.grant.per_s * trust).min(most);
-        now < held.until && held.saved >= 1.0
+        let passed = now.saturating_sub(held.refilled_at).as_secs_f64();
+        held.refilled_at = held.refilled_at.max(now);
+        let max_tokens = (f64::from(held.grant.slots) / 2.0).max(1.0);
+        held.tokens = (held.tokens + passed * held.grant.per_s * trust).min(max_tokens);
+        now < held.expires_at && held.tokens >= 1.0
     }
 
     /// Takes one token for a request sent under the grant.
     pub fn take(&mut self, az: &id::AzId) {
         if let Some(held) = self.held.get_mut(az) {
-            held.saved -= 1.0;
+            held.tokens -= 1.0;
         }
     }
 
     /// Drops expired grants.
     pub fn tick(&mut self, now: policy::Moment) {
-        self.held.retain(|_, held| now < held.until);
+        self.held.retain(|_, held| now < held.expires_at);
     }
 }
 
@@ -483,7 +492,7 @@
     /// Guards against a thundering herd: three overloaded regions see the same headroom in a fourth
     /// one, whose local callers would be answered late if each region got all of it.
     #[test]
-    fn a_herd_shares_the_headroom() {
+    fn senders_share_the_headroom() {
         let mut granter = granter();
         for round in 0..40 {
             let now = START + MS * 500 * round;
@@ -495,14 +504,14 @@
                     }
                 }
             }
-            assert!(f64::from(granter.lent_slots()) <= granter.headroom());
+            assert!(f64::from(granter.granted_slots()) <= granter.headroom());
         }
-        assert!(granter.lent_slots() >= 9, "{}", granter.lent_slots());
+        assert!(granter.granted_slots() >= 9, "{}", granter.granted_slots());
     }
 
     /// Guards against a queue in front of cold caches, which answer slowly at first.
     #[test]
-    fn lending_starts_small_and_grows_with_use() {
+    fn granted_slots_start_small_and_grow_with_use() {
         let mut granter = granter();
         let mut slots = Vec::new();
         for round in 0..5 {
@@ -520,7 +529,7 @@
     }
 
     #[test]
-    fn own_callers_go_first() {
+    fn local_callers_have_priority() {
         let mut granter = granter();
         let grant = granter.ask(START, &"b1".into(), 100.0).unwrap();
         let own = 18;
@@ -545,7 +554,7 @@
     /// Guards against granting the headroom twice after a restart: senders still hold grants of the
     /// replaced process.
     #[test]
-    fn a_restarted_receiver_honours_no_older_grant_and_lends_late() {
+    fn a_restarted_receiver_refuses_older_grants_and_delays_new_ones() {
         let old = granter().ask(START, &"b1".into(), 100.0).unwrap();
         let mut new = Granter::new(Config::default(), START, lender(2));
         new.set_load(START, load());
@@ -559,7 +568,7 @@
     /// Guards against granting the headroom twice: two entry VMs that a partition separates each
     /// see only themselves.
     #[test]
-    fn a_member_that_went_unseen_keeps_its_share() {
+    fn a_member_that_is_not_seen_keeps_its_share() {
         let mut granter = granter();
         let alone = Load {
             members: 1,
@@ -581,29 +590,29 @@
     #[test]
     fn a_sender_stops_before_the_receiver_does() {
         let mut granter = granter();
-        let (asked, given) = (START, START + MS * 55);
+        let (requested_at, given) = (START, START + MS * 55);
         let grant = granter.ask(given, &"b1".into(), 1_000.0).unwrap();
-        let mut wallet = Wallet::default();
-        wallet.put(asked, grant.clone());
-        let last = asked + grant.ttl - MS;
-        assert!(wallet.allows(last, &"a".into(), 1.0));
+        let mut held_grants = HeldGrants::default();
+        held_grants.insert(requested_at, grant.clone());
+        let last = requested_at + grant.ttl - MS;
+        assert!(held_grants.allows(last, &"a".into(), 1.0));
         assert_eq!(
             granter.admit(last + MS * 55, &"b1".into(), grant.id),
             Ok(())
         );
-        assert!(!wallet.allows(last + MS, &"a".into(), 1.0));
+        assert!(!held_grants.allows(last + MS, &"a".into(), 1.0));
     }
 
     #[test]
-    fn a_sender_keeps_the_pace() {
+    fn a_sender_keeps_the_rate() {
         let mut granter = granter();
         let grant = granter.ask(START, &"b1".into(), 10_000.0).unwrap();
-        let mut wallet = Wallet::default();
-        wallet.put(START, grant.clone());
+        let mut held_grants = HeldGrants::default();
+        held_grants.insert(START, grant.clone());
         let mut sent = 0;
         for i in 0..1_000 {
-            if wallet.allows(START + MS * i, &"a".into(), 1.0) {
-                wallet.take(&"a".into());
+            if held_grants.allows(START + MS * i, &"a".into(), 1.0) {
+                held_grants.take(&"a".into());
                 sent += 1;
             }
         }
--- a/src/decisions/links.rs
+++ b/src/decisions/links.rs
@@ -18,22 +18,22 @@
 /// Token bucket parameters of a link share.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Sustained rate, as a part of the share; above 0, and at most 1 together with `depth`.
-    pub fill: f64,
-    /// Bucket capacity, in seconds of the share. Together with `fill` it is at most 1, so that no
-    /// second exceeds the link's limit. A larger request is not sent over the link, because it
-    /// would delay the requests behind it for longer.
-    pub depth: f64,
+    /// Sustained rate, as a part of the share; above 0, and at most 1 together with `burst_s`.
+    pub sustained_share: f64,
+    /// Bucket capacity, in seconds of the share. Together with `sustained_share` it is at most 1,
+    /// so that no second exceeds the link's limit. A larger request is not sent over the link,
+    /// because it would delay the requests behind it for longer.
+    pub burst_s: f64,
     /// How long a VM still counts after it is no longer seen.
-    pub hold: time::Duration,
+    pub member_retention: time::Duration,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            fill: 0.7,
-            depth: 0.3,
-            hold: time::Duration::from_secs(30),
+            sustained_share: 0.7,
+            burst_s: 0.3,
+            member_retention: time::Duration::from_secs(30),
         }
     }
 }
@@ -41,51 +41,61 @@
 impl Config {
     /// Checks that the values are in range.
     pub fn check(&self) -> Result<(), &'static str> {
-        let sound = self.fill > 0.0 && self.depth > 0.0 && self.fill + self.depth <= 1.0;
-        if sound {
+        let in_range = self.sustained_share > 0.0
+            && self.burst_s > 0.0
+            && self.sustained_share + self.burst_s <= 1.0;
+        if in_range {
             Ok(())
         } else {
-            Err("fill and depth are out of range; give both above 0 and at most 1 together")
+            Err(
+                "sustained_share and burst_s are out of range; give both above 0 and at most 1 together",
+            )
         }
     }
 }
 
 /// The maximum of a count over a sliding time window.
 #[derive(Clone, Debug, Default)]
-pub struct MostSeen {
-    seen: collections::VecDeque<(policy::Moment, u32)>,
+pub struct RecentMax {
+    samples: collections::VecDeque<(policy::Moment, u32)>,
 }
 
-impl MostSeen {
-    /// Records the current count and returns the maximum within the last `hold`, at least 1.
-    pub fn note(&mut self, now: policy::Moment, count: u32, hold: time::Duration) -> u32 {
-        while self.seen.back().is_some_and(|(_, c)| *c < count) {
-            self.seen.pop_back();
+impl RecentMax {
+    /// Records the current count and returns the maximum within the last `member_retention`, at
+    /// least 1.
+    pub fn record(
+        &mut self,
+        now: policy::Moment,
+        count: u32,
+        member_retention: time::Duration,
+    ) -> u32 {
+        while self.samples.back().is_some_and(|(_, c)| *c < count) {
+            self.samples.pop_back();
         }
-        if self.seen.back().is_none_or(|(_, c)| *c > count) {
-            self.seen.push_back((now, count));
+        if self.samples.back().is_none_or(|(_, c)| *c > count) {
+            self.samples.push_back((now, count));
         }
         // The maximum was valid until the next, smaller count was recorded.
-        while self.seen.len() > 1 && self.seen[1].0 + hold < now {
-            self.seen.pop_front();
+        while self.samples.len() > 1 && self.samples[1].0 + member_retention < now {
+            self.samples.pop_front();
         }
-        self.seen[0].1.max(1)
+        self.samples[0].1.max(1)
     }
 }
 
 #[derive(Clone, Debug)]
 struct Link {
     bytes_per_s: f64,
-    members: MostSeen,
-    saved: f64,
-    filled: policy::Moment,
+    members: RecentMax,
+    tokens: f64,
+    refilled_at: policy::Moment,
 }
 
 /// One entry VM's shares of the links from its region to others, for all services.
 #[derive(Debug, Default)]
 pub struct Links {
     cfg: Config,
-    to: collections::BTreeMap<id::RegionId, Link>,
+    by_region: collections::BTreeMap<id::RegionId, Link>,
 }
 
 impl Links {
@@ -93,54 +103,55 @@
     pub fn new(cfg: Config) -> Self {
         Self {
             cfg,
-            to: collections::BTreeMap::new(),
+            by_region: collections::BTreeMap::new(),
         }
     }
 
     /// Adds or updates the link to another region. `bytes_per_s` is the smaller capacity of the two
     /// directions, and `members` the number of entry VMs of both regions together.
     pub fn set(&mut self, now: policy::Moment, to: &id::RegionId, bytes_per_s: u64, members: u32) {
-        let link = self.to.entry(to.clone()).or_insert_with(|| Link {
+        let link = self.by_region.entry(to.clone()).or_insert_with(|| Link {
             bytes_per_s: 0.0,
-            members: MostSeen::default(),
-            saved: 0.0,
-            filled: now,
+            members: RecentMax::default(),
+            tokens: 0.0,
+            refilled_at: now,
         });
-        let members = link.members.note(now, members, self.cfg.hold);
-        link.fill(now, &self.cfg);
+        let members = link.members.record(now, members, self.cfg.member_retention);
+        link.refill(now, &self.cfg);
         link.bytes_per_s = bytes_per_s as f64 / f64::from(members);
-        link.saved = link.saved.min(link.bytes_per_s * self.cfg.depth);
+        link.tokens = link.tokens.min(link.bytes_per_s * self.cfg.burst_s);
     }
 
     /// Removes links that are no longer declared.
     pub fn keep(&mut self, declared: impl Fn(&id::RegionId) -> bool) {
-        self.to.retain(|to, _| declared(to));
+        self.by_region.retain(|to, _| declared(to));
     }
 
     /// Whether this VM's share of the link permits `bytes` now; false for an unknown link.
     pub fn allows(&mut self, now: policy::Moment, to: &id::RegionId, bytes: u64) -> bool {
-        let Some(link) = self.to.get_mut(to) else {
+        let Some(link) = self.by_region.get_mut(to) else {
             return false;
         };
-        link.fill(now, &self.cfg);
-        bytes as f64 <= link.saved
+        link.refill(now, &self.cfg);
+        bytes as f64 <= link.tokens
     }
 
     /// Takes tokens for `bytes` sent over a link.
     pub fn take(&mut self, now: policy::Moment, to: &id::RegionId, bytes: u64) {
-        if let Some(link) = self.to.get_mut(to) {
-            link.fill(now, &self.cfg);
-            link.saved -= bytes as f64;
+        if let Some(link) = self.by_region.get_mut(to) {
+            link.refill(now, &self.cfg);
+            link.tokens -= bytes as f64;
         }
     }
 }
 
 impl Link {
-    fn fill(&mut self, now: policy::Moment, cfg: &Config) {
-        let passed = now.saturating_sub(self.filled).as_secs_f64();
-        self.filled = self.filled.max(now);
-        let most = self.bytes_per_s * cfg.depth;
-        self.saved = (self.saved + passed * self.bytes_per_s * cfg.fill).min(most);
+    fn refill(&mut self, now: policy::Moment, cfg: &Config) {
+        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        let max_tokens = self.bytes_per_s * cfg.burst_s;
+        self.tokens =
+            (self.tokens + passed * self.bytes_per_s * cfg.sustained_share).min(max_tokens);
     }
 }
 
@@ -179,14 +190,14 @@
     }
 
     #[test]
-    fn a_region_without_a_link_gets_nothing() {
+    fn nothing_is_sent_to_a_region_without_a_link() {
         assert!(!links(1).allows(MS * 1_000, &"c".into(), 1));
     }
 
     /// Guards against overloading a link during a partition: the VMs that this one no longer sees
     /// still use their shares.
     #[test]
-    fn a_member_that_went_unseen_keeps_its_share() {
+    fn a_member_that_is_not_seen_keeps_its_share() {
         let mut links = links(4);
         links.set(MS * 10_000, &"b".into(), 1_000_000, 1);
         assert!(!links.allows(MS * 20_000, &"b".into(), 100_000));
