--- a/src/decisions/drain.rs
+++ b/src/decisions/drain.rs
@@ -18,10 +18,10 @@
 
 /// How long requests in flight can keep a drained VM busy: the longest request timeout that the
 /// settings allow. A drained availability zone needs the same time after its last step.
-pub const LONGEST_PATIENCE: time::Duration = time::Duration::from_secs(600);
+pub const MAX_REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(600);
 
 /// Upper bound on counted plan steps. The smallest cap in practical use needs some thousands.
-const MOST_STEPS: u32 = 100_000;
+const MAX_PLAN_STEPS: u32 = 100_000;
 
 data! {
     /// The estimated course of a drain for one service.
@@ -54,10 +54,10 @@
 
 /// Whether a drain by name reduces this VM's capacity at `now_s`, in seconds since 1970.
 pub fn drains_vm(settings: &Settings, vm: &id::VmId, now_s: f64) -> bool {
-    let named = |drain: &&Drain| drain.target == DrainTarget::Vm(vm.clone());
+    let targets_vm = |drain: &&Drain| drain.target == DrainTarget::Vm(vm.clone());
     settings
         .drains()
-        .filter(named)
+        .filter(targets_vm)
         .any(|drain| left(drain, now_s) < 1.0)
 }
 
@@ -65,14 +65,14 @@
 pub fn left(drain: &Drain, now_s: f64) -> f64 {
     let start = drain.start_s as f64;
     let ramp = (drain.ramp_s as f64).max(1.0);
-    let down = 1.0 - ((now_s - start) / ramp).clamp(0.0, 1.0);
+    let ramp_down = 1.0 - ((now_s - start) / ramp).clamp(0.0, 1.0);
     match drain.end_s {
         // Caches are cold after a drain, so the capacity returns over a ramp of the same length.
         Some(end) if now_s >= end as f64 => {
-            let at_end = 1.0 - ((end as f64 - start) / ramp).clamp(0.0, 1.0);
-            (at_end + (now_s - end as f64) / ramp).min(1.0)
+            let share_at_end = 1.0 - ((end as f64 - start) / ramp).clamp(0.0, 1.0);
+            (share_at_end + (now_s - end as f64) / ramp).min(1.0)
         }
-        _ => down,
+        _ => ramp_down,
     }
 }
 
@@ -80,13 +80,13 @@
 pub fn all_left(settings: &Settings, now_s: f64) -> collections::BTreeMap<id::AzId, f64> {
     let mut all = collections::BTreeMap::new();
     for drain in settings.drains() {
-        let part = left(drain, now_s);
-        if part >= 1.0 {
+        let share = left(drain, now_s);
+        if share >= 1.0 {
             continue;
         }
         for az in azs(settings, &drain.target) {
-            let least = all.entry(az).or_insert(1.0f64);
-            *least = least.min(part);
+            let min_share = all.entry(az).or_insert(1.0f64);
+            *min_share = min_share.min(share);
         }
     }
     all
@@ -105,28 +105,32 @@
         .map(|service| {
             let now = in_force.get(&service.name).cloned();
             let now = now.unwrap_or_else(|| plan::initial(settings, service));
-            of_service(drain, service, now, &emptied)
+            estimate_service(drain, service, now, &emptied)
         })
         .collect()
 }
 
-fn of_service(
+fn estimate_service(
     drain: &Drain,
     service: &settings::Service,
     now: plan::ByRegion,
     emptied: &[id::AzId],
 ) -> Estimate {
-    let most = caps::Config::of(service).version_share();
+    let max_share = caps::Config::of(service).version_share();
     let target: plan::ByRegion = now
         .iter()
-        .map(|(region, weights)| (region.clone(), without(weights, service, emptied)))
+        .map(|(region, weights)| (region.clone(), without_azs(weights, service, emptied)))
         .collect();
     let shares = target
         .iter()
         .map(|(region, to)| plan::churn(&now[region], to));
     let share = shares.fold(0.0, f64::max);
     let stuck = service.azs.iter().all(|az| emptied.contains(az));
-    let steps = if stuck { 0 } else { steps(now, &target, most) };
+    let steps = if stuck {
+        0
+    } else {
+        steps(now, &target, max_share)
+    };
     let by_cap_ms = u64::from(steps) * service.shift_step_ms;
     Estimate {
         service: service.name.clone(),
@@ -138,13 +142,13 @@
 }
 
 /// The number of plan versions from the weights `now` to `target`, each of which moves at most the
-/// share `most` of any region's callers.
-pub fn steps(mut now: plan::ByRegion, target: &plan::ByRegion, most: f64) -> u32 {
+/// share `max_share` of any region's callers.
+pub fn steps(mut now: plan::ByRegion, target: &plan::ByRegion, max_share: f64) -> u32 {
     let mut steps = 0;
-    while now != *target && steps < MOST_STEPS {
+    while now != *target && steps < MAX_PLAN_STEPS {
         for (region, to) in target {
             let from = now.get(region).unwrap_or(to);
-            let next = plan::towards(from, to, most);
+            let next = plan::towards(from, to, max_share);
             now.insert(region.clone(), next);
         }
         steps += 1;
@@ -153,7 +157,7 @@
 }
 
 /// The weights without the emptied AZs. If no other AZ has a weight, all others get equal ones.
-fn without(
+fn without_azs(
     weights: &plan::Weights,
     service: &settings::Service,
     emptied: &[id::AzId],
@@ -189,9 +193,9 @@
     }
 
     #[test]
-    fn a_drain_empties_evenly_and_fills_again() {
+    fn a_drain_reduces_capacity_linearly_and_restores_it() {
         let drain = drain(DrainTarget::Az("khovd-a".into()));
-        for (at, part) in [
+        for (at, share) in [
             (999.0, 1.0),
             (1_030.0, 0.5),
             (1_060.0, 0.0),
@@ -199,14 +203,14 @@
             (2_030.0, 0.5),
             (2_060.0, 1.0),
         ] {
-            assert!((left(&drain, at) - part).abs() < 1e-9, "at {at}");
+            assert!((left(&drain, at) - share).abs() < 1e-9, "at {at}");
         }
     }
 
     /// Guards against an estimate that shows only the ramp although the shift cap makes the drain
     /// last longer: servers would be switched off while callers still use them.
     #[test]
-    fn an_estimate_tells_when_the_cap_is_slower_than_the_ramp() {
+    fn an_estimate_shows_when_the_cap_is_slower_than_the_ramp() {
         let settings = cooperative();
         let drain = drain(DrainTarget::Az("khovd-a".into()));
         let estimates = estimate(&settings, &drain, &collections::BTreeMap::new());
@@ -214,8 +218,8 @@
         for estimate in estimates {
             assert!((estimate.share - 0.5).abs() < 1e-9);
             let service = settings.service(estimate.service.as_str()).unwrap();
-            let most = caps::Config::of(service).version_share();
-            assert!(f64::from(estimate.steps) >= 0.5 / most);
+            let max_share = caps::Config::of(service).version_share();
+            assert!(f64::from(estimate.steps) >= 0.5 / max_share);
             let by_cap = u64::from(estimate.steps) * service.shift_step_ms / 1_000;
             assert_eq!(estimate.moved_s, 1_000 + by_cap.max(60));
         }
--- a/src/decisions/plan.rs
+++ b/src/decisions/plan.rs
@@ -14,8 +14,8 @@
 //! A caller's hash determines its availability zones ([`order`]), so that most callers stay where
 //! their data is cached; [`churn`] computes the exact share of callers that a change moves.
 //!
-//! Summaries lag. An availability zone with a summary older than [`Config::fresh`] gets no more
-//! callers of other regions; beyond [`Config::gone`] it counts as lost.
+//! Summaries lag. An availability zone with a summary older than [`Config::fresh_max_age`] gets no
+//! more callers of other regions; beyond [`Config::lost_after`] it counts as lost.
 
 use std::collections;
 use std::sync;
@@ -31,10 +31,11 @@
 pub type ByRegion = collections::BTreeMap<id::RegionId, Weights>;
 
 /// Shares below this are rounding errors.
-const NOISE: f64 = 1e-9;
+const SHARE_EPSILON: f64 = 1e-9;
 
-/// Bisection steps to find the largest change within the bound; exact to less than [`NOISE`].
-const SEARCH: u32 = 40;
+/// Bisection steps to find the largest change within the bound; exact to less than
+/// [`SHARE_EPSILON`].
+const BISECTION_STEPS: u32 = 40;
 
 data! {
     /// One version of the plan.
@@ -67,12 +68,12 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Maximum age at which a summary counts fully. Three seconds: two may be lost.
-    pub fresh: time::Duration,
+    pub fresh_max_age: time::Duration,
     /// Summary age from which the availability zone counts as lost. Ten seconds: longer than a
     /// restart of its reader, shorter than two lifetimes of callers' cached look-up answers.
-    pub gone: time::Duration,
+    pub lost_after: time::Duration,
     /// The smallest share of callers that a change must move to be written as a version.
-    pub least: f64,
+    pub min_change_share: f64,
     /// The share of capacity kept free when an availability zone serves callers of other regions.
     /// With a tenth instead of three twentieths, random arrivals and cold caches take regions of a
     /// dozen slots over their limit for a few seconds.
@@ -82,9 +83,9 @@
 impl Default for Config {
     fn default() -> Self {
         Self {
-            fresh: time::Duration::from_secs(3),
-            gone: time::Duration::from_secs(10),
-            least: 0.005,
+            fresh_max_age: time::Duration::from_secs(3),
+            lost_after: time::Duration::from_secs(10),
+            min_change_share: 0.005,
             margin: 0.15,
         }
     }
@@ -93,11 +94,11 @@
 impl Config {
     /// Checks that the values are in range.
     pub fn check(&self) -> Result<(), &'static str> {
-        if self.fresh > self.gone {
-            return Err("fresh is over gone; give an age that is not above it");
+        if self.fresh_max_age > self.lost_after {
+            return Err("fresh_max_age is above lost_after; give an age that is not above it");
         }
-        if !(0.0..0.5).contains(&self.least) || !(0.0..0.5).contains(&self.margin) {
-            return Err("least or margin is out of range; give shares from 0 to 0.5");
+        if !(0.0..0.5).contains(&self.min_change_share) || !(0.0..0.5).contains(&self.margin) {
+            return Err("min_change_share or margin is out of range; give shares from 0 to 0.5");
         }
         Ok(())
     }
@@ -120,56 +121,61 @@
 
 /// Capacity of one availability zone while a plan is computed, in slots.
 #[derive(Clone, Debug)]
-struct Room {
+struct AzState {
     region: id::RegionId,
     capacity: f64,
-    left: f64,
-    takes_foreign: bool,
+    free: f64,
+    accepts_remote: bool,
 }
 
-type Rooms = collections::BTreeMap<id::AzId, Room>;
+type AzStates = collections::BTreeMap<id::AzId, AzState>;
 
 /// The weights that the plan approaches, without a bound on the share of callers that moves.
 pub fn target(cfg: &Config, inputs: &Inputs<'_>) -> ByRegion {
     let demand = demand(cfg, inputs);
-    let mut rooms = rooms(cfg, inputs);
+    let mut az_states = az_states(cfg, inputs);
     let mut placed = collections::BTreeMap::new();
     for region in inputs.settings.regions() {
         let wanted = demand.get(&region.name).copied().unwrap_or(0.0);
-        let own = fill(&mut rooms, wanted, |room| room.region == region.name);
-        placed.insert(region.name.clone(), own);
+        let assigned = assign(&mut az_states, wanted, |state| state.region == region.name);
+        placed.insert(region.name.clone(), assigned);
     }
-    for (az, room) in &mut rooms {
-        room.left = (room.left - cfg.margin * room.capacity).max(0.0);
-        room.left = room.left.min(foreign_bound(cfg, inputs, &demand, az, room));
+    for (az, state) in &mut az_states {
+        state.free = (state.free - cfg.margin * state.capacity).max(0.0);
+        state.free = state
+            .free
+            .min(remote_load_bound(cfg, inputs, &demand, az, state));
     }
     for region in inputs.settings.regions() {
         let wanted = demand.get(&region.name).copied().unwrap_or(0.0);
-        let own = placed.get_mut(&region.name).expect("inserted above");
-        for other in by_distance(inputs.settings, &region.name) {
-            let rest = wanted - own.values().sum::<f64>();
-            if rest <= NOISE * wanted {
+        let assigned = placed.get_mut(&region.name).expect("inserted above");
+        for other in regions_by_delay(inputs.settings, &region.name) {
+            let rest = wanted - assigned.values().sum::<f64>();
+            if rest <= SHARE_EPSILON * wanted {
                 break;
             }
-            let more = fill(&mut rooms, rest, |r| r.region == other && r.takes_foreign);
+            let more = assign(&mut az_states, rest, |r| {
+                r.region == other && r.accepts_remote
+            });
             for (az, work) in more {
-                *own.entry(az).or_default() += work;
+                *assigned.entry(az).or_default() += work;
             }
         }
     }
     placed
         .into_iter()
-        .map(|(region, own)| {
+        .map(|(region, assigned)| {
             let wanted = demand.get(&region).copied().unwrap_or(0.0);
-            let weights = to_weights(&region, wanted, own, &rooms, inputs);
+            let weights = to_weights(&region, wanted, assigned, &az_states, inputs);
             (region, weights)
         })
         .collect()
 }
 
 /// The weights of the next version from `now` towards `target`, which moves at most the share
-/// `most` of any region's callers. `None` if every remaining change is below [`Config::least`].
-pub fn step(cfg: &Config, now: &ByRegion, target: &ByRegion, most: f64) -> Option<ByRegion> {
+/// `max_share` of any region's callers. `None` if every remaining change is below
+/// [`Config::min_change_share`].
+pub fn step(cfg: &Config, now: &ByRegion, target: &ByRegion, max_share: f64) -> Option<ByRegion> {
     let mut moved = false;
     let mut next = now.clone();
     for (region, to) in target {
@@ -178,24 +184,25 @@
             moved = true;
             continue;
         };
-        if churn(from, to) < cfg.least {
+        if churn(from, to) < cfg.min_change_share {
             continue;
         }
-        next.insert(region.clone(), towards(from, to, most));
+        next.insert(region.clone(), towards(from, to, max_share));
         moved = true;
     }
     moved.then_some(next)
 }
 
-/// The weights between `from` and `to` that are closest to `to` and move at most the share `most`.
-pub fn towards(from: &Weights, to: &Weights, most: f64) -> Weights {
-    if churn(from, to) <= most + NOISE {
+/// The weights between `from` and `to` that are closest to `to` and move at most the share
+/// `max_share`.
+pub fn towards(from: &Weights, to: &Weights, max_share: f64) -> Weights {
+    if churn(from, to) <= max_share + SHARE_EPSILON {
         return to.clone();
     }
     let (mut low, mut high) = (0.0, 1.0);
-    for _ in 0..SEARCH {
+    for _ in 0..BISECTION_STEPS {
         let middle = (low + high) / 2.0;
-        if churn(from, &blend(from, to, middle)) <= most {
+        if churn(from, &blend(from, to, middle)) <= max_share {
             low = middle;
         } else {
             high = middle;
@@ -244,7 +251,12 @@
 pub fn initial(settings: &settings::Settings, service: &settings::Service) -> ByRegion {
     settings
         .regions()
-        .map(|region| (region.name.clone(), even(&homes(region, service))))
+        .map(|region| {
+            (
+                region.name.clone(),
+                even_weights(&home_azs(region, service)),
+            )
+        })
         .collect()
 }
 
@@ -258,7 +270,7 @@
 #[derive(Debug)]
 struct InForce {
     weights: ByRegion,
-    stepped: policy::Moment,
+    stepped_at: policy::Moment,
 }
 
 impl Applied {
@@ -276,14 +288,15 @@
         &self.newest
     }
 
-    /// Moves a service's weights towards the newest version, by at most the share `most` per step
-    /// length, and returns them. The first call for a service uses the newest version unchanged.
+    /// Moves a service's weights towards the newest version, by at most the share `max_share` per
+    /// step length, and returns them. The first call for a service uses the newest version
+    /// unchanged.
     pub fn advance(
         &mut self,
         now: policy::Moment,
         settings: &settings::Settings,
         service: &settings::Service,
-        most: f64,
+        max_share: f64,
     ) -> &ByRegion {
         let newest = self.newest.services.get(&service.name);
         let known = self.services.entry(service.name.clone());
@@ -291,17 +304,17 @@
             weights: newest
                 .cloned()
                 .unwrap_or_else(|| initial(settings, service)),
-            stepped: now,
+            stepped_at: now,
         });
         let step_len = time::Duration::from_millis(service.shift_step_ms);
-        let due = now >= in_force.stepped + step_len;
+        let due = now >= in_force.stepped_at + step_len;
         if let (true, Some(newest)) = (due, newest) {
             for (region, to) in newest {
                 let from = in_force.weights.get(region);
-                let next = from.map_or_else(|| to.clone(), |from| towards(from, to, most));
+                let next = from.map_or_else(|| to.clone(), |from| towards(from, to, max_share));
                 in_force.weights.insert(region.clone(), next);
             }
-            in_force.stepped = now;
+            in_force.stepped_at = now;
         }
         &in_force.weights
     }
@@ -309,7 +322,7 @@
 
 fn demand(cfg: &Config, inputs: &Inputs<'_>) -> collections::BTreeMap<id::RegionId, f64> {
     let mut demand: collections::BTreeMap<_, f64> = collections::BTreeMap::new();
-    let known = |s: &&Summary| s.service == inputs.service.name && s.age < cfg.gone;
+    let known = |s: &&Summary| s.service == inputs.service.name && s.age < cfg.lost_after;
     for summary in inputs.summaries.iter().filter(known) {
         for (region, work) in &summary.demand {
             if work.is_finite() && *work > 0.0 {
@@ -320,40 +333,40 @@
     demand
 }
 
-fn rooms(cfg: &Config, inputs: &Inputs<'_>) -> Rooms {
-    let mut rooms = Rooms::new();
+fn az_states(cfg: &Config, inputs: &Inputs<'_>) -> AzStates {
+    let mut az_states = AzStates::new();
     for az in &inputs.service.azs {
         let Some(region) = inputs.settings.region_of(az) else {
             continue;
         };
         let of_az = |s: &&Summary| s.az == *az && s.service == inputs.service.name;
         let summary = inputs.summaries.iter().find(of_az);
-        let live = summary.filter(|s| s.age < cfg.gone);
+        let live = summary.filter(|s| s.age < cfg.lost_after);
         let left = inputs.left.get(az).copied().unwrap_or(1.0).clamp(0.0, 1.0);
         let slots = live.map_or(0.0, |s| f64::from(s.slots));
         let capacity = slots * region.max_load * left;
-        rooms.insert(
+        az_states.insert(
             az.clone(),
-            Room {
+            AzState {
                 region: region.name.clone(),
                 capacity,
-                left: capacity,
-                takes_foreign: live.is_some_and(|s| s.age < cfg.fresh) && left >= 1.0,
+                free: capacity,
+                accepts_remote: live.is_some_and(|s| s.age < cfg.fresh_max_age) && left >= 1.0,
             },
         );
     }
-    rooms
+    az_states
 }
 
 /// Upper bound on the load of other regions' callers in an AZ, from its slots in use. Callers with
 /// cold caches use more slots than their demand shows. If more slots are in use than the capacity
 /// less the margin, the bound is the present load of other regions' callers less the excess.
-fn foreign_bound(
+fn remote_load_bound(
     cfg: &Config,
     inputs: &Inputs<'_>,
     demand: &collections::BTreeMap<id::RegionId, f64>,
     az: &id::AzId,
-    room: &Room,
+    state: &AzState,
 ) -> f64 {
     let of_az = |s: &&Summary| s.az == *az && s.service == inputs.service.name;
     let in_use = inputs
@@ -361,36 +374,36 @@
         .iter()
         .find(of_az)
         .map_or(0.0, |s| s.in_use);
-    let wanted = room.capacity * (1.0 - cfg.margin);
-    if in_use <= wanted {
+    let usable = state.capacity * (1.0 - cfg.margin);
+    if in_use <= usable {
         return f64::INFINITY;
     }
-    let others = inputs
+    let remote = inputs
         .now
         .iter()
-        .filter(|(region, _)| **region != room.region);
-    let now: f64 = others
+        .filter(|(region, _)| **region != state.region);
+    let current: f64 = remote
         .map(|(region, weights)| {
             let work = demand.get(region).copied().unwrap_or(0.0);
             work * weights.get(az).copied().unwrap_or(0.0)
         })
         .sum();
-    (now - (in_use - wanted)).max(0.0)
+    (current - (in_use - usable)).max(0.0)
 }
 
 /// Assigns load to the AZs that `fits` selects, in proportion to their free capacity.
-fn fill(rooms: &mut Rooms, wanted: f64, fits: impl Fn(&Room) -> bool) -> Weights {
-    let left: f64 = rooms.values().filter(|r| fits(r)).map(|r| r.left).sum();
-    let part = if left > 0.0 {
-        (wanted / left).clamp(0.0, 1.0)
+fn assign(az_states: &mut AzStates, wanted: f64, fits: impl Fn(&AzState) -> bool) -> Weights {
+    let free: f64 = az_states.values().filter(|r| fits(r)).map(|r| r.free).sum();
+    let part = if free > 0.0 {
+        (wanted / free).clamp(0.0, 1.0)
     } else {
         0.0
     };
     let mut placed = Weights::new();
-    for (az, room) in rooms.iter_mut().filter(|(_, room)| fits(room)) {
-        let work = room.left * part;
+    for (az, state) in az_states.iter_mut().filter(|(_, state)| fits(state)) {
+        let work = state.free * part;
         if work > 0.0 {
-            room.left -= work;
+            state.free -= work;
             placed.insert(az.clone(), work);
         }
     }
@@ -402,12 +415,12 @@
     region: &id::RegionId,
     wanted: f64,
     mut placed: Weights,
-    rooms: &Rooms,
+    az_states: &AzStates,
     inputs: &Inputs<'_>,
 ) -> Weights {
     let rest = wanted - placed.values().sum::<f64>();
-    if wanted <= 0.0 || rest > NOISE * wanted {
-        let home = home_weights(region, rooms, inputs);
+    if wanted <= 0.0 || rest > SHARE_EPSILON * wanted {
+        let home = home_weights(region, az_states, inputs);
         let rest = if wanted <= 0.0 { 1.0 } else { rest };
         for (az, part) in home {
             *placed.entry(az).or_default() += part * rest;
@@ -420,36 +433,38 @@
 
 /// Weights of a region's availability zones by capacity, or equal ones if none has capacity. Load
 /// that fits nowhere stays here, because the plan must not overload other regions.
-fn home_weights(region: &id::RegionId, rooms: &Rooms, inputs: &Inputs<'_>) -> Weights {
-    let own = rooms.iter().filter(|(_, room)| room.region == *region);
-    let sum: f64 = own.clone().map(|(_, room)| room.capacity).sum();
+fn home_weights(region: &id::RegionId, az_states: &AzStates, inputs: &Inputs<'_>) -> Weights {
+    let home = az_states
+        .iter()
+        .filter(|(_, state)| state.region == *region);
+    let sum: f64 = home.clone().map(|(_, state)| state.capacity).sum();
     if sum > 0.0 {
-        return own
-            .filter(|(_, room)| room.capacity > 0.0)
-            .map(|(az, room)| (az.clone(), room.capacity / sum))
+        return home
+            .filter(|(_, state)| state.capacity > 0.0)
+            .map(|(az, state)| (az.clone(), state.capacity / sum))
             .collect();
     }
     let declared = inputs.settings.regions().find(|r| r.name == *region);
-    even(&declared.map_or_else(Vec::new, |r| homes(r, inputs.service)))
+    even_weights(&declared.map_or_else(Vec::new, |r| home_azs(r, inputs.service)))
 }
 
-fn homes(region: &settings::Region, service: &settings::Service) -> Vec<id::AzId> {
+fn home_azs(region: &settings::Region, service: &settings::Service) -> Vec<id::AzId> {
     let runs = |az: &&id::AzId| service.azs.contains(az);
-    let own: Vec<_> = region.azs.iter().filter(runs).cloned().collect();
-    if own.is_empty() {
+    let home: Vec<_> = region.azs.iter().filter(runs).cloned().collect();
+    if home.is_empty() {
         service.azs.clone()
     } else {
-        own
+        home
     }
 }
 
-fn even(azs: &[id::AzId]) -> Weights {
+fn even_weights(azs: &[id::AzId]) -> Weights {
     let part = 1.0 / azs.len().max(1) as f64;
     azs.iter().map(|az| (az.clone(), part)).collect()
 }
 
 /// The regions that a link connects to `from`, nearest first.
-fn by_distance(settings: &settings::Settings, from: &id::RegionId) -> Vec<id::RegionId> {
+fn regions_by_delay(settings: &settings::Settings, from: &id::RegionId) -> Vec<id::RegionId> {
     let mut links: Vec<_> = settings.links().filter(|l| l.from == *from).collect();
     links.sort_by(|a, b| {
         let by_delay = a.one_way_ms.total_cmp(&b.one_way_ms);
@@ -508,7 +523,7 @@
         }
     }
 
-    fn all(demand: f64) -> Vec<Summary> {
+    fn all_summaries(demand: f64) -> Vec<Summary> {
         ["ulaanbaatar", "khovd", "dornod"]
             .iter()
             .flat_map(|region| {
@@ -546,8 +561,8 @@
     }
 
     #[test]
-    fn without_overload_everyone_stays_home() {
-        let plan = plan(&all(3.0), &[]);
+    fn callers_stay_home_without_overload() {
+        let plan = plan(&all_summaries(3.0), &[]);
         assert!((weight(&plan, "khovd", "khovd-a") - 0.5).abs() < 1e-9);
         assert_eq!(plan["khovd"].len(), 2);
     }
@@ -555,8 +570,8 @@
     /// Guards against an overloaded region that moves more load to other regions than their local
     /// callers leave free: one region's load doubles.
     #[test]
-    fn a_surge_goes_where_there_is_room() {
-        let mut summaries = all(4.0);
+    fn a_surge_moves_only_into_free_capacity() {
+        let mut summaries = all_summaries(4.0);
         summaries[2].demand.insert("khovd".into(), 9.0);
         let plan = plan(&summaries, &[]);
         let away = 1.0 - weight(&plan, "khovd", "khovd-a") - weight(&plan, "khovd", "khovd-b");
@@ -566,8 +581,8 @@
     /// Guards against a cascade: the callers of a lost region must not overload a second one. Those
     /// that fit nowhere stay at home and are refused there.
     #[test]
-    fn a_lost_region_does_not_overfill_the_others() {
-        let mut summaries = all(4.0);
+    fn a_lost_region_does_not_overload_the_others() {
+        let mut summaries = all_summaries(4.0);
         for summary in &mut summaries[2..4] {
             summary.age = time::Duration::from_secs(60);
         }
@@ -581,16 +596,16 @@
     }
 
     #[test]
-    fn a_drained_place_keeps_no_callers() {
-        let plan = plan(&all(2.0), &[("khovd-a", 0.0)]);
+    fn a_drained_az_keeps_no_callers() {
+        let plan = plan(&all_summaries(2.0), &[("khovd-a", 0.0)]);
         assert_eq!(weight(&plan, "khovd", "khovd-a"), 0.0);
         assert_eq!(weight(&plan, "khovd", "khovd-b"), 1.0);
     }
 
     /// Guards against using free capacity that only an outdated summary shows.
     #[test]
-    fn a_place_that_fell_silent_gets_no_more() {
-        let mut summaries = all(4.0);
+    fn an_az_with_an_old_summary_gets_no_more_callers() {
+        let mut summaries = all_summaries(4.0);
         summaries[2].demand.insert("khovd".into(), 9.0);
         for summary in &mut summaries[4..] {
             summary.age = time::Duration::from_secs(5);
@@ -601,30 +616,34 @@
     }
 
     #[test]
-    fn churn_tells_how_many_callers_move() {
+    fn churn_equals_the_share_of_callers_that_move() {
         let from: Weights = [("a".into(), 0.5), ("b".into(), 0.5)].into();
         let to: Weights = [("a".into(), 0.5), ("b".into(), 0.3), ("c".into(), 0.2)].into();
         let moved = (0..20_000u64)
             .filter(|i| order(&from, mix(*i))[0] != order(&to, mix(*i))[0])
             .count();
         let measured = moved as f64 / 20_000.0;
-        let told = churn(&from, &to);
-        assert!((measured - told).abs() < 0.01, "{measured} {told}");
+        let computed = churn(&from, &to);
+        assert!((measured - computed).abs() < 0.01, "{measured} {computed}");
         assert!((churn(&from, &towards(&from, &to, 0.05)) - 0.05).abs() < 1e-4);
     }
 
     /// Guards against a node that was partitioned during many versions and applies them at once:
     /// all of its callers would move to cold caches.
     #[test]
-    fn a_node_that_missed_versions_steps_like_the_others() {
+    fn a_node_that_missed_versions_keeps_the_bound_per_step() {
         let settings = cooperative();
         let service = settings.service("ledger").unwrap();
         let mut applied = Applied::default();
         let mut before = applied
             .advance(policy::Moment::ZERO, &settings, service, 0.05)
             .clone();
-        let far: Weights = [("dornod-a".into(), 1.0)].into();
-        let services = [("ledger".into(), [("khovd".into(), far.clone())].into())].into();
+        let target_weights: Weights = [("dornod-a".into(), 1.0)].into();
+        let services = [(
+            "ledger".into(),
+            [("khovd".into(), target_weights.clone())].into(),
+        )]
+        .into();
         let plan = sync::Arc::new(Plan {
             version: 40,
             services,
@@ -637,10 +656,10 @@
             let next = applied.advance(now, &settings, service, 0.05).clone();
             let moved = churn(&before["khovd"], &next["khovd"]);
             assert!(moved <= 0.05 + 1e-6, "{moved}");
-            steps += u32::from(moved > NOISE);
+            steps += u32::from(moved > SHARE_EPSILON);
             before = next;
         }
-        assert_eq!(before["khovd"], far);
+        assert_eq!(before["khovd"], target_weights);
         assert!((20..=21).contains(&steps), "{steps}");
     }
 }
