--- a/tests/steering.rs
+++ b/tests/steering.rs
@@ -148,10 +148,10 @@
                 },
             }
             if what == 1 || what == 2 {
-                let lent: u32 = granters.iter().map(grants::Granter::lent_slots).sum();
+                let lent: u32 = granters.iter().map(grants::Granter::granted_slots).sum();
                 prop_assert!(f64::from(lent) <= limit, "{lent} lent");
                 let most = granters[who].headroom().max(f64::from(granters[who].in_hand()));
-                let lent = f64::from(granters[who].lent_slots());
+                let lent = f64::from(granters[who].granted_slots());
                 // Grants issued before the local load grew expire within their lifetime.
                 prop_assert!(lent <= most || lent <= limit / members as f64, "{lent} of {most}");
             }
@@ -188,7 +188,7 @@
     /// Guards against plans and steps that move callers into a region without free capacity, when
     /// summaries are old, wrong or missing and availability zones drain.
     #[test]
-    fn no_plan_overfills_a_region(
+    fn no_plan_overloads_a_region(
         rows in proptest::collection::vec((0_u32..30, 0.0_f64..40.0, 0_u64..15, 0.0_f64..1.2), 6),
         stray in 0.0_f64..20.0,
     ) {
@@ -274,21 +274,21 @@
     /// Guards against needless moves: if all callers fit into the nearest region that has backend
     /// servers, the plan must send them there like the naive policy.
     #[test]
-    fn without_overload_the_plan_is_the_naive_one(
+    fn without_overload_the_plan_matches_the_naive_policy(
         demand in proptest::collection::vec(0.1_f64..1.3, 6),
         lost in proptest::option::of(0_usize..3),
     ) {
         let settings = cooperative();
         let service = settings.service("ledger").unwrap();
         let regions: Vec<_> = settings.regions().collect();
-        let gone = lost.map(|i| regions[i].name.clone());
+        let lost_region = lost.map(|i| regions[i].name.clone());
         let summaries: Vec<_> = service.azs.iter().zip(&demand).map(|(az, demand)| {
             let region = &settings.region_of(az).unwrap().name;
             plan::Summary {
                 az: az.clone(),
                 service: service.name.clone(),
                 in_use: *demand,
-                slots: if gone.as_ref() == Some(region) { 0 } else { 6 },
+                slots: if lost_region.as_ref() == Some(region) { 0 } else { 6 },
                 demand: [(region.clone(), *demand)].into(),
                 age: time::Duration::ZERO,
             }
@@ -298,7 +298,7 @@
         let inputs = plan::Inputs { settings: &settings, service, summaries: &summaries, left: &left, now: &now };
         let target = plan::target(&plan::Config::default(), &inputs);
         for region in &regions {
-            let naive = naive_region(&settings, &region.name, gone.as_ref());
+            let naive = naive_region(&settings, &region.name, lost_region.as_ref());
             let there: f64 = target[&region.name]
                 .iter()
                 .filter(|(az, _)| settings.region_of(az).unwrap().name == naive)
@@ -312,9 +312,9 @@
 fn naive_region(
     settings: &settings::Settings,
     home: &id::RegionId,
-    gone: Option<&id::RegionId>,
+    lost_region: Option<&id::RegionId>,
 ) -> id::RegionId {
-    if gone != Some(home) {
+    if lost_region != Some(home) {
         return home.clone();
     }
     let mut links: Vec<_> = settings.links().filter(|l| l.from == *home).collect();
@@ -346,8 +346,8 @@
     inputs: &plan::Inputs<'_>,
     plan: &plan::ByRegion,
 ) -> Result<(), TestCaseError> {
-    let gone = plan::Config::default().gone;
-    let known = || inputs.summaries.iter().filter(|s| s.age < gone);
+    let lost_after = plan::Config::default().lost_after;
+    let known = || inputs.summaries.iter().filter(|s| s.age < lost_after);
     for weights in plan.values() {
         let sum: f64 = weights.values().sum();
         prop_assert!((sum - 1.0).abs() < 1e-6, "{sum}");
--- a/tests/steering_model.rs
+++ b/tests/steering_model.rs
@@ -26,7 +26,7 @@
 /// Guards against a thundering herd: two overloaded regions see the same free capacity in a third.
 /// Senders that rely on load reports alone take it over its limit.
 #[test]
-fn grants_keep_a_herd_away() {
+fn grants_prevent_a_thundering_herd() {
     let name = "a surge on two regions, the third at 0.8";
     let (own, grants) = (play(name, Way::OwnFraction), play(name, Way::Grants));
     assert!(own.seconds_over >= 10, "{}", own.seconds_over);
@@ -37,7 +37,7 @@
 /// Guards against moving all callers of a region to cold caches at once after its backend servers
 /// fail while its entry VMs keep running.
 #[test]
-fn a_lost_region_keeps_the_cap_and_is_left() {
+fn moves_from_a_lost_region_keep_the_cap() {
     let name = "a region's backend servers die";
     let (naive, grants) = (play(name, Way::Naive), play(name, Way::Grants));
     assert!(naive.largest_shift > naive.cap, "{}", naive.largest_shift);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn without_overload_all_ways_give_the_same() {
+fn without_overload_all_policies_give_the_same() {
     let naive = play("calm", Way::Naive);
     for way in Way::ALL {
         let tally = play("calm", way);
