--- a/src/decisions/across.rs
+++ b/src/decisions/across.rs
@@ -24,8 +24,8 @@
 use crate::id;
 use policy::Ended;
 
-/// Lower bound of an availability zone's trust. At a sixteenth, the recovery of an AZ is detected
-/// within about twenty requests.
+/// Lower bound of the trust in an availability zone, which scales its granted rate. At a sixteenth,
+/// a recovery is detected within about twenty requests.
 const MIN_TRUST: f64 = 1.0 / 16.0;
 
 /// Trust that one answer restores. Eight answers compensate for one refusal at full trust.
--- a/src/decisions/links.rs
+++ b/src/decisions/links.rs
@@ -61,8 +61,7 @@
 }
 
 impl RecentMax {
-    /// Records the current count and returns the maximum within the last `member_retention`, at
-    /// least 1.
+    /// Records a count and returns the maximum within the last `member_retention`, at least 1.
     pub fn record(
         &mut self,
         now: policy::Moment,
@@ -179,14 +178,14 @@
                 sent.push(i);
             }
         }
-        let most = (0..4_000)
+        let max_count = (0..4_000)
             .map(|from| {
                 sent.iter()
                     .filter(|i| (from..from + 1_000).contains(*i))
                     .count()
             })
             .max();
-        assert!((18..=25).contains(&most.unwrap()), "{most:?}");
+        assert!((18..=25).contains(&max_count.unwrap()), "{max_count:?}");
     }
 
     #[test]
--- a/src/decisions/plan.rs
+++ b/src/decisions/plan.rs
@@ -33,8 +33,7 @@
 /// Shares below this are rounding errors.
 const SHARE_EPSILON: f64 = 1e-9;
 
-/// Bisection steps to find the largest change within the bound; exact to less than
-/// [`SHARE_EPSILON`].
+/// Bisection steps to find the largest change within the bound, accurate to [`SHARE_EPSILON`].
 const BISECTION_STEPS: u32 = 40;
 
 data! {
@@ -157,8 +156,8 @@
             let more = assign(&mut az_states, rest, |r| {
                 r.region == other && r.accepts_remote
             });
-            for (az, work) in more {
-                *assigned.entry(az).or_default() += work;
+            for (az, load) in more {
+                *assigned.entry(az).or_default() += load;
             }
         }
     }
@@ -172,9 +171,8 @@
         .collect()
 }
 
-/// The weights of the next version from `now` towards `target`, which moves at most the share
-/// `max_share` of any region's callers. `None` if every remaining change is below
-/// [`Config::min_change_share`].
+/// The next version's weights, which move at most `max_share` of any region's callers from `now`
+/// towards `target`. `None` if every change is below [`Config::min_change_share`].
 pub fn step(cfg: &Config, now: &ByRegion, target: &ByRegion, max_share: f64) -> Option<ByRegion> {
     let mut moved = false;
     let mut next = now.clone();
@@ -193,8 +191,7 @@
     moved.then_some(next)
 }
 
-/// The weights between `from` and `to` that are closest to `to` and move at most the share
-/// `max_share`.
+/// The weights between `from` and `to` nearest to `to` that move at most `max_share` of callers.
 pub fn towards(from: &Weights, to: &Weights, max_share: f64) -> Weights {
     if churn(from, to) <= max_share + SHARE_EPSILON {
         return to.clone();
@@ -215,8 +212,8 @@
 ///
 /// By weighted rendezvous hashing, a caller draws an exponential time, divided by the weight, for
 /// each availability zone, and the smallest time wins. A caller stays at an AZ that wins under both
-/// sets of weights. The probability is 1 over the sum, over all AZs, of the larger ratio of an AZ's
-/// weight to the winner's.
+/// sets of weights. The probability is 1 over the sum, over all AZs, of the larger of both ratios
+/// of an AZ's weight to the winner's.
 pub fn churn(from: &Weights, to: &Weights) -> f64 {
     let weight = |w: &Weights, az: &id::AzId| w.get(az).copied().unwrap_or(0.0);
     let azs: collections::BTreeSet<_> = from.keys().chain(to.keys()).collect();
@@ -324,9 +321,9 @@
     let mut demand: collections::BTreeMap<_, f64> = collections::BTreeMap::new();
     let known = |s: &&Summary| s.service == inputs.service.name && s.age < cfg.lost_after;
     for summary in inputs.summaries.iter().filter(known) {
-        for (region, work) in &summary.demand {
-            if work.is_finite() && *work > 0.0 {
-                *demand.entry(region.clone()).or_default() += work;
+        for (region, load) in &summary.demand {
+            if load.is_finite() && *load > 0.0 {
+                *demand.entry(region.clone()).or_default() += load;
             }
         }
     }
@@ -384,8 +381,8 @@
         .filter(|(region, _)| **region != state.region);
     let current: f64 = remote
         .map(|(region, weights)| {
-            let work = demand.get(region).copied().unwrap_or(0.0);
-            work * weights.get(az).copied().unwrap_or(0.0)
+            let load = demand.get(region).copied().unwrap_or(0.0);
+            load * weights.get(az).copied().unwrap_or(0.0)
         })
         .sum();
     (current - (in_use - usable)).max(0.0)
@@ -401,10 +398,10 @@
     };
     let mut placed = Weights::new();
     for (az, state) in az_states.iter_mut().filter(|(_, state)| fits(state)) {
-        let work = state.free * part;
-        if work > 0.0 {
-            state.free -= work;
-            placed.insert(az.clone(), work);
+        let load = state.free * part;
+        if load > 0.0 {
+            state.free -= load;
+            placed.insert(az.clone(), load);
         }
     }
     placed
@@ -427,7 +424,7 @@
         }
     }
     let sum: f64 = placed.values().sum();
-    placed.values_mut().for_each(|work| *work /= sum);
+    placed.values_mut().for_each(|load| *load /= sum);
     placed
 }
 
@@ -628,8 +625,8 @@
         assert!((churn(&from, &towards(&from, &to, 0.05)) - 0.05).abs() < 1e-4);
     }
 
-    /// Guards against a node that was partitioned during many versions and applies them at once:
-    /// all of its callers would move to cold caches.
+    /// Guards against a node that was partitioned during many versions and applies them at once, so
+    /// that all of its callers move to cold caches.
     #[test]
     fn a_node_that_missed_versions_keeps_the_bound_per_step() {
         let settings = cooperative();
