--- a/src/decisions/plan.rs
+++ b/src/decisions/plan.rs
@@ -69,13 +69,13 @@
     /// Maximum age at which a summary counts fully. Three seconds: two may be lost.
     pub fresh_max_age: time::Duration,
     /// Summary age from which the availability zone counts as lost. Ten seconds: longer than a
-    /// restart of its reader, shorter than two lifetimes of callers' cached look-up answers.
+    /// restart of its elected reader, shorter than two lifetimes of callers' cached look-up answers.
     pub lost_after: time::Duration,
     /// The smallest share of callers that a change must move to be written as a version.
     pub min_change_share: f64,
     /// The share of capacity kept free when an availability zone serves callers of other regions.
-    /// With a tenth instead of three twentieths, random arrivals and cold caches take regions of a
-    /// dozen slots over their limit for a few seconds.
+    /// Three twentieths: at a tenth, random arrivals and cold caches take regions of a dozen slots
+    /// over their limit for a few seconds.
     pub margin: f64,
 }
 
@@ -285,9 +285,8 @@
         &self.newest
     }
 
-    /// Moves a service's weights towards the newest version, by at most the share `max_share` per
-    /// step length, and returns them. The first call for a service uses the newest version
-    /// unchanged.
+    /// Moves a service's weights towards the newest version by at most `max_share` per step length,
+    /// and returns them. The first call for a service uses the newest version unchanged.
     pub fn advance(
         &mut self,
         now: policy::Moment,
