--- a/src/decisions/grants.rs
+++ b/src/decisions/grants.rs
@@ -86,7 +86,7 @@
     pub margin: f64,
     /// The share of the limit that is granted at first; above 0 and at most 1.
     pub initial_share: f64,
-    /// How long a new process grants nothing. Longer than `ttl` and than the list of VMs lags.
+    /// How long a new process grants nothing. Longer than `ttl` and the delay of the VM list.
     pub startup_delay: time::Duration,
     /// How long a VM still counts as a member after it is no longer seen.
     pub member_retention: time::Duration,
@@ -358,8 +358,8 @@
         self.headroom().min(self.warmup_limit.max(floor))
     }
 
-    fn slots_of_others(&self, than: &id::VmId) -> f64 {
-        let others = self.issued.values().filter(|issued| issued.sender != *than);
+    fn slots_of_others(&self, sender: &id::VmId) -> f64 {
+        let others = self.issued.values().filter(|issued| issued.sender != *sender);
         others.map(|l| f64::from(l.slots.max(l.in_hand))).sum()
     }
 
@@ -551,8 +551,7 @@
         );
     }
 
-    /// Guards against granting the headroom twice after a restart: senders still hold grants of the
-    /// replaced process.
+    /// Guards against granting the headroom twice after a restart while senders hold old grants.
     #[test]
     fn a_restarted_receiver_refuses_older_grants_and_delays_new_ones() {
         let old = granter().ask(START, &"b1".into(), 100.0).unwrap();
