--- a/src/decisions/caps.rs
+++ b/src/decisions/caps.rs
@@ -43,9 +43,9 @@
     pub cap: f64,
     /// The length of one step, from 100 ms to an hour.
     pub step: time::Duration,
-    /// The share of the cap reserved for plan versions, from 0 to 1. Three quarters: the plan adds
-    /// up from step to step and a sender's share does not, so that traffic leaves a lost or
-    /// overloaded region sooner and more requests are answered.
+    /// The share of the cap reserved for plan versions, from 0 to 1. Three quarters: the plan's
+    /// moves accumulate from step to step and a sender's moves do not, so that traffic leaves a
+    /// lost or overloaded region sooner and more requests are answered.
     pub plan_share: f64,
 }
 
@@ -102,7 +102,7 @@
     moved: u32,
 }
 
-/// Counts the requests of one service that arrived at one sender and that it moved.
+/// Counts the arrived and the moved requests of one service on one sender.
 #[derive(Debug)]
 pub struct Caps {
     cfg: Config,
--- a/src/decisions/grants.rs
+++ b/src/decisions/grants.rs
@@ -359,7 +359,10 @@
     }
 
     fn slots_of_others(&self, sender: &id::VmId) -> f64 {
-        let others = self.issued.values().filter(|issued| issued.sender != *sender);
+        let others = self
+            .issued
+            .values()
+            .filter(|issued| issued.sender != *sender);
         others.map(|l| f64::from(l.slots.max(l.in_hand))).sum()
     }
 
