--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -1,9 +1,10 @@
-//! All decisions inside one availability zone put together, behind [`policy::Policy`].
+//! Combines all decisions inside one availability zone behind [`policy::Policy`].
 //!
-//! A request that comes in is refused at once, waits in the queue, or goes to a backend server.
-//! Whenever something ends, the queue is served again. This module holds what is known and takes
-//! in what happens; [`super::serve`] sends what waits, and [`super::upkeep`] does what time alone
-//! brings. Each decision has a module of its own, which says which load pattern it answers.
+//! A new request is refused, queued, sent to a backend server, or sent to another availability
+//! zone. The queue is served again after every event, such as the end of an attempt. This module
+//! holds the state and handles the events; [`super::serve`] sends queued requests, and
+//! [`super::upkeep`] does the periodic work. Each decision has its own module, which names the load
+//! pattern it handles.
 
 use std::collections;
 use std::time;
@@ -20,33 +21,33 @@
 /// Thresholds of all decisions inside an availability zone.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Where random picks begin. Different on each VM, so that they do not pick alike.
+    /// Seed for random choices. It differs on each VM, so that VMs make different choices.
     pub seed: u64,
-    /// A caller's request that would wait longer than this is offered to other availability
-    /// zones. Less than the delay between regions gains nothing there, but most that wait in one
-    /// zone of a region find room in the other within 2 or 3 ms.
+    /// A caller's request with a longer estimated wait is offered to other availability zones.
+    /// Another region gains nothing if the wait is below the delay between regions, but most
+    /// requests that wait in one zone of a region find a free slot in another one within 2 or 3 ms.
     pub cross_after: time::Duration,
-    /// What is let in.
+    /// Which requests are admitted.
     pub admission: admission::Config,
-    /// What goes next.
+    /// Order of queued requests.
     pub queue: queue::Config,
-    /// Where it goes.
+    /// Choice of the backend server.
     pub placement: placement::Config,
-    /// What is known of a backend server.
+    /// State kept for each backend server.
     pub members: members::Config,
-    /// How much is in flight at one.
+    /// Requests in flight at each backend server.
     pub limit: limit::Config,
-    /// When one is out.
+    /// Ejection of failing backend servers.
     pub ejection: ejection::Config,
-    /// How it comes back.
+    /// Slow start of new and restored backend servers.
     pub ramp: ramp::Config,
-    /// Second attempts.
+    /// Retries and hedges.
     pub retry: retry::Config,
-    /// Requests that crash backend servers.
+    /// Quarantine of requests that crash backend servers.
     pub quarantine: quarantine::Config,
-    /// Probes.
+    /// Probes of backend servers that get no requests.
     pub probe: probe::Config,
-    /// Reports.
+    /// Plausibility checks on load reports.
     pub trust: trust::Config,
 }
 
@@ -89,14 +90,12 @@
     }
 }
 
-/// Where a request that is in hand stands.
+/// The stage of an unsettled request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// It waits in the queue.
     Queued,
-    /// It waits to be tried alone.
+    /// Waiting to be tried alone on a backend server.
     Suspect,
-    /// It has been sent.
     Sent,
 }
 
@@ -168,8 +167,8 @@
 }
 
 impl Dispatch {
-    /// Decisions without backend servers yet. `across` is asked when the own availability zone
-    /// cannot take a request in time.
+    /// Creates a dispatcher without backend servers. `across` chooses another availability zone for
+    /// requests that this one cannot answer in time.
     pub fn new(cfg: Config, across: across::Across) -> Self {
         Self {
             across,
@@ -189,12 +188,12 @@
         }
     }
 
-    /// What may be sent to other availability zones.
+    /// The decisions on requests to other availability zones.
     pub fn across(&mut self) -> &mut across::Across {
         &mut self.across
     }
 
-    /// Requests that wait.
+    /// Number of queued requests, suspects included.
     pub fn waiting(&self) -> usize {
         self.queue.len() + self.suspects.len()
     }
@@ -203,9 +202,9 @@
         placement::View::new(&self.cfg, now, &self.members)
     }
 
-    // What comes in.
+    // Arrivals and admission.
 
-    /// Why a request is refused outright, if it is.
+    /// The reason to refuse a request regardless of its wait, and when its caller may retry.
     fn refusal(&mut self, now: Moment, req: &policy::Arrival) -> Option<(Refusal, time::Duration)> {
         let least = self.cfg.admission.back_least;
         if req.deadline <= now {
@@ -229,13 +228,13 @@
         self.suspects.len() < self.cfg.quarantine.waiting && self.spare(now)
     }
 
-    /// Whether a backend server could crash without being the last one.
+    /// Whether one backend server could crash and another stay available.
     pub(super) fn spare(&self, now: Moment) -> bool {
         let safe = |m: &&members::Member| m.safe(&self.cfg.members, now);
         self.members.iter().filter(safe).count() >= 2
     }
 
-    /// When the caller of a refused request is asked to come back.
+    /// The time after which the caller of a refused request may retry.
     pub(super) fn back(&mut self, now: Moment, req: &policy::Arrival) -> time::Duration {
         let rate = self.view(now).rate();
         let wait = self.queue.wait(&self.cfg.queue, now, kind(req), rate);
@@ -243,7 +242,7 @@
         self.cfg.admission.back(wait, left, self.rng.random())
     }
 
-    /// Why a request cannot be answered in time here, if it cannot.
+    /// The reason that this availability zone cannot answer a request in time, if it cannot.
     fn too_late(
         &mut self,
         now: Moment,
@@ -271,7 +270,7 @@
         !self.members.iter().any(trial)
     }
 
-    /// Lets a request in: to the queue, to another availability zone, or not at all.
+    /// Queues a caller's request, sends it to another availability zone, or refuses it.
     fn admit(&mut self, now: Moment, pending: Pending, out: &mut Vec<Action>) {
         let rate = self.view(now).rate();
         let kind = pending.kind();
@@ -297,7 +296,7 @@
         self.pending.insert(pending.req.id, pending);
     }
 
-    /// Sends a request across, or gives it back.
+    /// Sends a request to another availability zone. Returns it if none accepts it.
     fn try_across(
         &mut self,
         now: Moment,
@@ -326,8 +325,8 @@
         None
     }
 
-    /// A request from another availability zone is taken only into a free slot: the own callers
-    /// go first.
+    /// Admits a request from another availability zone only into a free slot: local callers go
+    /// first.
     fn admit_foreign(&mut self, now: Moment, pending: Pending, out: &mut Vec<Action>) {
         let need = placement::Need { avoid: &[] };
         let view = placement::View::new(&self.cfg, now, &self.members);
@@ -339,9 +338,9 @@
         self.pending.insert(pending.req.id, pending);
     }
 
-    // What is over.
+    // Settlement.
 
-    /// Settles a request that will not be tried again.
+    /// Settles a request without an answer.
     pub(super) fn give_up(
         &mut self,
         now: Moment,
@@ -383,9 +382,9 @@
         }
     }
 
-    // What ended.
+    // Ends of attempts.
 
-    /// Takes in what the end of an attempt says of a backend server.
+    /// Updates the state of a backend server after an attempt ended there.
     fn learn(
         &mut self,
         now: Moment,
@@ -417,7 +416,7 @@
             Ended::Failed => self.failed(now, i),
             Ended::TimedOut => {
                 member.took(&cfg.members, took, attempt.typical);
-                // A caller with little patience left says nothing of the backend server.
+                // A timeout before the hedge delay means a short deadline, not a slow server.
                 let long = retry::hedge_at(&cfg.retry, attempt.at, attempt.typical, 1.0);
                 if now >= long {
                     self.failed(now, i);
@@ -454,7 +453,7 @@
         }
     }
 
-    /// A connection broke. The first that does so names what was in flight there as suspects.
+    /// Handles a broken connection. The first one of a crash makes all requests in flight suspects.
     fn lost(&mut self, now: Moment, i: usize, attempt: &members::Attempt) {
         let cfg = &self.cfg.quarantine;
         let member = &mut self.members[i];
@@ -478,7 +477,7 @@
         self.broke(now, i);
     }
 
-    /// Decides on a request after one of its attempts ended without an answer.
+    /// Retries or settles a request after one of its attempts ended without an answer.
     fn again(&mut self, now: Moment, id: RequestId, at: &Place, how: Ended, out: &mut Vec<Action>) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
@@ -618,7 +617,7 @@
                 self.suspects.retain(|id| *id != req);
                 self.give_up(now, req, Refusal::CallerGone, out);
             }
-            // What has begun and may not run twice runs to its end, so that its fate is known.
+            // A non-idempotent request in flight is not cancelled, so that its outcome is known.
             Stage::Sent if pending.req.idempotent => {
                 let cancel = |to: &Place| Action::Cancel {
                     req,
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -1,10 +1,9 @@
-//! Decisions under load: what is let in, what waits, what is turned away, where work goes and how
-//! fast traffic shifts.
+//! Load-dependent decisions: admission, queueing, shedding, placement, retries and traffic shifts.
 //!
-//! Everything here takes its inputs and the time as arguments and returns what to do. Nothing
-//! here reads a clock, opens a socket or draws a random number from outside, so that each
-//! decision can be read, tested and measured on its own. The entry process and the benchmark
-//! drive the same [`policy::Policy`].
+//! Each function takes its inputs and the current time as arguments and returns the actions to
+//! perform. No module here reads a clock, opens a socket or uses an external source of randomness,
+//! so each decision can be tested in virtual time. The entry process and the load model run the
+//! same code behind [`policy::Policy`].
 
 pub mod across;
 pub mod admission;
--- a/src/decisions/serve.rs
+++ b/src/decisions/serve.rs
@@ -1,11 +1,12 @@
-//! Sending what waits: from the queue, from the suspects, and a second time as a hedge.
+//! Sends queued requests and suspects to backend servers, and hedges slow reads. A suspect is a
+//! request that was in flight at a crashed backend server.
 
 use super::dispatch::{Dispatch, Stage};
 use super::{ejection, members, placement, policy, quarantine, retry};
 use policy::{Action, Moment, Place, Refusal, RequestId};
 
 impl Dispatch {
-    /// Sends as much of what waits as there is room for.
+    /// Sends as many waiting requests as there is room for.
     pub(super) fn serve(&mut self, now: Moment, out: &mut Vec<Action>) {
         self.serve_suspects(now, out);
         self.serve_trials(now, out);
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Lets the least worthy reads try backend servers that have just come back.
+    /// Sends reads of the lowest class to backend servers on trial.
     fn serve_trials(&mut self, now: Moment, out: &mut Vec<Action>) {
         while let Some(item) = self.queue.peek_last() {
             let Some(pending) = self.pending.get(&item.id) else {
@@ -55,8 +56,7 @@
         }
     }
 
-    /// Gives the least worthy reads to slow backend servers, once the queue is longer than what
-    /// their slowness costs.
+    /// Sends reads of the lowest class to slow backend servers, if waiting would take longer.
     fn serve_reserve(&mut self, now: Moment, out: &mut Vec<Action>) {
         while let Some(item) = self.queue.peek_last() {
             let Some(pending) = self.pending.get(&item.id) else {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Tries the first suspect alone, on a backend server that is kept free for it.
+    /// Sends the first suspect to a backend server with no other request of this VM in flight.
     fn serve_suspects(&mut self, now: Moment, out: &mut Vec<Action>) {
         let Some(&id) = self.suspects.front() else {
             return;
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The backend server that is kept free for a suspect. There is one at a time.
+    /// Reserves a backend server for a suspect. At most one is reserved at a time.
     fn keep_free(&mut self, now: Moment, id: RequestId) -> Option<usize> {
         let cfg = &self.cfg.members;
         let safe = |m: &members::Member| m.safe(cfg, now);
@@ -154,7 +154,7 @@
         });
     }
 
-    /// Tries reads that take very long on another backend server as well.
+    /// Sends overdue reads to a second backend server.
     pub(super) fn hedge(&mut self, now: Moment, out: &mut Vec<Action>) {
         if !self.queue.is_empty() {
             return;
--- a/src/decisions/upkeep.rs
+++ b/src/decisions/upkeep.rs
@@ -1,4 +1,5 @@
-//! What time alone brings: requests that have become hopeless, hedges, probes, expiry.
+//! Periodic work: reports load, refuses queued requests that cannot meet their deadline, sends
+//! hedges and probes, and removes expired quarantine entries.
 
 use std::time;
 
@@ -7,8 +8,8 @@
 use crate::id;
 use policy::{Action, Moment, Refusal};
 
-/// How often the queue is searched for requests that cannot be answered in time any more. An
-/// answer that is 20 ms late to tell a caller so is soon enough, and the search costs little.
+/// How often the queue is searched for requests that cannot meet their deadline. A refusal that is
+/// 20 ms late is soon enough, and the search costs little.
 const SWEEP: time::Duration = time::Duration::from_millis(20);
 
 impl Dispatch {
@@ -39,7 +40,7 @@
         self.across.own_load(now, slots, in_flight, queued);
     }
 
-    /// Tells callers at once whose requests cannot be answered in time any more.
+    /// Refuses queued requests that cannot meet their deadline.
     fn sweep(&mut self, now: Moment, out: &mut Vec<Action>) {
         if self.queue.is_empty() {
             return;
@@ -73,7 +74,7 @@
         });
     }
 
-    /// A backend server that is out and whose time is up, or a slow one that gets no work.
+    /// The next server to probe: an ejected one whose ejection time is over, or an idle slow one.
     fn next_probe(&self, now: Moment) -> Option<usize> {
         let view = self.view(now);
         self.members.iter().position(|member| {
@@ -101,7 +102,7 @@
             member.report(&cfg.trust, now, report);
         }
         if let (Some(pace), Some(_)) = (pace, report) {
-            // Two halves: one lucky probe does not make a slow backend server a sound one.
+            // Averaged, so that one fast probe does not clear a slow backend server.
             member.pace = (member.pace + pace) / 2.0;
         }
         if member.health.probed(&cfg.ejection, now, report.is_some()) {
