--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -1,13 +1,13 @@
-//! What is let in, and when the rest is asked to come back.
+//! Decides which requests are admitted, and after what time refused callers may retry.
 //!
-//! Load pattern: saturation, and few callers that take most of the load. Without admission the
-//! queue grows until every request in it is late, and callers learn only at their deadline that
-//! they were not served. One notices it as a latency close to the callers' patience, and as slots
-//! that work on answers nobody awaits.
+//! Load pattern: saturation, or a few callers that cause most of the load. Without admission
+//! control the queue grows until every request in it misses its deadline, and callers get their
+//! refusal only at the deadline. Symptoms: latency close to the callers' timeout, and backend
+//! servers that work on answers whose callers have left.
 //!
-//! A request is refused at once when its estimated wait exceeds a share of its patience, so that
-//! the refusal reaches the caller while there is time to come back. A caller with much more in
-//! hand than others is refused first, while others wait for work of the same worth.
+//! A request is refused at once when its estimated wait exceeds a share of the time to its
+//! deadline, so that its caller still has time to retry. While requests of the same worth or more
+//! are queued, a caller with far more outstanding requests than the mean is refused first.
 
 use std::collections;
 use std::time;
@@ -17,18 +17,18 @@
 /// Thresholds of admission.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// The share of the time left that a request may spend waiting. Half leaves room for an
-    /// estimate that is wrong by a factor of two.
+    /// The largest share of the time to its deadline that a request may spend in the queue. Half
+    /// tolerates an estimate that is wrong by a factor of two.
     pub patience: f64,
-    /// How long callers that left early make the queue shorter.
+    /// How long an early departure of a caller reduces the accepted wait.
     pub leaving_memory: time::Duration,
-    /// Requests that a caller may always have in hand.
+    /// Outstanding requests that each caller is always allowed.
     pub caller_least: u32,
-    /// How many times the mean in hand a caller may have while others wait.
+    /// Outstanding requests that a caller may have while others wait, as a multiple of the mean.
     pub caller_share: f64,
-    /// The shortest time after which a refused caller is asked to come back.
+    /// The shortest time after which a refused caller may retry.
     pub back_least: time::Duration,
-    /// The longest.
+    /// The longest time after which a refused caller may retry.
     pub back_most: time::Duration,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Checks that each threshold is in its range.
     pub fn check(&self) -> Result<(), range::Error> {
         range::check("admission.patience", self.patience, 0.01..=1.0)?;
         let leaving = self.leaving_memory.as_secs_f64();
@@ -60,9 +60,9 @@
         range::check("admission.back_most", back, 0.001..=3_600.0)
     }
 
-    /// When a refused caller is asked to come back: once about half of what waits now is done, and
-    /// while it has time left for an answer. `spread` lies between 0 and 1 and keeps those refused
-    /// together from coming back together.
+    /// The time after which a refused caller may retry: about half the current wait, but early
+    /// enough for an answer before the deadline, which is `left` away. `spread` lies between 0 and
+    /// 1; it keeps callers that were refused together from retrying together.
     pub fn back(&self, wait: time::Duration, left: time::Duration, spread: f64) -> time::Duration {
         let back = wait.mul_f64(0.5).min(left.mul_f64(BACK_SHARE));
         let back = back.clamp(self.back_least, self.back_most);
@@ -70,11 +70,11 @@
     }
 }
 
-/// The share of its time left after which a refused caller should have come back.
+/// The retry delay of a refused caller is at most this share of the time to its deadline.
 const BACK_SHARE: f64 = 0.4;
 
-/// Whether a request can be let in that may spend the share `patience` of its time `left` waiting,
-/// would wait `wait`, and then takes `work`.
+/// Whether a request can be admitted whose deadline is `left` away, that may spend the share
+/// `patience` of that time in the queue, waits for `wait`, and then runs for `work`.
 pub fn in_time(
     left: time::Duration,
     patience: f64,
@@ -84,10 +84,10 @@
     wait <= left.mul_f64(patience) && wait + work <= left
 }
 
-/// How long callers wait before they leave, as a share of the time that they could wait.
+/// How long callers wait before they leave, as a share of the time to their deadline.
 ///
-/// Some ask again long before their deadline. A queue that is longer than that serves mostly
-/// requests whose callers have just left.
+/// Some callers leave and retry long before the deadline. If the wait is longer than that, most
+/// requests are served just after their callers have left.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Leaving {
     share: f64,
@@ -95,7 +95,7 @@
 }
 
 impl Leaving {
-    /// A caller left after `waited`, of the `patience` that it had.
+    /// Records that a caller left after `waited`, with its deadline `patience` after its arrival.
     pub fn left(
         &mut self,
         cfg: &Config,
@@ -116,7 +116,7 @@
         self.last = Some(now);
     }
 
-    /// The share of the time left that a request may spend waiting.
+    /// The largest share of the time to its deadline that a request may spend in the queue.
     pub fn patience(&self, cfg: &Config, now: policy::Moment) -> f64 {
         match self.last {
             Some(last) if now < last + cfg.leaving_memory => cfg.patience * self.share,
@@ -125,10 +125,10 @@
     }
 }
 
-/// What one caller that leaves counts in the mean.
+/// Weight of one departure in the moving average.
 const LEAVING_STEP: f64 = 0.1;
 
-/// What each caller has in hand.
+/// Outstanding requests of each caller.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
     in_hand: collections::HashMap<policy::CallerId, u32>,
@@ -136,7 +136,7 @@
 }
 
 impl Shares {
-    /// Whether a caller may have one more while others wait.
+    /// Whether a caller may have one more outstanding request while others wait.
     pub fn fair(&self, cfg: &Config, caller: policy::CallerId) -> bool {
         let own = self.in_hand.get(&caller).copied().unwrap_or(0);
         if own < cfg.caller_least {
@@ -146,13 +146,13 @@
         f64::from(own) < mean * cfg.caller_share
     }
 
-    /// A request was let in.
+    /// Counts a new request.
     pub fn add(&mut self, caller: policy::CallerId) {
         *self.in_hand.entry(caller).or_default() += 1;
         self.total += 1;
     }
 
-    /// A request was settled.
+    /// Removes a settled request.
     pub fn remove(&mut self, caller: policy::CallerId) {
         let Some(own) = self.in_hand.get_mut(&caller) else {
             return;
@@ -179,8 +179,8 @@
         assert!(!in_time(SECOND, 0.5, time::Duration::ZERO, SECOND * 2));
     }
 
-    /// Callers on wet ladders ask again after a tenth of their patience. The queue has to be
-    /// shorter than that, or each request reaches its turn when its caller has just left.
+    /// Callers leave and retry after a tenth of the time to their deadline. If the queue allowed a
+    /// longer wait, each request would be served just after its caller left.
     #[test]
     fn callers_that_leave_early_make_the_queue_shorter() {
         let (mut leaving, cfg) = (Leaving::default(), Config::default());
@@ -190,7 +190,7 @@
         assert_eq!(leaving.patience(&cfg, SECOND + cfg.leaving_memory), 0.5);
     }
 
-    /// One caller has ten requests in hand while the others have one each.
+    /// One caller has ten outstanding requests, each other caller has one.
     #[test]
     fn a_caller_with_most_in_hand_is_refused_first() {
         let (mut shares, cfg) = (Shares::default(), Config::default());
