--- a/src/decisions/queue.rs
+++ b/src/decisions/queue.rs
@@ -1,15 +1,15 @@
-//! Which request goes next when all slots are taken.
+//! Decides which queued request is served next when all slots are taken.
 //!
-//! Load pattern: burst and saturation, and long work among short. First come, first served makes
-//! a booking wait behind reads and a check behind a pull of long records. One notices it as a
-//! latency that is the same for all and close to the callers' patience.
+//! Load pattern: a burst or saturation, or long requests among short ones. In plain arrival order,
+//! bookings wait behind reads, and short requests behind long ones. Symptom: the same latency for
+//! all requests, close to the callers' timeout.
 //!
-//! Requests wait in classes of equal worth and usual work. The class with the most worth for the
-//! time it takes goes first, which is also what answers the most worth. So that patient reads
-//! still arrive, each class has a floor: while work of a better class goes ahead, the classes
-//! behind it earn a small share of its time and are served once that pays for one request.
-//! Within a class the order is first come, first served: callers of a class have the same
-//! patience, so that is also the order of deadlines.
+//! Requests of equal worth and usual duration form a class. The class with the most worth per
+//! second of work is served first, which maximises the worth answered. To prevent starvation, the
+//! classes behind it have a floor: while a better class is served, they earn credit for a small
+//! share of its time, and a class whose credit covers one request is served next. A class is served
+//! in arrival order, which is also the order of deadlines because its callers have the same
+//! timeout.
 
 use std::collections;
 use std::time;
@@ -19,14 +19,13 @@
 /// Thresholds of the queue.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// The share of time that the classes behind the best get in all. Worth is lost to it, so it
-    /// is small: 5%, which cost
-    /// nothing that could be measured at twice the capacity.
+    /// The share of time that all classes behind the best one get together. It is small because it
+    /// costs worth; 5% costs no noticeable worth at twice the capacity.
     pub floor: f64,
-    /// Requests that wait at most. It bounds memory; how long they wait is bounded by admission.
+    /// The largest number of queued requests. It bounds memory; admission bounds the wait.
     pub most: usize,
-    /// Over how long the work that comes in is averaged. Shorter follows a burst sooner, longer
-    /// does not follow single requests.
+    /// Time constant of the moving average of arriving work. A shorter one follows bursts sooner, a
+    /// longer one is less affected by single requests.
     pub memory: time::Duration,
 }
 
@@ -41,7 +40,7 @@
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Checks that each threshold is in its range.
     pub fn check(&self) -> Result<(), range::Error> {
         range::check("queue.floor", self.floor, 0.001..=0.5)?;
         range::check("queue.most", self.most as f64, 1.0..=1e6)?;
@@ -49,12 +48,12 @@
     }
 }
 
-/// What decides where a request stands.
+/// The properties that determine the class of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Kind {
-    /// What its answer counts.
+    /// The weight of its answer.
     pub worth: u32,
-    /// How long a backend server usually works on it.
+    /// The usual time that a backend server works on it.
     pub typical: time::Duration,
 }
 
@@ -64,12 +63,12 @@
     }
 }
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Item {
-    /// Its number.
+    /// Its identifier.
     pub id: policy::RequestId,
-    /// When its caller stops waiting.
+    /// When its caller times out.
     pub deadline: policy::Moment,
 }
 
@@ -97,7 +96,7 @@
     }
 }
 
-/// The requests that wait, best class first.
+/// The queued requests by class, best class first.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     classes: Vec<Class>,
@@ -105,17 +104,17 @@
 }
 
 impl Queue {
-    /// How many wait.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Whether requests wait that are worth as much as this kind, or more.
+    /// Whether requests are queued with at least as much worth per second of work as this kind.
     pub fn crowded(&self, kind: Kind) -> bool {
         let as_good = |c: &&Class| c.kind.density() >= kind.density();
         self.classes
@@ -124,7 +123,7 @@
             .any(|c| !c.items.is_empty())
     }
 
-    /// A request came in, whether it will wait or not.
+    /// Records the arrival of a request, queued or not.
     pub fn arrived(&mut self, cfg: &Config, now: policy::Moment, kind: Kind) {
         let class = self.class(kind);
         let class = &mut self.classes[class];
@@ -150,26 +149,26 @@
         at
     }
 
-    /// Lets a request wait behind its equals.
+    /// Adds a request at the end of its class.
     pub fn push(&mut self, kind: Kind, item: Item) {
         let class = self.class(kind);
         self.classes[class].items.push_back(item);
         self.len += 1;
     }
 
-    /// Puts a request back before its equals.
+    /// Adds a request at the front of its class.
     pub fn push_front(&mut self, kind: Kind, item: Item) {
         let class = self.class(kind);
         self.classes[class].items.push_front(item);
         self.len += 1;
     }
 
-    /// The request that goes next.
+    /// The request that is served next.
     pub fn peek(&self) -> Option<Item> {
         self.classes[self.next()?].items.front().copied()
     }
 
-    /// Takes the request that goes next.
+    /// Removes the request that is served next.
     pub fn pop(&mut self, cfg: &Config) -> Option<Item> {
         let at = self.next()?;
         let item = self.classes[at].items.pop_front()?;
@@ -178,7 +177,7 @@
         Some(item)
     }
 
-    /// The class that goes next: the best, unless one behind it has earned its turn.
+    /// The class to serve next: the first one with credit for a request, otherwise the best one.
     fn next(&self) -> Option<usize> {
         let has_work = |c: &Class| !c.items.is_empty();
         let due = |c: &Class| has_work(c) && c.credit >= c.work();
@@ -186,7 +185,7 @@
         earned.or_else(|| self.classes.iter().position(has_work))
     }
 
-    /// Charges a class for its turn, or lets those behind it earn their share.
+    /// Deducts credit from a class served on credit; otherwise adds credit to the classes after it.
     fn share_out(&mut self, cfg: &Config, at: usize) {
         let work = self.classes[at].work();
         if self.classes[at].credit >= work {
@@ -205,7 +204,7 @@
         }
     }
 
-    /// Takes the first of the least worthy requests.
+    /// Removes the first request of the lowest class.
     pub fn pop_last(&mut self) -> Option<Item> {
         let class = self
             .classes
@@ -216,15 +215,14 @@
         class.items.pop_front()
     }
 
-    /// The first of the least worthy requests.
+    /// The first request of the lowest class.
     pub fn peek_last(&self) -> Option<Item> {
         let class = self.classes.iter().rev().find(|c| !c.items.is_empty())?;
         class.items.front().copied()
     }
 
-    /// Makes room for a request of this kind by taking out the newest of a worse kind. Each kind
-    /// keeps its floor of places, whatever else comes in: without it, reads would find a queue
-    /// that is full of bookings each time and be starved.
+    /// Removes the newest request of a lower class to make room for one of this kind. Each class
+    /// keeps a minimum number of places; otherwise bookings could fill the queue and starve reads.
     pub fn displace(&mut self, cfg: &Config, kind: Kind) -> Option<Item> {
         let least = ((cfg.most as f64 * cfg.floor) as usize).max(1);
         let own = self.class(kind);
@@ -238,7 +236,7 @@
         class.items.pop_back()
     }
 
-    /// Takes a request out.
+    /// Removes a request. Returns whether it was queued.
     pub fn remove(&mut self, kind: Kind, id: policy::RequestId) -> bool {
         let class = self.class(kind);
         let items = &mut self.classes[class].items;
@@ -250,8 +248,7 @@
         true
     }
 
-    /// How long a request of this kind would wait now, where the slots get through `rate` seconds
-    /// of usual work in each second.
+    /// Estimated wait of a request, where the slots complete `rate` seconds of work per second.
     pub fn wait(
         &mut self,
         cfg: &Config,
@@ -267,15 +264,15 @@
         span(ahead / self.left_for(cfg, now, class, rate))
     }
 
-    /// The rate that better classes leave to a class.
+    /// The part of `rate` that arrivals of better classes leave to a class.
     fn left_for(&self, cfg: &Config, now: policy::Moment, class: usize, rate: f64) -> f64 {
         let better = self.classes[..class].iter();
         let taken: f64 = better.map(|c| c.arriving(cfg, now)).sum();
         (rate - taken).max(rate * cfg.floor).max(1e-6)
     }
 
-    /// Takes out every request that cannot be answered in time any more: its place in the queue
-    /// is too far behind, at `rate`, or the time left is less than `pace` times the usual work.
+    /// Removes and returns the requests that cannot meet their deadline: the wait at `rate` and
+    /// `pace` times the usual duration exceed the time left.
     pub fn sweep(&mut self, cfg: &Config, now: policy::Moment, rate: f64, pace: f64) -> Vec<Item> {
         let mut hopeless = Vec::new();
         let mut ahead = 0.0;
@@ -298,7 +295,7 @@
     }
 }
 
-/// Longer waits than this are all the same.
+/// Upper bound of an estimated wait.
 const LONGEST_S: f64 = 3_600.0;
 
 fn span(secs: f64) -> time::Duration {
@@ -341,7 +338,7 @@
         assert_eq!(order, [3, 2, 1]);
     }
 
-    /// Bookings come in without end. A patient read behind them gets its small share of the time.
+    /// Bookings arrive continuously. A read behind them gets a small share of the time.
     #[test]
     fn reads_are_not_starved() {
         let (mut queue, cfg) = (Queue::default(), Config::default());
@@ -354,7 +351,7 @@
         assert!((95..=100).contains(&reads), "{reads}");
     }
 
-    /// The queue is full of bookings. One read finds a place all the same, and a second does not.
+    /// The queue is full of bookings. One read still gets a place, a second one does not.
     #[test]
     fn each_kind_keeps_a_place() {
         let cfg = Config {
