--- a/src/decisions/members.rs
+++ b/src/decisions/members.rs
@@ -1,18 +1,18 @@
-//! The backend servers of the own availability zone, as this VM sees them.
+//! State of each backend server of this availability zone, as this VM observes it: attempts in
+//! flight, answer times, load reports, and the state of ejection, slow start and probes.
 
 use std::time;
 
 use super::{ejection, limit, policy, probe, ramp, range, trust};
 use crate::id;
 
-/// Thresholds that concern what is known of a backend server.
+/// Thresholds of the state of a backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// What one answer counts in the mean time that answers take. A tenth follows a backend server
-    /// that turns slow within ten answers, and leaves the mean steady to a few percent.
+    /// Weight of one answer in the moving average of relative answer times. A tenth follows a
+    /// slow-down within ten answers, and keeps the average steady to a few percent.
     pub pace_step: f64,
-    /// How long a backend server's word that it leaves counts without being repeated. The list of
-    /// VMs lags by less.
+    /// How long a backend server's report that it is leaving stays valid. The VM list lags by less.
     pub leaving_memory: time::Duration,
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Checks that each threshold is in its range.
     pub fn check(&self) -> Result<(), range::Error> {
         range::check("members.pace_step", self.pace_step, 0.001..=1.0)?;
         let memory = self.leaving_memory.as_secs_f64();
@@ -34,41 +34,41 @@
     }
 }
 
-/// An attempt that is in flight at a backend server.
+/// An attempt in flight at a backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
     /// The request.
     pub req: policy::RequestId,
-    /// What was asked.
+    /// The request's fingerprint.
     pub fingerprint: policy::Fingerprint,
     /// When it was sent.
     pub at: policy::Moment,
-    /// How long a backend server usually works on it.
+    /// The usual time that a backend server works on it.
     pub typical: time::Duration,
 }
 
 /// One backend server.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its name.
+    /// Its VM.
     pub id: id::VmId,
-    /// Requests that it works on at a time.
+    /// Requests that it processes at a time.
     pub slots: u32,
-    /// What this VM has in flight there.
+    /// Attempts of this VM in flight there.
     pub out: Vec<Attempt>,
-    /// How many times their usual time answers take, on average.
+    /// Moving average of the answer times, as a multiple of the usual durations.
     pub pace: f64,
-    /// Requests that this VM keeps in flight there.
+    /// Limit of this VM's requests in flight there.
     pub limit: limit::Limit,
-    /// Its reports.
+    /// Its load reports.
     pub trust: trust::Trust,
-    /// Its failures.
+    /// Its failures and ejection state.
     pub health: ejection::Health,
-    /// Its return from a cold start.
+    /// Its slow-start progress.
     pub ramp: ramp::Ramp,
-    /// Its probes.
+    /// Its probe state.
     pub watch: probe::Watch,
-    /// The suspect that it is kept free for.
+    /// The suspect that it is reserved for.
     pub alone: Option<policy::RequestId>,
     /// When connections to it last broke, if it has not answered since.
     pub crashed: Option<policy::Moment>,
@@ -77,7 +77,7 @@
 }
 
 impl Member {
-    /// A backend server of which nothing is known yet.
+    /// Creates the initial state of a listed backend server.
     pub fn new(backend: &policy::Backend) -> Self {
         Self {
             id: backend.id.clone(),
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Takes over what the list of VMs says.
+    /// Updates the state from the list of VMs.
     pub fn listed(&mut self, backend: &policy::Backend) {
         self.listed_leaving = backend.leaving;
         if self.slots != backend.slots {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Takes in a report.
+    /// Records a load report.
     pub fn report(&mut self, cfg: &trust::Config, now: policy::Moment, report: policy::Report) {
         self.trust.see(cfg, now, report, self.out.len());
         if report.leaving {
@@ -113,24 +113,23 @@
         }
     }
 
-    /// Whether it gets no new work because it leaves: the list says so, or it does.
+    /// Whether it is leaving, by the list of VMs or its own reports, and gets no new requests.
     pub fn leaving(&self, cfg: &Config, now: policy::Moment) -> bool {
         let fresh = |at: policy::Moment| now < at + cfg.leaving_memory;
         self.listed_leaving || self.said_leaving.is_some_and(fresh)
     }
 
-    /// Whether it is in, and neither leaves nor is on trial.
+    /// Whether it is healthy: not ejected, not on trial and not leaving.
     pub fn sound(&self, cfg: &Config, now: policy::Moment) -> bool {
         self.health.state() == ejection::State::In && !self.leaving(cfg, now)
     }
 
-    /// Whether it is sound and has answered since connections to it last broke.
+    /// Whether it is healthy and has answered since connections to it last broke.
     pub fn safe(&self, cfg: &Config, now: policy::Moment) -> bool {
         self.sound(cfg, now) && self.crashed.is_none()
     }
 
-    /// Requests that this VM may have in flight there. `ramping` is absent while cold backend
-    /// servers get their share at once.
+    /// Limit of this VM's requests in flight there. `ramping` is `None` while slow start is off.
     pub fn cap(&self, now: policy::Moment, ramping: Option<&ramp::Config>) -> usize {
         let ramped = |cfg| self.ramp.cap(cfg, self.slots);
         match self.health.state() {
@@ -140,7 +139,7 @@
         }
     }
 
-    /// Takes an attempt out of what is in flight.
+    /// Removes and returns an attempt that is in flight.
     pub fn ended(&mut self, req: policy::RequestId) -> Option<Attempt> {
         let at = self.out.iter().position(|a| a.req == req)?;
         if self.alone == Some(req) {
@@ -149,7 +148,7 @@
         Some(self.out.swap_remove(at))
     }
 
-    /// An attempt took `took`.
+    /// Records the duration of an attempt.
     pub fn took(&mut self, cfg: &Config, took: time::Duration, typical: time::Duration) {
         let pace = took.as_secs_f64() / typical.as_secs_f64().max(1e-6);
         self.pace += (pace - self.pace) * cfg.pace_step;
--- a/src/decisions/placement.rs
+++ b/src/decisions/placement.rs
@@ -1,16 +1,16 @@
-//! Which backend server gets a request.
+//! Chooses the backend server for a request.
 //!
-//! Load pattern: one slow backend server, and any steady load. In turn, each backend server gets
-//! the same number of requests whatever it can do, and a slow one collects a queue. One notices
-//! it as a tail of latency that one backend server causes alone.
+//! Load pattern: one slow backend server, or any steady load. Round robin gives each backend server
+//! the same number of requests regardless of its speed, so a slow one builds a queue. Symptom: tail
+//! latency caused by one backend server alone.
 //!
-//! The least loaded of a few picks gets the request, where load is what this VM has in flight
-//! there, as a share of the slots, times how long answers take there. What others have in flight
-//! shows in how long answers take. Reports are not used: they lag by ten times the length of a
-//! request, and with them a steady load was spread worse than in turn.
+//! The request goes to the least loaded of a few candidates. The load is the number of requests
+//! that this VM has in flight there, relative to the slots, times the relative duration of its
+//! answers, which also reflects the requests of other VMs. Load reports are not used: they lag by
+//! ten times the duration of a request and spread a steady load worse than round robin.
 //!
-//! A backend server that takes several times as long as the best is held in reserve: it gets the
-//! least worthy reads, once the queue is longer than the time that waiting for a better one costs.
+//! A backend server several times slower than the best one is kept in reserve: it gets reads of the
+//! lowest class, and only when the wait for a faster one exceeds the extra time that it takes.
 
 use rand::RngExt;
 
@@ -20,10 +20,10 @@
 /// Thresholds of placement.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// How many backend servers are compared. Today's availability zones have 2 to 4.
+    /// Number of candidates that are compared. Availability zones have 2 to 4 backend servers.
     pub picks: usize,
-    /// How many times the best one's time makes a backend server slow. Cold starts and work that
-    /// varies stay below 3 on average.
+    /// A backend server is slow when its answers take this many times as long as the best one's.
+    /// Cold starts and variable work stay below 3 on average.
     pub slow: f64,
 }
 
@@ -37,14 +37,14 @@
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Checks that each threshold is in its range.
     pub fn check(&self) -> Result<(), range::Error> {
         range::check("placement.picks", self.picks as f64, 1.0..=64.0)?;
         range::check("placement.slow", self.slow, 1.1..=100.0)
     }
 }
 
-/// What placement looks at.
+/// The state of the backend servers at one point in time.
 #[derive(Clone, Copy, Debug)]
 pub struct View<'a> {
     cfg: &'a super::dispatch::Config,
@@ -54,15 +54,15 @@
     best: f64,
 }
 
-/// What a request needs.
+/// Constraints on the backend server for a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Need<'a> {
-    /// Where it has failed already.
+    /// Backend servers that are chosen only if no other one fits, because an attempt failed there.
     pub avoid: &'a [id::VmId],
 }
 
 impl<'a> View<'a> {
-    /// The backend servers as they are now.
+    /// Creates a view of the backend servers at `now`.
     pub fn new(
         cfg: &'a super::dispatch::Config,
         now: policy::Moment,
@@ -71,7 +71,7 @@
         let warm = members.iter().filter(|m| m.ramp.warm()).count();
         let sound = members.iter().filter(|m| m.sound(&cfg.members, now));
         let best = sound.map(|m| m.pace).reduce(f64::min);
-        // Where none is sound, those on trial are compared with one another.
+        // If none is healthy, the others are compared with one another.
         let best = best.or_else(|| members.iter().map(|m| m.pace).reduce(f64::min));
         Self {
             cfg,
@@ -82,30 +82,30 @@
         }
     }
 
-    /// The time that the best sound backend server takes, as a multiple of the usual.
+    /// Answer time of the best healthy backend server, as a multiple of the usual duration.
     pub fn best_pace(&self) -> f64 {
         self.best
     }
 
-    /// Whether a backend server is held in reserve.
+    /// Whether a backend server is slow and kept in reserve.
     pub fn slow(&self, member: &members::Member) -> bool {
         member.pace > self.best * self.cfg.placement.slow
     }
 
-    /// Seconds of usual work that this VM's share of the slots gets through in each second.
+    /// Seconds of usual work per second that this VM's share of the slots completes.
     pub fn rate(&self) -> f64 {
         let fast = self.sound().filter(|m| !self.slow(m));
         fast.map(|m| m.cap(self.now, self.ramping) as f64 / m.pace.max(1.0))
             .sum()
     }
 
-    /// The backend servers that are in and do not leave.
+    /// The healthy backend servers.
     pub fn sound(&self) -> impl Iterator<Item = &'a members::Member> {
         let (cfg, now) = (&self.cfg.members, self.now);
         self.members.iter().filter(move |m| m.sound(cfg, now))
     }
 
-    /// The backend server that a request goes to now, if one has room.
+    /// Chooses a backend server for a request, if one has room.
     pub fn pick(&self, rng: &mut rand_chacha::ChaCha8Rng, need: &Need<'_>) -> Option<usize> {
         let fits = |i: &usize| {
             let member = &self.members[*i];
@@ -114,7 +114,7 @@
         self.least_loaded(rng, need, fits)
     }
 
-    /// The backend server on trial that a read could go to now.
+    /// Chooses a backend server on trial for a read.
     pub fn pick_trial(&self, rng: &mut rand_chacha::ChaCha8Rng, need: &Need<'_>) -> Option<usize> {
         let fits = |i: &usize| {
             let member = &self.members[*i];
@@ -123,7 +123,7 @@
         self.least_loaded(rng, need, fits)
     }
 
-    /// The backend server in reserve that a request could go to now.
+    /// Chooses a slow backend server for a read.
     pub fn pick_slow(&self, rng: &mut rand_chacha::ChaCha8Rng, need: &Need<'_>) -> Option<usize> {
         let fits = |i: &usize| {
             let member = &self.members[*i];
@@ -157,12 +157,13 @@
         room && member.alone.is_none() && !member.leaving(&self.cfg.members, self.now)
     }
 
-    /// One on trial gets reads by [`Self::pick_trial`], and other work only where none is sound.
+    /// Whether it gets regular requests. A backend server on trial gets reads through
+    /// [`Self::pick_trial`], and other requests only if no backend server is healthy.
     fn trusted(&self, member: &members::Member) -> bool {
         member.health.state() != ejection::State::Trial || self.sound().next().is_none()
     }
 
-    /// What a request adds itself to, as the time it would take.
+    /// Expected relative duration of one more request, given the requests in flight.
     fn load(&self, member: &members::Member) -> f64 {
         let own = member.out.len() as f64;
         member.pace * (1.0 + own / f64::from(member.slots.max(1)))
