--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -1,32 +1,31 @@
-//! Second attempts: who may have one, and how many there are.
+//! Decides which requests may be sent again, and limits the number of retries and hedges.
 //!
-//! Load pattern: overload and failing backend servers. Without a budget each failure becomes
-//! several attempts, the attempts cause more failures, and a short peak turns into one that does
-//! not end. One notices it as attempts that are a multiple of requests.
+//! Load pattern: overload or failing backend servers. Without a budget each failure causes several
+//! attempts, these cause more failures, and a short peak becomes a lasting overload. Symptom:
+//! attempts outnumber requests several times.
 //!
-//! A non-idempotent request may have run as soon as it was sent, unless the other side says that
-//! it refused it or no byte reached it; after that it is never sent again. All second attempts,
-//! hedges included, draw on one budget that first attempts fill.
+//! A non-idempotent request may have run once it was sent, unless the receiver reports that it
+//! refused it or no byte reached the receiver; otherwise it is not sent again. Retries and hedges
+//! share one token bucket, which arriving requests fill.
 
 use std::time;
 
 use super::{policy, range};
 use policy::Ended;
 
-/// Thresholds of second attempts.
+/// Thresholds of retries and hedges.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Second attempts for each first one, in the long run. A tenth bounds the extra load to a
-    /// tenth, whatever fails.
+    /// Retries per request in the long run. A tenth limits extra load to a tenth, whatever fails.
     pub share: f64,
-    /// Second attempts that may come at once, after a calm time.
+    /// Capacity of the budget: retries that may occur at once after a period without any.
     pub burst: f64,
     /// Attempts after the first for one request.
     pub most: u32,
-    /// A read is tried elsewhere as well once it has taken this many times its usual time.
-    /// Work varies by about a half, and four times it is beyond 99 of 100 answers.
+    /// A read is hedged after this many times its usual duration. Durations vary by about a half,
+    /// and 99 of 100 answers take less than four times the usual duration.
     pub hedge_after: f64,
-    /// It is not tried elsewhere sooner than this, because ticks are 10 ms apart.
+    /// Shortest delay before a hedge, because ticks are 10 ms apart.
     pub hedge_least: time::Duration,
 }
 
@@ -43,7 +42,7 @@
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Checks that each threshold is in its range.
     pub fn check(&self) -> Result<(), range::Error> {
         range::check("retry.share", self.share, 0.0..=0.5)?;
         range::check("retry.burst", self.burst, 0.0..=10_000.0)?;
@@ -54,24 +53,24 @@
     }
 }
 
-/// What is left for second attempts.
+/// The token bucket for retries and hedges.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     left: f64,
 }
 
 impl Budget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(cfg: &Config) -> Self {
         Self { left: cfg.burst }
     }
 
-    /// A first attempt was made.
+    /// Adds the tokens of one arriving request.
     pub fn fill(&mut self, cfg: &Config) {
         self.left = (self.left + cfg.share).min(cfg.burst);
     }
 
-    /// Takes one second attempt, if there is one left.
+    /// Takes a token for a retry or hedge. Returns whether there was one.
     pub fn take(&mut self) -> bool {
         if self.left < 1.0 {
             return false;
@@ -81,12 +80,12 @@
     }
 }
 
-/// Whether a request whose attempt ended so may have run.
+/// Whether a request may have run when its attempt ended this way.
 pub fn may_have_run(how: Ended) -> bool {
     !matches!(how, Ended::Shed | Ended::NotSent)
 }
 
-/// Whether a request may be sent again after an attempt that ended so.
+/// Whether a request may be sent again when its attempt ended this way.
 pub fn allowed(idempotent: bool, how: Ended) -> bool {
     match how {
         Ended::Shed | Ended::NotSent => true,
@@ -95,7 +94,7 @@
     }
 }
 
-/// When a read that was sent at `sent` is tried elsewhere as well.
+/// When to hedge a read that was sent at `sent`.
 pub fn hedge_at(
     cfg: &Config,
     sent: policy::Moment,
@@ -110,7 +109,7 @@
 mod tests {
     use super::*;
 
-    /// A backend server dies in the middle of a booking. Sent again, the booking could run twice.
+    /// A backend server crashes during a booking. A retry could run the booking twice.
     #[test]
     fn a_booking_that_may_have_run_is_not_sent_again() {
         for how in [
