--- a/src/decisions/trust.rs
+++ b/src/decisions/trust.rs
@@ -1,30 +1,29 @@
-//! How far a backend server's report of itself is believed.
+//! Detects load reports of backend servers that are stale, frozen or too low.
 //!
-//! Load pattern: any, while reports are frozen or lie. Reports say how full the availability zone
-//! is, which decides what other zones may send here. Believed without a check, a report of an idle
-//! backend server brings in work of others on top of a queue. One notices it as one backend server
-//! with a long queue whose own figure stays at nought.
+//! Load pattern: any, while reports are wrong. Reports determine the reported load of the
+//! availability zone, and thus how many requests other zones may send to it. A backend server with
+//! a queue that reports no load would attract requests from other zones. Symptom: one backend
+//! server with a long queue that reports a load of zero.
 //!
-//! What this VM has in flight at a backend server is known for certain, so a report that stays
-//! below it is wrong. Reports lag, so single ones prove nothing: both figures are averaged over
-//! [`Config::memory`], which is several times the lag that users see. A report that never changes
-//! while answers come in is frozen.
+//! A report below the number of requests that this VM has in flight at the backend server is wrong.
+//! Reports lag, so a single one is no evidence: both figures are averaged over [`Config::memory`],
+//! which is several times the lag. A report that never changes while answers arrive is frozen.
 
 use std::time;
 
 use super::{policy, range};
 
-/// Thresholds of trust.
+/// Thresholds of the checks on reports.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Over how long reports and own counts are averaged. Ten times the lag of 100 ms that both
-    /// deployments have, so that the lag cannot look like a lie.
+    /// Time constant of the averages of reports and of requests in flight. Ten times the reports'
+    /// lag of 100 ms, so that the lag cannot make a correct report look too low.
     pub memory: time::Duration,
-    /// A report is a lie once the own count exceeds it by this factor and half a request. 1.5
-    /// leaves room for the part of an answer's time that is spent outside the backend server.
+    /// A report is too low if the mean number of requests in flight exceeds the mean report by this
+    /// factor plus half a request. 1.5 allows for the time of an answer outside the backend server.
     pub excess: f64,
-    /// A report that was the same in so many answers in a row is frozen. A loaded backend server
-    /// with 3 slots repeats itself by chance for a few answers, not for 64.
+    /// A report that stays the same for this many answers in a row is frozen. A loaded backend
+    /// server with 3 slots repeats a report by chance for a few answers, not for 64.
     pub frozen_after: u32,
     /// A report older than this is not used.
     pub max_age: time::Duration,
@@ -42,7 +41,7 @@
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Checks that each threshold is in its range.
     pub fn check(&self) -> Result<(), range::Error> {
         let memory = self.memory.as_secs_f64();
         range::check("trust.memory", memory, 0.1..=60.0)?;
@@ -64,7 +63,7 @@
 }
 
 impl Trust {
-    /// Takes in a report. `own` is what this VM had in flight there when it came.
+    /// Records a report. `own` is the number of requests that this VM has in flight there.
     pub fn see(&mut self, cfg: &Config, now: policy::Moment, report: policy::Report, own: usize) {
         let total = f64::from(report.in_flight + report.queued);
         match self.last {
@@ -83,7 +82,7 @@
         self.last = Some((now, report));
     }
 
-    /// The report, where it can be believed.
+    /// The last report, unless it is stale, frozen or too low.
     pub fn believed(&self, cfg: &Config, now: policy::Moment) -> Option<policy::Report> {
         let (at, report) = self.last?;
         let stale = now.saturating_sub(at) > cfg.max_age;
@@ -113,8 +112,8 @@
         trust.believed(&cfg, now)
     }
 
-    /// A backend server says that it is idle while this VM alone keeps it busy. Believed, it would
-    /// get all the work, and callers would wait in its queue.
+    /// A backend server reports almost no load while this VM alone keeps it busy. If the report
+    /// were used, other availability zones would send it more requests, which would queue there.
     #[test]
     fn a_report_below_the_own_count_is_not_believed() {
         let lies = (0..60).map(|i| {
@@ -129,7 +128,7 @@
         assert_eq!(play(lies), None);
     }
 
-    /// A backend server's reports stay as they were an hour ago.
+    /// A backend server repeats an old report without change.
     #[test]
     fn a_frozen_report_is_not_believed() {
         let busy = policy::Report {
