--- a/src/decisions/ramp.rs
+++ b/src/decisions/ramp.rs
@@ -1,22 +1,22 @@
-//! How fast a backend server that has just come gets its share of the work.
+//! Slow start: limits the requests in flight at a backend server that has just started.
 //!
-//! Load pattern: a cold start, or the return of a crashed backend server. Its cache is cold, its
-//! first requests take several times as long, and it looks idle, so it would draw more than its
-//! share just when it can do least. One notices it as a peak in latency after each restart.
+//! Load pattern: a cold start, or the restart of a crashed backend server. Its cache is cold and
+//! its first requests take several times as long, but it has no load, so it would get more than its
+//! share of requests. Symptom: a peak in latency after each restart.
 //!
-//! It begins with one request at a time and gets its slots one after the other as it answers.
-//! Counting answers and not seconds fits what warms it: the work itself. When most of the backend
-//! servers are cold there is no warm one to protect callers with, and all get their share at once.
+//! It starts with one request at a time and gets one slot after the other as it answers. Progress
+//! is counted in answers and not in seconds, because requests fill the cache. When most backend
+//! servers are cold, too few warm ones are left for the load, so all get their full share at once.
 
 use super::range;
 
-/// Thresholds of the ramp.
+/// Thresholds of slow start.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Answers until it gets its full share. Most of a cold start's extra time is gone after
-    /// about 150 requests; it shares them with the other entry VMs of its availability zone.
+    /// Answers to this VM until a backend server gets its full share. Most of the extra time of a
+    /// cold start is gone after about 150 answers to all entry VMs of the zone together.
     pub answers: u32,
-    /// The share of warm backend servers below which nobody ramps.
+    /// Slow start is off when a smaller share of the backend servers is warm.
     pub min_warm: f64,
 }
 
@@ -30,43 +30,43 @@
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Checks that each threshold is in its range.
     pub fn check(&self) -> Result<(), range::Error> {
         range::check("ramp.answers", f64::from(self.answers), 1.0..=100_000.0)?;
         range::check("ramp.min_warm", self.min_warm, 0.0..=1.0)
     }
 }
 
-/// How far one backend server is.
+/// Slow-start progress of one backend server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ramp {
     left: u32,
 }
 
 impl Ramp {
-    /// It has just come.
+    /// The state of a backend server that has just started.
     pub fn cold(cfg: &Config) -> Self {
         Self { left: cfg.answers }
     }
 
-    /// Whether it has its full share.
+    /// Whether slow start is complete.
     pub fn warm(&self) -> bool {
         self.left == 0
     }
 
-    /// It answered.
+    /// Records an answer.
     pub fn answered(&mut self) {
         self.left = self.left.saturating_sub(1);
     }
 
-    /// Requests at a time, of `slots`.
+    /// The largest number of requests in flight at a backend server with this many slots.
     pub fn cap(&self, cfg: &Config, slots: u32) -> usize {
         let done = 1.0 - f64::from(self.left) / f64::from(cfg.answers.max(1));
         1 + ((f64::from(slots) - 1.0) * done).floor() as usize
     }
 }
 
-/// Whether there are enough warm backend servers for the cold ones to ramp.
+/// Whether enough backend servers are warm to limit the cold ones.
 pub fn applies(cfg: &Config, members: usize, warm: usize) -> bool {
     warm > 0 && warm as f64 >= members as f64 * cfg.min_warm
 }
@@ -93,8 +93,8 @@
         assert!(ramp.warm());
     }
 
-    /// A whole fleet has restarted. Were all of it held to one request at a time, two thirds of
-    /// the slots would idle while callers wait.
+    /// All backend servers have restarted. If each were limited to one request at a time, two
+    /// thirds of the slots would be idle while callers wait.
     #[test]
     fn a_cold_fleet_does_not_ramp() {
         let cfg = Config::default();
