--- a/src/decisions/probe.rs
+++ b/src/decisions/probe.rs
@@ -1,13 +1,13 @@
-//! When a backend server is asked how it is.
+//! Decides when to probe a backend server.
 //!
-//! Load pattern: any. A probe occupies a slot for about 6 ms, a fifth of a percent of a backend
-//! server of 3 slots for each one a second. Without probes, one that is out can only be tried with callers'
-//! requests; with too many, each VM's probes take slots from callers. One notices it as probes
-//! that are a visible share of attempts.
+//! Load pattern: any. A probe occupies a slot for about 6 ms: one probe per second takes a fifth of
+//! a percent of a backend server with 3 slots. Without probes, an ejected backend server could be
+//! tested only with callers' requests; with too many, the probes of all VMs take slots from
+//! callers. Symptom: probes are a visible share of all attempts.
 //!
-//! Answers tell more than probes and cost nothing, so only what gets no work is probed: a backend
-//! server that is out and whose time is up, or one that is held in reserve because it is slow.
-//! The time that a probe takes shows whether a slow one has recovered.
+//! Answers give more information than probes at no cost, so only backend servers without requests
+//! are probed: ejected ones whose ejection time is over, and slow ones in reserve. The duration of
+//! a probe shows whether a slow one has recovered.
 
 use std::time;
 
@@ -16,14 +16,14 @@
 /// Thresholds of probes.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// The least time between two probes of this VM. With 2 entry VMs in an availability zone,
-    /// 250 ms bounds probes to 8 a second, 5% of one slot.
+    /// Minimum time between two probes by this VM. With 2 entry VMs in an availability zone, 250 ms
+    /// limits probes to 8 per second, which is 5% of one slot.
     pub gap: time::Duration,
-    /// The least time between two probes of one backend server.
+    /// Minimum time between two probes of one backend server.
     pub each: time::Duration,
-    /// After this long a probe counts as not answered.
+    /// Timeout of a probe.
     pub patience: time::Duration,
-    /// How long a sound backend server works on a probe.
+    /// Usual duration of a probe at a healthy backend server.
     pub typical: time::Duration,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Checks that each threshold is in its range.
     pub fn check(&self) -> Result<(), range::Error> {
         range::check("probe.gap", self.gap.as_secs_f64(), 0.01..=60.0)?;
         range::check("probe.each", self.each.as_secs_f64(), 0.01..=60.0)?;
@@ -48,7 +48,7 @@
     }
 }
 
-/// The probes of one backend server.
+/// Probe state of one backend server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Watch {
     sent: Option<policy::Moment>,
@@ -61,20 +61,19 @@
         self.sent.is_none() && self.last.is_none_or(|last| last + cfg.each <= now)
     }
 
-    /// A probe was sent.
+    /// Records that a probe was sent.
     pub fn sent(&mut self, now: policy::Moment) {
         self.sent = Some(now);
         self.last = Some(now);
     }
 
-    /// A probe came back. Returns how many times the usual time it took, or `None` where none was
-    /// awaited.
+    /// Records an answer. Returns the probe's relative duration, or `None` if none was pending.
     pub fn back(&mut self, cfg: &Config, now: policy::Moment) -> Option<f64> {
         let took = now.saturating_sub(self.sent.take()?);
         Some(took.as_secs_f64() / cfg.typical.as_secs_f64())
     }
 
-    /// Whether a probe has just run out of time.
+    /// Whether the pending probe has timed out. True once per probe.
     pub fn lost(&mut self, cfg: &Config, now: policy::Moment) -> bool {
         let lost = self.sent.is_some_and(|sent| sent + cfg.patience <= now);
         if lost {
