--- a/src/decisions/naive.rs
+++ b/src/decisions/naive.rs
@@ -1,7 +1,5 @@
-//! The naive version that every decision is measured against: equal weights, no bound on what
-//! waits at a backend server, retry thrice.
-//!
-//! It answers no load pattern. It is kept for the differential tests and the benchmark.
+//! Baseline policy for comparison: round robin, no limit on the requests at a backend server, three
+//! retries. It handles no load pattern and is the reference in differential tests and load models.
 
 use std::collections;
 use std::time;
@@ -10,16 +8,15 @@
 use crate::id;
 use policy::{Action, Ended, Fate, Place, Policy, Refusal};
 
-/// When a refused caller is asked to come back.
+/// Time after which a refused caller may retry.
 const RETRY_AFTER: time::Duration = time::Duration::from_secs(1);
 
-/// What the naive version does on failure.
+/// Retry settings of the baseline.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// Attempts after the first.
     pub retries: u32,
-    /// Also send a non-idempotent request again whose fate is not known. Only the benchmark sets
-    /// this, to count the second runs that it causes.
+    /// Retry non-idempotent requests of unknown outcome. A load model counts the duplicate runs.
     pub retry_unknown: bool,
 }
 
@@ -39,7 +36,7 @@
     maybe_run: bool,
 }
 
-/// Sends each request at once to the next backend server in turn.
+/// Sends each request at once, round robin.
 #[derive(Debug, Default)]
 pub struct Naive {
     cfg: Config,
@@ -49,7 +46,7 @@
 }
 
 impl Naive {
-    /// A naive policy without backend servers yet.
+    /// Creates a policy without backend servers.
     pub fn new(cfg: Config) -> Self {
         Self {
             cfg,
@@ -186,8 +183,7 @@
         naive
     }
 
-    /// A backend server dies while it works on a booking. Sent again, the booking could run twice
-    /// and bill one bay to two members.
+    /// A backend server crashes during a booking. A second run could bill one bay to two members.
     #[test]
     fn a_lost_booking_is_not_sent_again() {
         let (mut naive, mut out) = (naive(), Vec::new());
