--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! What holds for the decisions inside an availability zone whatever happens, in whatever order.
+//! Invariants of the decisions inside an availability zone under random sequences of events.
 
 use std::collections;
 use std::time;
@@ -62,7 +62,7 @@
     settled: u32,
 }
 
-/// Plays steps against a policy and checks each of its actions.
+/// Applies steps to a policy and checks each of its actions.
 struct Play {
     dispatch: dispatch::Dispatch,
     cfg: dispatch::Config,
@@ -221,8 +221,8 @@
         }
     }
 
-    /// Lets all deadlines pass, and checks that each request was settled once and that second
-    /// attempts stayed within their budget.
+    /// Advances past all deadlines, and checks that each request was settled once and that retries
+    /// stayed within their budget.
     fn finish(mut self) {
         for _ in 0..100 {
             self.pass(10);
@@ -248,8 +248,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Backend servers shed, fail, break and come back while callers come and go. Each request is
-    /// settled once, truly, and a booking that may have run is not sent again.
+    /// Backend servers shed, fail, crash and recover while callers come and go. Guards against a
+    /// request that is settled twice, never, or with a wrong outcome, and against a second send of
+    /// a booking that may have run.
     #[test]
     fn every_request_is_settled_once_and_truly(steps in prop::collection::vec(step(), 1..400)) {
         let mut play = Play::new();
@@ -260,8 +261,8 @@
     }
 }
 
-/// Bookings fill all slots without end. Patient reads that wait beside them are answered, a few
-/// at a time.
+/// Bookings fill all slots continuously. Guards against starvation of queued reads with late
+/// deadlines.
 #[test]
 fn patient_reads_are_not_starved() {
     let mut play = Play::new();
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,7 +1,7 @@
-//! Regression bounds on the table of load patterns, and what callers get under each of them.
+//! Regression bounds on the answers and latency that callers get under each load pattern.
 //!
 //! The figures come from a few seconds of virtual time and are the same on every machine. Each
-//! bound lies a little below what was measured when it was set.
+//! bound leaves a small margin to the current figure.
 
 use std::path;
 use std::time;
@@ -40,7 +40,7 @@
     )
 }
 
-/// Checks each row, and that no promise of ours broke.
+/// Checks each row, and that our policy violates no invariant.
 fn check(names: &[&str], holds: impl Fn(&table::Row) -> bool) {
     for row in rows(names) {
         assert_eq!(row.ours.violations(), 0, "{}", show(&row));
@@ -56,8 +56,7 @@
     of.1 as f64 / of.0 as f64
 }
 
-/// Without overload and without faults nothing is there to decide: what the naive version answers
-/// is answered, no more and no less.
+/// Without overload and faults, our policy answers exactly the requests that the baseline answers.
 #[test]
 fn a_steady_load_is_answered_as_by_the_naive_version_and_spread_evenly() {
     check(&["steady"], |row| {
@@ -67,22 +66,21 @@
     });
 }
 
-/// The storm passes within seconds, but for these seconds four times as many ask as can be
-/// answered.
+/// For a few seconds, four times as many requests arrive as can be answered.
 #[test]
 fn a_burst_is_mostly_answered() {
     check(&["burst"], |row| ours(row) >= 0.87);
 }
 
-/// A script of one member asks a thousand times as often as the others. Callers with one request
-/// each are still answered.
+/// One caller sends a thousand times as many requests as the others. The callers with one request
+/// each still get answers.
 #[test]
 fn few_callers_do_not_crowd_out_the_others() {
     check(&["few callers"], |row| answered(row.ours.ordinary) >= 0.84);
 }
 
-/// A backend server takes ten times as long. In turn, each second request of its availability
-/// zone would wait for it.
+/// A backend server takes ten times as long. Round robin would send it every second request of its
+/// availability zone.
 #[test]
 fn a_slow_backend_server_is_not_waited_for() {
     check(&["slow backend server, light"], |row| {
@@ -91,7 +89,7 @@
     check(&["slow backend server"], |row| ours(row) >= 0.995);
 }
 
-/// A backend server fails each request at once and so always looks idle.
+/// A backend server fails each request at once and therefore always has free slots.
 #[test]
 fn a_failing_backend_server_costs_few_answers() {
     check(&["fast-failing backend server"], |row| {
@@ -99,8 +97,7 @@
     });
 }
 
-/// Pulls of long records take the slots while bookings and reads that take a tenth of the time
-/// come in.
+/// Long requests occupy the slots while bookings and reads arrive that take a tenth of the time.
 #[test]
 fn short_work_is_not_stuck_behind_long() {
     check(&["long among short"], |row| {
@@ -117,8 +114,7 @@
     });
 }
 
-/// A backend server that is four times as slow says that it is idle; or all reports stay as they
-/// were.
+/// A backend server that is four times as slow reports no load, or all reports are frozen.
 #[test]
 fn reports_that_mislead_do_little_harm() {
     check(&["reports lie"], |row| {
@@ -127,7 +123,7 @@
     check(&["reports frozen"], |row| ours(row) >= 0.999);
 }
 
-/// Callers ask again after a tenth of their patience, and make an overload out of a peak.
+/// Callers retry after a tenth of their timeout, which turns a peak into an overload.
 #[test]
 fn a_retry_storm_passes() {
     check(&["retry storm"], |row| {
@@ -145,8 +141,8 @@
     check(&["cold fleet"], |row| ours(row) >= 0.95);
 }
 
-/// Twice as many ask as can be answered. Bookings and approvals go first; reads get what is left;
-/// who is turned away is told long before his patience ends.
+/// Twice as many requests arrive as can be answered. Bookings and approvals are served first, reads
+/// get the remaining capacity, and refusals reach callers long before their timeout.
 #[test]
 fn saturation_answers_what_is_worth_most() {
     check(&["saturation 2"], |row| {
