--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -128,8 +128,8 @@
         }
     }
 
-    pub(super) fn kind(&self) -> queue::Kind {
-        kind(&self.req)
+    pub(super) fn class_key(&self) -> queue::ClassKey {
+        class_key(&self.req)
     }
 
     pub(super) fn item(&self) -> queue::Item {
@@ -140,8 +140,8 @@
     }
 }
 
-pub(super) fn kind(req: &policy::Arrival) -> queue::Kind {
-    queue::Kind {
+pub(super) fn class_key(req: &policy::Arrival) -> queue::ClassKey {
+    queue::ClassKey {
         worth: req.worth,
         typical: req.typical,
     }
@@ -217,8 +217,8 @@
             }
             quarantine::State::Suspect | quarantine::State::Clear => {}
         }
-        let crowded = self.queue.crowded(kind(req));
-        if crowded && !self.shares.fair(&self.cfg.admission, req.caller) {
+        let queued_ahead = self.queue.has_equal_or_better(class_key(req));
+        if queued_ahead && !self.shares.fair(&self.cfg.admission, req.caller) {
             return Some((Refusal::CallerShare, self.back(now, req)));
         }
         None
@@ -237,7 +237,7 @@
     /// The time after which the caller of a refused request may retry.
     pub(super) fn back(&mut self, now: Moment, req: &policy::Arrival) -> time::Duration {
         let rate = self.view(now).rate();
-        let wait = self.queue.wait(&self.cfg.queue, now, kind(req), rate);
+        let wait = self.queue.wait(&self.cfg.queue, now, class_key(req), rate);
         let left = req.deadline.saturating_sub(now);
         self.cfg.admission.back(wait, left, self.rng.random())
     }
@@ -273,8 +273,8 @@
     /// Queues a caller's request, sends it to another availability zone, or refuses it.
     fn admit(&mut self, now: Moment, pending: Pending, out: &mut Vec<Action>) {
         let rate = self.view(now).rate();
-        let kind = pending.kind();
-        let wait = self.queue.wait(&self.cfg.queue, now, kind, rate);
+        let key = pending.class_key();
+        let wait = self.queue.wait(&self.cfg.queue, now, key, rate);
         let refusal = self.too_late(now, &pending.req, wait);
         let cross = refusal.is_some() || wait > self.cfg.cross_after;
         let Some(pending) = (match cross {
@@ -286,13 +286,13 @@
         if let Some(why) = refusal {
             return self.give_up_on(now, pending, why, out);
         }
-        if self.queue.len() >= self.cfg.queue.most {
-            match self.queue.displace(&self.cfg.queue, kind) {
+        if self.queue.len() >= self.cfg.queue.max_len {
+            match self.queue.displace(&self.cfg.queue, key) {
                 Some(item) => self.give_up(now, item.id, Refusal::Overload, out),
                 None => return self.give_up_on(now, pending, Refusal::Overload, out),
             }
         }
-        self.queue.push(kind, pending.item());
+        self.queue.push(key, pending.item());
         self.pending.insert(pending.req.id, pending);
     }
 
@@ -334,7 +334,7 @@
         if !free {
             return self.give_up_on(now, pending, Refusal::Overload, out);
         }
-        self.queue.push(pending.kind(), pending.item());
+        self.queue.push(pending.class_key(), pending.item());
         self.pending.insert(pending.req.id, pending);
     }
 
@@ -513,8 +513,8 @@
             }
             quarantine::State::Suspect => self.stage_suspect(id),
             quarantine::State::Clear => {
-                let (kind, item) = (pending.kind(), pending.item());
-                self.queue.push_front(kind, item);
+                let (key, item) = (pending.class_key(), pending.item());
+                self.queue.push_front(key, item);
                 self.set_stage(id, Stage::Queued);
             }
         }
@@ -549,7 +549,7 @@
         if req.origin == Origin::Caller {
             self.across.arrived(now);
         }
-        self.queue.arrived(&self.cfg.queue, now, kind(&req));
+        self.queue.arrived(&self.cfg.queue, now, class_key(&req));
         self.budget.fill(&self.cfg.retry);
         let refusal = self.refusal(now, &req);
         self.shares.add(req.caller);
@@ -607,10 +607,10 @@
         let (waited, patience) = (now - pending.since, pending.req.deadline - pending.since);
         self.leaving
             .left(&self.cfg.admission, now, waited, patience);
-        let kind = pending.kind();
+        let key = pending.class_key();
         match pending.stage {
             Stage::Queued => {
-                self.queue.remove(kind, req);
+                self.queue.remove(key, req);
                 self.give_up(now, req, Refusal::CallerGone, out);
             }
             Stage::Suspect => {
--- a/src/decisions/queue.rs
+++ b/src/decisions/queue.rs
@@ -21,20 +21,20 @@
 pub struct Config {
     /// The share of time that all classes behind the best one get together. It is small because it
     /// costs worth; 5% costs no noticeable worth at twice the capacity.
-    pub floor: f64,
+    pub min_share: f64,
     /// The largest number of queued requests. It bounds memory; admission bounds the wait.
-    pub most: usize,
+    pub max_len: usize,
     /// Time constant of the moving average of arriving work. A shorter one follows bursts sooner, a
     /// longer one is less affected by single requests.
-    pub memory: time::Duration,
+    pub averaging_time: time::Duration,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            floor: 0.05,
-            most: 4_096,
-            memory: time::Duration::from_millis(500),
+            min_share: 0.05,
+            max_len: 4_096,
+            averaging_time: time::Duration::from_millis(500),
         }
     }
 }
@@ -42,23 +42,27 @@
 impl Config {
     /// Checks that each threshold is in its range.
     pub fn check(&self) -> Result<(), range::Error> {
-        range::check("queue.floor", self.floor, 0.001..=0.5)?;
-        range::check("queue.most", self.most as f64, 1.0..=1e6)?;
-        range::check("queue.memory", self.memory.as_secs_f64(), 0.01..=60.0)
+        range::check("queue.floor", self.min_share, 0.001..=0.5)?;
+        range::check("queue.most", self.max_len as f64, 1.0..=1e6)?;
+        range::check(
+            "queue.memory",
+            self.averaging_time.as_secs_f64(),
+            0.01..=60.0,
+        )
     }
 }
 
 /// The properties that determine the class of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Kind {
+pub struct ClassKey {
     /// The weight of its answer.
     pub worth: u32,
     /// The usual time that a backend server works on it.
     pub typical: time::Duration,
 }
 
-impl Kind {
-    fn density(&self) -> f64 {
+impl ClassKey {
+    fn worth_per_s(&self) -> f64 {
         f64::from(self.worth) / self.typical.as_secs_f64().max(1e-6)
     }
 }
@@ -74,25 +78,25 @@
 
 #[derive(Clone, Debug)]
 struct Class {
-    kind: Kind,
+    key: ClassKey,
     items: collections::VecDeque<Item>,
     credit: f64,
-    arriving: f64,
-    seen: policy::Moment,
+    offered_load: f64,
+    offered_load_at: policy::Moment,
 }
 
 impl Class {
-    fn work(&self) -> f64 {
-        self.kind.typical.as_secs_f64()
+    fn work_s(&self) -> f64 {
+        self.key.typical.as_secs_f64()
     }
 
-    fn waiting(&self) -> f64 {
-        self.work() * self.items.len() as f64
+    fn queued_work_s(&self) -> f64 {
+        self.work_s() * self.items.len() as f64
     }
 
-    fn arriving(&self, cfg: &Config, now: policy::Moment) -> f64 {
-        let age = now.saturating_sub(self.seen).as_secs_f64();
-        self.arriving * (-age / cfg.memory.as_secs_f64()).exp()
+    fn offered_load(&self, cfg: &Config, now: policy::Moment) -> f64 {
+        let age = now.saturating_sub(self.offered_load_at).as_secs_f64();
+        self.offered_load * (-age / cfg.averaging_time.as_secs_f64()).exp()
     }
 }
 
@@ -115,50 +119,50 @@
     }
 
     /// Whether requests are queued with at least as much worth per second of work as this kind.
-    pub fn crowded(&self, kind: Kind) -> bool {
-        let as_good = |c: &&Class| c.kind.density() >= kind.density();
+    pub fn has_equal_or_better(&self, key: ClassKey) -> bool {
+        let equal_or_better = |c: &&Class| c.key.worth_per_s() >= key.worth_per_s();
         self.classes
             .iter()
-            .take_while(as_good)
+            .take_while(equal_or_better)
             .any(|c| !c.items.is_empty())
     }
 
     /// Records the arrival of a request, queued or not.
-    pub fn arrived(&mut self, cfg: &Config, now: policy::Moment, kind: Kind) {
-        let class = self.class(kind);
+    pub fn arrived(&mut self, cfg: &Config, now: policy::Moment, key: ClassKey) {
+        let class = self.class(key);
         let class = &mut self.classes[class];
-        let more = class.work() / cfg.memory.as_secs_f64();
-        class.arriving = class.arriving(cfg, now) + more;
-        class.seen = now;
+        let added_load = class.work_s() / cfg.averaging_time.as_secs_f64();
+        class.offered_load = class.offered_load(cfg, now) + added_load;
+        class.offered_load_at = now;
     }
 
-    fn class(&mut self, kind: Kind) -> usize {
-        if let Some(i) = self.classes.iter().position(|c| c.kind == kind) {
+    fn class(&mut self, key: ClassKey) -> usize {
+        if let Some(i) = self.classes.iter().position(|c| c.key == key) {
             return i;
         }
-        let better = |c: &Class| c.kind.density() >= kind.density();
+        let better = |c: &Class| c.key.worth_per_s() >= key.worth_per_s();
         let at = self.classes.partition_point(better);
         let class = Class {
-            kind,
+            key,
             items: collections::VecDeque::new(),
             credit: 0.0,
-            arriving: 0.0,
-            seen: policy::Moment::ZERO,
+            offered_load: 0.0,
+            offered_load_at: policy::Moment::ZERO,
         };
         self.classes.insert(at, class);
         at
     }
 
     /// Adds a request at the end of its class.
-    pub fn push(&mut self, kind: Kind, item: Item) {
-        let class = self.class(kind);
+    pub fn push(&mut self, key: ClassKey, item: Item) {
+        let class = self.class(key);
         self.classes[class].items.push_back(item);
         self.len += 1;
     }
 
     /// Adds a request at the front of its class.
-    pub fn push_front(&mut self, kind: Kind, item: Item) {
-        let class = self.class(kind);
+    pub fn push_front(&mut self, key: ClassKey, item: Item) {
+        let class = self.class(key);
         self.classes[class].items.push_front(item);
         self.len += 1;
     }
@@ -173,39 +177,39 @@
         let at = self.next()?;
         let item = self.classes[at].items.pop_front()?;
         self.len -= 1;
-        self.share_out(cfg, at);
+        self.update_credits(cfg, at);
         Some(item)
     }
 
     /// The class to serve next: the first one with credit for a request, otherwise the best one.
     fn next(&self) -> Option<usize> {
         let has_work = |c: &Class| !c.items.is_empty();
-        let due = |c: &Class| has_work(c) && c.credit >= c.work();
-        let earned = self.classes.iter().position(due);
-        earned.or_else(|| self.classes.iter().position(has_work))
+        let due = |c: &Class| has_work(c) && c.credit >= c.work_s();
+        let due_class = self.classes.iter().position(due);
+        due_class.or_else(|| self.classes.iter().position(has_work))
     }
 
     /// Deducts credit from a class served on credit; otherwise adds credit to the classes after it.
-    fn share_out(&mut self, cfg: &Config, at: usize) {
-        let work = self.classes[at].work();
-        if self.classes[at].credit >= work {
-            self.classes[at].credit -= work;
+    fn update_credits(&mut self, cfg: &Config, at: usize) {
+        let work_s = self.classes[at].work_s();
+        if self.classes[at].credit >= work_s {
+            self.classes[at].credit -= work_s;
             return;
         }
-        let behind = &mut self.classes[at + 1..];
-        let waiting = behind.iter().filter(|c| !c.items.is_empty()).count();
-        for class in behind {
+        let lower_classes = &mut self.classes[at + 1..];
+        let waiting_classes = lower_classes.iter().filter(|c| !c.items.is_empty()).count();
+        for class in lower_classes {
             if class.items.is_empty() {
                 class.credit = 0.0;
                 continue;
             }
-            let share = work * cfg.floor / waiting as f64;
-            class.credit = (class.credit + share).min(class.work());
+            let earned_s = work_s * cfg.min_share / waiting_classes as f64;
+            class.credit = (class.credit + earned_s).min(class.work_s());
         }
     }
 
     /// Removes the first request of the lowest class.
-    pub fn pop_last(&mut self) -> Option<Item> {
+    pub fn pop_lowest(&mut self) -> Option<Item> {
         let class = self
             .classes
             .iter_mut()
@@ -216,29 +220,29 @@
     }
 
     /// The first request of the lowest class.
-    pub fn peek_last(&self) -> Option<Item> {
+    pub fn peek_lowest(&self) -> Option<Item> {
         let class = self.classes.iter().rev().find(|c| !c.items.is_empty())?;
         class.items.front().copied()
     }
 
     /// Removes the newest request of a lower class to make room for one of this kind. Each class
     /// keeps a minimum number of places; otherwise bookings could fill the queue and starve reads.
-    pub fn displace(&mut self, cfg: &Config, kind: Kind) -> Option<Item> {
-        let least = ((cfg.most as f64 * cfg.floor) as usize).max(1);
-        let own = self.class(kind);
-        let few = self.classes[own].items.len() < least;
-        let spare = |c: &&mut Class| {
-            let worse = c.kind.density() < kind.density();
-            c.items.len() > least && (worse || few)
+    pub fn displace(&mut self, cfg: &Config, key: ClassKey) -> Option<Item> {
+        let min_places = ((cfg.max_len as f64 * cfg.min_share) as usize).max(1);
+        let requesting = self.class(key);
+        let below_min = self.classes[requesting].items.len() < min_places;
+        let displaceable = |c: &&mut Class| {
+            let worse = c.key.worth_per_s() < key.worth_per_s();
+            c.items.len() > min_places && (worse || below_min)
         };
-        let class = self.classes.iter_mut().rev().find(spare)?;
+        let class = self.classes.iter_mut().rev().find(displaceable)?;
         self.len -= 1;
         class.items.pop_back()
     }
 
     /// Removes a request. Returns whether it was queued.
-    pub fn remove(&mut self, kind: Kind, id: policy::RequestId) -> bool {
-        let class = self.class(kind);
+    pub fn remove(&mut self, key: ClassKey, id: policy::RequestId) -> bool {
+        let class = self.class(key);
         let items = &mut self.classes[class].items;
         let Some(at) = items.iter().position(|item| item.id == id) else {
             return false;
@@ -253,68 +257,71 @@
         &mut self,
         cfg: &Config,
         now: policy::Moment,
-        kind: Kind,
+        key: ClassKey,
         rate: f64,
     ) -> time::Duration {
-        let class = self.class(kind);
-        let ahead: f64 = self.classes[..=class].iter().map(Class::waiting).sum();
-        if ahead <= 0.0 {
+        let class = self.class(key);
+        let ahead_s: f64 = self.classes[..=class]
+            .iter()
+            .map(Class::queued_work_s)
+            .sum();
+        if ahead_s <= 0.0 {
             return time::Duration::ZERO;
         }
-        span(ahead / self.left_for(cfg, now, class, rate))
+        wait_duration(ahead_s / self.rate_left_for(cfg, now, class, rate))
     }
 
     /// The part of `rate` that arrivals of better classes leave to a class.
-    fn left_for(&self, cfg: &Config, now: policy::Moment, class: usize, rate: f64) -> f64 {
+    fn rate_left_for(&self, cfg: &Config, now: policy::Moment, class: usize, rate: f64) -> f64 {
         let better = self.classes[..class].iter();
-        let taken: f64 = better.map(|c| c.arriving(cfg, now)).sum();
-        (rate - taken).max(rate * cfg.floor).max(1e-6)
+        let better_load: f64 = better.map(|c| c.offered_load(cfg, now)).sum();
+        (rate - better_load).max(rate * cfg.min_share).max(1e-6)
     }
 
     /// Removes and returns the requests that cannot meet their deadline: the wait at `rate` and
     /// `pace` times the usual duration exceed the time left.
     pub fn sweep(&mut self, cfg: &Config, now: policy::Moment, rate: f64, pace: f64) -> Vec<Item> {
-        let mut hopeless = Vec::new();
-        let mut ahead = 0.0;
+        let mut late = Vec::new();
+        let mut ahead_s = 0.0;
         for at in 0..self.classes.len() {
-            let left = self.left_for(cfg, now, at, rate);
+            let rate_left = self.rate_left_for(cfg, now, at, rate);
             let class = &mut self.classes[at];
-            let (work, need) = (class.work(), class.kind.typical.mul_f64(pace));
+            let (work_s, needed_time) = (class.work_s(), class.key.typical.mul_f64(pace));
             class.items.retain(|item| {
-                let done = now + need + span(ahead / left);
-                let keep = done <= item.deadline;
+                let done_at = now + needed_time + wait_duration(ahead_s / rate_left);
+                let keep = done_at <= item.deadline;
                 match keep {
-                    true => ahead += work,
-                    false => hopeless.push(*item),
+                    true => ahead_s += work_s,
+                    false => late.push(*item),
                 }
                 keep
             });
         }
-        self.len -= hopeless.len();
-        hopeless
+        self.len -= late.len();
+        late
     }
 }
 
 /// Upper bound of an estimated wait.
-const LONGEST_S: f64 = 3_600.0;
+const MAX_WAIT_S: f64 = 3_600.0;
 
-fn span(secs: f64) -> time::Duration {
-    time::Duration::from_secs_f64(secs.clamp(0.0, LONGEST_S))
+fn wait_duration(secs: f64) -> time::Duration {
+    time::Duration::from_secs_f64(secs.clamp(0.0, MAX_WAIT_S))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    const READ: Kind = Kind {
+    const READ: ClassKey = ClassKey {
         worth: 2,
         typical: time::Duration::from_millis(6),
     };
-    const BOOK: Kind = Kind {
+    const BOOK: ClassKey = ClassKey {
         worth: 20,
         typical: time::Duration::from_millis(15),
     };
-    const LONG: Kind = Kind {
+    const LONG: ClassKey = ClassKey {
         worth: 1,
         typical: time::Duration::from_millis(120),
     };
@@ -353,9 +360,9 @@
 
     /// The queue is full of bookings. One read still gets a place, a second one does not.
     #[test]
-    fn each_kind_keeps_a_place() {
+    fn each_class_keeps_a_place() {
         let cfg = Config {
-            most: 8,
+            max_len: 8,
             ..Config::default()
         };
         let mut queue = Queue::default();
@@ -367,19 +374,19 @@
     }
 
     #[test]
-    fn the_wait_counts_what_better_classes_take() {
+    fn the_wait_includes_arrivals_of_better_classes() {
         let (mut queue, cfg) = (Queue::default(), Config::default());
         (0..10).for_each(|i| queue.push(READ, item(i)));
         let now = policy::Moment::from_secs(1);
-        let calm = queue.wait(&cfg, now, READ, 1.0);
-        assert_eq!(calm.as_millis(), 60);
+        let base_wait = queue.wait(&cfg, now, READ, 1.0);
+        assert_eq!(base_wait.as_millis(), 60);
         (0..20).for_each(|_| queue.arrived(&cfg, now, BOOK));
-        assert!(queue.wait(&cfg, now, READ, 1.0) > calm * 2);
+        assert!(queue.wait(&cfg, now, READ, 1.0) > base_wait * 2);
         assert!(queue.wait(&cfg, now, BOOK, 1.0).is_zero());
     }
 
     #[test]
-    fn the_sweep_takes_what_is_too_far_behind() {
+    fn the_sweep_removes_requests_that_would_be_late() {
         let (mut queue, cfg) = (Queue::default(), Config::default());
         (0..5_000).for_each(|i| queue.push(READ, item(i)));
         let out = queue.sweep(&cfg, policy::Moment::ZERO, 1.0, 1.0);
--- a/src/decisions/serve.rs
+++ b/src/decisions/serve.rs
@@ -39,7 +39,7 @@
 
     /// Sends reads of the lowest class to backend servers on trial.
     fn serve_trials(&mut self, now: Moment, out: &mut Vec<Action>) {
-        while let Some(item) = self.queue.peek_last() {
+        while let Some(item) = self.queue.peek_lowest() {
             let Some(pending) = self.pending.get(&item.id) else {
                 return;
             };
@@ -51,21 +51,21 @@
             let Some(member) = trial.filter(|_| pending.req.idempotent) else {
                 return;
             };
-            self.queue.pop_last();
+            self.queue.pop_lowest();
             self.send(now, item.id, member, out);
         }
     }
 
     /// Sends reads of the lowest class to slow backend servers, if waiting would take longer.
     fn serve_reserve(&mut self, now: Moment, out: &mut Vec<Action>) {
-        while let Some(item) = self.queue.peek_last() {
+        while let Some(item) = self.queue.peek_lowest() {
             let Some(pending) = self.pending.get(&item.id) else {
                 return;
             };
             let need = placement::Need {
                 avoid: &pending.avoid,
             };
-            let (kind, typical) = (pending.kind(), pending.req.typical);
+            let (key, typical) = (pending.class_key(), pending.req.typical);
             let idempotent = pending.req.idempotent;
             let view = placement::View::new(&self.cfg, now, &self.members);
             let Some(member) = view.pick_slow(&mut self.rng, &need) else {
@@ -73,11 +73,11 @@
             };
             let rate = view.rate();
             let cost = typical.mul_f64(self.members[member].pace - view.best_pace());
-            let wait = self.queue.wait(&self.cfg.queue, now, kind, rate);
+            let wait = self.queue.wait(&self.cfg.queue, now, key, rate);
             if !idempotent || wait < cost || now + cost > item.deadline {
                 return;
             }
-            self.queue.pop_last();
+            self.queue.pop_lowest();
             self.send(now, item.id, member, out);
         }
     }
@@ -99,9 +99,9 @@
             return self.give_up(now, id, Refusal::Quarantined, out);
         }
         if state == quarantine::State::Clear {
-            let (kind, item) = (pending.kind(), pending.item());
+            let (key, item) = (pending.class_key(), pending.item());
             self.suspects.pop_front();
-            self.queue.push_front(kind, item);
+            self.queue.push_front(key, item);
             return self.set_stage(id, Stage::Queued);
         }
         let Some(member) = self.keep_free(now, id) else {
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -76,7 +76,7 @@
     fn new() -> Self {
         let cfg = dispatch::Config {
             queue: queue::Config {
-                most: 16,
+                max_len: 16,
                 ..queue::Config::default()
             },
             ..dispatch::Config::default()
@@ -100,7 +100,7 @@
         for action in actions {
             self.act(action);
         }
-        let most = self.cfg.queue.most + self.cfg.quarantine.waiting;
+        let most = self.cfg.queue.max_len + self.cfg.quarantine.waiting;
         assert!(self.dispatch.waiting() <= most, "the queue is not bounded");
     }
 
