--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -19,28 +19,28 @@
 pub struct Config {
     /// The largest share of the time to its deadline that a request may spend in the queue. Half
     /// tolerates an estimate that is wrong by a factor of two.
-    pub patience: f64,
+    pub max_wait_share: f64,
     /// How long an early departure of a caller reduces the accepted wait.
-    pub leaving_memory: time::Duration,
+    pub departure_ttl: time::Duration,
     /// Outstanding requests that each caller is always allowed.
-    pub caller_least: u32,
+    pub caller_min_outstanding: u32,
     /// Outstanding requests that a caller may have while others wait, as a multiple of the mean.
-    pub caller_share: f64,
+    pub caller_max_mean_ratio: f64,
     /// The shortest time after which a refused caller may retry.
-    pub back_least: time::Duration,
+    pub min_retry_after: time::Duration,
     /// The longest time after which a refused caller may retry.
-    pub back_most: time::Duration,
+    pub max_retry_after: time::Duration,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            patience: 0.5,
-            leaving_memory: time::Duration::from_secs(2),
-            caller_least: 2,
-            caller_share: 2.0,
-            back_least: time::Duration::from_millis(100),
-            back_most: time::Duration::from_secs(2),
+            max_wait_share: 0.5,
+            departure_ttl: time::Duration::from_secs(2),
+            caller_min_outstanding: 2,
+            caller_max_mean_ratio: 2.0,
+            min_retry_after: time::Duration::from_millis(100),
+            max_retry_after: time::Duration::from_secs(2),
         }
     }
 }
@@ -48,40 +48,51 @@
 impl Config {
     /// Checks that each threshold is in its range.
     pub fn check(&self) -> Result<(), range::Error> {
-        range::check("admission.patience", self.patience, 0.01..=1.0)?;
-        let leaving = self.leaving_memory.as_secs_f64();
-        range::check("admission.leaving_memory", leaving, 0.1..=600.0)?;
-        let least = f64::from(self.caller_least);
-        range::check("admission.caller_least", least, 1.0..=1e6)?;
-        range::check("admission.caller_share", self.caller_share, 1.0..=1e6)?;
-        let back = self.back_least.as_secs_f64();
-        range::check("admission.back_least", back, 0.001..=60.0)?;
-        let back = self.back_most.as_secs_f64();
-        range::check("admission.back_most", back, 0.001..=3_600.0)
+        range::check("admission.patience", self.max_wait_share, 0.01..=1.0)?;
+        let ttl = self.departure_ttl.as_secs_f64();
+        range::check("admission.leaving_memory", ttl, 0.1..=600.0)?;
+        let min_outstanding = f64::from(self.caller_min_outstanding);
+        range::check("admission.caller_least", min_outstanding, 1.0..=1e6)?;
+        range::check(
+            "admission.caller_share",
+            self.caller_max_mean_ratio,
+            1.0..=1e6,
+        )?;
+        let retry_after = self.min_retry_after.as_secs_f64();
+        range::check("admission.back_least", retry_after, 0.001..=60.0)?;
+        let retry_after = self.max_retry_after.as_secs_f64();
+        range::check("admission.back_most", retry_after, 0.001..=3_600.0)
     }
 
     /// The time after which a refused caller may retry: about half the current wait, but early
-    /// enough for an answer before the deadline, which is `left` away. `spread` lies between 0 and
+    /// enough for an answer before the deadline, which is `time_left` away. `spread` lies between 0 and
     /// 1; it keeps callers that were refused together from retrying together.
-    pub fn back(&self, wait: time::Duration, left: time::Duration, spread: f64) -> time::Duration {
-        let back = wait.mul_f64(0.5).min(left.mul_f64(BACK_SHARE));
-        let back = back.clamp(self.back_least, self.back_most);
-        back.mul_f64(0.75 + 0.5 * spread)
+    pub fn retry_after(
+        &self,
+        wait: time::Duration,
+        time_left: time::Duration,
+        spread: f64,
+    ) -> time::Duration {
+        let retry_after = wait
+            .mul_f64(0.5)
+            .min(time_left.mul_f64(MAX_RETRY_AFTER_SHARE));
+        let retry_after = retry_after.clamp(self.min_retry_after, self.max_retry_after);
+        retry_after.mul_f64(0.75 + 0.5 * spread)
     }
 }
 
 /// The retry delay of a refused caller is at most this share of the time to its deadline.
-const BACK_SHARE: f64 = 0.4;
+const MAX_RETRY_AFTER_SHARE: f64 = 0.4;
 
-/// Whether a request can be admitted whose deadline is `left` away, that may spend the share
-/// `patience` of that time in the queue, waits for `wait`, and then runs for `work`.
+/// Whether a request can be admitted whose deadline is `time_left` away, that may spend the share
+/// `max_wait_share` of that time in the queue, waits for `wait`, and then runs for `work`.
 pub fn in_time(
-    left: time::Duration,
-    patience: f64,
+    time_left: time::Duration,
+    max_wait_share: f64,
     wait: time::Duration,
     work: time::Duration,
 ) -> bool {
-    wait <= left.mul_f64(patience) && wait + work <= left
+    wait <= time_left.mul_f64(max_wait_share) && wait + work <= time_left
 }
 
 /// How long callers wait before they leave, as a share of the time to their deadline.
@@ -89,78 +100,80 @@
 /// Some callers leave and retry long before the deadline. If the wait is longer than that, most
 /// requests are served just after their callers have left.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Leaving {
-    share: f64,
-    last: Option<policy::Moment>,
+pub struct EarlyDepartures {
+    wait_share: f64,
+    last_departure: Option<policy::Moment>,
 }
 
-impl Leaving {
-    /// Records that a caller left after `waited`, with its deadline `patience` after its arrival.
-    pub fn left(
+impl EarlyDepartures {
+    /// Records that a caller left after `waited`, with its deadline `max_wait_share` after its arrival.
+    pub fn record(
         &mut self,
         cfg: &Config,
         now: policy::Moment,
         waited: time::Duration,
-        patience: time::Duration,
+        timeout: time::Duration,
     ) {
-        let share = waited.as_secs_f64() / patience.as_secs_f64().max(1e-6);
-        if share >= 1.0 {
+        let wait_share = waited.as_secs_f64() / timeout.as_secs_f64().max(1e-6);
+        if wait_share >= 1.0 {
             return;
         }
-        self.share = match self.last {
-            Some(last) if now < last + cfg.leaving_memory => {
-                self.share + (share - self.share) * LEAVING_STEP
+        self.wait_share = match self.last_departure {
+            Some(last_departure) if now < last_departure + cfg.departure_ttl => {
+                self.wait_share + (wait_share - self.wait_share) * DEPARTURE_WEIGHT
             }
-            _ => share,
+            _ => wait_share,
         };
-        self.last = Some(now);
+        self.last_departure = Some(now);
     }
 
     /// The largest share of the time to its deadline that a request may spend in the queue.
-    pub fn patience(&self, cfg: &Config, now: policy::Moment) -> f64 {
-        match self.last {
-            Some(last) if now < last + cfg.leaving_memory => cfg.patience * self.share,
-            _ => cfg.patience,
+    pub fn max_wait_share(&self, cfg: &Config, now: policy::Moment) -> f64 {
+        match self.last_departure {
+            Some(last_departure) if now < last_departure + cfg.departure_ttl => {
+                cfg.max_wait_share * self.wait_share
+            }
+            _ => cfg.max_wait_share,
         }
     }
 }
 
 /// Weight of one departure in the moving average.
-const LEAVING_STEP: f64 = 0.1;
+const DEPARTURE_WEIGHT: f64 = 0.1;
 
 /// Outstanding requests of each caller.
 #[derive(Clone, Debug, Default)]
-pub struct Shares {
-    in_hand: collections::HashMap<policy::CallerId, u32>,
+pub struct OutstandingByCaller {
+    counts: collections::HashMap<policy::CallerId, u32>,
     total: u32,
 }
 
-impl Shares {
+impl OutstandingByCaller {
     /// Whether a caller may have one more outstanding request while others wait.
-    pub fn fair(&self, cfg: &Config, caller: policy::CallerId) -> bool {
-        let own = self.in_hand.get(&caller).copied().unwrap_or(0);
-        if own < cfg.caller_least {
+    pub fn within_share(&self, cfg: &Config, caller: policy::CallerId) -> bool {
+        let count = self.counts.get(&caller).copied().unwrap_or(0);
+        if count < cfg.caller_min_outstanding {
             return true;
         }
-        let mean = f64::from(self.total) / self.in_hand.len() as f64;
-        f64::from(own) < mean * cfg.caller_share
+        let mean = f64::from(self.total) / self.counts.len() as f64;
+        f64::from(count) < mean * cfg.caller_max_mean_ratio
     }
 
     /// Counts a new request.
     pub fn add(&mut self, caller: policy::CallerId) {
-        *self.in_hand.entry(caller).or_default() += 1;
+        *self.counts.entry(caller).or_default() += 1;
         self.total += 1;
     }
 
     /// Removes a settled request.
     pub fn remove(&mut self, caller: policy::CallerId) {
-        let Some(own) = self.in_hand.get_mut(&caller) else {
+        let Some(count) = self.counts.get_mut(&caller) else {
             return;
         };
-        *own -= 1;
+        *count -= 1;
         self.total -= 1;
-        if *own == 0 {
-            self.in_hand.remove(&caller);
+        if *count == 0 {
+            self.counts.remove(&caller);
         }
     }
 }
@@ -172,7 +185,7 @@
     const SECOND: time::Duration = time::Duration::from_secs(1);
 
     #[test]
-    fn what_would_be_late_is_refused_at_once() {
+    fn requests_that_would_be_late_are_refused() {
         let work = time::Duration::from_millis(10);
         assert!(in_time(SECOND, 0.5, SECOND / 2, work));
         assert!(!in_time(SECOND, 0.5, SECOND.mul_f64(0.6), work));
@@ -182,32 +195,41 @@
     /// Callers leave and retry after a tenth of the time to their deadline. If the queue allowed a
     /// longer wait, each request would be served just after its caller left.
     #[test]
-    fn callers_that_leave_early_make_the_queue_shorter() {
-        let (mut leaving, cfg) = (Leaving::default(), Config::default());
-        assert_eq!(leaving.patience(&cfg, SECOND), 0.5);
-        (0..100).for_each(|_| leaving.left(&cfg, SECOND, SECOND / 10, SECOND));
-        assert!((leaving.patience(&cfg, SECOND) - 0.05).abs() < 1e-9);
-        assert_eq!(leaving.patience(&cfg, SECOND + cfg.leaving_memory), 0.5);
+    fn early_departures_reduce_the_accepted_wait() {
+        let (mut departures, cfg) = (EarlyDepartures::default(), Config::default());
+        assert_eq!(departures.max_wait_share(&cfg, SECOND), 0.5);
+        (0..100).for_each(|_| departures.record(&cfg, SECOND, SECOND / 10, SECOND));
+        assert!((departures.max_wait_share(&cfg, SECOND) - 0.05).abs() < 1e-9);
+        assert_eq!(
+            departures.max_wait_share(&cfg, SECOND + cfg.departure_ttl),
+            0.5
+        );
     }
 
     /// One caller has ten outstanding requests, each other caller has one.
     #[test]
-    fn a_caller_with_most_in_hand_is_refused_first() {
-        let (mut shares, cfg) = (Shares::default(), Config::default());
-        (0..10).for_each(|_| shares.add(policy::CallerId(0)));
-        (1..50).for_each(|i| shares.add(policy::CallerId(i)));
-        assert!(!shares.fair(&cfg, policy::CallerId(0)));
-        assert!(shares.fair(&cfg, policy::CallerId(1)));
-        (0..9).for_each(|_| shares.remove(policy::CallerId(0)));
-        assert!(shares.fair(&cfg, policy::CallerId(0)));
+    fn a_caller_with_far_more_outstanding_requests_is_refused_first() {
+        let (mut outstanding, cfg) = (OutstandingByCaller::default(), Config::default());
+        (0..10).for_each(|_| outstanding.add(policy::CallerId(0)));
+        (1..50).for_each(|i| outstanding.add(policy::CallerId(i)));
+        assert!(!outstanding.within_share(&cfg, policy::CallerId(0)));
+        assert!(outstanding.within_share(&cfg, policy::CallerId(1)));
+        (0..9).for_each(|_| outstanding.remove(policy::CallerId(0)));
+        assert!(outstanding.within_share(&cfg, policy::CallerId(0)));
     }
 
     #[test]
-    fn callers_are_asked_back_within_bounds() {
+    fn retry_after_stays_within_bounds() {
         let cfg = Config::default();
-        let back = |wait, left| cfg.back(wait, left, 0.5);
-        assert_eq!(back(time::Duration::ZERO, SECOND), cfg.back_least);
-        assert_eq!(back(SECOND * 100, SECOND * 100), cfg.back_most);
-        assert_eq!(back(SECOND * 100, SECOND), SECOND.mul_f64(BACK_SHARE));
+        let retry_after = |wait, time_left| cfg.retry_after(wait, time_left, 0.5);
+        assert_eq!(
+            retry_after(time::Duration::ZERO, SECOND),
+            cfg.min_retry_after
+        );
+        assert_eq!(retry_after(SECOND * 100, SECOND * 100), cfg.max_retry_after);
+        assert_eq!(
+            retry_after(SECOND * 100, SECOND),
+            SECOND.mul_f64(MAX_RETRY_AFTER_SHARE)
+        );
     }
 }
--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -161,8 +161,8 @@
     pub(super) rng: rand_chacha::ChaCha8Rng,
     pub(super) swept: Moment,
     pub(super) probed: Option<Moment>,
-    shares: admission::Shares,
-    leaving: admission::Leaving,
+    outstanding: admission::OutstandingByCaller,
+    early_departures: admission::EarlyDepartures,
     pub(super) notes: note::Notes,
 }
 
@@ -181,8 +181,8 @@
             rng: rand_chacha::ChaCha8Rng::seed_from_u64(cfg.seed),
             swept: Moment::ZERO,
             probed: None,
-            shares: admission::Shares::default(),
-            leaving: admission::Leaving::default(),
+            outstanding: admission::OutstandingByCaller::default(),
+            early_departures: admission::EarlyDepartures::default(),
             notes: note::Notes::default(),
             cfg,
         }
@@ -206,20 +206,24 @@
 
     /// The reason to refuse a request regardless of its wait, and when its caller may retry.
     fn refusal(&mut self, now: Moment, req: &policy::Arrival) -> Option<(Refusal, time::Duration)> {
-        let least = self.cfg.admission.back_least;
+        let min_retry_after = self.cfg.admission.min_retry_after;
         if req.deadline <= now {
-            return Some((Refusal::Deadline, least));
+            return Some((Refusal::Deadline, min_retry_after));
         }
         match self.quarantine.state(now, req.fingerprint) {
             quarantine::State::Banned { left } => return Some((Refusal::Quarantined, left)),
             quarantine::State::Suspect if !self.may_try_suspect(now) => {
-                return Some((Refusal::Quarantined, self.cfg.admission.back_most));
+                return Some((Refusal::Quarantined, self.cfg.admission.max_retry_after));
             }
             quarantine::State::Suspect | quarantine::State::Clear => {}
         }
         let queued_ahead = self.queue.has_equal_or_better(class_key(req));
-        if queued_ahead && !self.shares.fair(&self.cfg.admission, req.caller) {
-            return Some((Refusal::CallerShare, self.back(now, req)));
+        if queued_ahead
+            && !self
+                .outstanding
+                .within_share(&self.cfg.admission, req.caller)
+        {
+            return Some((Refusal::CallerShare, self.retry_after(now, req)));
         }
         None
     }
@@ -235,11 +239,13 @@
     }
 
     /// The time after which the caller of a refused request may retry.
-    pub(super) fn back(&mut self, now: Moment, req: &policy::Arrival) -> time::Duration {
+    pub(super) fn retry_after(&mut self, now: Moment, req: &policy::Arrival) -> time::Duration {
         let rate = self.view(now).rate();
         let wait = self.queue.wait(&self.cfg.queue, now, class_key(req), rate);
         let left = req.deadline.saturating_sub(now);
-        self.cfg.admission.back(wait, left, self.rng.random())
+        self.cfg
+            .admission
+            .retry_after(wait, left, self.rng.random())
     }
 
     /// The reason that this availability zone cannot answer a request in time, if it cannot.
@@ -255,8 +261,10 @@
         }
         let work = req.typical.mul_f64(view.best_pace());
         let left = req.deadline.saturating_sub(now);
-        let patience = self.leaving.patience(&self.cfg.admission, now);
-        if admission::in_time(left, patience, wait, work) {
+        let max_wait_share = self
+            .early_departures
+            .max_wait_share(&self.cfg.admission, now);
+        if admission::in_time(left, max_wait_share, wait, work) {
             return None;
         }
         match wait.is_zero() {
@@ -354,7 +362,7 @@
     }
 
     fn give_up_on(&mut self, now: Moment, pending: Pending, why: Refusal, out: &mut Vec<Action>) {
-        let retry_after = self.back(now, &pending.req);
+        let retry_after = self.retry_after(now, &pending.req);
         let fate = match pending.maybe_run || !pending.sends.is_empty() {
             true => Fate::Unknown { retry_after },
             false => Fate::NotRun { why, retry_after },
@@ -364,7 +372,7 @@
 
     fn settle(&mut self, pending: Pending, fate: Fate, out: &mut Vec<Action>) {
         let req = pending.req.id;
-        self.shares.remove(pending.req.caller);
+        self.outstanding.remove(pending.req.caller);
         for member in &mut self.members {
             let in_flight = member.out.iter().any(|a| a.req == req);
             if member.alone == Some(req) && !in_flight {
@@ -552,7 +560,7 @@
         self.queue.arrived(&self.cfg.queue, now, class_key(&req));
         self.budget.fill(&self.cfg.retry);
         let refusal = self.refusal(now, &req);
-        self.shares.add(req.caller);
+        self.outstanding.add(req.caller);
         let pending = Pending::new(req, now);
         if let Some((why, retry_after)) = refusal {
             return self.settle(pending, Fate::NotRun { why, retry_after }, out);
@@ -604,9 +612,9 @@
             return;
         };
         pending.gone = true;
-        let (waited, patience) = (now - pending.since, pending.req.deadline - pending.since);
-        self.leaving
-            .left(&self.cfg.admission, now, waited, patience);
+        let (waited, timeout) = (now - pending.since, pending.req.deadline - pending.since);
+        self.early_departures
+            .record(&self.cfg.admission, now, waited, timeout);
         let key = pending.class_key();
         match pending.stage {
             Stage::Queued => {
