--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -494,8 +494,9 @@
             return;
         }
         let req = &pending.req;
-        let safe = retry::allowed(req.idempotent, how) && (req.idempotent || !pending.maybe_run);
-        let more = pending.attempts <= self.cfg.retry.most && now < req.deadline && !pending.gone;
+        let safe = retry::may_retry(req.idempotent, how) && (req.idempotent || !pending.maybe_run);
+        let more =
+            pending.attempts <= self.cfg.retry.max_retries && now < req.deadline && !pending.gone;
         let free = matches!(at, Place::Az(_)) && !pending.maybe_run;
         if !safe || !more || !(free || self.budget.take()) {
             return match how {
@@ -558,7 +559,7 @@
             self.across.arrived(now);
         }
         self.queue.arrived(&self.cfg.queue, now, class_key(&req));
-        self.budget.fill(&self.cfg.retry);
+        self.budget.refill(&self.cfg.retry);
         let refusal = self.refusal(now, &req);
         self.outstanding.add(req.caller);
         let pending = Pending::new(req, now);
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -17,26 +17,26 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// Retries per request in the long run. A tenth limits extra load to a tenth, whatever fails.
-    pub share: f64,
+    pub budget_ratio: f64,
     /// Capacity of the budget: retries that may occur at once after a period without any.
     pub burst: f64,
     /// Attempts after the first for one request.
-    pub most: u32,
+    pub max_retries: u32,
     /// A read is hedged after this many times its usual duration. Durations vary by about a half,
     /// and 99 of 100 answers take less than four times the usual duration.
-    pub hedge_after: f64,
+    pub hedge_after_ratio: f64,
     /// Shortest delay before a hedge, because ticks are 10 ms apart.
-    pub hedge_least: time::Duration,
+    pub min_hedge_delay: time::Duration,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            share: 0.1,
+            budget_ratio: 0.1,
             burst: 20.0,
-            most: 3,
-            hedge_after: 4.0,
-            hedge_least: time::Duration::from_millis(20),
+            max_retries: 3,
+            hedge_after_ratio: 4.0,
+            min_hedge_delay: time::Duration::from_millis(20),
         }
     }
 }
@@ -44,38 +44,38 @@
 impl Config {
     /// Checks that each threshold is in its range.
     pub fn check(&self) -> Result<(), range::Error> {
-        range::check("retry.share", self.share, 0.0..=0.5)?;
+        range::check("retry.share", self.budget_ratio, 0.0..=0.5)?;
         range::check("retry.burst", self.burst, 0.0..=10_000.0)?;
-        range::check("retry.most", f64::from(self.most), 0.0..=10.0)?;
-        range::check("retry.hedge_after", self.hedge_after, 1.0..=1_000.0)?;
-        let least = self.hedge_least.as_secs_f64();
-        range::check("retry.hedge_least", least, 0.0..=60.0)
+        range::check("retry.most", f64::from(self.max_retries), 0.0..=10.0)?;
+        range::check("retry.hedge_after", self.hedge_after_ratio, 1.0..=1_000.0)?;
+        let min_delay = self.min_hedge_delay.as_secs_f64();
+        range::check("retry.hedge_least", min_delay, 0.0..=60.0)
     }
 }
 
 /// The token bucket for retries and hedges.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    left: f64,
+    tokens: f64,
 }
 
 impl Budget {
     /// Creates a full budget.
     pub fn new(cfg: &Config) -> Self {
-        Self { left: cfg.burst }
+        Self { tokens: cfg.burst }
     }
 
     /// Adds the tokens of one arriving request.
-    pub fn fill(&mut self, cfg: &Config) {
-        self.left = (self.left + cfg.share).min(cfg.burst);
+    pub fn refill(&mut self, cfg: &Config) {
+        self.tokens = (self.tokens + cfg.budget_ratio).min(cfg.burst);
     }
 
     /// Takes a token for a retry or hedge. Returns whether there was one.
     pub fn take(&mut self) -> bool {
-        if self.left < 1.0 {
+        if self.tokens < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
@@ -86,7 +86,7 @@
 }
 
 /// Whether a request may be sent again when its attempt ended this way.
-pub fn allowed(idempotent: bool, how: Ended) -> bool {
+pub fn may_retry(idempotent: bool, how: Ended) -> bool {
     match how {
         Ended::Shed | Ended::NotSent => true,
         Ended::Failed | Ended::Lost => idempotent,
@@ -94,15 +94,15 @@
     }
 }
 
-/// When to hedge a read that was sent at `sent`.
+/// When to hedge a read that was sent at `sent_at`.
 pub fn hedge_at(
     cfg: &Config,
-    sent: policy::Moment,
+    sent_at: policy::Moment,
     typical: time::Duration,
-    pace: f64,
+    slowdown: f64,
 ) -> policy::Moment {
-    let wait = typical.mul_f64(cfg.hedge_after * pace.max(1.0));
-    sent + wait.max(cfg.hedge_least)
+    let delay = typical.mul_f64(cfg.hedge_after_ratio * slowdown.max(1.0));
+    sent_at + delay.max(cfg.min_hedge_delay)
 }
 
 #[cfg(test)]
@@ -118,13 +118,13 @@
             Ended::TimedOut,
             Ended::Cancelled,
         ] {
-            assert!(!allowed(false, how), "{how:?}");
+            assert!(!may_retry(false, how), "{how:?}");
         }
-        assert!(allowed(false, Ended::Shed) && allowed(false, Ended::NotSent));
+        assert!(may_retry(false, Ended::Shed) && may_retry(false, Ended::NotSent));
     }
 
     #[test]
-    fn the_budget_is_a_share_of_first_attempts() {
+    fn retries_are_limited_to_a_share_of_requests() {
         let cfg = Config {
             burst: 5.0,
             ..Config::default()
@@ -132,7 +132,7 @@
         let mut budget = Budget::new(&cfg);
         let mut taken = 0;
         for _ in 0..1_000 {
-            budget.fill(&cfg);
+            budget.refill(&cfg);
             taken += u32::from(budget.take());
         }
         assert!((100..=105).contains(&taken), "{taken}");
--- a/src/decisions/serve.rs
+++ b/src/decisions/serve.rs
@@ -177,7 +177,7 @@
         let [Place::Backend(at)] = &pending.sends[..] else {
             return;
         };
-        if !pending.req.idempotent || !clear || pending.attempts > self.cfg.retry.most {
+        if !pending.req.idempotent || !clear || pending.attempts > self.cfg.retry.max_retries {
             return;
         }
         let avoid = [at.clone()];
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -231,7 +231,7 @@
         assert_eq!(unsettled, None, "{:?}", self.seen);
         let second: u32 = self.seen.iter().map(|s| s.sends.saturating_sub(1)).sum();
         let cfg = self.cfg.retry;
-        let budget = cfg.burst + cfg.share * self.seen.len() as f64;
+        let budget = cfg.burst + cfg.budget_ratio * self.seen.len() as f64;
         assert!(f64::from(second) <= budget, "{second} second attempts");
     }
 }
