--- a/src/decisions/members.rs
+++ b/src/decisions/members.rs
@@ -61,7 +61,7 @@
     /// Limit of this VM's requests in flight there.
     pub limit: limit::Limit,
     /// Its load reports.
-    pub trust: trust::Trust,
+    pub reports: trust::ReportHistory,
     /// Its failures and ejection state.
     pub health: ejection::Health,
     /// Its slow-start progress.
@@ -85,7 +85,7 @@
             out: Vec::new(),
             pace: 1.0,
             limit: limit::Limit::new(backend.slots),
-            trust: trust::Trust::default(),
+            reports: trust::ReportHistory::default(),
             health: ejection::Health::default(),
             ramp: ramp::Ramp::default(),
             watch: probe::Watch::default(),
@@ -107,7 +107,7 @@
 
     /// Records a load report.
     pub fn report(&mut self, cfg: &trust::Config, now: policy::Moment, report: policy::Report) {
-        self.trust.see(cfg, now, report, self.out.len());
+        self.reports.record(cfg, now, report, self.out.len());
         if report.leaving {
             self.said_leaving = Some(now);
         }
--- a/src/decisions/upkeep.rs
+++ b/src/decisions/upkeep.rs
@@ -31,7 +31,7 @@
             if !member.sound(&self.cfg.members, now) {
                 continue;
             }
-            let report = member.trust.believed(&self.cfg.trust, now);
+            let report = member.reports.valid_report(&self.cfg.trust, now);
             let reported = report.map_or(0, |r| r.in_flight + r.queued);
             slots += member.slots;
             in_flight += reported.max(member.out.len() as u32);
