--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -418,7 +418,7 @@
                 member.crashed = member.crashed.filter(|at| attempt.at <= *at);
                 member.took(&cfg.members, took, attempt.typical);
                 member.limit.answered(&cfg.limit);
-                member.ramp.answered();
+                member.ramp.record_answer();
                 member.health.answered(&cfg.ejection);
             }
             Ended::Failed => self.failed(now, i),
--- a/src/decisions/members.rs
+++ b/src/decisions/members.rs
@@ -131,9 +131,12 @@
 
     /// Limit of this VM's requests in flight there. `ramping` is `None` while slow start is off.
     pub fn cap(&self, now: policy::Moment, ramping: Option<&ramp::Config>) -> usize {
-        let ramped = |cfg| self.ramp.cap(cfg, self.slots);
+        let ramp_limit = |cfg| self.ramp.max_in_flight(cfg, self.slots);
         match self.health.state() {
-            ejection::State::In => self.limit.get(now).min(ramping.map_or(usize::MAX, ramped)),
+            ejection::State::In => self
+                .limit
+                .get(now)
+                .min(ramping.map_or(usize::MAX, ramp_limit)),
             ejection::State::Trial => 1,
             ejection::State::Out { .. } => 0,
         }
--- a/src/decisions/ramp.rs
+++ b/src/decisions/ramp.rs
@@ -15,16 +15,16 @@
 pub struct Config {
     /// Answers to this VM until a backend server gets its full share. Most of the extra time of a
     /// cold start is gone after about 150 answers to all entry VMs of the zone together.
-    pub answers: u32,
+    pub warm_up_answers: u32,
     /// Slow start is off when a smaller share of the backend servers is warm.
-    pub min_warm: f64,
+    pub min_warm_share: f64,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            answers: 60,
-            min_warm: 0.5,
+            warm_up_answers: 60,
+            min_warm_share: 0.5,
         }
     }
 }
@@ -32,43 +32,49 @@
 impl Config {
     /// Checks that each threshold is in its range.
     pub fn check(&self) -> Result<(), range::Error> {
-        range::check("ramp.answers", f64::from(self.answers), 1.0..=100_000.0)?;
-        range::check("ramp.min_warm", self.min_warm, 0.0..=1.0)
+        range::check(
+            "ramp.answers",
+            f64::from(self.warm_up_answers),
+            1.0..=100_000.0,
+        )?;
+        range::check("ramp.min_warm", self.min_warm_share, 0.0..=1.0)
     }
 }
 
 /// Slow-start progress of one backend server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ramp {
-    left: u32,
+    answers_left: u32,
 }
 
 impl Ramp {
     /// The state of a backend server that has just started.
     pub fn cold(cfg: &Config) -> Self {
-        Self { left: cfg.answers }
+        Self {
+            answers_left: cfg.warm_up_answers,
+        }
     }
 
     /// Whether slow start is complete.
     pub fn warm(&self) -> bool {
-        self.left == 0
+        self.answers_left == 0
     }
 
     /// Records an answer.
-    pub fn answered(&mut self) {
-        self.left = self.left.saturating_sub(1);
+    pub fn record_answer(&mut self) {
+        self.answers_left = self.answers_left.saturating_sub(1);
     }
 
     /// The largest number of requests in flight at a backend server with this many slots.
-    pub fn cap(&self, cfg: &Config, slots: u32) -> usize {
-        let done = 1.0 - f64::from(self.left) / f64::from(cfg.answers.max(1));
-        1 + ((f64::from(slots) - 1.0) * done).floor() as usize
+    pub fn max_in_flight(&self, cfg: &Config, slots: u32) -> usize {
+        let progress = 1.0 - f64::from(self.answers_left) / f64::from(cfg.warm_up_answers.max(1));
+        1 + ((f64::from(slots) - 1.0) * progress).floor() as usize
     }
 }
 
 /// Whether enough backend servers are warm to limit the cold ones.
 pub fn applies(cfg: &Config, members: usize, warm: usize) -> bool {
-    warm > 0 && warm as f64 >= members as f64 * cfg.min_warm
+    warm > 0 && warm as f64 >= members as f64 * cfg.min_warm_share
 }
 
 #[cfg(test)]
@@ -76,20 +82,20 @@
     use super::*;
 
     #[test]
-    fn it_gets_its_slots_one_after_the_other() {
+    fn slots_are_added_one_at_a_time() {
         let cfg = Config {
-            answers: 4,
+            warm_up_answers: 4,
             ..Config::default()
         };
         let mut ramp = Ramp::cold(&cfg);
-        let caps: Vec<_> = (0..5)
+        let limits: Vec<_> = (0..5)
             .map(|_| {
-                let cap = ramp.cap(&cfg, 3);
-                ramp.answered();
-                cap
+                let limit = ramp.max_in_flight(&cfg, 3);
+                ramp.record_answer();
+                limit
             })
             .collect();
-        assert_eq!(caps, [1, 1, 2, 2, 3]);
+        assert_eq!(limits, [1, 1, 2, 2, 3]);
         assert!(ramp.warm());
     }
 
