--- a/src/decisions/members.rs
+++ b/src/decisions/members.rs
@@ -67,7 +67,7 @@
     /// Its slow-start progress.
     pub ramp: ramp::Ramp,
     /// Its probe state.
-    pub watch: probe::Watch,
+    pub probe_state: probe::ProbeState,
     /// The suspect that it is reserved for.
     pub alone: Option<policy::RequestId>,
     /// When connections to it last broke, if it has not answered since.
@@ -88,7 +88,7 @@
             reports: trust::ReportHistory::default(),
             health: ejection::Health::default(),
             ramp: ramp::Ramp::default(),
-            watch: probe::Watch::default(),
+            probe_state: probe::ProbeState::default(),
             alone: None,
             crashed: None,
             listed_leaving: backend.leaving,
--- a/src/decisions/probe.rs
+++ b/src/decisions/probe.rs
@@ -18,22 +18,22 @@
 pub struct Config {
     /// Minimum time between two probes by this VM. With 2 entry VMs in an availability zone, 250 ms
     /// limits probes to 8 per second, which is 5% of one slot.
-    pub gap: time::Duration,
+    pub min_interval: time::Duration,
     /// Minimum time between two probes of one backend server.
-    pub each: time::Duration,
+    pub min_interval_per_backend: time::Duration,
     /// Timeout of a probe.
-    pub patience: time::Duration,
+    pub timeout: time::Duration,
     /// Usual duration of a probe at a healthy backend server.
-    pub typical: time::Duration,
+    pub typical_duration: time::Duration,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            gap: time::Duration::from_millis(250),
-            each: time::Duration::from_millis(500),
-            patience: time::Duration::from_secs(1),
-            typical: time::Duration::from_millis(6),
+            min_interval: time::Duration::from_millis(250),
+            min_interval_per_backend: time::Duration::from_millis(500),
+            timeout: time::Duration::from_secs(1),
+            typical_duration: time::Duration::from_millis(6),
         }
     }
 }
@@ -41,45 +41,58 @@
 impl Config {
     /// Checks that each threshold is in its range.
     pub fn check(&self) -> Result<(), range::Error> {
-        range::check("probe.gap", self.gap.as_secs_f64(), 0.01..=60.0)?;
-        range::check("probe.each", self.each.as_secs_f64(), 0.01..=60.0)?;
-        range::check("probe.patience", self.patience.as_secs_f64(), 0.01..=60.0)?;
-        range::check("probe.typical", self.typical.as_secs_f64(), 0.0001..=10.0)
+        range::check("probe.gap", self.min_interval.as_secs_f64(), 0.01..=60.0)?;
+        range::check(
+            "probe.each",
+            self.min_interval_per_backend.as_secs_f64(),
+            0.01..=60.0,
+        )?;
+        range::check("probe.patience", self.timeout.as_secs_f64(), 0.01..=60.0)?;
+        range::check(
+            "probe.typical",
+            self.typical_duration.as_secs_f64(),
+            0.0001..=10.0,
+        )
     }
 }
 
 /// Probe state of one backend server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Watch {
-    sent: Option<policy::Moment>,
-    last: Option<policy::Moment>,
+pub struct ProbeState {
+    pending_since: Option<policy::Moment>,
+    last_sent: Option<policy::Moment>,
 }
 
-impl Watch {
+impl ProbeState {
     /// Whether it may be probed now.
-    pub fn ready(&self, cfg: &Config, now: policy::Moment) -> bool {
-        self.sent.is_none() && self.last.is_none_or(|last| last + cfg.each <= now)
+    pub fn may_probe(&self, cfg: &Config, now: policy::Moment) -> bool {
+        self.pending_since.is_none()
+            && self
+                .last_sent
+                .is_none_or(|sent_at| sent_at + cfg.min_interval_per_backend <= now)
     }
 
     /// Records that a probe was sent.
-    pub fn sent(&mut self, now: policy::Moment) {
-        self.sent = Some(now);
-        self.last = Some(now);
+    pub fn record_sent(&mut self, now: policy::Moment) {
+        self.pending_since = Some(now);
+        self.last_sent = Some(now);
     }
 
     /// Records an answer. Returns the probe's relative duration, or `None` if none was pending.
-    pub fn back(&mut self, cfg: &Config, now: policy::Moment) -> Option<f64> {
-        let took = now.saturating_sub(self.sent.take()?);
-        Some(took.as_secs_f64() / cfg.typical.as_secs_f64())
+    pub fn record_answer(&mut self, cfg: &Config, now: policy::Moment) -> Option<f64> {
+        let took = now.saturating_sub(self.pending_since.take()?);
+        Some(took.as_secs_f64() / cfg.typical_duration.as_secs_f64())
     }
 
     /// Whether the pending probe has timed out. True once per probe.
-    pub fn lost(&mut self, cfg: &Config, now: policy::Moment) -> bool {
-        let lost = self.sent.is_some_and(|sent| sent + cfg.patience <= now);
-        if lost {
-            self.sent = None;
+    pub fn timed_out(&mut self, cfg: &Config, now: policy::Moment) -> bool {
+        let timed_out = self
+            .pending_since
+            .is_some_and(|sent_at| sent_at + cfg.timeout <= now);
+        if timed_out {
+            self.pending_since = None;
         }
-        lost
+        timed_out
     }
 }
 
@@ -88,22 +101,22 @@
     use super::*;
 
     #[test]
-    fn one_at_a_time_and_not_too_often() {
-        let (mut watch, cfg) = (Watch::default(), Config::default());
+    fn probes_are_sent_one_at_a_time_and_spaced() {
+        let (mut state, cfg) = (ProbeState::default(), Config::default());
         let ms = time::Duration::from_millis;
-        assert!(watch.ready(&cfg, ms(0)));
-        watch.sent(ms(0));
-        assert!(!watch.ready(&cfg, ms(900)));
-        assert_eq!(watch.back(&cfg, ms(60)), Some(10.0));
-        assert!(!watch.ready(&cfg, ms(499)) && watch.ready(&cfg, ms(500)));
+        assert!(state.may_probe(&cfg, ms(0)));
+        state.record_sent(ms(0));
+        assert!(!state.may_probe(&cfg, ms(900)));
+        assert_eq!(state.record_answer(&cfg, ms(60)), Some(10.0));
+        assert!(!state.may_probe(&cfg, ms(499)) && state.may_probe(&cfg, ms(500)));
     }
 
     #[test]
-    fn a_probe_without_an_answer_is_lost_once() {
-        let (mut watch, cfg) = (Watch::default(), Config::default());
-        watch.sent(time::Duration::ZERO);
-        let now = cfg.patience;
-        assert!(watch.lost(&cfg, now) && !watch.lost(&cfg, now));
-        assert_eq!(watch.back(&cfg, now), None);
+    fn a_probe_times_out_once() {
+        let (mut state, cfg) = (ProbeState::default(), Config::default());
+        state.record_sent(time::Duration::ZERO);
+        let now = cfg.timeout;
+        assert!(state.timed_out(&cfg, now) && !state.timed_out(&cfg, now));
+        assert_eq!(state.record_answer(&cfg, now), None);
     }
 }
--- a/src/decisions/upkeep.rs
+++ b/src/decisions/upkeep.rs
@@ -56,11 +56,14 @@
     fn probe(&mut self, now: Moment, out: &mut Vec<Action>) {
         let cfg = &self.cfg;
         for member in &mut self.members {
-            if member.watch.lost(&cfg.probe, now) {
+            if member.probe_state.timed_out(&cfg.probe, now) {
                 member.health.probed(&cfg.ejection, now, false);
             }
         }
-        if self.probed.is_some_and(|at| now < at + cfg.probe.gap) {
+        if self
+            .probed
+            .is_some_and(|at| now < at + cfg.probe.min_interval)
+        {
             return;
         }
         let Some(i) = self.next_probe(now) else {
@@ -68,7 +71,7 @@
         };
         self.probed = Some(now);
         let member = &mut self.members[i];
-        member.watch.sent(now);
+        member.probe_state.record_sent(now);
         out.push(Action::Probe {
             to: member.id.clone(),
         });
@@ -83,7 +86,7 @@
                 ejection::State::Out { .. } => member.health.due(now),
                 ejection::State::In | ejection::State::Trial => idle_slow,
             };
-            wanted && member.watch.ready(&self.cfg.probe, now)
+            wanted && member.probe_state.may_probe(&self.cfg.probe, now)
         })
     }
 
@@ -97,7 +100,7 @@
         let Some(member) = self.members.iter_mut().find(|m| m.id == *from) else {
             return;
         };
-        let pace = member.watch.back(&cfg.probe, now);
+        let pace = member.probe_state.record_answer(&cfg.probe, now);
         if let Some(report) = report {
             member.report(&cfg.trust, now, report);
         }
