--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -234,7 +234,7 @@
 
     /// Whether one backend server could crash and another stay available.
     pub(super) fn spare(&self, now: Moment) -> bool {
-        let safe = |m: &&members::Member| m.safe(&self.cfg.members, now);
+        let safe = |m: &&members::Member| m.crash_free(&self.cfg.members, now);
         self.members.iter().filter(safe).count() >= 2
     }
 
@@ -374,9 +374,9 @@
         let req = pending.req.id;
         self.outstanding.remove(pending.req.caller);
         for member in &mut self.members {
-            let in_flight = member.out.iter().any(|a| a.req == req);
-            if member.alone == Some(req) && !in_flight {
-                member.alone = None;
+            let in_flight = member.in_flight.iter().any(|a| a.req == req);
+            if member.reserved_for == Some(req) && !in_flight {
+                member.reserved_for = None;
             }
         }
         let cancel = |to| Action::Cancel { req, to };
@@ -406,26 +406,26 @@
         };
         let cfg = &self.cfg;
         let member = &mut self.members[i];
-        let Some(attempt) = member.ended(req) else {
+        let Some(attempt) = member.remove_attempt(req) else {
             return;
         };
         if let Some(report) = report {
-            member.report(&cfg.trust, now, report);
+            member.record_report(&cfg.trust, now, report);
         }
-        let took = now.saturating_sub(attempt.at);
+        let took = now.saturating_sub(attempt.sent_at);
         match how {
             Ended::Answered => {
-                member.crashed = member.crashed.filter(|at| attempt.at <= *at);
-                member.took(&cfg.members, took, attempt.typical);
+                member.last_crash = member.last_crash.filter(|at| attempt.sent_at <= *at);
+                member.record_duration(&cfg.members, took, attempt.typical);
                 member.limit.answered(&cfg.limit);
                 member.ramp.record_answer();
                 member.health.answered(&cfg.ejection);
             }
             Ended::Failed => self.failed(now, i),
             Ended::TimedOut => {
-                member.took(&cfg.members, took, attempt.typical);
+                member.record_duration(&cfg.members, took, attempt.typical);
                 // A timeout before the hedge delay means a short deadline, not a slow server.
-                let long = retry::hedge_at(&cfg.retry, attempt.at, attempt.typical, 1.0);
+                let long = retry::hedge_at(&cfg.retry, attempt.sent_at, attempt.typical, 1.0);
                 if now >= long {
                     self.failed(now, i);
                 }
@@ -441,7 +441,7 @@
         let cfg = &self.cfg.ejection;
         let others = self.members.iter().enumerate().filter(|(j, _)| *j != i);
         let out = others
-            .filter(|(_, m)| !m.sound(&self.cfg.members, now))
+            .filter(|(_, m)| !m.healthy(&self.cfg.members, now))
             .count();
         let wants = self.members[i].health.failed(cfg);
         if wants && ejection::room(cfg, self.members.len(), out) {
@@ -465,10 +465,10 @@
     fn lost(&mut self, now: Moment, i: usize, attempt: &members::Attempt) {
         let cfg = &self.cfg.quarantine;
         let member = &mut self.members[i];
-        let same = |at: Moment| now < at + cfg.one_crash && attempt.at <= at;
-        if !member.crashed.is_some_and(same) {
-            member.crashed = Some(now);
-            let others = member.out.iter().map(|other| other.fingerprint);
+        let same = |at: Moment| now < at + cfg.one_crash && attempt.sent_at <= at;
+        if !member.last_crash.is_some_and(same) {
+            member.last_crash = Some(now);
+            let others = member.in_flight.iter().map(|other| other.fingerprint);
             let suspects: Vec<_> = [attempt.fingerprint].into_iter().chain(others).collect();
             let vm = member.id.clone();
             for fingerprint in suspects {
@@ -650,7 +650,7 @@
             .retain(|m| backends.iter().any(|b| b.id == m.id));
         for backend in backends {
             if let Some(member) = self.members.iter_mut().find(|m| m.id == backend.id) {
-                member.listed(backend);
+                member.update_from_list(backend);
                 continue;
             }
             let mut member = members::Member::new(backend);
--- a/src/decisions/members.rs
+++ b/src/decisions/members.rs
@@ -11,16 +11,16 @@
 pub struct Config {
     /// Weight of one answer in the moving average of relative answer times. A tenth follows a
     /// slow-down within ten answers, and keeps the average steady to a few percent.
-    pub pace_step: f64,
+    pub slowdown_weight: f64,
     /// How long a backend server's report that it is leaving stays valid. The VM list lags by less.
-    pub leaving_memory: time::Duration,
+    pub leaving_report_ttl: time::Duration,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            pace_step: 0.1,
-            leaving_memory: time::Duration::from_secs(30),
+            slowdown_weight: 0.1,
+            leaving_report_ttl: time::Duration::from_secs(30),
         }
     }
 }
@@ -28,9 +28,9 @@
 impl Config {
     /// Checks that each threshold is in its range.
     pub fn check(&self) -> Result<(), range::Error> {
-        range::check("members.pace_step", self.pace_step, 0.001..=1.0)?;
-        let memory = self.leaving_memory.as_secs_f64();
-        range::check("members.leaving_memory", memory, 1.0..=3_600.0)
+        range::check("members.pace_step", self.slowdown_weight, 0.001..=1.0)?;
+        let ttl = self.leaving_report_ttl.as_secs_f64();
+        range::check("members.leaving_memory", ttl, 1.0..=3_600.0)
     }
 }
 
@@ -42,7 +42,7 @@
     /// The request's fingerprint.
     pub fingerprint: policy::Fingerprint,
     /// When it was sent.
-    pub at: policy::Moment,
+    pub sent_at: policy::Moment,
     /// The usual time that a backend server works on it.
     pub typical: time::Duration,
 }
@@ -55,9 +55,9 @@
     /// Requests that it processes at a time.
     pub slots: u32,
     /// Attempts of this VM in flight there.
-    pub out: Vec<Attempt>,
+    pub in_flight: Vec<Attempt>,
     /// Moving average of the answer times, as a multiple of the usual durations.
-    pub pace: f64,
+    pub slowdown: f64,
     /// Limit of this VM's requests in flight there.
     pub limit: limit::Limit,
     /// Its load reports.
@@ -69,11 +69,11 @@
     /// Its probe state.
     pub probe_state: probe::ProbeState,
     /// The suspect that it is reserved for.
-    pub alone: Option<policy::RequestId>,
+    pub reserved_for: Option<policy::RequestId>,
     /// When connections to it last broke, if it has not answered since.
-    pub crashed: Option<policy::Moment>,
+    pub last_crash: Option<policy::Moment>,
     listed_leaving: bool,
-    said_leaving: Option<policy::Moment>,
+    reported_leaving_at: Option<policy::Moment>,
 }
 
 impl Member {
@@ -82,22 +82,22 @@
         Self {
             id: backend.id.clone(),
             slots: backend.slots,
-            out: Vec::new(),
-            pace: 1.0,
+            in_flight: Vec::new(),
+            slowdown: 1.0,
             limit: limit::Limit::new(backend.slots),
             reports: trust::ReportHistory::default(),
             health: ejection::Health::default(),
             ramp: ramp::Ramp::default(),
             probe_state: probe::ProbeState::default(),
-            alone: None,
-            crashed: None,
+            reserved_for: None,
+            last_crash: None,
             listed_leaving: backend.leaving,
-            said_leaving: None,
+            reported_leaving_at: None,
         }
     }
 
     /// Updates the state from the list of VMs.
-    pub fn listed(&mut self, backend: &policy::Backend) {
+    pub fn update_from_list(&mut self, backend: &policy::Backend) {
         self.listed_leaving = backend.leaving;
         if self.slots != backend.slots {
             self.slots = backend.slots;
@@ -106,31 +106,36 @@
     }
 
     /// Records a load report.
-    pub fn report(&mut self, cfg: &trust::Config, now: policy::Moment, report: policy::Report) {
-        self.reports.record(cfg, now, report, self.out.len());
+    pub fn record_report(
+        &mut self,
+        cfg: &trust::Config,
+        now: policy::Moment,
+        report: policy::Report,
+    ) {
+        self.reports.record(cfg, now, report, self.in_flight.len());
         if report.leaving {
-            self.said_leaving = Some(now);
+            self.reported_leaving_at = Some(now);
         }
     }
 
     /// Whether it is leaving, by the list of VMs or its own reports, and gets no new requests.
     pub fn leaving(&self, cfg: &Config, now: policy::Moment) -> bool {
-        let fresh = |at: policy::Moment| now < at + cfg.leaving_memory;
-        self.listed_leaving || self.said_leaving.is_some_and(fresh)
+        let fresh = |at: policy::Moment| now < at + cfg.leaving_report_ttl;
+        self.listed_leaving || self.reported_leaving_at.is_some_and(fresh)
     }
 
     /// Whether it is healthy: not ejected, not on trial and not leaving.
-    pub fn sound(&self, cfg: &Config, now: policy::Moment) -> bool {
+    pub fn healthy(&self, cfg: &Config, now: policy::Moment) -> bool {
         self.health.state() == ejection::State::In && !self.leaving(cfg, now)
     }
 
     /// Whether it is healthy and has answered since connections to it last broke.
-    pub fn safe(&self, cfg: &Config, now: policy::Moment) -> bool {
-        self.sound(cfg, now) && self.crashed.is_none()
+    pub fn crash_free(&self, cfg: &Config, now: policy::Moment) -> bool {
+        self.healthy(cfg, now) && self.last_crash.is_none()
     }
 
     /// Limit of this VM's requests in flight there. `ramping` is `None` while slow start is off.
-    pub fn cap(&self, now: policy::Moment, ramping: Option<&ramp::Config>) -> usize {
+    pub fn max_in_flight(&self, now: policy::Moment, ramping: Option<&ramp::Config>) -> usize {
         let ramp_limit = |cfg| self.ramp.max_in_flight(cfg, self.slots);
         match self.health.state() {
             ejection::State::In => self
@@ -143,17 +148,17 @@
     }
 
     /// Removes and returns an attempt that is in flight.
-    pub fn ended(&mut self, req: policy::RequestId) -> Option<Attempt> {
-        let at = self.out.iter().position(|a| a.req == req)?;
-        if self.alone == Some(req) {
-            self.alone = None;
+    pub fn remove_attempt(&mut self, req: policy::RequestId) -> Option<Attempt> {
+        let at = self.in_flight.iter().position(|a| a.req == req)?;
+        if self.reserved_for == Some(req) {
+            self.reserved_for = None;
         }
-        Some(self.out.swap_remove(at))
+        Some(self.in_flight.swap_remove(at))
     }
 
     /// Records the duration of an attempt.
-    pub fn took(&mut self, cfg: &Config, took: time::Duration, typical: time::Duration) {
-        let pace = took.as_secs_f64() / typical.as_secs_f64().max(1e-6);
-        self.pace += (pace - self.pace) * cfg.pace_step;
+    pub fn record_duration(&mut self, cfg: &Config, took: time::Duration, typical: time::Duration) {
+        let slowdown = took.as_secs_f64() / typical.as_secs_f64().max(1e-6);
+        self.slowdown += (slowdown - self.slowdown) * cfg.slowdown_weight;
     }
 }
--- a/src/decisions/placement.rs
+++ b/src/decisions/placement.rs
@@ -69,10 +69,10 @@
         members: &'a [members::Member],
     ) -> Self {
         let warm = members.iter().filter(|m| m.ramp.warm()).count();
-        let sound = members.iter().filter(|m| m.sound(&cfg.members, now));
-        let best = sound.map(|m| m.pace).reduce(f64::min);
+        let sound = members.iter().filter(|m| m.healthy(&cfg.members, now));
+        let best = sound.map(|m| m.slowdown).reduce(f64::min);
         // If none is healthy, the others are compared with one another.
-        let best = best.or_else(|| members.iter().map(|m| m.pace).reduce(f64::min));
+        let best = best.or_else(|| members.iter().map(|m| m.slowdown).reduce(f64::min));
         Self {
             cfg,
             now,
@@ -89,20 +89,20 @@
 
     /// Whether a backend server is slow and kept in reserve.
     pub fn slow(&self, member: &members::Member) -> bool {
-        member.pace > self.best * self.cfg.placement.slow
+        member.slowdown > self.best * self.cfg.placement.slow
     }
 
     /// Seconds of usual work per second that this VM's share of the slots completes.
     pub fn rate(&self) -> f64 {
         let fast = self.sound().filter(|m| !self.slow(m));
-        fast.map(|m| m.cap(self.now, self.ramping) as f64 / m.pace.max(1.0))
+        fast.map(|m| m.max_in_flight(self.now, self.ramping) as f64 / m.slowdown.max(1.0))
             .sum()
     }
 
     /// The healthy backend servers.
     pub fn sound(&self) -> impl Iterator<Item = &'a members::Member> {
         let (cfg, now) = (&self.cfg.members, self.now);
-        self.members.iter().filter(move |m| m.sound(cfg, now))
+        self.members.iter().filter(move |m| m.healthy(cfg, now))
     }
 
     /// Chooses a backend server for a request, if one has room.
@@ -153,8 +153,8 @@
     }
 
     fn has_room(&self, member: &members::Member) -> bool {
-        let room = member.out.len() < member.cap(self.now, self.ramping);
-        room && member.alone.is_none() && !member.leaving(&self.cfg.members, self.now)
+        let room = member.in_flight.len() < member.max_in_flight(self.now, self.ramping);
+        room && member.reserved_for.is_none() && !member.leaving(&self.cfg.members, self.now)
     }
 
     /// Whether it gets regular requests. A backend server on trial gets reads through
@@ -165,7 +165,7 @@
 
     /// Expected relative duration of one more request, given the requests in flight.
     fn load(&self, member: &members::Member) -> f64 {
-        let own = member.out.len() as f64;
-        member.pace * (1.0 + own / f64::from(member.slots.max(1)))
+        let own = member.in_flight.len() as f64;
+        member.slowdown * (1.0 + own / f64::from(member.slots.max(1)))
     }
 }
--- a/src/decisions/serve.rs
+++ b/src/decisions/serve.rs
@@ -72,7 +72,7 @@
                 return;
             };
             let rate = view.rate();
-            let cost = typical.mul_f64(self.members[member].pace - view.best_pace());
+            let cost = typical.mul_f64(self.members[member].slowdown - view.best_pace());
             let wait = self.queue.wait(&self.cfg.queue, now, key, rate);
             if !idempotent || wait < cost || now + cost > item.deadline {
                 return;
@@ -107,7 +107,7 @@
         let Some(member) = self.keep_free(now, id) else {
             return;
         };
-        if self.members[member].out.is_empty() {
+        if self.members[member].in_flight.is_empty() {
             self.suspects.pop_front();
             self.send(now, id, member, out);
         }
@@ -116,19 +116,19 @@
     /// Reserves a backend server for a suspect. At most one is reserved at a time.
     fn keep_free(&mut self, now: Moment, id: RequestId) -> Option<usize> {
         let cfg = &self.cfg.members;
-        let safe = |m: &members::Member| m.safe(cfg, now);
-        let kept = self.members.iter().position(|m| m.alone.is_some());
+        let safe = |m: &members::Member| m.crash_free(cfg, now);
+        let kept = self.members.iter().position(|m| m.reserved_for.is_some());
         if let Some(kept) = kept {
             let member = &mut self.members[kept];
             if safe(member) {
-                return (member.alone == Some(id)).then_some(kept);
+                return (member.reserved_for == Some(id)).then_some(kept);
             }
-            member.alone = None;
+            member.reserved_for = None;
         }
         let least = (0..self.members.len())
             .filter(|i| safe(&self.members[*i]))
-            .min_by_key(|i| self.members[*i].out.len())?;
-        self.members[least].alone = Some(id);
+            .min_by_key(|i| self.members[*i].in_flight.len())?;
+        self.members[least].reserved_for = Some(id);
         Some(least)
     }
 
@@ -138,10 +138,10 @@
         };
         let member = &mut self.members[member];
         let to = Place::Backend(member.id.clone());
-        member.out.push(members::Attempt {
+        member.in_flight.push(members::Attempt {
             req: id,
             fingerprint: pending.req.fingerprint,
-            at: now,
+            sent_at: now,
             typical: pending.req.typical,
         });
         pending.attempts += 1;
@@ -160,9 +160,10 @@
             return;
         }
         let best = self.view(now).best_pace();
-        let due =
-            |a: &&members::Attempt| retry::hedge_at(&self.cfg.retry, a.at, a.typical, best) <= now;
-        let attempts = self.members.iter().flat_map(|m| &m.out);
+        let due = |a: &&members::Attempt| {
+            retry::hedge_at(&self.cfg.retry, a.sent_at, a.typical, best) <= now
+        };
+        let attempts = self.members.iter().flat_map(|m| &m.in_flight);
         let late: Vec<_> = attempts.filter(due).map(|a| a.req).collect();
         for id in late {
             self.hedge_one(now, id, out);
--- a/src/decisions/upkeep.rs
+++ b/src/decisions/upkeep.rs
@@ -28,13 +28,13 @@
         self.across.tick(now);
         let (mut slots, mut in_flight) = (0, 0);
         for member in &self.members {
-            if !member.sound(&self.cfg.members, now) {
+            if !member.healthy(&self.cfg.members, now) {
                 continue;
             }
             let report = member.reports.valid_report(&self.cfg.trust, now);
             let reported = report.map_or(0, |r| r.in_flight + r.queued);
             slots += member.slots;
-            in_flight += reported.max(member.out.len() as u32);
+            in_flight += reported.max(member.in_flight.len() as u32);
         }
         let queued = self.queue.len() as u32;
         self.across.own_load(now, slots, in_flight, queued);
@@ -81,7 +81,7 @@
     fn next_probe(&self, now: Moment) -> Option<usize> {
         let view = self.view(now);
         self.members.iter().position(|member| {
-            let idle_slow = view.slow(member) && member.out.is_empty();
+            let idle_slow = view.slow(member) && member.in_flight.is_empty();
             let wanted = match member.health.state() {
                 ejection::State::Out { .. } => member.health.due(now),
                 ejection::State::In | ejection::State::Trial => idle_slow,
@@ -102,11 +102,11 @@
         };
         let pace = member.probe_state.record_answer(&cfg.probe, now);
         if let Some(report) = report {
-            member.report(&cfg.trust, now, report);
+            member.record_report(&cfg.trust, now, report);
         }
         if let (Some(pace), Some(_)) = (pace, report) {
             // Averaged, so that one fast probe does not clear a slow backend server.
-            member.pace = (member.pace + pace) / 2.0;
+            member.slowdown = (member.slowdown + pace) / 2.0;
         }
         if member.health.probed(&cfg.ejection, now, report.is_some()) {
             member.ramp = ramp::Ramp::cold(&cfg.ramp);
