--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -240,7 +240,7 @@
 
     /// The time after which the caller of a refused request may retry.
     pub(super) fn retry_after(&mut self, now: Moment, req: &policy::Arrival) -> time::Duration {
-        let rate = self.view(now).rate();
+        let rate = self.view(now).service_rate();
         let wait = self.queue.wait(&self.cfg.queue, now, class_key(req), rate);
         let left = req.deadline.saturating_sub(now);
         self.cfg
@@ -256,10 +256,10 @@
         wait: time::Duration,
     ) -> Option<Refusal> {
         let view = self.view(now);
-        if self.members.is_empty() || view.sound().next().is_none() && self.none_on_trial() {
+        if self.members.is_empty() || view.healthy().next().is_none() && self.none_on_trial() {
             return Some(Refusal::NoBackend);
         }
-        let work = req.typical.mul_f64(view.best_pace());
+        let work = req.typical.mul_f64(view.best_slowdown());
         let left = req.deadline.saturating_sub(now);
         let max_wait_share = self
             .early_departures
@@ -280,7 +280,7 @@
 
     /// Queues a caller's request, sends it to another availability zone, or refuses it.
     fn admit(&mut self, now: Moment, pending: Pending, out: &mut Vec<Action>) {
-        let rate = self.view(now).rate();
+        let rate = self.view(now).service_rate();
         let key = pending.class_key();
         let wait = self.queue.wait(&self.cfg.queue, now, key, rate);
         let refusal = self.too_late(now, &pending.req, wait);
@@ -336,9 +336,9 @@
     /// Admits a request from another availability zone only into a free slot: local callers go
     /// first.
     fn admit_foreign(&mut self, now: Moment, pending: Pending, out: &mut Vec<Action>) {
-        let need = placement::Need { avoid: &[] };
+        let constraints = placement::Constraints { avoid: &[] };
         let view = placement::View::new(&self.cfg, now, &self.members);
-        let free = self.queue.is_empty() && view.pick(&mut self.rng, &need).is_some();
+        let free = self.queue.is_empty() && view.pick(&mut self.rng, &constraints).is_some();
         if !free {
             return self.give_up_on(now, pending, Refusal::Overload, out);
         }
--- a/src/decisions/queue.rs
+++ b/src/decisions/queue.rs
@@ -279,14 +279,20 @@
     }
 
     /// Removes and returns the requests that cannot meet their deadline: the wait at `rate` and
-    /// `pace` times the usual duration exceed the time left.
-    pub fn sweep(&mut self, cfg: &Config, now: policy::Moment, rate: f64, pace: f64) -> Vec<Item> {
+    /// `slowdown` times the usual duration exceed the time left.
+    pub fn sweep(
+        &mut self,
+        cfg: &Config,
+        now: policy::Moment,
+        rate: f64,
+        slowdown: f64,
+    ) -> Vec<Item> {
         let mut late = Vec::new();
         let mut ahead_s = 0.0;
         for at in 0..self.classes.len() {
             let rate_left = self.rate_left_for(cfg, now, at, rate);
             let class = &mut self.classes[at];
-            let (work_s, needed_time) = (class.work_s(), class.key.typical.mul_f64(pace));
+            let (work_s, needed_time) = (class.work_s(), class.key.typical.mul_f64(slowdown));
             class.items.retain(|item| {
                 let done_at = now + needed_time + wait_duration(ahead_s / rate_left);
                 let keep = done_at <= item.deadline;
--- a/src/decisions/serve.rs
+++ b/src/decisions/serve.rs
@@ -25,11 +25,11 @@
                 self.give_up(now, item.id, Refusal::Overload, out);
                 continue;
             }
-            let need = placement::Need {
+            let constraints = placement::Constraints {
                 avoid: &pending.avoid,
             };
             let view = placement::View::new(&self.cfg, now, &self.members);
-            let Some(member) = view.pick(&mut self.rng, &need) else {
+            let Some(member) = view.pick(&mut self.rng, &constraints) else {
                 return;
             };
             self.queue.pop(&self.cfg.queue);
@@ -43,11 +43,11 @@
             let Some(pending) = self.pending.get(&item.id) else {
                 return;
             };
-            let need = placement::Need {
+            let constraints = placement::Constraints {
                 avoid: &pending.avoid,
             };
             let view = placement::View::new(&self.cfg, now, &self.members);
-            let trial = view.pick_trial(&mut self.rng, &need);
+            let trial = view.pick_trial(&mut self.rng, &constraints);
             let Some(member) = trial.filter(|_| pending.req.idempotent) else {
                 return;
             };
@@ -62,17 +62,17 @@
             let Some(pending) = self.pending.get(&item.id) else {
                 return;
             };
-            let need = placement::Need {
+            let constraints = placement::Constraints {
                 avoid: &pending.avoid,
             };
             let (key, typical) = (pending.class_key(), pending.req.typical);
             let idempotent = pending.req.idempotent;
             let view = placement::View::new(&self.cfg, now, &self.members);
-            let Some(member) = view.pick_slow(&mut self.rng, &need) else {
+            let Some(member) = view.pick_slow(&mut self.rng, &constraints) else {
                 return;
             };
-            let rate = view.rate();
-            let cost = typical.mul_f64(self.members[member].slowdown - view.best_pace());
+            let rate = view.service_rate();
+            let cost = typical.mul_f64(self.members[member].slowdown - view.best_slowdown());
             let wait = self.queue.wait(&self.cfg.queue, now, key, rate);
             if !idempotent || wait < cost || now + cost > item.deadline {
                 return;
@@ -159,7 +159,7 @@
         if !self.queue.is_empty() {
             return;
         }
-        let best = self.view(now).best_pace();
+        let best = self.view(now).best_slowdown();
         let due = |a: &&members::Attempt| {
             retry::hedge_at(&self.cfg.retry, a.sent_at, a.typical, best) <= now
         };
@@ -182,9 +182,9 @@
             return;
         }
         let avoid = [at.clone()];
-        let need = placement::Need { avoid: &avoid };
+        let constraints = placement::Constraints { avoid: &avoid };
         let view = placement::View::new(&self.cfg, now, &self.members);
-        let Some(member) = view.pick(&mut self.rng, &need) else {
+        let Some(member) = view.pick(&mut self.rng, &constraints) else {
             return;
         };
         let other = &self.members[member];
--- a/src/decisions/upkeep.rs
+++ b/src/decisions/upkeep.rs
@@ -46,8 +46,8 @@
             return;
         }
         let view = self.view(now);
-        let (rate, pace) = (view.rate(), view.best_pace());
-        let hopeless = self.queue.sweep(&self.cfg.queue, now, rate, pace);
+        let (rate, slowdown) = (view.service_rate(), view.best_slowdown());
+        let hopeless = self.queue.sweep(&self.cfg.queue, now, rate, slowdown);
         for item in hopeless {
             self.give_up(now, item.id, Refusal::Overload, out);
         }
@@ -81,7 +81,7 @@
     fn next_probe(&self, now: Moment) -> Option<usize> {
         let view = self.view(now);
         self.members.iter().position(|member| {
-            let idle_slow = view.slow(member) && member.in_flight.is_empty();
+            let idle_slow = view.is_slow(member) && member.in_flight.is_empty();
             let wanted = match member.health.state() {
                 ejection::State::Out { .. } => member.health.due(now),
                 ejection::State::In | ejection::State::Trial => idle_slow,
@@ -100,13 +100,13 @@
         let Some(member) = self.members.iter_mut().find(|m| m.id == *from) else {
             return;
         };
-        let pace = member.probe_state.record_answer(&cfg.probe, now);
+        let slowdown = member.probe_state.record_answer(&cfg.probe, now);
         if let Some(report) = report {
             member.record_report(&cfg.trust, now, report);
         }
-        if let (Some(pace), Some(_)) = (pace, report) {
+        if let (Some(slowdown), Some(_)) = (slowdown, report) {
             // Averaged, so that one fast probe does not clear a slow backend server.
-            member.slowdown = (member.slowdown + pace) / 2.0;
+            member.slowdown = (member.slowdown + slowdown) / 2.0;
         }
         if member.health.probed(&cfg.ejection, now, report.is_some()) {
             member.ramp = ramp::Ramp::cold(&cfg.ramp);
