--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -26,7 +26,7 @@
     /// A caller's request with a longer estimated wait is offered to other availability zones.
     /// Another region gains nothing if the wait is below the delay between regions, but most
     /// requests that wait in one zone of a region find a free slot in another one within 2 or 3 ms.
-    pub cross_after: time::Duration,
+    pub remote_az_after: time::Duration,
     /// Which requests are admitted.
     pub admission: admission::Config,
     /// Order of queued requests.
@@ -55,7 +55,7 @@
     fn default() -> Self {
         Self {
             seed: 0,
-            cross_after: time::Duration::from_millis(30),
+            remote_az_after: time::Duration::from_millis(30),
             admission: admission::Config::default(),
             queue: queue::Config::default(),
             placement: placement::Config::default(),
@@ -74,8 +74,8 @@
 impl Config {
     /// Checks every threshold.
     pub fn check(&self) -> Result<(), range::Error> {
-        let cross_after = self.cross_after.as_secs_f64();
-        range::check("cross_after", cross_after, 0.0..=60.0)?;
+        let remote_az_after = self.remote_az_after.as_secs_f64();
+        range::check("cross_after", remote_az_after, 0.0..=60.0)?;
         self.admission.check()?;
         self.queue.check()?;
         self.placement.check()?;
@@ -104,27 +104,27 @@
 pub(super) struct Pending {
     pub(super) req: policy::Arrival,
     pub(super) stage: Stage,
-    pub(super) sends: Vec<Place>,
+    pub(super) destinations: Vec<Place>,
     pub(super) avoid: Vec<id::VmId>,
     pub(super) attempts: u32,
     pub(super) maybe_run: bool,
-    since: Moment,
-    gone: bool,
-    crossed: bool,
+    arrived_at: Moment,
+    caller_left: bool,
+    tried_remote_az: bool,
 }
 
 impl Pending {
-    fn new(req: policy::Arrival, since: Moment) -> Self {
+    fn new(req: policy::Arrival, arrived_at: Moment) -> Self {
         Self {
             req,
-            since,
+            arrived_at,
             stage: Stage::Queued,
-            sends: Vec::new(),
+            destinations: Vec::new(),
             avoid: Vec::new(),
             attempts: 0,
             maybe_run: false,
-            gone: false,
-            crossed: false,
+            caller_left: false,
+            tried_remote_az: false,
         }
     }
 
@@ -159,8 +159,8 @@
     pub(super) budget: retry::Budget,
     pub(super) quarantine: quarantine::Quarantine,
     pub(super) rng: rand_chacha::ChaCha8Rng,
-    pub(super) swept: Moment,
-    pub(super) probed: Option<Moment>,
+    pub(super) last_sweep: Moment,
+    pub(super) last_probe: Option<Moment>,
     outstanding: admission::OutstandingByCaller,
     early_departures: admission::EarlyDepartures,
     pub(super) notes: note::Notes,
@@ -179,8 +179,8 @@
             budget: retry::Budget::new(&cfg.retry),
             quarantine: quarantine::Quarantine::default(),
             rng: rand_chacha::ChaCha8Rng::seed_from_u64(cfg.seed),
-            swept: Moment::ZERO,
-            probed: None,
+            last_sweep: Moment::ZERO,
+            last_probe: None,
             outstanding: admission::OutstandingByCaller::default(),
             early_departures: admission::EarlyDepartures::default(),
             notes: note::Notes::default(),
@@ -205,7 +205,11 @@
     // Arrivals and admission.
 
     /// The reason to refuse a request regardless of its wait, and when its caller may retry.
-    fn refusal(&mut self, now: Moment, req: &policy::Arrival) -> Option<(Refusal, time::Duration)> {
+    fn immediate_refusal(
+        &mut self,
+        now: Moment,
+        req: &policy::Arrival,
+    ) -> Option<(Refusal, time::Duration)> {
         let min_retry_after = self.cfg.admission.min_retry_after;
         if req.deadline <= now {
             return Some((Refusal::Deadline, min_retry_after));
@@ -229,27 +233,27 @@
     }
 
     fn may_try_suspect(&self, now: Moment) -> bool {
-        self.suspects.len() < self.cfg.quarantine.waiting && self.spare(now)
+        self.suspects.len() < self.cfg.quarantine.waiting && self.can_lose_one(now)
     }
 
     /// Whether one backend server could crash and another stay available.
-    pub(super) fn spare(&self, now: Moment) -> bool {
-        let safe = |m: &&members::Member| m.crash_free(&self.cfg.members, now);
-        self.members.iter().filter(safe).count() >= 2
+    pub(super) fn can_lose_one(&self, now: Moment) -> bool {
+        let crash_free = |m: &&members::Member| m.crash_free(&self.cfg.members, now);
+        self.members.iter().filter(crash_free).count() >= 2
     }
 
     /// The time after which the caller of a refused request may retry.
     pub(super) fn retry_after(&mut self, now: Moment, req: &policy::Arrival) -> time::Duration {
         let rate = self.view(now).service_rate();
         let wait = self.queue.wait(&self.cfg.queue, now, class_key(req), rate);
-        let left = req.deadline.saturating_sub(now);
+        let time_left = req.deadline.saturating_sub(now);
         self.cfg
             .admission
-            .retry_after(wait, left, self.rng.random())
+            .retry_after(wait, time_left, self.rng.random())
     }
 
     /// The reason that this availability zone cannot answer a request in time, if it cannot.
-    fn too_late(
+    fn late_refusal(
         &mut self,
         now: Moment,
         req: &policy::Arrival,
@@ -260,11 +264,11 @@
             return Some(Refusal::NoBackend);
         }
         let work = req.typical.mul_f64(view.best_slowdown());
-        let left = req.deadline.saturating_sub(now);
+        let time_left = req.deadline.saturating_sub(now);
         let max_wait_share = self
             .early_departures
             .max_wait_share(&self.cfg.admission, now);
-        if admission::in_time(left, max_wait_share, wait, work) {
+        if admission::in_time(time_left, max_wait_share, wait, work) {
             return None;
         }
         match wait.is_zero() {
@@ -283,10 +287,10 @@
         let rate = self.view(now).service_rate();
         let key = pending.class_key();
         let wait = self.queue.wait(&self.cfg.queue, now, key, rate);
-        let refusal = self.too_late(now, &pending.req, wait);
-        let cross = refusal.is_some() || wait > self.cfg.cross_after;
-        let Some(pending) = (match cross {
-            true => self.try_across(now, pending, out),
+        let refusal = self.late_refusal(now, &pending.req, wait);
+        let try_remote = refusal.is_some() || wait > self.cfg.remote_az_after;
+        let Some(pending) = (match try_remote {
+            true => self.try_remote_az(now, pending, out),
             false => Some(pending),
         }) else {
             return;
@@ -305,14 +309,14 @@
     }
 
     /// Sends a request to another availability zone. Returns it if none accepts it.
-    fn try_across(
+    fn try_remote_az(
         &mut self,
         now: Moment,
         mut pending: Pending,
         out: &mut Vec<Action>,
     ) -> Option<Pending> {
         let req = &pending.req;
-        if pending.crossed || req.origin != Origin::Caller {
+        if pending.tried_remote_az || req.origin != Origin::Caller {
             return Some(pending);
         }
         let chosen = self.across.choose(now, req.worth, req.bytes, req.deadline);
@@ -325,17 +329,17 @@
             to: to.clone(),
             deadline: req.deadline,
         });
-        pending.crossed = true;
+        pending.tried_remote_az = true;
         pending.attempts += 1;
         pending.stage = Stage::Sent;
-        pending.sends.push(to);
+        pending.destinations.push(to);
         self.pending.insert(pending.req.id, pending);
         None
     }
 
     /// Admits a request from another availability zone only into a free slot: local callers go
     /// first.
-    fn admit_foreign(&mut self, now: Moment, pending: Pending, out: &mut Vec<Action>) {
+    fn admit_from_az(&mut self, now: Moment, pending: Pending, out: &mut Vec<Action>) {
         let constraints = placement::Constraints { avoid: &[] };
         let view = placement::View::new(&self.cfg, now, &self.members);
         let free = self.queue.is_empty() && view.pick(&mut self.rng, &constraints).is_some();
@@ -363,7 +367,7 @@
 
     fn give_up_on(&mut self, now: Moment, pending: Pending, why: Refusal, out: &mut Vec<Action>) {
         let retry_after = self.retry_after(now, &pending.req);
-        let fate = match pending.maybe_run || !pending.sends.is_empty() {
+        let fate = match pending.maybe_run || !pending.destinations.is_empty() {
             true => Fate::Unknown { retry_after },
             false => Fate::NotRun { why, retry_after },
         };
@@ -374,17 +378,17 @@
         let req = pending.req.id;
         self.outstanding.remove(pending.req.caller);
         for member in &mut self.members {
-            let in_flight = member.in_flight.iter().any(|a| a.req == req);
-            if member.reserved_for == Some(req) && !in_flight {
+            let has_attempt = member.in_flight.iter().any(|a| a.req == req);
+            if member.reserved_for == Some(req) && !has_attempt {
                 member.reserved_for = None;
             }
         }
         let cancel = |to| Action::Cancel { req, to };
-        out.extend(pending.sends.into_iter().map(cancel));
+        out.extend(pending.destinations.into_iter().map(cancel));
         out.push(Action::Settle { req, fate });
     }
 
-    fn answer(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    fn settle_answered(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if let Some(pending) = self.pending.remove(&id) {
             self.settle(pending, Fate::Answer, out);
         }
@@ -393,7 +397,7 @@
     // Ends of attempts.
 
     /// Updates the state of a backend server after an attempt ended there.
-    fn learn(
+    fn record_end(
         &mut self,
         now: Moment,
         req: RequestId,
@@ -421,37 +425,37 @@
                 member.ramp.record_answer();
                 member.health.answered(&cfg.ejection);
             }
-            Ended::Failed => self.failed(now, i),
+            Ended::Failed => self.record_failure(now, i),
             Ended::TimedOut => {
                 member.record_duration(&cfg.members, took, attempt.typical);
                 // A timeout before the hedge delay means a short deadline, not a slow server.
-                let long = retry::hedge_at(&cfg.retry, attempt.sent_at, attempt.typical, 1.0);
-                if now >= long {
-                    self.failed(now, i);
+                let hedge_at = retry::hedge_at(&cfg.retry, attempt.sent_at, attempt.typical, 1.0);
+                if now >= hedge_at {
+                    self.record_failure(now, i);
                 }
             }
             Ended::Shed => member.limit.shed(&cfg.limit, now),
-            Ended::NotSent => self.broke(now, i),
-            Ended::Lost => self.lost(now, i, &attempt),
+            Ended::NotSent => self.record_broken_connection(now, i),
+            Ended::Lost => self.record_lost_attempt(now, i, &attempt),
             Ended::Cancelled => {}
         }
     }
 
-    fn failed(&mut self, now: Moment, i: usize) {
+    fn record_failure(&mut self, now: Moment, i: usize) {
         let cfg = &self.cfg.ejection;
         let others = self.members.iter().enumerate().filter(|(j, _)| *j != i);
-        let out = others
+        let unhealthy = others
             .filter(|(_, m)| !m.healthy(&self.cfg.members, now))
             .count();
-        let wants = self.members[i].health.failed(cfg);
-        if wants && ejection::room(cfg, self.members.len(), out) {
+        let should_eject = self.members[i].health.failed(cfg);
+        if should_eject && ejection::room(cfg, self.members.len(), unhealthy) {
             self.members[i].health.eject(cfg, now, false);
             let vm = self.members[i].id.clone();
             self.notes.push(note::Note::Ejected { vm, down: false });
         }
     }
 
-    fn broke(&mut self, now: Moment, i: usize) {
+    fn record_broken_connection(&mut self, now: Moment, i: usize) {
         let cfg = &self.cfg.ejection;
         let member = &mut self.members[i];
         if member.health.broke(cfg) {
@@ -462,11 +466,11 @@
     }
 
     /// Handles a broken connection. The first one of a crash makes all requests in flight suspects.
-    fn lost(&mut self, now: Moment, i: usize, attempt: &members::Attempt) {
+    fn record_lost_attempt(&mut self, now: Moment, i: usize, attempt: &members::Attempt) {
         let cfg = &self.cfg.quarantine;
         let member = &mut self.members[i];
-        let same = |at: Moment| now < at + cfg.one_crash && attempt.sent_at <= at;
-        if !member.last_crash.is_some_and(same) {
+        let same_crash = |at: Moment| now < at + cfg.one_crash && attempt.sent_at <= at;
+        if !member.last_crash.is_some_and(same_crash) {
             member.last_crash = Some(now);
             let others = member.in_flight.iter().map(|other| other.fingerprint);
             let suspects: Vec<_> = [attempt.fingerprint].into_iter().chain(others).collect();
@@ -482,26 +486,35 @@
                 });
             }
         }
-        self.broke(now, i);
+        self.record_broken_connection(now, i);
     }
 
     /// Retries or settles a request after one of its attempts ended without an answer.
-    fn again(&mut self, now: Moment, id: RequestId, at: &Place, how: Ended, out: &mut Vec<Action>) {
+    fn retry_or_settle(
+        &mut self,
+        now: Moment,
+        id: RequestId,
+        at: &Place,
+        how: Ended,
+        out: &mut Vec<Action>,
+    ) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
-        if !pending.sends.is_empty() {
+        if !pending.destinations.is_empty() {
             return;
         }
         let req = &pending.req;
-        let safe = retry::may_retry(req.idempotent, how) && (req.idempotent || !pending.maybe_run);
-        let more =
-            pending.attempts <= self.cfg.retry.max_retries && now < req.deadline && !pending.gone;
-        let free = matches!(at, Place::Az(_)) && !pending.maybe_run;
-        if !safe || !more || !(free || self.budget.take()) {
+        let may_resend =
+            retry::may_retry(req.idempotent, how) && (req.idempotent || !pending.maybe_run);
+        let attempts_left = pending.attempts <= self.cfg.retry.max_retries
+            && now < req.deadline
+            && !pending.caller_left;
+        let unbudgeted = matches!(at, Place::Az(_)) && !pending.maybe_run;
+        if !may_resend || !attempts_left || !(unbudgeted || self.budget.take()) {
             return match how {
-                Ended::Failed => self.answer(id, out),
-                _ if pending.gone => self.give_up(now, id, Refusal::CallerGone, out),
+                Ended::Failed => self.settle_answered(id, out),
+                _ if pending.caller_left => self.give_up(now, id, Refusal::CallerGone, out),
                 _ => self.give_up(now, id, Refusal::Shed, out),
             };
         }
@@ -520,7 +533,7 @@
             quarantine::State::Suspect if !self.may_try_suspect(now) => {
                 self.give_up(now, id, Refusal::Quarantined, out);
             }
-            quarantine::State::Suspect => self.stage_suspect(id),
+            quarantine::State::Suspect => self.enqueue_suspect(id),
             quarantine::State::Clear => {
                 let (key, item) = (pending.class_key(), pending.item());
                 self.queue.push_front(key, item);
@@ -529,7 +542,7 @@
         }
     }
 
-    fn stage_suspect(&mut self, id: RequestId) {
+    fn enqueue_suspect(&mut self, id: RequestId) {
         self.suspects.push_back(id);
         self.set_stage(id, Stage::Suspect);
     }
@@ -560,7 +573,7 @@
         }
         self.queue.arrived(&self.cfg.queue, now, class_key(&req));
         self.budget.refill(&self.cfg.retry);
-        let refusal = self.refusal(now, &req);
+        let refusal = self.immediate_refusal(now, &req);
         self.outstanding.add(req.caller);
         let pending = Pending::new(req, now);
         if let Some((why, retry_after)) = refusal {
@@ -569,11 +582,11 @@
         let id = pending.req.id;
         if self.quarantine.state(now, pending.req.fingerprint) == quarantine::State::Suspect {
             self.pending.insert(id, pending);
-            self.stage_suspect(id);
+            self.enqueue_suspect(id);
         } else if pending.req.origin == Origin::Caller {
             self.admit(now, pending, out);
         } else {
-            self.admit_foreign(now, pending, out);
+            self.admit_from_az(now, pending, out);
         }
         self.serve(now, out);
     }
@@ -588,21 +601,21 @@
         out: &mut Vec<Action>,
     ) {
         match at {
-            Place::Backend(backend) => self.learn(now, req, backend, how, report),
+            Place::Backend(backend) => self.record_end(now, req, backend, how, report),
             Place::Az(az) => {
                 let bytes = self.pending.get(&req).map_or(0, |p| p.req.bytes);
                 self.across.ended(now, az, how, bytes);
             }
         }
         if let Some(pending) = self.pending.get_mut(&req) {
-            pending.sends.retain(|place| place != at);
+            pending.destinations.retain(|place| place != at);
             pending.maybe_run |= retry::may_have_run(how);
             if how == Ended::Answered {
                 let fingerprint = pending.req.fingerprint;
                 self.quarantine.answered(fingerprint);
-                self.answer(req, out);
+                self.settle_answered(req, out);
             } else {
-                self.again(now, req, at, how, out);
+                self.retry_or_settle(now, req, at, how, out);
             }
         }
         self.serve(now, out);
@@ -612,8 +625,11 @@
         let Some(pending) = self.pending.get_mut(&req) else {
             return;
         };
-        pending.gone = true;
-        let (waited, timeout) = (now - pending.since, pending.req.deadline - pending.since);
+        pending.caller_left = true;
+        let (waited, timeout) = (
+            now - pending.arrived_at,
+            pending.req.deadline - pending.arrived_at,
+        );
         self.early_departures
             .record(&self.cfg.admission, now, waited, timeout);
         let key = pending.class_key();
@@ -632,7 +648,7 @@
                     req,
                     to: to.clone(),
                 };
-                out.extend(pending.sends.iter().map(cancel));
+                out.extend(pending.destinations.iter().map(cancel));
             }
             Stage::Sent => {}
         }
@@ -645,7 +661,7 @@
     }
 
     fn set_backends(&mut self, now: Moment, backends: &[policy::Backend], out: &mut Vec<Action>) {
-        let first = self.members.is_empty();
+        let first_list = self.members.is_empty();
         self.members
             .retain(|m| backends.iter().any(|b| b.id == m.id));
         for backend in backends {
@@ -654,7 +670,7 @@
                 continue;
             }
             let mut member = members::Member::new(backend);
-            if !first {
+            if !first_list {
                 member.ramp = ramp::Ramp::cold(&self.cfg.ramp);
             }
             self.members.push(member);
@@ -669,7 +685,7 @@
         report: Option<policy::Report>,
         out: &mut Vec<Action>,
     ) {
-        self.probe_back(now, from, report);
+        self.record_probe(now, from, report);
         self.serve(now, out);
     }
     fn notes(&mut self) -> Vec<note::Note> {
--- a/src/decisions/serve.rs
+++ b/src/decisions/serve.rs
@@ -11,7 +11,7 @@
         self.serve_suspects(now, out);
         self.serve_trials(now, out);
         self.serve_queue(now, out);
-        self.serve_reserve(now, out);
+        self.serve_slow(now, out);
     }
 
     fn serve_queue(&mut self, now: Moment, out: &mut Vec<Action>) {
@@ -57,7 +57,7 @@
     }
 
     /// Sends reads of the lowest class to slow backend servers, if waiting would take longer.
-    fn serve_reserve(&mut self, now: Moment, out: &mut Vec<Action>) {
+    fn serve_slow(&mut self, now: Moment, out: &mut Vec<Action>) {
         while let Some(item) = self.queue.peek_lowest() {
             let Some(pending) = self.pending.get(&item.id) else {
                 return;
@@ -72,9 +72,9 @@
                 return;
             };
             let rate = view.service_rate();
-            let cost = typical.mul_f64(self.members[member].slowdown - view.best_slowdown());
+            let extra_time = typical.mul_f64(self.members[member].slowdown - view.best_slowdown());
             let wait = self.queue.wait(&self.cfg.queue, now, key, rate);
-            if !idempotent || wait < cost || now + cost > item.deadline {
+            if !idempotent || wait < extra_time || now + extra_time > item.deadline {
                 return;
             }
             self.queue.pop_lowest();
@@ -94,7 +94,7 @@
         let state = self.quarantine.state(now, pending.req.fingerprint);
         let late = now + pending.req.typical > pending.req.deadline;
         let banned = matches!(state, quarantine::State::Banned { .. });
-        if banned || late || !self.spare(now) {
+        if banned || late || !self.can_lose_one(now) {
             self.suspects.pop_front();
             return self.give_up(now, id, Refusal::Quarantined, out);
         }
@@ -104,7 +104,7 @@
             self.queue.push_front(key, item);
             return self.set_stage(id, Stage::Queued);
         }
-        let Some(member) = self.keep_free(now, id) else {
+        let Some(member) = self.reserve_for_suspect(now, id) else {
             return;
         };
         if self.members[member].in_flight.is_empty() {
@@ -114,22 +114,22 @@
     }
 
     /// Reserves a backend server for a suspect. At most one is reserved at a time.
-    fn keep_free(&mut self, now: Moment, id: RequestId) -> Option<usize> {
+    fn reserve_for_suspect(&mut self, now: Moment, id: RequestId) -> Option<usize> {
         let cfg = &self.cfg.members;
-        let safe = |m: &members::Member| m.crash_free(cfg, now);
-        let kept = self.members.iter().position(|m| m.reserved_for.is_some());
-        if let Some(kept) = kept {
-            let member = &mut self.members[kept];
-            if safe(member) {
-                return (member.reserved_for == Some(id)).then_some(kept);
+        let crash_free = |m: &members::Member| m.crash_free(cfg, now);
+        let reserved = self.members.iter().position(|m| m.reserved_for.is_some());
+        if let Some(reserved) = reserved {
+            let member = &mut self.members[reserved];
+            if crash_free(member) {
+                return (member.reserved_for == Some(id)).then_some(reserved);
             }
             member.reserved_for = None;
         }
-        let least = (0..self.members.len())
-            .filter(|i| safe(&self.members[*i]))
+        let least_loaded = (0..self.members.len())
+            .filter(|i| crash_free(&self.members[*i]))
             .min_by_key(|i| self.members[*i].in_flight.len())?;
-        self.members[least].reserved_for = Some(id);
-        Some(least)
+        self.members[least_loaded].reserved_for = Some(id);
+        Some(least_loaded)
     }
 
     fn send(&mut self, now: Moment, id: RequestId, member: usize, out: &mut Vec<Action>) {
@@ -146,7 +146,7 @@
         });
         pending.attempts += 1;
         pending.stage = Stage::Sent;
-        pending.sends.push(to.clone());
+        pending.destinations.push(to.clone());
         out.push(Action::Send {
             req: id,
             to,
@@ -159,13 +159,13 @@
         if !self.queue.is_empty() {
             return;
         }
-        let best = self.view(now).best_slowdown();
+        let best_slowdown = self.view(now).best_slowdown();
         let due = |a: &&members::Attempt| {
-            retry::hedge_at(&self.cfg.retry, a.sent_at, a.typical, best) <= now
+            retry::hedge_at(&self.cfg.retry, a.sent_at, a.typical, best_slowdown) <= now
         };
         let attempts = self.members.iter().flat_map(|m| &m.in_flight);
-        let late: Vec<_> = attempts.filter(due).map(|a| a.req).collect();
-        for id in late {
+        let overdue: Vec<_> = attempts.filter(due).map(|a| a.req).collect();
+        for id in overdue {
             self.hedge_one(now, id, out);
         }
     }
@@ -175,21 +175,21 @@
             return;
         };
         let clear = self.quarantine.state(now, pending.req.fingerprint) == quarantine::State::Clear;
-        let [Place::Backend(at)] = &pending.sends[..] else {
+        let [Place::Backend(sent_to)] = &pending.destinations[..] else {
             return;
         };
         if !pending.req.idempotent || !clear || pending.attempts > self.cfg.retry.max_retries {
             return;
         }
-        let avoid = [at.clone()];
+        let avoid = [sent_to.clone()];
         let constraints = placement::Constraints { avoid: &avoid };
         let view = placement::View::new(&self.cfg, now, &self.members);
         let Some(member) = view.pick(&mut self.rng, &constraints) else {
             return;
         };
         let other = &self.members[member];
-        let sound = other.health.state() == ejection::State::In && other.id != avoid[0];
-        if sound && self.budget.take() {
+        let healthy = other.health.state() == ejection::State::In && other.id != avoid[0];
+        if healthy && self.budget.take() {
             self.send(now, id, member, out);
         }
     }
--- a/src/decisions/upkeep.rs
+++ b/src/decisions/upkeep.rs
@@ -10,13 +10,13 @@
 
 /// How often the queue is searched for requests that cannot meet their deadline. A refusal that is
 /// 20 ms late is soon enough, and the search costs little.
-const SWEEP: time::Duration = time::Duration::from_millis(20);
+const SWEEP_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 impl Dispatch {
     pub(super) fn upkeep(&mut self, now: Moment, out: &mut Vec<Action>) {
-        self.tell_load(now);
-        if now >= self.swept + SWEEP {
-            self.swept = now;
+        self.report_load(now);
+        if now >= self.last_sweep + SWEEP_INTERVAL {
+            self.last_sweep = now;
             self.sweep(now, out);
             self.quarantine.tick(now);
         }
@@ -24,7 +24,7 @@
         self.probe(now, out);
     }
 
-    fn tell_load(&mut self, now: Moment) {
+    fn report_load(&mut self, now: Moment) {
         self.across.tick(now);
         let (mut slots, mut in_flight) = (0, 0);
         for member in &self.members {
@@ -47,8 +47,8 @@
         }
         let view = self.view(now);
         let (rate, slowdown) = (view.service_rate(), view.best_slowdown());
-        let hopeless = self.queue.sweep(&self.cfg.queue, now, rate, slowdown);
-        for item in hopeless {
+        let late = self.queue.sweep(&self.cfg.queue, now, rate, slowdown);
+        for item in late {
             self.give_up(now, item.id, Refusal::Overload, out);
         }
     }
@@ -61,7 +61,7 @@
             }
         }
         if self
-            .probed
+            .last_probe
             .is_some_and(|at| now < at + cfg.probe.min_interval)
         {
             return;
@@ -69,7 +69,7 @@
         let Some(i) = self.next_probe(now) else {
             return;
         };
-        self.probed = Some(now);
+        self.last_probe = Some(now);
         let member = &mut self.members[i];
         member.probe_state.record_sent(now);
         out.push(Action::Probe {
@@ -90,7 +90,7 @@
         })
     }
 
-    pub(super) fn probe_back(
+    pub(super) fn record_probe(
         &mut self,
         now: Moment,
         from: &id::VmId,
