--- a/src/decisions/naive.rs
+++ b/src/decisions/naive.rs
@@ -116,14 +116,14 @@
             let fate = Fate::Answer;
             return out.push(Action::Settle { req, fate });
         }
-        let ran_maybe = !matches!(how, Ended::Shed | Ended::NotSent);
-        pending.maybe_run |= ran_maybe && !pending.req.idempotent;
-        let safe = pending.req.idempotent || !pending.maybe_run || self.cfg.retry_unknown;
-        if safe && pending.retries_left > 0 && now < pending.req.deadline {
+        let may_have_run = !matches!(how, Ended::Shed | Ended::NotSent);
+        pending.maybe_run |= may_have_run && !pending.req.idempotent;
+        let may_resend = pending.req.idempotent || !pending.maybe_run || self.cfg.retry_unknown;
+        if may_resend && pending.retries_left > 0 && now < pending.req.deadline {
             pending.retries_left -= 1;
             return self.send(req, out);
         }
-        pending.maybe_run |= ran_maybe;
+        pending.maybe_run |= may_have_run;
         self.settle(req, Refusal::Shed, out);
     }
 
