--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -16,15 +16,15 @@
         caller: u64,
         fingerprint: u64,
         idempotent: bool,
-        foreign: bool,
-        patience_ms: u64,
+        from_az: bool,
+        timeout_ms: u64,
     },
     End {
         pick: usize,
         how: Ended,
     },
-    Gone(usize),
-    Pass(u64),
+    CallerLeft(usize),
+    Advance(u64),
     Leaving([bool; 3]),
     Probed {
         pick: usize,
@@ -43,19 +43,19 @@
     ];
     let arrive = (0..4_u64, 0..6_u64, any::<bool>(), 0..8_u8, 1..500_u64);
     prop_oneof![
-        8 => arrive.prop_map(|(caller, fingerprint, idempotent, foreign, patience_ms)| {
-            Step::Arrive { caller, fingerprint, idempotent, foreign: foreign == 0, patience_ms }
+        8 => arrive.prop_map(|(caller, fingerprint, idempotent, from_az, timeout_ms)| {
+            Step::Arrive { caller, fingerprint, idempotent, from_az: from_az == 0, timeout_ms }
         }),
         8 => (any::<usize>(), how).prop_map(|(pick, how)| Step::End { pick, how }),
-        1 => any::<usize>().prop_map(Step::Gone),
-        3 => (0..60_u64).prop_map(Step::Pass),
+        1 => any::<usize>().prop_map(Step::CallerLeft),
+        3 => (0..60_u64).prop_map(Step::Advance),
         1 => any::<[bool; 3]>().prop_map(Step::Leaving),
         1 => (0..3_usize, any::<bool>()).prop_map(|(pick, answered)| Step::Probed { pick, answered }),
     ]
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct RequestState {
     idempotent: bool,
     maybe_run: bool,
     sends: u32,
@@ -63,16 +63,16 @@
 }
 
 /// Applies steps to a policy and checks each of its actions.
-struct Play {
+struct Harness {
     dispatch: dispatch::Dispatch,
     cfg: dispatch::Config,
     now: Moment,
-    seen: Vec<Seen>,
-    out: Vec<(policy::RequestId, Place, Moment)>,
+    requests: Vec<RequestState>,
+    in_flight: Vec<(policy::RequestId, Place, Moment)>,
     leaving: [bool; 3],
 }
 
-impl Play {
+impl Harness {
     fn new() -> Self {
         let cfg = dispatch::Config {
             queue: queue::Config {
@@ -82,57 +82,63 @@
             ..dispatch::Config::default()
         };
         let across = across::Across::new(across::Config::default(), "here".into());
-        let mut play = Self {
+        let mut harness = Self {
             dispatch: dispatch::Dispatch::new(cfg, across),
             cfg,
             now: Moment::from_secs(1),
-            seen: Vec::new(),
-            out: Vec::new(),
+            requests: Vec::new(),
+            in_flight: Vec::new(),
             leaving: [false; 3],
         };
-        play.list();
-        play
+        harness.update_backends();
+        harness
     }
 
-    fn with(&mut self, f: impl FnOnce(&mut dispatch::Dispatch, Moment, &mut Vec<Action>)) {
+    fn apply(&mut self, f: impl FnOnce(&mut dispatch::Dispatch, Moment, &mut Vec<Action>)) {
         let mut actions = Vec::new();
         f(&mut self.dispatch, self.now, &mut actions);
         for action in actions {
-            self.act(action);
+            self.check_action(action);
         }
-        let most = self.cfg.queue.max_len + self.cfg.quarantine.waiting;
-        assert!(self.dispatch.waiting() <= most, "the queue is not bounded");
+        let max_waiting = self.cfg.queue.max_len + self.cfg.quarantine.waiting;
+        assert!(
+            self.dispatch.waiting() <= max_waiting,
+            "the queue is not bounded"
+        );
     }
 
-    fn act(&mut self, action: Action) {
+    fn check_action(&mut self, action: Action) {
         match action {
             Action::Send { req, to, deadline } => {
-                assert!(!self.left(&to), "sent to {to:?}, which leaves");
-                let seen = &mut self.seen[req.0 as usize];
-                let again =
-                    !seen.idempotent && (seen.maybe_run || self.out.iter().any(|o| o.0 == req));
-                assert!(!again, "sent again though it may have run: {req:?}");
-                assert_eq!(seen.settled, 0, "sent after its settlement: {req:?}");
-                seen.sends += 1;
-                self.out.push((req, to, deadline));
+                assert!(!self.is_leaving(&to), "sent to {to:?}, which leaves");
+                let request = &mut self.requests[req.0 as usize];
+                let forbidden_resend = !request.idempotent
+                    && (request.maybe_run || self.in_flight.iter().any(|o| o.0 == req));
+                assert!(
+                    !forbidden_resend,
+                    "sent again though it may have run: {req:?}"
+                );
+                assert_eq!(request.settled, 0, "sent after its settlement: {req:?}");
+                request.sends += 1;
+                self.in_flight.push((req, to, deadline));
             }
             Action::Settle { req, fate } => {
-                let out = self.out.iter().any(|o| o.0 == req);
-                let seen = &mut self.seen[req.0 as usize];
-                seen.settled += 1;
+                let in_flight = self.in_flight.iter().any(|o| o.0 == req);
+                let request = &mut self.requests[req.0 as usize];
+                request.settled += 1;
                 let not_run = matches!(fate, Fate::NotRun { .. });
-                let may_run = seen.maybe_run || out;
+                let may_run = request.maybe_run || in_flight;
                 assert!(
                     !(not_run && may_run),
                     "called not run though it may have: {req:?}"
                 );
-                assert!(fate != Fate::Answer || seen.sends > 0);
+                assert!(fate != Fate::Answer || request.sends > 0);
             }
             Action::Cancel { .. } | Action::Probe { .. } => {}
         }
     }
 
-    fn left(&self, to: &Place) -> bool {
+    fn is_leaving(&self, to: &Place) -> bool {
         let Place::Backend(id) = to else {
             return false;
         };
@@ -140,29 +146,29 @@
         at.is_none_or(|i| self.leaving[i])
     }
 
-    fn list(&mut self) {
+    fn update_backends(&mut self) {
         let leaving = self.leaving;
         let backends = [0, 1, 2].map(|i| policy::Backend {
             id: BACKENDS[i].into(),
             slots: 3,
             leaving: leaving[i],
         });
-        self.with(|d, now, out| d.set_backends(now, &backends, out));
+        self.apply(|d, now, out| d.set_backends(now, &backends, out));
     }
 
-    fn end(&mut self, at: usize, how: Ended) {
-        let (req, place, _) = self.out.swap_remove(at);
-        let seen = &mut self.seen[req.0 as usize];
-        seen.maybe_run |= retry::may_have_run(how);
-        self.with(|d, now, out| d.ended(now, req, &place, how, None, out));
+    fn end_attempt(&mut self, at: usize, how: Ended) {
+        let (req, place, _) = self.in_flight.swap_remove(at);
+        let request = &mut self.requests[req.0 as usize];
+        request.maybe_run |= retry::may_have_run(how);
+        self.apply(|d, now, out| d.ended(now, req, &place, how, None, out));
     }
 
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         self.now += time::Duration::from_millis(millis);
-        while let Some(late) = self.out.iter().position(|o| o.2 <= self.now) {
-            self.end(late, Ended::TimedOut);
+        while let Some(late) = self.in_flight.iter().position(|o| o.2 <= self.now) {
+            self.end_attempt(late, Ended::TimedOut);
         }
-        self.with(|d, now, out| d.tick(now, out));
+        self.apply(|d, now, out| d.tick(now, out));
     }
 
     fn step(&mut self, step: Step) {
@@ -171,15 +177,15 @@
                 caller,
                 fingerprint,
                 idempotent,
-                foreign,
-                patience_ms,
+                from_az,
+                timeout_ms,
             } => {
-                let id = policy::RequestId(self.seen.len() as u64);
-                self.seen.push(Seen {
+                let id = policy::RequestId(self.requests.len() as u64);
+                self.requests.push(RequestState {
                     idempotent,
-                    ..Seen::default()
+                    ..RequestState::default()
                 });
-                let origin = match foreign {
+                let origin = match from_az {
                     true => policy::Origin::Az("there".into()),
                     false => policy::Origin::Caller,
                 };
@@ -191,23 +197,23 @@
                     idempotent,
                     worth: if idempotent { 2 } else { 20 },
                     typical: time::Duration::from_millis(10),
-                    deadline: self.now + time::Duration::from_millis(patience_ms),
+                    deadline: self.now + time::Duration::from_millis(timeout_ms),
                     bytes: 100,
                 };
-                self.with(|d, now, out| d.arrive(now, req, out));
+                self.apply(|d, now, out| d.arrive(now, req, out));
             }
-            Step::End { pick, how } if !self.out.is_empty() => {
-                self.end(pick % self.out.len(), how);
+            Step::End { pick, how } if !self.in_flight.is_empty() => {
+                self.end_attempt(pick % self.in_flight.len(), how);
             }
-            Step::Gone(pick) if !self.seen.is_empty() => {
-                let req = policy::RequestId((pick % self.seen.len()) as u64);
-                self.with(|d, now, out| d.gone(now, req, out));
+            Step::CallerLeft(pick) if !self.requests.is_empty() => {
+                let req = policy::RequestId((pick % self.requests.len()) as u64);
+                self.apply(|d, now, out| d.gone(now, req, out));
             }
-            Step::End { .. } | Step::Gone(_) => {}
-            Step::Pass(millis) => self.pass(millis),
+            Step::End { .. } | Step::CallerLeft(_) => {}
+            Step::Advance(millis) => self.advance(millis),
             Step::Leaving(leaving) => {
                 self.leaving = leaving;
-                self.list();
+                self.update_backends();
             }
             Step::Probed { pick, answered } => {
                 let report = answered.then_some(policy::Report {
@@ -216,7 +222,7 @@
                     leaving: false,
                 });
                 let from = BACKENDS[pick].into();
-                self.with(|d, now, out| d.report(now, &from, report, out));
+                self.apply(|d, now, out| d.report(now, &from, report, out));
             }
         }
     }
@@ -225,14 +231,21 @@
     /// stayed within their budget.
     fn finish(mut self) {
         for _ in 0..100 {
-            self.pass(10);
+            self.advance(10);
         }
-        let unsettled = self.seen.iter().position(|seen| seen.settled != 1);
-        assert_eq!(unsettled, None, "{:?}", self.seen);
-        let second: u32 = self.seen.iter().map(|s| s.sends.saturating_sub(1)).sum();
+        let unsettled = self
+            .requests
+            .iter()
+            .position(|request| request.settled != 1);
+        assert_eq!(unsettled, None, "{:?}", self.requests);
+        let retries: u32 = self
+            .requests
+            .iter()
+            .map(|s| s.sends.saturating_sub(1))
+            .sum();
         let cfg = self.cfg.retry;
-        let budget = cfg.burst + cfg.budget_ratio * self.seen.len() as f64;
-        assert!(f64::from(second) <= budget, "{second} second attempts");
+        let budget = cfg.burst + cfg.budget_ratio * self.requests.len() as f64;
+        assert!(f64::from(retries) <= budget, "{retries} second attempts");
     }
 }
 
@@ -252,40 +265,40 @@
     /// request that is settled twice, never, or with a wrong outcome, and against a second send of
     /// a booking that may have run.
     #[test]
-    fn every_request_is_settled_once_and_truly(steps in prop::collection::vec(step(), 1..400)) {
-        let mut play = Play::new();
+    fn every_request_is_settled_once_and_correctly(steps in prop::collection::vec(step(), 1..400)) {
+        let mut harness = Harness::new();
         for step in steps {
-            play.step(step);
+            harness.step(step);
         }
-        play.finish();
+        harness.finish();
     }
 }
 
 /// Bookings fill all slots continuously. Guards against starvation of queued reads with late
 /// deadlines.
 #[test]
-fn patient_reads_are_not_starved() {
-    let mut play = Play::new();
-    let mut classes = collections::BTreeMap::new();
+fn reads_are_not_starved() {
+    let mut harness = Harness::new();
+    let mut answers_by_kind = collections::BTreeMap::new();
     for round in 0..2_000_u64 {
         let arrive = |idempotent| Step::Arrive {
             caller: round,
             fingerprint: 1_000 + round,
             idempotent,
-            foreign: false,
-            patience_ms: 10_000,
+            from_az: false,
+            timeout_ms: 10_000,
         };
-        play.step(arrive(false));
+        harness.step(arrive(false));
         if round % 4 == 0 {
-            play.step(arrive(true));
+            harness.step(arrive(true));
         }
-        if round % 2 == 0 && !play.out.is_empty() {
-            let read = play.seen[play.out[0].0.0 as usize].idempotent;
-            *classes.entry(read).or_insert(0) += 1;
-            play.end(0, Ended::Answered);
+        if round % 2 == 0 && !harness.in_flight.is_empty() {
+            let read = harness.requests[harness.in_flight[0].0.0 as usize].idempotent;
+            *answers_by_kind.entry(read).or_insert(0) += 1;
+            harness.end_attempt(0, Ended::Answered);
         }
-        play.pass(5);
+        harness.advance(5);
     }
-    let reads = classes.get(&true).copied().unwrap_or(0);
-    assert!(reads >= 20, "{classes:?}");
+    let reads = answers_by_kind.get(&true).copied().unwrap_or(0);
+    assert!(reads >= 20, "{answers_by_kind:?}");
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -8,13 +8,13 @@
 
 use bulrushwind::standin::model::{self, patterns, table};
 
-const LASTS: time::Duration = time::Duration::from_secs(4);
+const RUN_DURATION: time::Duration = time::Duration::from_secs(4);
 
 fn rows(names: &[&str]) -> Vec<table::Row> {
     let mut rows = Vec::new();
     for src in [model::LEDGER, model::PAYOUT] {
         let dep = model::Deployment::read(path::Path::new("."), &src).unwrap();
-        let cases = patterns::local(&dep, LASTS).into_iter();
+        let cases = patterns::local(&dep, RUN_DURATION).into_iter();
         let cases = cases.filter(|case| names.contains(&case.pattern.name));
         rows.extend(cases.map(table::play));
     }
@@ -22,7 +22,7 @@
     rows
 }
 
-fn show(row: &table::Row) -> String {
+fn describe(row: &table::Row) -> String {
     let (naive, ours) = row.shares();
     format!(
         "{} {}: worth {naive:.3} {ours:.3}, p99 {:.1} {:.1}, hot {:.3} {:.3}, ordinary {:?} {:?}, \
@@ -43,8 +43,8 @@
 /// Checks each row, and that our policy violates no invariant.
 fn check(names: &[&str], holds: impl Fn(&table::Row) -> bool) {
     for row in rows(names) {
-        assert_eq!(row.ours.violations(), 0, "{}", show(&row));
-        assert!(holds(&row), "{}", show(&row));
+        assert_eq!(row.ours.violations(), 0, "{}", describe(&row));
+        assert!(holds(&row), "{}", describe(&row));
     }
 }
 
@@ -58,7 +58,7 @@
 
 /// Without overload and faults, our policy answers exactly the requests that the baseline answers.
 #[test]
-fn a_steady_load_is_answered_as_by_the_naive_version_and_spread_evenly() {
+fn a_steady_load_is_answered_as_by_the_baseline_and_spread_evenly() {
     check(&["steady"], |row| {
         row.ours.per_op == row.naive.per_op
             && row.ours.worth == row.ours.offered
@@ -99,7 +99,7 @@
 
 /// Long requests occupy the slots while bookings and reads arrive that take a tenth of the time.
 #[test]
-fn short_work_is_not_stuck_behind_long() {
+fn short_requests_do_not_wait_behind_long_ones() {
     check(&["long among short"], |row| {
         let short = &row.ours.per_op[..row.ours.per_op.len() - 1];
         ours(row) >= 0.99 && short.iter().all(|of| answered(*of) >= 0.999)
@@ -116,7 +116,7 @@
 
 /// A backend server that is four times as slow reports no load, or all reports are frozen.
 #[test]
-fn reports_that_mislead_do_little_harm() {
+fn wrong_reports_cost_few_answers() {
     check(&["reports lie"], |row| {
         ours(row) >= 0.995 && row.p99_ratio() <= 0.5
     });
@@ -137,18 +137,20 @@
 }
 
 #[test]
-fn a_cold_fleet_answers_most() {
+fn a_cold_fleet_answers_most_requests() {
     check(&["cold fleet"], |row| ours(row) >= 0.95);
 }
 
 /// Twice as many requests arrive as can be answered. Bookings and approvals are served first, reads
 /// get the remaining capacity, and refusals reach callers long before their timeout.
 #[test]
-fn saturation_answers_what_is_worth_most() {
+fn saturation_favours_requests_with_the_most_worth() {
     check(&["saturation 2"], |row| {
-        let best = row.ours.per_op[0];
-        let told_ms = u128::from(row.ours.slowest_refusal_us / 1_000);
-        let patience = row.case.dep.ops.iter().map(|op| op.patience).max();
-        ours(row) >= 0.82 && answered(best) >= 0.999 && told_ms < patience.unwrap().as_millis() / 2
+        let first_op = row.ours.per_op[0];
+        let slowest_refusal_ms = u128::from(row.ours.slowest_refusal_us / 1_000);
+        let longest_timeout = row.case.dep.ops.iter().map(|op| op.patience).max();
+        ours(row) >= 0.82
+            && answered(first_op) >= 0.999
+            && slowest_refusal_ms < longest_timeout.unwrap().as_millis() / 2
     });
 }
