--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -65,8 +65,8 @@
     }
 
     /// The time after which a refused caller may retry: about half the current wait, but early
-    /// enough for an answer before the deadline, which is `time_left` away. `spread` lies between 0 and
-    /// 1; it keeps callers that were refused together from retrying together.
+    /// enough for an answer before the deadline, which is `time_left` away. `spread` lies between 0
+    /// and 1; it prevents callers that were refused together from retrying together.
     pub fn retry_after(
         &self,
         wait: time::Duration,
@@ -84,8 +84,8 @@
 /// The retry delay of a refused caller is at most this share of the time to its deadline.
 const MAX_RETRY_AFTER_SHARE: f64 = 0.4;
 
-/// Whether a request can be admitted whose deadline is `time_left` away, that may spend the share
-/// `max_wait_share` of that time in the queue, waits for `wait`, and then runs for `work`.
+/// Whether a request can be admitted with its deadline `time_left` away, where it may spend the
+/// share `max_wait_share` of that time in the queue, waits for `wait`, and then runs for `work`.
 pub fn in_time(
     time_left: time::Duration,
     max_wait_share: f64,
@@ -106,7 +106,7 @@
 }
 
 impl EarlyDepartures {
-    /// Records that a caller left after `waited`, with its deadline `max_wait_share` after its arrival.
+    /// Records that a caller with `timeout` until its deadline left after `waited`.
     pub fn record(
         &mut self,
         cfg: &Config,
--- a/src/decisions/placement.rs
+++ b/src/decisions/placement.rs
@@ -9,8 +9,8 @@
 //! answers, which also reflects the requests of other VMs. Load reports are not used: they lag by
 //! ten times the duration of a request and spread a steady load worse than round robin.
 //!
-//! A backend server several times slower than the best one is kept in reserve: it gets reads of the
-//! lowest class, and only when the wait for a faster one exceeds the extra time that it takes.
+//! A backend server several times slower than the best one is held back: it gets only reads of the
+//! queue's lowest class, when the wait for a faster one exceeds the extra time that it takes.
 
 use rand::RngExt;
 
@@ -88,7 +88,7 @@
         self.best_slowdown
     }
 
-    /// Whether a backend server is slow and kept in reserve.
+    /// Whether a backend server is slow and held back.
     pub fn is_slow(&self, member: &members::Member) -> bool {
         member.slowdown > self.best_slowdown * self.cfg.placement.slow_ratio
     }
--- a/src/decisions/probe.rs
+++ b/src/decisions/probe.rs
@@ -6,8 +6,8 @@
 //! callers. Symptom: probes are a visible share of all attempts.
 //!
 //! Answers give more information than probes at no cost, so only backend servers without requests
-//! are probed: ejected ones whose ejection time is over, and slow ones in reserve. The duration of
-//! a probe shows whether a slow one has recovered.
+//! are probed: ejected ones whose ejection time is over, and slow ones that are held back. The
+//! duration of a probe shows whether a slow one has recovered.
 
 use std::time;
 
--- a/src/decisions/queue.rs
+++ b/src/decisions/queue.rs
@@ -118,7 +118,7 @@
         self.len == 0
     }
 
-    /// Whether requests are queued with at least as much worth per second of work as this kind.
+    /// Whether requests are queued with at least as much worth per second of work as this class.
     pub fn has_equal_or_better(&self, key: ClassKey) -> bool {
         let equal_or_better = |c: &&Class| c.key.worth_per_s() >= key.worth_per_s();
         self.classes
@@ -225,7 +225,7 @@
         class.items.front().copied()
     }
 
-    /// Removes the newest request of a lower class to make room for one of this kind. Each class
+    /// Removes the newest request of a lower class to make room for one of this class. Each class
     /// keeps a minimum number of places; otherwise bookings could fill the queue and starve reads.
     pub fn displace(&mut self, cfg: &Config, key: ClassKey) -> Option<Item> {
         let min_places = ((cfg.max_len as f64 * cfg.min_share) as usize).max(1);
--- a/src/decisions/trust.rs
+++ b/src/decisions/trust.rs
@@ -6,8 +6,8 @@
 //! server with a long queue that reports a load of zero.
 //!
 //! A report below the number of requests that this VM has in flight at the backend server is wrong.
-//! Reports lag, so a single one is no evidence: both figures are averaged over [`Config::averaging_time`],
-//! which is several times the lag. A report that never changes while answers arrive is frozen.
+//! Reports lag, so a single one is no evidence: both figures are averaged over several times the
+//! lag. A report that never changes while answers arrive is frozen.
 
 use std::time;
 
@@ -63,7 +63,7 @@
 }
 
 impl ReportHistory {
-    /// Records a report. `own_in_flight` is the number of requests that this VM has in flight there.
+    /// Records a report. `own_in_flight` counts the requests that this VM has in flight there.
     pub fn record(
         &mut self,
         cfg: &Config,
