--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -23,9 +23,9 @@
 pub struct Config {
     /// Seed for random choices. It differs on each VM, so that VMs make different choices.
     pub seed: u64,
-    /// A caller's request with a longer estimated wait is offered to other availability zones.
-    /// Another region gains nothing if the wait is below the delay between regions, but most
-    /// requests that wait in one zone of a region find a free slot in another one within 2 or 3 ms.
+    /// A caller's request with a longer estimated wait is offered to other availability zones. A
+    /// move to another region gains nothing if the wait is below the inter-region delay, but most
+    /// requests that wait in one zone of a region find a free slot in another within 2 or 3 ms.
     pub remote_az_after: time::Duration,
     /// Which requests are admitted.
     pub admission: admission::Config,
@@ -104,7 +104,9 @@
 pub(super) struct Pending {
     pub(super) req: policy::Arrival,
     pub(super) stage: Stage,
+    /// Where attempts are in flight.
     pub(super) destinations: Vec<Place>,
+    /// Backend servers where an attempt failed.
     pub(super) avoid: Vec<id::VmId>,
     pub(super) attempts: u32,
     pub(super) maybe_run: bool,
@@ -337,8 +339,8 @@
         None
     }
 
-    /// Admits a request from another availability zone only into a free slot: local callers go
-    /// first.
+    /// Admits a request from another availability zone only if a slot is free: local callers have
+    /// precedence.
     fn admit_from_az(&mut self, now: Moment, pending: Pending, out: &mut Vec<Action>) {
         let constraints = placement::Constraints { avoid: &[] };
         let view = placement::View::new(&self.cfg, now, &self.members);
