--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -10,7 +10,7 @@
 use std::time;
 
 use bulrushwind::coordination::store;
-use bulrushwind::decisions::{across, dispatch, policy};
+use bulrushwind::decisions::{cross_az, dispatch, policy};
 use bulrushwind::protocol::peer;
 use bulrushwind::settings::{envelope, keys};
 use bulrushwind::{id, settings, state};
@@ -353,8 +353,8 @@
     println!("backends   us/request");
     let mut cpu = Fit::default();
     for count in [6, 24, 96] {
-        let across = across::Across::new(across::Config::default(), "az".into());
-        let mut dispatch = dispatch::Dispatch::new(dispatch::Config::default(), across);
+        let cross_az = cross_az::CrossAzRouter::new(cross_az::Config::default(), "az".into());
+        let mut dispatch = dispatch::Dispatch::new(dispatch::Config::default(), cross_az);
         let mut out = Vec::new();
         let backends: Vec<_> = (0..count)
             .map(|i| policy::Backend {
--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use bulrushwind::decisions::{across, dispatch, policy};
+use bulrushwind::decisions::{cross_az, dispatch, policy};
 use criterion::{criterion_group, criterion_main};
 use policy::{Action, Ended, Policy};
 
@@ -24,8 +24,8 @@
 
 impl Play {
     fn new(backends: usize) -> Self {
-        let across = across::Across::new(across::Config::default(), "here".into());
-        let mut dispatch = dispatch::Dispatch::new(dispatch::Config::default(), across);
+        let cross_az = cross_az::CrossAzRouter::new(cross_az::Config::default(), "here".into());
+        let mut dispatch = dispatch::Dispatch::new(dispatch::Config::default(), cross_az);
         let backends: Vec<_> = (0..backends)
             .map(|i| policy::Backend {
                 id: format!("backend-{i}").as_str().into(),
--- a/src/coordination/grants.rs
+++ b/src/coordination/grants.rs
@@ -11,7 +11,7 @@
 
 use parking_lot::Mutex;
 
-use crate::decisions::{across, grants, policy};
+use crate::decisions::{cross_az, grants, policy};
 use crate::id;
 use crate::protocol::peer;
 
@@ -107,7 +107,7 @@
         &mut self,
         now: policy::Moment,
         service: &id::ServiceId,
-        wishes: &[across::Wish],
+        wishes: &[cross_az::Wish],
         linked: &[(id::VmId, id::AzId)],
         me: &id::VmId,
     ) -> Vec<(id::VmId, peer::Message)> {
@@ -194,7 +194,7 @@
     #[test]
     fn a_wish_becomes_a_grant_that_is_honoured_by_its_giver() {
         let lenders = lenders();
-        let wish = across::Wish {
+        let wish = cross_az::Wish {
             az: "b".into(),
             per_s: 50.0,
         };
--- a/src/decisions/across.rs
+++ b/src/decisions/cross_az.rs
@@ -4,17 +4,17 @@
 //! slots. Without cross-AZ routing, callers are refused although they could be answered. Without
 //! limits, the surge overloads one region after the other.
 //!
-//! The policy of the service calls [`Across`] only when the local availability zone cannot serve a
-//! request in time. The request goes to the nearest availability zone that the service's shift cap,
-//! a live grant, the link's limit and the request's deadline all allow.
+//! The policy of the service calls [`CrossAzRouter`] only when the local availability zone cannot
+//! serve a request in time. The request goes to the nearest availability zone that the service's
+//! shift cap, a live grant, the link's limit and the request's deadline all allow.
 //!
 //! Each refusal or missing answer halves the send rate to an availability zone, and each answer
 //! restores a part. Therefore an AZ with frozen or wrong load reports loses its traffic within a
 //! few requests.
 //!
-//! The policy calls [`Across::arrived`] for each request that a caller sent to this VM, because the
-//! caps are a share of these requests. It calls [`Across::ended`] once for each `Some` that
-//! [`Across::choose`] returns.
+//! The policy calls [`CrossAzRouter::arrived`] for each request that a caller sent to this VM,
+//! because the caps are a share of these requests. It calls [`CrossAzRouter::ended`] once for each
+//! `Some` that [`CrossAzRouter::choose`] returns.
 
 use std::collections;
 use std::sync;
@@ -102,7 +102,7 @@
 
 /// Routes requests of one service to other availability zones.
 #[derive(Debug)]
-pub struct Across {
+pub struct CrossAzRouter {
     cfg: Config,
     local_az: id::AzId,
     caps: caps::Caps,
@@ -140,7 +140,7 @@
     }
 }
 
-impl Across {
+impl CrossAzRouter {
     /// Creates a sender in availability zone `local_az` without routes and grants.
     pub fn new(cfg: Config, local_az: id::AzId) -> Self {
         Self {
@@ -347,7 +347,7 @@
         }
     }
 
-    fn across() -> Across {
+    fn cross_az() -> CrossAzRouter {
         let cfg = Config {
             caps: caps::Config {
                 plan_share: 0.5,
@@ -355,23 +355,23 @@
             },
             ..Config::default()
         };
-        let mut across = Across::new(cfg, "a".into());
+        let mut cross_az = CrossAzRouter::new(cfg, "a".into());
         let route = |az: &str, region: Option<&str>, ms: u32| Route {
             az: az.into(),
             region: region.map(Into::into),
             one_way: MS * ms,
         };
-        across.set_routes(vec![
+        cross_az.set_routes(vec![
             route("far", Some("r2"), 55),
             route("near", None, 1),
             route("a", None, 0),
         ]);
-        across
+        cross_az
     }
 
     /// Offers one request per millisecond, `n` from `from` on; returns counts by availability zone.
     fn surge(
-        across: &mut Across,
+        cross_az: &mut CrossAzRouter,
         from: u32,
         n: u32,
         bytes: u64,
@@ -379,49 +379,52 @@
         let mut sent_by_az = collections::BTreeMap::new();
         for i in from..from + n {
             let now = MS * i;
-            across.arrived(now);
-            if let Some(az) = across.choose(now, 1, bytes, now + MS * 500) {
+            cross_az.arrived(now);
+            if let Some(az) = cross_az.choose(now, 1, bytes, now + MS * 500) {
                 *sent_by_az.entry(az.to_string()).or_default() += 1;
             }
-            across.tick(now);
+            cross_az.tick(now);
         }
         sent_by_az
     }
 
     #[test]
     fn nothing_is_sent_to_another_az_without_a_grant() {
-        let mut across = across();
-        assert!(surge(&mut across, 0, 5_000, 100).is_empty());
-        let wishes = across.wishes(MS * 5_000);
+        let mut cross_az = cross_az();
+        assert!(surge(&mut cross_az, 0, 5_000, 100).is_empty());
+        let wishes = cross_az.wishes(MS * 5_000);
         assert_eq!(wishes[0].az, "near".into());
         assert!((90.0..=101.0).contains(&wishes[0].per_s), "{wishes:?}");
     }
 
     #[test]
     fn the_tightest_of_cap_grant_and_link_applies() {
-        let mut across = across();
-        surge(&mut across, 0, 1_000, 100);
-        across.set_grant(MS * 1_000, grant("near", 20.0));
-        across.set_grant(MS * 1_000, grant("far", 10_000.0));
-        let sent_by_az = surge(&mut across, 1_000, 1_000, 100);
+        let mut cross_az = cross_az();
+        surge(&mut cross_az, 0, 1_000, 100);
+        cross_az.set_grant(MS * 1_000, grant("near", 20.0));
+        cross_az.set_grant(MS * 1_000, grant("far", 10_000.0));
+        let sent_by_az = surge(&mut cross_az, 1_000, 1_000, 100);
         assert_eq!(sent_by_az.get("far"), None, "no link is declared");
         assert!((15..=23).contains(&sent_by_az["near"]), "{sent_by_az:?}");
 
-        across.links.lock().set(MS * 2_000, &"r2".into(), 10_000, 1);
-        across.set_grant(MS * 2_000, grant("near", 20.0));
-        across.set_grant(MS * 2_000, grant("far", 10_000.0));
-        let sent_by_az = surge(&mut across, 2_000, 1_000, 1_000);
+        cross_az
+            .links
+            .lock()
+            .set(MS * 2_000, &"r2".into(), 10_000, 1);
+        cross_az.set_grant(MS * 2_000, grant("near", 20.0));
+        cross_az.set_grant(MS * 2_000, grant("far", 10_000.0));
+        let sent_by_az = surge(&mut cross_az, 2_000, 1_000, 1_000);
         assert!(
             (5..=10).contains(&sent_by_az["far"]),
             "the link: {sent_by_az:?}"
         );
 
-        across
+        cross_az
             .links
             .lock()
             .set(MS * 3_000, &"r2".into(), u64::MAX, 1);
-        across.set_grant(MS * 3_000, grant("far", 10_000.0));
-        let sent_by_az = surge(&mut across, 3_000, 2_000, 1_000);
+        cross_az.set_grant(MS * 3_000, grant("far", 10_000.0));
+        let sent_by_az = surge(&mut cross_az, 3_000, 2_000, 1_000);
         let all: u32 = sent_by_az.values().sum();
         assert!((180..=201).contains(&all), "the cap: {sent_by_az:?}");
     }
@@ -430,15 +433,15 @@
     /// backend servers died and then refuses each request sent to it.
     #[test]
     fn an_az_that_grants_and_refuses_loses_its_traffic() {
-        let mut across = across();
-        surge(&mut across, 0, 1_000, 100);
-        across.set_grant(MS * 1_000, grant("near", 80.0));
+        let mut cross_az = cross_az();
+        surge(&mut cross_az, 0, 1_000, 100);
+        cross_az.set_grant(MS * 1_000, grant("near", 80.0));
         let mut sent = 0;
         for i in 1_000..2_900 {
             let now = MS * i;
-            across.arrived(now);
-            if let Some(az) = across.choose(now, 1, 100, now + MS * 500) {
-                across.ended(now + MS, &az, Ended::Shed, 100);
+            cross_az.arrived(now);
+            if let Some(az) = cross_az.choose(now, 1, 100, now + MS * 500) {
+                cross_az.ended(now + MS, &az, Ended::Shed, 100);
                 sent += 1;
             }
         }
@@ -449,15 +452,15 @@
     /// answer would arrive too late.
     #[test]
     fn a_request_that_would_miss_its_deadline_is_not_sent() {
-        let mut across = across();
-        across
+        let mut cross_az = cross_az();
+        cross_az
             .links
             .lock()
             .set(policy::Moment::ZERO, &"r2".into(), u64::MAX, 1);
-        surge(&mut across, 0, 1_000, 100);
-        across.set_grant(MS * 1_000, grant("far", 80.0));
+        surge(&mut cross_az, 0, 1_000, 100);
+        cross_az.set_grant(MS * 1_000, grant("far", 80.0));
         let now = MS * 1_000;
-        assert_eq!(across.choose(now, 1, 100, now + MS * 100), None);
-        assert!(across.choose(now, 1, 100, now + MS * 200).is_some());
+        assert_eq!(cross_az.choose(now, 1, 100, now + MS * 100), None);
+        assert!(cross_az.choose(now, 1, 100, now + MS * 200).is_some());
     }
 }
--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -12,8 +12,8 @@
 use rand::{RngExt, SeedableRng};
 
 use super::{
-    across, admission, ejection, limit, members, note, placement, policy, probe, quarantine, queue,
-    ramp, range, retry, trust,
+    admission, cross_az, ejection, limit, members, note, placement, policy, probe, quarantine,
+    queue, ramp, range, retry, trust,
 };
 use crate::id;
 use policy::{Action, Ended, Fate, Moment, Origin, Place, Policy, Refusal, RequestId};
@@ -153,7 +153,7 @@
 #[derive(Debug)]
 pub struct Dispatch {
     pub(super) cfg: Config,
-    pub(super) across: across::Across,
+    pub(super) cross_az: cross_az::CrossAzRouter,
     pub(super) members: Vec<members::Member>,
     pub(super) queue: queue::Queue,
     pub(super) suspects: collections::VecDeque<RequestId>,
@@ -169,11 +169,11 @@
 }
 
 impl Dispatch {
-    /// Creates a dispatcher without backend servers. `across` chooses another availability zone for
+    /// Creates a dispatcher without backend servers. `cross_az` chooses another availability zone for
     /// requests that this one cannot answer in time.
-    pub fn new(cfg: Config, across: across::Across) -> Self {
+    pub fn new(cfg: Config, cross_az: cross_az::CrossAzRouter) -> Self {
         Self {
-            across,
+            cross_az,
             members: Vec::new(),
             queue: queue::Queue::default(),
             suspects: collections::VecDeque::new(),
@@ -191,8 +191,8 @@
     }
 
     /// The decisions on requests to other availability zones.
-    pub fn across(&mut self) -> &mut across::Across {
-        &mut self.across
+    pub fn cross_az(&mut self) -> &mut cross_az::CrossAzRouter {
+        &mut self.cross_az
     }
 
     /// Number of queued requests, suspects included.
@@ -321,7 +321,9 @@
         if pending.tried_remote_az || req.origin != Origin::Caller {
             return Some(pending);
         }
-        let chosen = self.across.choose(now, req.worth, req.bytes, req.deadline);
+        let chosen = self
+            .cross_az
+            .choose(now, req.worth, req.bytes, req.deadline);
         let Some(az) = chosen else {
             return Some(pending);
         };
@@ -557,8 +559,8 @@
 }
 
 impl Policy for Dispatch {
-    fn across(&mut self) -> Option<&mut across::Across> {
-        Some(&mut self.across)
+    fn cross_az(&mut self) -> Option<&mut cross_az::CrossAzRouter> {
+        Some(&mut self.cross_az)
     }
 
     fn bans(&mut self, now: Moment) -> Vec<quarantine::Entry> {
@@ -571,7 +573,7 @@
 
     fn arrive(&mut self, now: Moment, req: policy::Arrival, out: &mut Vec<Action>) {
         if req.origin == Origin::Caller {
-            self.across.arrived(now);
+            self.cross_az.arrived(now);
         }
         self.queue.arrived(&self.cfg.queue, now, class_key(&req));
         self.budget.refill(&self.cfg.retry);
@@ -606,7 +608,7 @@
             Place::Backend(backend) => self.record_end(now, req, backend, how, report),
             Place::Az(az) => {
                 let bytes = self.pending.get(&req).map_or(0, |p| p.req.bytes);
-                self.across.ended(now, az, how, bytes);
+                self.cross_az.ended(now, az, how, bytes);
             }
         }
         if let Some(pending) = self.pending.get_mut(&req) {
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -5,13 +5,13 @@
 //! so each decision can be tested in virtual time. The entry process and the load model run the
 //! same code behind [`policy::Policy`].
 
-pub mod across;
 pub mod admission;
 pub mod affinity;
 pub mod caps;
 pub mod cold;
 pub mod comeback;
 pub mod crashes;
+pub mod cross_az;
 pub mod declines;
 pub mod departures;
 pub mod dispatch;
--- a/src/decisions/plan.rs
+++ b/src/decisions/plan.rs
@@ -69,7 +69,8 @@
     /// Maximum age at which a summary counts fully. Three seconds: two may be lost.
     pub fresh_max_age: time::Duration,
     /// Summary age from which the availability zone counts as lost. Ten seconds: longer than a
-    /// restart of its elected reader, shorter than two lifetimes of callers' cached look-up answers.
+    /// restart of its elected reader, shorter than two lifetimes of callers' cached look-up
+    /// answers.
     pub lost_after: time::Duration,
     /// The smallest share of callers that a change must move to be written as a version.
     pub min_change_share: f64,
--- a/src/decisions/policy.rs
+++ b/src/decisions/policy.rs
@@ -6,7 +6,7 @@
 
 use std::time;
 
-use super::{across, note, quarantine};
+use super::{cross_az, note, quarantine};
 use crate::id;
 
 /// A point in time: how long the process has run.
@@ -214,7 +214,7 @@
     );
 
     /// What may be sent to other availability zones, where the policy sends any.
-    fn across(&mut self) -> Option<&mut across::Across> {
+    fn cross_az(&mut self) -> Option<&mut cross_az::CrossAzRouter> {
         None
     }
 
--- a/src/decisions/upkeep.rs
+++ b/src/decisions/upkeep.rs
@@ -25,7 +25,7 @@
     }
 
     fn report_load(&mut self, now: Moment) {
-        self.across.tick(now);
+        self.cross_az.tick(now);
         let (mut slots, mut in_flight) = (0, 0);
         for member in &self.members {
             if !member.healthy(&self.cfg.members, now) {
@@ -37,7 +37,7 @@
             in_flight += reported.max(member.in_flight.len() as u32);
         }
         let queued = self.queue.len() as u32;
-        self.across.own_load(now, slots, in_flight, queued);
+        self.cross_az.own_load(now, slots, in_flight, queued);
     }
 
     /// Refuses queued requests that cannot meet their deadline.
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -27,7 +27,7 @@
 use rand::RngExt;
 
 use crate::coordination::{driver, store, store_http};
-use crate::decisions::{across, dispatch, naive, policy};
+use crate::decisions::{cross_az, dispatch, naive, policy};
 use crate::state::{directory, fleet, keys, lookup};
 use crate::transport::{client, operators, pool, server};
 use crate::{config, error, id, metrics, protocol, settings};
@@ -90,8 +90,8 @@
             seed: rand::rng().random(),
             ..dispatch::Config::default()
         };
-        let across = across::Across::new(across::Config::default(), cfg.az.clone());
-        dispatch::Dispatch::new(decisions, across)
+        let cross_az = cross_az::CrossAzRouter::new(cross_az::Config::default(), cfg.az.clone());
+        dispatch::Dispatch::new(decisions, cross_az)
     }
 }
 
--- a/src/entry/desk.rs
+++ b/src/entry/desk.rs
@@ -21,7 +21,7 @@
 
 use super::{Core, Event, MakePolicy, answers, observe};
 use crate::coordination::grants;
-use crate::decisions::{across, policy};
+use crate::decisions::{cross_az, policy};
 use crate::protocol::{backend, backend_http, headers, outcome};
 use crate::state::keys;
 use crate::transport::{client, server};
@@ -125,8 +125,11 @@
 
 impl<P: Policy> Desk<P> {
     /// Asks the policy's sending side something. `None`: it has none.
-    pub(super) fn with_across<R>(&self, ask: impl FnOnce(&mut across::Across) -> R) -> Option<R> {
-        self.with_policy(|policy| policy.across().map(ask))
+    pub(super) fn with_cross_az<R>(
+        &self,
+        ask: impl FnOnce(&mut cross_az::CrossAzRouter) -> R,
+    ) -> Option<R> {
+        self.with_policy(|policy| policy.cross_az().map(ask))
     }
 
     /// Asks the policy something that leads to no action.
@@ -397,7 +400,7 @@
         }
         Place::Az(az) => {
             // Only the entry VM that gave the grant honours it.
-            let vm = inner.policy.across()?.grant(core.now(), az)?.vm.clone();
+            let vm = inner.policy.cross_az()?.grant(core.now(), az)?.vm.clone();
             let addr = core.shared.fleet.load().vm(&vm)?.addr;
             Some((addr, sync::Arc::default(), format!("/{}", desk.service)))
         }
@@ -411,7 +414,7 @@
     to: &Place,
 ) -> Option<hyper::header::HeaderValue> {
     let Place::Az(az) = to else { return None };
-    let grant = inner.policy.across()?.grant(core.now(), az)?;
+    let grant = inner.policy.cross_az()?.grant(core.now(), az)?;
     grants::to_text(&core.cfg.vm, grant.id).parse().ok()
 }
 
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -338,9 +338,9 @@
     if placed.is_none() || placed.map(|r| &r.name) == here.map(|r| &r.name) {
         return Ok(None);
     }
-    let taken = desk.with_across(|across| {
-        let taken = across.takes_displaced(now, asked.op.worth);
-        (taken, across.retry_after())
+    let taken = desk.with_cross_az(|cross_az| {
+        let taken = cross_az.takes_displaced(now, asked.op.worth);
+        (taken, cross_az.retry_after())
     });
     match taken {
         Some((false, after)) => Err(Turned::Away(after)),
--- a/src/entry/steer.rs
+++ b/src/entry/steer.rs
@@ -15,7 +15,7 @@
 
 use super::{Core, MakePolicy, desk};
 use crate::coordination::{grants as exchange, loads, peers, plan_writer, store};
-use crate::decisions::{across, caps, drain, grants, links, plan, policy};
+use crate::decisions::{caps, cross_az, drain, grants, links, plan, policy};
 use crate::protocol::{headers, peer};
 use crate::state::fleet;
 use crate::transport::server;
@@ -32,7 +32,7 @@
     loads: Mutex<loads::Table>,
     demand: Mutex<loads::Demand>,
     applied: Mutex<plan::Applied>,
-    links: across::SharedLinks,
+    links: cross_az::SharedLinks,
     told: Mutex<policy::Moment>,
     held: Mutex<Held>,
     answers: Mutex<collections::BTreeMap<id::ServiceId, f64>>,
@@ -59,7 +59,7 @@
             loads: Mutex::new(loads::Table::new(vm.clone(), az.clone(), incarnation)),
             demand: Mutex::default(),
             applied: Mutex::default(),
-            links: across::SharedLinks::default(),
+            links: cross_az::SharedLinks::default(),
             told: Mutex::default(),
             held: Mutex::default(),
             answers: Mutex::default(),
@@ -101,7 +101,7 @@
 
     /// Whether a request that has waited so long may wait on.
     pub(super) fn may_wait(&self, waited: time::Duration) -> bool {
-        waited < across::ROOM_WAIT && self.held.lock().reqs.len() < MAX_HELD
+        waited < cross_az::ROOM_WAIT && self.held.lock().reqs.len() < MAX_HELD
     }
 
     /// Keeps a request until time passes.
@@ -229,8 +229,8 @@
         peer::Message::Granted(granted) => {
             let desk = core.desks.load().get(&granted.grant.service).cloned();
             if let Some(desk) = desk {
-                desk.with_across(|across| {
-                    across.set_grant(granted.asked, granted.grant.clone());
+                desk.with_cross_az(|cross_az| {
+                    cross_az.set_grant(granted.asked, granted.grant.clone());
                 });
             }
         }
@@ -312,15 +312,15 @@
             tell_bans(&desk, now, peers, &service.name);
         }
         let routes = routes(core, &settings, service, &drained);
-        let cfg = across::Config {
+        let cfg = cross_az::Config {
             caps: caps::Config::of(service),
             max_load: max_load(core, &settings),
         };
-        let told = desk.with_across(|across| {
-            across.set_config(cfg);
-            across.set_routes(routes);
-            across.set_links(core.steer.links.clone());
-            (across.own(), across.wishes(now))
+        let told = desk.with_cross_az(|cross_az| {
+            cross_az.set_config(cfg);
+            cross_az.set_routes(routes);
+            cross_az.set_links(core.steer.links.clone());
+            (cross_az.own(), cross_az.wishes(now))
         });
         let Some((own, wishes)) = told else { continue };
         let row = row(core, &desk, service, own);
@@ -337,7 +337,9 @@
 
 fn max_load<M: MakePolicy>(core: &Core<M>, settings: &settings::Settings) -> f64 {
     let region = settings.region_of(&core.cfg.az);
-    region.map_or(across::Config::default().max_load, |region| region.max_load)
+    region.map_or(cross_az::Config::default().max_load, |region| {
+        region.max_load
+    })
 }
 
 /// Entry VMs of some availability zones by the platform's list, leaving ones too: they still send.
@@ -380,7 +382,7 @@
     settings: &settings::Settings,
     service: &settings::Service,
     drained: &collections::BTreeMap<id::AzId, f64>,
-) -> Vec<across::Route> {
+) -> Vec<cross_az::Route> {
     let Some(own) = settings.region_of(&core.cfg.az) else {
         return Vec::new();
     };
@@ -393,7 +395,7 @@
             let mut links = settings.links();
             let link = links.find(|l| l.from == own.name && l.to == region.name);
             let ms = if near { NEAR_MS } else { link?.one_way_ms };
-            Some(across::Route {
+            Some(cross_az::Route {
                 az: az.clone(),
                 region: (!near).then(|| region.name.clone()),
                 one_way: time::Duration::from_secs_f64(ms / 1e3),
@@ -409,7 +411,7 @@
     core: &Core<M>,
     desk: &desk::Desk<M::Policy>,
     service: &settings::Service,
-    own: across::Own,
+    own: cross_az::Own,
 ) -> peer::WorkRow {
     peer::WorkRow {
         service: service.name.clone(),
@@ -426,7 +428,7 @@
     settings: &settings::Settings,
     fleet: &fleet::Fleet,
     service: &settings::Service,
-    own: across::Own,
+    own: cross_az::Own,
     row: &peer::WorkRow,
 ) {
     let listed = entries_in(fleet, std::slice::from_ref(&core.cfg.az));
@@ -458,7 +460,7 @@
     now: policy::Moment,
     peers: &peers::Peers,
     service: &id::ServiceId,
-    wishes: &[across::Wish],
+    wishes: &[cross_az::Wish],
 ) {
     let linked: Vec<_> = peers.linked().into_iter().map(|l| (l.vm, l.az)).collect();
     let mut asker = core.steer.asker.lock();
--- a/src/standin/model/table.rs
+++ b/src/standin/model/table.rs
@@ -3,7 +3,7 @@
 use std::time;
 
 use super::{Deployment, best, load, patterns, run, tally};
-use crate::decisions::{across, dispatch, naive};
+use crate::decisions::{cross_az, dispatch, naive};
 
 /// One row: a pattern on a deployment.
 #[derive(Clone, Debug)]
@@ -41,7 +41,10 @@
         ..dispatch::Config::default()
     };
     let az = dep.azs[site.az].id.clone();
-    dispatch::Dispatch::new(cfg, across::Across::new(across::Config::default(), az))
+    dispatch::Dispatch::new(
+        cfg,
+        cross_az::CrossAzRouter::new(cross_az::Config::default(), az),
+    )
 }
 
 impl Row {
--- a/src/standin/steering/mod.rs
+++ b/src/standin/steering/mod.rs
@@ -1,7 +1,7 @@
 //! Traffic between availability zones in virtual time: what question 2 of the design is measured
 //! with.
 //!
-//! It drives the real [`across`], [`grants`] and [`plan`] with fixed arrivals. An availability zone
+//! It drives the real [`cross_az`], [`grants`] and [`plan`] with fixed arrivals. An availability zone
 //! is a pool of slots with one queue; messages take a fixed time, loads are told twice a second,
 //! callers keep a look-up for five seconds. Nothing reads a clock, all randomness is seeded.
 
@@ -15,7 +15,7 @@
 use std::path;
 use std::time;
 
-use crate::decisions::{across, grants, plan, policy};
+use crate::decisions::{cross_az, grants, plan, policy};
 use crate::{id, settings};
 
 pub use play::play;
@@ -141,13 +141,13 @@
         time::Duration::from_secs_f64(link.expect("it is declared").one_way_ms / 1e3)
     }
 
-    fn routes(&self, from: &id::AzId) -> Vec<across::Route> {
+    fn routes(&self, from: &id::AzId) -> Vec<cross_az::Route> {
         let own = &self.settings.region_of(from).expect("it is declared").name;
         let others = self.service.azs.iter().filter(|az| *az != from);
         others
             .map(|az| {
                 let region = &self.settings.region_of(az).expect("it is declared").name;
-                across::Route {
+                cross_az::Route {
                     az: az.clone(),
                     region: (region != own).then(|| region.clone()),
                     one_way: self.one_way(from, az),
--- a/src/standin/steering/places.rs
+++ b/src/standin/steering/places.rs
@@ -4,7 +4,7 @@
 
 use super::Way;
 use super::play::{COLD, CROSS_AFTER, Event, RETRY, VMS, World, vm_index, vm_name};
-use crate::decisions::{across, grants, plan, policy};
+use crate::decisions::{cross_az, grants, plan, policy};
 use crate::id;
 use policy::{Ended, Moment};
 
@@ -27,15 +27,15 @@
                     .iter()
                     .any(|a| a.name == placed && a.region == self.azs[az].region)
             });
-            if !here && !self.vms[vm].across.takes_displaced(self.now, worth) {
+            if !here && !self.vms[vm].cross_az.takes_displaced(self.now, worth) {
                 self.tally.refused += 1;
                 return;
             }
         }
-        self.vms[vm].across.arrived(self.now);
+        self.vms[vm].cross_az.arrived(self.now);
         let wait = self.wait(az);
         let fits = self.fits(req, az);
-        if (wait > CROSS_AFTER || !fits) && self.try_across(req, vm) {
+        if (wait > CROSS_AFTER || !fits) && self.try_cross_az(req, vm) {
             return;
         }
         if fits {
@@ -64,7 +64,7 @@
             && self.now + self.wait(az) + self.reqs[req].work < self.reqs[req].deadline
     }
 
-    pub(super) fn try_across(&mut self, req: usize, vm: usize) -> bool {
+    pub(super) fn try_cross_az(&mut self, req: usize, vm: usize) -> bool {
         if self.reqs[req].crossed.is_some() {
             return false;
         }
@@ -83,7 +83,7 @@
                 };
                 routes.into_iter().map(|route| route.az).find(up)
             }
-            _ => self.vms[vm].across.choose(now, worth, bytes, deadline),
+            _ => self.vms[vm].cross_az.choose(now, worth, bytes, deadline),
         };
         let Some(az) = chosen else { return false };
         let to = self
@@ -94,7 +94,10 @@
         let mut target = to * VMS + vm % VMS;
         let mut number = None;
         if self.way.grants() {
-            let grant = self.vms[vm].across.grant(now, &az).expect("it was chosen");
+            let grant = self.vms[vm]
+                .cross_az
+                .grant(now, &az)
+                .expect("it was chosen");
             number = Some(grant.id.number);
             target = vm_index(&grant.vm);
         }
@@ -149,7 +152,7 @@
             if let Err(why) = granter.admit(self.now, &vm_name(sender), id) {
                 let waited = self.now - self.reqs[req].reached.unwrap_or(self.now);
                 self.reqs[req].reached.get_or_insert(self.now);
-                if why != grants::Refused::NoGrant && waited < across::ROOM_WAIT {
+                if why != grants::Refused::NoGrant && waited < cross_az::ROOM_WAIT {
                     return self.after(RETRY, Event::Cross { req, vm, grant });
                 }
                 return self.after(back, Event::Bounce { req, how: 0 });
@@ -174,7 +177,7 @@
         };
         let name = self.azs[to].name.clone();
         self.vms[vm]
-            .across
+            .cross_az
             .ended(self.now, &name, how, self.scenario.bytes);
         if how == Ended::TimedOut {
             self.tally.lost += 1;
@@ -248,7 +251,7 @@
             back += self.dep.one_way(&self.azs[from].name, &self.azs[to].name);
             let (vm, name) = (self.reqs[req].vm, self.azs[to].name.clone());
             self.vms[vm]
-                .across
+                .cross_az
                 .ended(self.now, &name, Ended::Answered, self.scenario.bytes);
         }
         self.after(back, Event::Told(req));
--- a/src/standin/steering/play.rs
+++ b/src/standin/steering/play.rs
@@ -8,7 +8,7 @@
 use rand::SeedableRng;
 
 use super::{Deployment, Scenario, Tally, Way, initial};
-use crate::decisions::{across, caps, grants, links, plan, policy};
+use crate::decisions::{caps, cross_az, grants, links, plan, policy};
 use crate::id;
 use policy::Moment;
 
@@ -92,7 +92,7 @@
 pub(super) struct Vm {
     pub(super) az: usize,
     pub(super) up: bool,
-    pub(super) across: across::Across,
+    pub(super) cross_az: cross_az::CrossAzRouter,
     pub(super) granter: grants::Granter,
     pub(super) applied: plan::Applied,
     pub(super) own: u32,
@@ -244,7 +244,7 @@
             } => self.wish(from, to, per_s, asked),
             Event::Granted { to, asked, number } => {
                 let grant = self.granted[number].clone();
-                self.vms[to].across.set_grant(asked, grant);
+                self.vms[to].cross_az.set_grant(asked, grant);
             }
             Event::Version(vm, number) => {
                 let plan = self.versions[number].clone();
@@ -265,12 +265,12 @@
 }
 
 fn new_vm(dep: &Deployment, azs: &[Az], az: usize, number: usize) -> Vm {
-    let cfg = across::Config {
+    let cfg = cross_az::Config {
         caps: caps::Config::of(&dep.service),
-        ..across::Config::default()
+        ..cross_az::Config::default()
     };
-    let mut across = across::Across::new(cfg, azs[az].name.clone());
-    across.set_routes(dep.routes(&azs[az].name));
+    let mut cross_az = cross_az::CrossAzRouter::new(cfg, azs[az].name.clone());
+    cross_az.set_routes(dep.routes(&azs[az].name));
     let mut own_links = links::Links::new(links::Config::default());
     let home = &dep
         .settings
@@ -280,7 +280,7 @@
     for link in dep.settings.links().filter(|link| link.from == *home) {
         own_links.set(Moment::ZERO, &link.to, link.bytes_per_s, 4 * VMS as u32);
     }
-    across.set_links(sync::Arc::new(parking_lot::Mutex::new(own_links)));
+    cross_az.set_links(sync::Arc::new(parking_lot::Mutex::new(own_links)));
     let lender = grants::Lender {
         service: dep.service.name.clone(),
         az: azs[az].name.clone(),
@@ -290,7 +290,7 @@
     Vm {
         az,
         up: true,
-        across,
+        cross_az,
         granter: grants::Granter::new(grants::Config::default(), Moment::ZERO, lender),
         applied: plan::Applied::default(),
         own: 0,
--- a/src/standin/steering/upkeep.rs
+++ b/src/standin/steering/upkeep.rs
@@ -72,8 +72,8 @@
         let (now, slots, busy) = (self.now, self.azs[az].slots, self.azs[az].busy);
         let queued = self.azs[az].queue.len() as u32;
         let v = &mut self.vms[vm];
-        v.across.tick(now);
-        v.across.own_load(now, slots, busy, queued);
+        v.cross_az.tick(now);
+        v.cross_az.own_load(now, slots, busy, queued);
         v.granter.set_load(now, load);
         v.granter.tick(now);
         if !tells {
@@ -86,14 +86,14 @@
                 let name = to.name.clone();
                 if f64::from(to.in_hand) < full && self.reaches(az, &name) {
                     let grant = blank(&self.dep.service.name, &name);
-                    self.vms[vm].across.set_grant(now, grant);
+                    self.vms[vm].cross_az.set_grant(now, grant);
                 }
             }
         }
         if !self.way.grants() {
             return;
         }
-        for wish in self.vms[vm].across.wishes(now) {
+        for wish in self.vms[vm].cross_az.wishes(now) {
             let to = self
                 .azs
                 .iter()
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -3,7 +3,7 @@
 use std::collections;
 use std::time;
 
-use bulrushwind::decisions::{across, dispatch, policy, queue, retry};
+use bulrushwind::decisions::{cross_az, dispatch, policy, queue, retry};
 use policy::{Action, Ended, Fate, Moment, Place, Policy};
 use proptest::prelude::*;
 use proptest::test_runner;
@@ -81,9 +81,9 @@
             },
             ..dispatch::Config::default()
         };
-        let across = across::Across::new(across::Config::default(), "here".into());
+        let cross_az = cross_az::CrossAzRouter::new(cross_az::Config::default(), "here".into());
         let mut harness = Self {
-            dispatch: dispatch::Dispatch::new(cfg, across),
+            dispatch: dispatch::Dispatch::new(cfg, cross_az),
             cfg,
             now: Moment::from_secs(1),
             requests: Vec::new(),
