--- a/src/coordination/grants.rs
+++ b/src/coordination/grants.rs
@@ -107,7 +107,7 @@
         &mut self,
         now: policy::Moment,
         service: &id::ServiceId,
-        wishes: &[cross_az::Wish],
+        wishes: &[cross_az::GrantRequest],
         linked: &[(id::VmId, id::AzId)],
         me: &id::VmId,
     ) -> Vec<(id::VmId, peer::Message)> {
@@ -194,7 +194,7 @@
     #[test]
     fn a_wish_becomes_a_grant_that_is_honoured_by_its_giver() {
         let lenders = lenders();
-        let wish = cross_az::Wish {
+        let wish = cross_az::GrantRequest {
             az: "b".into(),
             per_s: 50.0,
         };
--- a/src/decisions/cross_az.rs
+++ b/src/decisions/cross_az.rs
@@ -47,7 +47,7 @@
 
 /// How long a receiver lets a request under a live grant wait for a free slot. A refusal costs a
 /// round trip between regions, while slots become free within a few service times.
-pub const ROOM_WAIT: time::Duration = time::Duration::from_millis(100);
+pub const MAX_SLOT_WAIT: time::Duration = time::Duration::from_millis(100);
 
 /// Thresholds of one sender.
 #[derive(Clone, Debug)]
@@ -81,7 +81,7 @@
 
 /// A grant that this VM should request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wish {
+pub struct GrantRequest {
     /// The availability zone that should grant it.
     pub az: id::AzId,
     /// Requested rate, in requests per second.
@@ -112,14 +112,14 @@
     routes: Vec<Route>,
     trust: collections::BTreeMap<id::AzId, f64>,
     demand: Demand,
-    local_load: Own,
+    local_load: LocalLoad,
     load_updated_at: policy::Moment,
     avg_load_share: f64,
 }
 
 /// Load of the local availability zone as this VM sees it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Own {
+pub struct LocalLoad {
     /// Slots of the backend servers that accept requests.
     pub slots: u32,
     /// Requests running or queued at backend servers.
@@ -130,7 +130,7 @@
     pub in_use: f64,
 }
 
-impl Own {
+impl LocalLoad {
     /// Running and queued requests as a share of slots; 1 without slots.
     fn load_share(&self) -> f64 {
         match self.slots {
@@ -152,7 +152,7 @@
             routes: Vec::new(),
             trust: collections::BTreeMap::new(),
             demand: Demand::default(),
-            local_load: Own::default(),
+            local_load: LocalLoad::default(),
             load_updated_at: policy::Moment::ZERO,
             avg_load_share: 0.0,
         }
@@ -184,7 +184,7 @@
 
     /// Decides whether to serve a caller that the plan assigns to another availability zone. An
     /// accepted request counts against the shift cap; local callers have priority.
-    pub fn takes_displaced(&mut self, now: policy::Moment, worth: u32) -> bool {
+    pub fn admit_displaced(&mut self, now: policy::Moment, worth: u32) -> bool {
         let has_headroom = self.avg_load_share < self.cfg.max_load - DISPLACED_MARGIN_SHARE;
         let allowed = has_headroom && self.caps.allows(now, worth);
         if allowed {
@@ -259,11 +259,11 @@
     }
 
     /// Updates the load of the local availability zone.
-    pub fn own_load(&mut self, now: policy::Moment, slots: u32, in_flight: u32, queued: u32) {
+    pub fn set_local_load(&mut self, now: policy::Moment, slots: u32, in_flight: u32, queued: u32) {
         let passed = now.saturating_sub(self.load_updated_at).as_secs_f64();
         let gain = 1.0 - (-passed / LOAD_AVERAGING_TIME.as_secs_f64()).exp();
         self.load_updated_at = self.load_updated_at.max(now);
-        self.local_load = Own {
+        self.local_load = LocalLoad {
             slots,
             in_flight,
             queued,
@@ -274,14 +274,14 @@
         self.avg_load_share += gain * (self.local_load.load_share() - self.avg_load_share);
     }
 
-    /// The last load given to [`Self::own_load`].
-    pub fn own(&self) -> Own {
+    /// The last load given to [`Self::set_local_load`].
+    pub fn local_load(&self) -> LocalLoad {
         self.local_load
     }
 
     /// The grants that this VM should request, nearest availability zone first. Each request covers
     /// the demand that the live grants of nearer AZs do not cover.
-    pub fn wishes(&self, now: policy::Moment) -> Vec<Wish> {
+    pub fn grant_requests(&self, now: policy::Moment) -> Vec<GrantRequest> {
         let max_per_s = self.cfg.caps.sender_share() * self.demand.arrived_per_s;
         let prefetch_per_s = if self.local_load.load_share() >= PREFETCH_LOAD_SHARE {
             1.0
@@ -293,12 +293,12 @@
             .overflow_per_s
             .min(max_per_s)
             .max(prefetch_per_s);
-        let mut wishes = Vec::new();
+        let mut requests = Vec::new();
         for route in &self.routes {
             if uncovered_per_s <= 0.0 {
                 break;
             }
-            wishes.push(Wish {
+            requests.push(GrantRequest {
                 az: route.az.clone(),
                 per_s: uncovered_per_s,
             });
@@ -307,7 +307,7 @@
                 None => 0.0,
             };
         }
-        wishes
+        requests
     }
 
     /// Stores a received grant. `requested_at` is the time at which this VM requested it.
@@ -392,9 +392,9 @@
     fn nothing_is_sent_to_another_az_without_a_grant() {
         let mut cross_az = cross_az();
         assert!(surge(&mut cross_az, 0, 5_000, 100).is_empty());
-        let wishes = cross_az.wishes(MS * 5_000);
-        assert_eq!(wishes[0].az, "near".into());
-        assert!((90.0..=101.0).contains(&wishes[0].per_s), "{wishes:?}");
+        let requests = cross_az.grant_requests(MS * 5_000);
+        assert_eq!(requests[0].az, "near".into());
+        assert!((90.0..=101.0).contains(&requests[0].per_s), "{requests:?}");
     }
 
     #[test]
--- a/src/decisions/upkeep.rs
+++ b/src/decisions/upkeep.rs
@@ -37,7 +37,7 @@
             in_flight += reported.max(member.in_flight.len() as u32);
         }
         let queued = self.queue.len() as u32;
-        self.cross_az.own_load(now, slots, in_flight, queued);
+        self.cross_az.set_local_load(now, slots, in_flight, queued);
     }
 
     /// Refuses queued requests that cannot meet their deadline.
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -339,7 +339,7 @@
         return Ok(None);
     }
     let taken = desk.with_cross_az(|cross_az| {
-        let taken = cross_az.takes_displaced(now, asked.op.worth);
+        let taken = cross_az.admit_displaced(now, asked.op.worth);
         (taken, cross_az.retry_after())
     });
     match taken {
--- a/src/entry/steer.rs
+++ b/src/entry/steer.rs
@@ -101,7 +101,7 @@
 
     /// Whether a request that has waited so long may wait on.
     pub(super) fn may_wait(&self, waited: time::Duration) -> bool {
-        waited < cross_az::ROOM_WAIT && self.held.lock().reqs.len() < MAX_HELD
+        waited < cross_az::MAX_SLOT_WAIT && self.held.lock().reqs.len() < MAX_HELD
     }
 
     /// Keeps a request until time passes.
@@ -320,7 +320,7 @@
             cross_az.set_config(cfg);
             cross_az.set_routes(routes);
             cross_az.set_links(core.steer.links.clone());
-            (cross_az.own(), cross_az.wishes(now))
+            (cross_az.local_load(), cross_az.grant_requests(now))
         });
         let Some((own, wishes)) = told else { continue };
         let row = row(core, &desk, service, own);
@@ -411,7 +411,7 @@
     core: &Core<M>,
     desk: &desk::Desk<M::Policy>,
     service: &settings::Service,
-    own: cross_az::Own,
+    own: cross_az::LocalLoad,
 ) -> peer::WorkRow {
     peer::WorkRow {
         service: service.name.clone(),
@@ -428,7 +428,7 @@
     settings: &settings::Settings,
     fleet: &fleet::Fleet,
     service: &settings::Service,
-    own: cross_az::Own,
+    own: cross_az::LocalLoad,
     row: &peer::WorkRow,
 ) {
     let listed = entries_in(fleet, std::slice::from_ref(&core.cfg.az));
@@ -460,7 +460,7 @@
     now: policy::Moment,
     peers: &peers::Peers,
     service: &id::ServiceId,
-    wishes: &[cross_az::Wish],
+    wishes: &[cross_az::GrantRequest],
 ) {
     let linked: Vec<_> = peers.linked().into_iter().map(|l| (l.vm, l.az)).collect();
     let mut asker = core.steer.asker.lock();
--- a/src/standin/steering/places.rs
+++ b/src/standin/steering/places.rs
@@ -27,7 +27,7 @@
                     .iter()
                     .any(|a| a.name == placed && a.region == self.azs[az].region)
             });
-            if !here && !self.vms[vm].cross_az.takes_displaced(self.now, worth) {
+            if !here && !self.vms[vm].cross_az.admit_displaced(self.now, worth) {
                 self.tally.refused += 1;
                 return;
             }
@@ -152,7 +152,7 @@
             if let Err(why) = granter.admit(self.now, &vm_name(sender), id) {
                 let waited = self.now - self.reqs[req].reached.unwrap_or(self.now);
                 self.reqs[req].reached.get_or_insert(self.now);
-                if why != grants::Refused::NoGrant && waited < cross_az::ROOM_WAIT {
+                if why != grants::Refused::NoGrant && waited < cross_az::MAX_SLOT_WAIT {
                     return self.after(RETRY, Event::Cross { req, vm, grant });
                 }
                 return self.after(back, Event::Bounce { req, how: 0 });
--- a/src/standin/steering/upkeep.rs
+++ b/src/standin/steering/upkeep.rs
@@ -73,7 +73,7 @@
         let queued = self.azs[az].queue.len() as u32;
         let v = &mut self.vms[vm];
         v.cross_az.tick(now);
-        v.cross_az.own_load(now, slots, busy, queued);
+        v.cross_az.set_local_load(now, slots, busy, queued);
         v.granter.set_load(now, load);
         v.granter.tick(now);
         if !tells {
@@ -93,7 +93,7 @@
         if !self.way.grants() {
             return;
         }
-        for wish in self.vms[vm].cross_az.wishes(now) {
+        for wish in self.vms[vm].cross_az.grant_requests(now) {
             let to = self
                 .azs
                 .iter()
