--- a/src/coordination/grants.rs
+++ b/src/coordination/grants.rs
@@ -45,7 +45,7 @@
 
 impl Lenders {
     /// Takes in the state of the availability zone; the first call makes the service's lender.
-    pub fn set_load(&self, now: policy::Moment, lender: &grants::Lender, load: grants::Load) {
+    pub fn set_load(&self, now: policy::Moment, lender: &grants::Issuer, load: grants::Load) {
         let mut all = self.by_service.lock();
         let granter = all.entry(lender.service.clone()).or_insert_with(|| {
             grants::Granter::new(grants::Config::default(), now, lender.clone())
@@ -62,7 +62,9 @@
         wish: &peer::AskGrant,
     ) -> Option<peer::Granted> {
         let mut all = self.by_service.lock();
-        let grant = all.get_mut(&wish.service)?.ask(now, from, wish.per_s)?;
+        let grant = all
+            .get_mut(&wish.service)?
+            .request_grant(now, from, wish.per_s)?;
         Some(peer::Granted {
             grant,
             asked: wish.asked,
@@ -90,7 +92,7 @@
     /// Requests of a service in hand under grants.
     pub fn in_hand(&self, service: &id::ServiceId) -> u32 {
         let all = self.by_service.lock();
-        all.get(service).map_or(0, grants::Granter::in_hand)
+        all.get(service).map_or(0, grants::Granter::in_flight)
     }
 }
 
@@ -172,7 +174,7 @@
 
     fn lenders() -> sync::Arc<Lenders> {
         let lenders = sync::Arc::new(Lenders::default());
-        let lender = grants::Lender {
+        let lender = grants::Issuer {
             service: "s".into(),
             az: "b".into(),
             vm: "b1".into(),
@@ -182,7 +184,7 @@
             slots: 20,
             max_load: 0.9,
             members: 1,
-            own: 0,
+            local_requests: 0,
             az_in_flight: 0,
             service_time: S / 50,
         };
--- a/src/decisions/grants.rs
+++ b/src/decisions/grants.rs
@@ -132,7 +132,7 @@
     /// Entry VMs of the availability zone, including this one. 0: unknown, nothing is granted.
     pub members: u32,
     /// Requests of local callers on this VM, queued or in flight.
-    pub own: u32,
+    pub local_requests: u32,
     /// Requests in flight in the whole availability zone: the highest value in any report.
     pub az_in_flight: u32,
     /// Average service time of a backend server.
@@ -144,7 +144,7 @@
     sender: id::VmId,
     slots: u32,
     expires_at: policy::Moment,
-    in_hand: u32,
+    in_flight: u32,
 }
 
 /// Issues grants for one service on one entry VM, and admits requests under them.
@@ -172,7 +172,7 @@
 
 /// Identifies the issuer of grants.
 #[derive(Clone, Debug)]
-pub struct Lender {
+pub struct Issuer {
     /// The service.
     pub service: id::ServiceId,
     /// The availability zone.
@@ -185,13 +185,13 @@
 
 impl Granter {
     /// Creates a granter without grants. `now` is the start time of the process.
-    pub fn new(cfg: Config, now: policy::Moment, lender: Lender) -> Self {
+    pub fn new(cfg: Config, now: policy::Moment, issuer: Issuer) -> Self {
         Self {
             cfg,
-            service: lender.service,
-            az: lender.az,
-            vm: lender.vm,
-            incarnation: lender.incarnation,
+            service: issuer.service,
+            az: issuer.az,
+            vm: issuer.vm,
+            incarnation: issuer.incarnation,
             started: now,
             next_number: 1,
             load: Load::default(),
@@ -212,7 +212,7 @@
     pub fn set_load(&mut self, now: policy::Moment, load: Load) {
         let passed = now.saturating_sub(self.load_updated_at).as_secs_f64();
         let gain = 1.0 - (-passed / LOAD_AVERAGING_TIME.as_secs_f64()).exp();
-        self.avg_local += gain * (f64::from(load.own) - self.avg_local);
+        self.avg_local += gain * (f64::from(load.local_requests) - self.avg_local);
         self.avg_az_in_flight += gain * (f64::from(load.az_in_flight) - self.avg_az_in_flight);
         self.load_updated_at = self.load_updated_at.max(now);
         self.load = load;
@@ -226,7 +226,12 @@
 
     /// Issues or renews the grant of a sender that requests `per_s` requests per second. Returns
     /// `None` if less than one slot can be granted or the process has just started.
-    pub fn ask(&mut self, now: policy::Moment, from: &id::VmId, per_s: f64) -> Option<Grant> {
+    pub fn request_grant(
+        &mut self,
+        now: policy::Moment,
+        from: &id::VmId,
+        per_s: f64,
+    ) -> Option<Grant> {
         self.tick(now);
         self.requested_at.insert(from.clone(), now);
         if now < self.started + self.cfg.startup_delay {
@@ -248,7 +253,7 @@
             sender: from.clone(),
             slots: 0,
             expires_at: now,
-            in_hand: 0,
+            in_flight: 0,
         });
         issued.slots = slots;
         issued.expires_at = now + self.cfg.ttl;
@@ -277,51 +282,51 @@
             return Err(Refused::NoGrant);
         }
         let available = self.available_now();
-        let in_hand = self.in_hand();
+        let in_flight = self.in_flight();
         let issued = self.issued.get_mut(&grant.number).ok_or(Refused::NoGrant)?;
         if issued.sender != *from || now >= issued.expires_at {
             return Err(Refused::NoGrant);
         }
-        if issued.in_hand >= issued.slots {
+        if issued.in_flight >= issued.slots {
             return Err(Refused::Full);
         }
-        if f64::from(in_hand + 1) > available {
+        if f64::from(in_flight + 1) > available {
             return Err(Refused::OwnFirst);
         }
-        issued.in_hand += 1;
-        self.peak_in_flight = self.peak_in_flight.max(in_hand + 1);
+        issued.in_flight += 1;
+        self.peak_in_flight = self.peak_in_flight.max(in_flight + 1);
         Ok(())
     }
 
     /// Releases the slot of a request that [`Self::admit`] admitted.
     pub fn done(&mut self, grant: GrantId) {
         if let Some(issued) = self.issued.get_mut(&grant.number) {
-            issued.in_hand = issued.in_hand.saturating_sub(1);
+            issued.in_flight = issued.in_flight.saturating_sub(1);
         }
     }
 
     /// Drops expired grants and updates the warm-up limit once per [`Config::ttl`].
     pub fn tick(&mut self, now: policy::Moment) {
         self.issued
-            .retain(|_, issued| now < issued.expires_at || issued.in_hand > 0);
+            .retain(|_, issued| now < issued.expires_at || issued.in_flight > 0);
         let retention = self.cfg.ttl;
         self.requested_at
             .retain(|_, requested_at| now < *requested_at + retention);
         if now >= self.warmup_updated_at + self.cfg.ttl {
             self.warmup_updated_at = now;
             self.warmup_limit = self.next_warmup_limit();
-            self.peak_in_flight = self.in_hand();
+            self.peak_in_flight = self.in_flight();
         }
     }
 
     /// Requests currently admitted under grants.
-    pub fn in_hand(&self) -> u32 {
-        self.issued.values().map(|issued| issued.in_hand).sum()
+    pub fn in_flight(&self) -> u32 {
+        self.issued.values().map(|issued| issued.in_flight).sum()
     }
 
     /// Slots that are granted, or still in use after their grant expired.
     pub fn granted_slots(&self) -> u32 {
-        let held = |issued: &IssuedGrant| issued.slots.max(issued.in_hand);
+        let held = |issued: &IssuedGrant| issued.slots.max(issued.in_flight);
         self.issued.values().map(held).sum()
     }
 
@@ -343,14 +348,14 @@
         }
         let member_count = f64::from(self.member_count);
         let by_local = self.limit() / member_count - local;
-        let by_reports = (self.limit() - in_flight) / member_count + f64::from(self.in_hand());
+        let by_reports = (self.limit() - in_flight) / member_count + f64::from(self.in_flight());
         let margin = self.cfg.margin * self.limit() / member_count;
         (by_local.min(by_reports) - margin).max(0.0)
     }
 
     fn available_now(&self) -> f64 {
         let load = &self.load;
-        self.available(f64::from(load.own), f64::from(load.az_in_flight))
+        self.available(f64::from(load.local_requests), f64::from(load.az_in_flight))
     }
 
     fn grantable(&self) -> f64 {
@@ -363,7 +368,7 @@
             .issued
             .values()
             .filter(|issued| issued.sender != *sender);
-        others.map(|l| f64::from(l.slots.max(l.in_hand))).sum()
+        others.map(|l| f64::from(l.slots.max(l.in_flight))).sum()
     }
 
     fn number_for(&mut self, sender: &id::VmId) -> u64 {
@@ -471,14 +476,14 @@
             slots: 40,
             max_load: 0.9,
             members: 2,
-            own: 4,
+            local_requests: 4,
             az_in_flight: 8,
             service_time: MS * 20,
         }
     }
 
-    fn lender(incarnation: u64) -> Lender {
-        Lender {
+    fn issuer(incarnation: u64) -> Issuer {
+        Issuer {
             service: "s".into(),
             az: "a".into(),
             vm: "a1".into(),
@@ -487,7 +492,7 @@
     }
 
     fn granter() -> Granter {
-        let mut granter = Granter::new(Config::default(), policy::Moment::ZERO, lender(1));
+        let mut granter = Granter::new(Config::default(), policy::Moment::ZERO, issuer(1));
         granter.set_load(START, load());
         granter
     }
@@ -500,7 +505,7 @@
         for round in 0..40 {
             let now = START + MS * 500 * round;
             for sender in ["b1", "b2", "c1", "c2", "d1"] {
-                let grant = granter.ask(now, &sender.into(), 10_000.0);
+                let grant = granter.request_grant(now, &sender.into(), 10_000.0);
                 if let Some(grant) = grant {
                     for _ in 0..grant.slots {
                         let _ = granter.admit(now, &sender.into(), grant.id);
@@ -519,7 +524,7 @@
         let mut slots = Vec::new();
         for round in 0..5 {
             let now = START + MS * 2_100 * round;
-            let grant = granter.ask(now, &"b1".into(), 10_000.0).unwrap();
+            let grant = granter.request_grant(now, &"b1".into(), 10_000.0).unwrap();
             for _ in 0..grant.slots {
                 granter.admit(now, &"b1".into(), grant.id).unwrap();
             }
@@ -534,9 +539,15 @@
     #[test]
     fn local_callers_have_priority() {
         let mut granter = granter();
-        let grant = granter.ask(START, &"b1".into(), 100.0).unwrap();
-        let own = 18;
-        granter.set_load(START, Load { own, ..load() });
+        let grant = granter.request_grant(START, &"b1".into(), 100.0).unwrap();
+        let local_requests = 18;
+        granter.set_load(
+            START,
+            Load {
+                local_requests,
+                ..load()
+            },
+        );
         let refused = granter.admit(START, &"b1".into(), grant.id);
         assert_eq!(refused, Err(Refused::OwnFirst));
     }
@@ -546,7 +557,7 @@
     #[test]
     fn an_expired_grant_is_refused() {
         let mut granter = granter();
-        let grant = granter.ask(START, &"b1".into(), 100.0).unwrap();
+        let grant = granter.request_grant(START, &"b1".into(), 100.0).unwrap();
         let late = START + grant.ttl;
         assert_eq!(
             granter.admit(late, &"b1".into(), grant.id),
@@ -557,14 +568,14 @@
     /// Guards against granting the headroom twice after a restart while senders hold old grants.
     #[test]
     fn a_restarted_receiver_refuses_older_grants_and_delays_new_ones() {
-        let old = granter().ask(START, &"b1".into(), 100.0).unwrap();
-        let mut new = Granter::new(Config::default(), START, lender(2));
+        let old = granter().request_grant(START, &"b1".into(), 100.0).unwrap();
+        let mut new = Granter::new(Config::default(), START, issuer(2));
         new.set_load(START, load());
         assert_eq!(
             new.admit(START, &"b1".into(), old.id),
             Err(Refused::NoGrant)
         );
-        assert_eq!(new.ask(START, &"b1".into(), 100.0), None);
+        assert_eq!(new.request_grant(START, &"b1".into(), 100.0), None);
     }
 
     /// Guards against granting the headroom twice: two entry VMs that a partition separates each
@@ -586,14 +597,17 @@
             ..load()
         };
         granter.set_load(START + MS * 30_000, none);
-        assert_eq!(granter.ask(START + MS * 30_000, &"b1".into(), 1.0), None);
+        assert_eq!(
+            granter.request_grant(START + MS * 30_000, &"b1".into(), 1.0),
+            None
+        );
     }
 
     #[test]
     fn a_sender_stops_before_the_receiver_does() {
         let mut granter = granter();
         let (requested_at, given) = (START, START + MS * 55);
-        let grant = granter.ask(given, &"b1".into(), 1_000.0).unwrap();
+        let grant = granter.request_grant(given, &"b1".into(), 1_000.0).unwrap();
         let mut held_grants = HeldGrants::default();
         held_grants.insert(requested_at, grant.clone());
         let last = requested_at + grant.ttl - MS;
@@ -608,7 +622,9 @@
     #[test]
     fn a_sender_keeps_the_rate() {
         let mut granter = granter();
-        let grant = granter.ask(START, &"b1".into(), 10_000.0).unwrap();
+        let grant = granter
+            .request_grant(START, &"b1".into(), 10_000.0)
+            .unwrap();
         let mut held_grants = HeldGrants::default();
         held_grants.insert(START, grant.clone());
         let mut sent = 0;
--- a/src/entry/steer.rs
+++ b/src/entry/steer.rs
@@ -436,7 +436,7 @@
         let loads = core.steer.loads.lock();
         (loads.members(), loads.az_in_hand(&service.name))
     };
-    let lender = grants::Lender {
+    let lender = grants::Issuer {
         service: service.name.clone(),
         az: core.cfg.az.clone(),
         vm: core.cfg.vm.clone(),
@@ -448,7 +448,7 @@
         max_load: max_load(core, settings),
         // A list that was never read tells nothing of the others.
         members: if listed == 0 { 0 } else { listed.max(heard) },
-        own: row.in_hand.saturating_sub(lent),
+        local_requests: row.in_hand.saturating_sub(lent),
         az_in_flight: in_hand.max(own.in_flight + own.queued),
         service_time: core.steer.demand.lock().mean(&service.name),
     };
--- a/src/standin/steering/play.rs
+++ b/src/standin/steering/play.rs
@@ -281,7 +281,7 @@
         own_links.set(Moment::ZERO, &link.to, link.bytes_per_s, 4 * VMS as u32);
     }
     cross_az.set_links(sync::Arc::new(parking_lot::Mutex::new(own_links)));
-    let lender = grants::Lender {
+    let lender = grants::Issuer {
         service: dep.service.name.clone(),
         az: azs[az].name.clone(),
         vm: vm_name(number),
--- a/src/standin/steering/upkeep.rs
+++ b/src/standin/steering/upkeep.rs
@@ -116,7 +116,7 @@
             slots: az.slots,
             max_load: 0.9,
             members: VMS as u32,
-            own: self.vms[vm].own,
+            local_requests: self.vms[vm].own,
             az_in_flight: az.busy + az.queue.len() as u32,
             service_time: self.dep.mean(),
         }
@@ -130,7 +130,7 @@
         let load = self.load(to);
         let granter = &mut self.vms[to].granter;
         granter.set_load(self.now, load);
-        if let Some(grant) = granter.ask(self.now, &vm_name(from), per_s as f64) {
+        if let Some(grant) = granter.request_grant(self.now, &vm_name(from), per_s as f64) {
             self.granted.push(grant);
             let number = self.granted.len() - 1;
             let back = self.dep.one_way(&name, &self.azs[self.vms[from].az].name);
--- a/tests/steering.rs
+++ b/tests/steering.rs
@@ -103,7 +103,7 @@
         let (slots, max_load) = (60_u32, 0.9);
         let limit = f64::from(slots) * max_load;
         let mut granters: Vec<_> = (0..members).map(granter).collect();
-        let mut own = vec![0_u32; members];
+        let mut local_requests = vec![0_u32; members];
         let mut held: Vec<(usize, id::VmId, grants::GrantId)> = Vec::new();
         let mut seen = vec![0_u32];
         let mut now = 20_000;
@@ -112,32 +112,32 @@
             now += gap;
             let who = who % members;
             let sender = id::VmId::from(format!("sender-{}", number % 4).as_str());
-            let total: u32 = own.iter().sum::<u32>() + held.len() as u32;
+            let total: u32 = local_requests.iter().sum::<u32>() + held.len() as u32;
             seen.push(total);
             granters[who].set_load(MS * now, grants::Load {
                 slots,
                 max_load,
                 members: members as u32,
-                own: own[who],
+                local_requests: local_requests[who],
                 az_in_flight: seen[seen.len().saturating_sub(1 + lag)],
                 service_time: MS * 20,
             });
             match what {
-                0 => own[who] = (number * 3).min(share),
-                1 => { granters[who].ask(MS * now, &sender, 10_000.0); }
+                0 => local_requests[who] = (number * 3).min(share),
+                1 => { granters[who].request_grant(MS * now, &sender, 10_000.0); }
                 2 => {
-                    let grant = granters[who].ask(MS * now, &sender, 10_000.0);
+                    let grant = granters[who].request_grant(MS * now, &sender, 10_000.0);
                     for grant in grant.iter().cycle().take(5) {
                         if granters[who].admit(MS * now, &sender, grant.id).is_ok() {
                             held.push((who, sender.clone(), grant.id));
                             let over = |who: usize| {
-                                let in_hand = own[who] + granters[who].in_hand();
+                                let in_hand = local_requests[who] + granters[who].in_flight();
                                 (f64::from(in_hand) - limit / members as f64).max(0.0)
                             };
                             prop_assert!(over(who) == 0.0, "one entry VM lets in over its share");
                             // With lagging reports, only later local callers may exceed the limit.
                             let late = if lag == 0 { 0.0 } else { (0..members).map(over).sum() };
-                            let all = own.iter().sum::<u32>() + held.len() as u32;
+                            let all = local_requests.iter().sum::<u32>() + held.len() as u32;
                             prop_assert!(f64::from(all) <= limit + late, "{all} in hand");
                         }
                     }
@@ -150,7 +150,7 @@
             if what == 1 || what == 2 {
                 let lent: u32 = granters.iter().map(grants::Granter::granted_slots).sum();
                 prop_assert!(f64::from(lent) <= limit, "{lent} lent");
-                let most = granters[who].headroom().max(f64::from(granters[who].in_hand()));
+                let most = granters[who].headroom().max(f64::from(granters[who].in_flight()));
                 let lent = f64::from(granters[who].granted_slots());
                 // Grants issued before the local load grew expire within their lifetime.
                 prop_assert!(lent <= most || lent <= limit / members as f64, "{lent} of {most}");
@@ -327,13 +327,13 @@
 }
 
 fn granter(number: usize) -> grants::Granter {
-    let lender = grants::Lender {
+    let issuer = grants::Issuer {
         service: "s".into(),
         az: "a".into(),
         vm: format!("a{number}").as_str().into(),
         incarnation: id::Incarnation(number as u64),
     };
-    grants::Granter::new(grants::Config::default(), policy::Moment::ZERO, lender)
+    grants::Granter::new(grants::Config::default(), policy::Moment::ZERO, issuer)
 }
 
 fn cooperative() -> settings::Settings {
