--- a/src/decisions/links.rs
+++ b/src/decisions/links.rs
@@ -122,7 +122,7 @@
     }
 
     /// Removes links that are no longer declared.
-    pub fn keep(&mut self, declared: impl Fn(&id::RegionId) -> bool) {
+    pub fn retain(&mut self, declared: impl Fn(&id::RegionId) -> bool) {
         self.by_region.retain(|to, _| declared(to));
     }
 
--- a/src/entry/steer.rs
+++ b/src/entry/steer.rs
@@ -372,7 +372,7 @@
         shared.set(now, &region.name, there.min(back), members.max(1));
         declared.push(region.name.clone());
     }
-    links::Links::keep(&mut shared, |region| declared.contains(region));
+    links::Links::retain(&mut shared, |region| declared.contains(region));
 }
 
 /// The other availability zones that may take a service's callers, without those that a drain
