--- a/src/cli/shift.rs
+++ b/src/cli/shift.rs
@@ -159,7 +159,7 @@
 /// Where a service runs at a time, and where each region's callers belong then.
 struct Place<'a> {
     open: Vec<id::AzId>,
-    weights: plan::ByRegion,
+    weights: plan::WeightsByRegion,
     all: &'a settings::Settings,
 }
 
@@ -177,7 +177,7 @@
             ..service.clone()
         };
         Self {
-            weights: plan::initial(all, &running),
+            weights: plan::initial_weights(all, &running),
             open,
             all,
         }
--- a/src/coordination/plan_writer.rs
+++ b/src/coordination/plan_writer.rs
@@ -4,7 +4,7 @@
 //! a new one was computed from. A writer that was paused past its lease, and wakes in the middle of
 //! a write, fails on the revision. Two writers that both believe they hold the lease write
 //! one chain of versions, and every node steps along it by its own bound in its own time
-//! ([`plan::Applied`]), so that even twice the versions move no caller faster.
+//! ([`plan::AppliedPlan`]), so that even twice the versions move no caller faster.
 //!
 //! With the store down nothing is written and the last version holds. A store that was restored
 //! from an older state shows an older version than the nodes have: the next one is then numbered
@@ -68,7 +68,7 @@
     lease: Option<Lease>,
     next_look: policy::Moment,
     // Since when each service's weights are as they are, as far as this process saw.
-    since: collections::BTreeMap<id::ServiceId, (plan::ByRegion, policy::Moment)>,
+    since: collections::BTreeMap<id::ServiceId, (plan::WeightsByRegion, policy::Moment)>,
 }
 
 /// What a new version is computed from.
@@ -211,7 +211,7 @@
         for service in inputs.settings.services() {
             let current = base.services.get(&service.name);
             let Some(current) = current.cloned() else {
-                let first = plan::initial(inputs.settings, service);
+                let first = plan::initial_weights(inputs.settings, service);
                 next.services.insert(service.name.clone(), first);
                 changed = true;
                 continue;
@@ -225,8 +225,8 @@
                     settings: inputs.settings,
                     service,
                     summaries: inputs.summaries,
-                    left: &left,
-                    now: &current,
+                    capacity_shares: &left,
+                    current: &current,
                 },
             );
             let most = caps::Config::of(service).version_share();
@@ -245,7 +245,7 @@
         &mut self,
         now: policy::Moment,
         service: &settings::Service,
-        current: &plan::ByRegion,
+        current: &plan::WeightsByRegion,
     ) -> bool {
         let step = time::Duration::from_millis(service.shift_step_ms);
         match self.since.get(&service.name) {
@@ -466,7 +466,7 @@
         let mut second = writer("b", store.clone());
         let service = play.settings.service("ledger").unwrap();
         let most = caps::Config::of(service).version_share();
-        let mut applied = plan::Applied::default();
+        let mut applied = plan::AppliedPlan::default();
         let mut seen = Vec::new();
         for s in 0..120 {
             // The first keeps believing.
--- a/src/decisions/drain.rs
+++ b/src/decisions/drain.rs
@@ -96,7 +96,7 @@
 pub fn estimate(
     settings: &Settings,
     drain: &Drain,
-    in_force: &collections::BTreeMap<id::ServiceId, plan::ByRegion>,
+    in_force: &collections::BTreeMap<id::ServiceId, plan::WeightsByRegion>,
 ) -> Vec<Estimate> {
     let emptied = azs(settings, &drain.target);
     settings
@@ -104,7 +104,7 @@
         .filter(|service| service.azs.iter().any(|az| emptied.contains(az)))
         .map(|service| {
             let now = in_force.get(&service.name).cloned();
-            let now = now.unwrap_or_else(|| plan::initial(settings, service));
+            let now = now.unwrap_or_else(|| plan::initial_weights(settings, service));
             estimate_service(drain, service, now, &emptied)
         })
         .collect()
@@ -113,11 +113,11 @@
 fn estimate_service(
     drain: &Drain,
     service: &settings::Service,
-    now: plan::ByRegion,
+    now: plan::WeightsByRegion,
     emptied: &[id::AzId],
 ) -> Estimate {
     let max_share = caps::Config::of(service).version_share();
-    let target: plan::ByRegion = now
+    let target: plan::WeightsByRegion = now
         .iter()
         .map(|(region, weights)| (region.clone(), without_azs(weights, service, emptied)))
         .collect();
@@ -143,12 +143,16 @@
 
 /// The number of plan versions from the weights `now` to `target`, each of which moves at most the
 /// share `max_share` of any region's callers.
-pub fn steps(mut now: plan::ByRegion, target: &plan::ByRegion, max_share: f64) -> u32 {
+pub fn steps(
+    mut now: plan::WeightsByRegion,
+    target: &plan::WeightsByRegion,
+    max_share: f64,
+) -> u32 {
     let mut steps = 0;
     while now != *target && steps < MAX_PLAN_STEPS {
         for (region, to) in target {
             let from = now.get(region).unwrap_or(to);
-            let next = plan::towards(from, to, max_share);
+            let next = plan::step_towards(from, to, max_share);
             now.insert(region.clone(), next);
         }
         steps += 1;
--- a/src/decisions/plan.rs
+++ b/src/decisions/plan.rs
@@ -8,11 +8,11 @@
 //! of a region first, then callers of other regions, nearest region first, never above a region's
 //! limit. Demand that fits nowhere stays in its home region. [`step`] moves the weights towards the
 //! target by a bounded share per version. Each node applies versions within the same bound
-//! ([`Applied`]), so that neither a node that missed versions nor two writers that both assume they
-//! hold the lease move callers faster than one writer.
+//! ([`AppliedPlan`]), so that neither a node that missed versions nor two writers that both assume
+//! they hold the lease move callers faster than one writer.
 //!
-//! A caller's hash determines its availability zones ([`order`]), so that most callers stay where
-//! their data is cached; [`churn`] computes the exact share of callers that a change moves.
+//! A caller's hash determines its availability zones ([`rank_azs`]), so that most callers stay
+//! where their data is cached; [`churn`] computes the exact share of callers that a change moves.
 //!
 //! Summaries lag. An availability zone with a summary older than [`Config::fresh_max_age`] gets no
 //! more callers of other regions; beyond [`Config::lost_after`] it counts as lost.
@@ -28,7 +28,7 @@
 pub type Weights = collections::BTreeMap<id::AzId, f64>;
 
 /// The weights of one service, by the callers' region.
-pub type ByRegion = collections::BTreeMap<id::RegionId, Weights>;
+pub type WeightsByRegion = collections::BTreeMap<id::RegionId, Weights>;
 
 /// Shares below this are rounding errors.
 const SHARE_EPSILON: f64 = 1e-9;
@@ -43,7 +43,7 @@
         /// Increases by one with each version.
         pub version: u64,
         /// The weights of each service.
-        pub services: collections::BTreeMap<id::ServiceId, ByRegion>,
+        pub services: collections::BTreeMap<id::ServiceId, WeightsByRegion>,
     }
 
     /// The last load report of an availability zone for one service.
@@ -114,9 +114,9 @@
     /// The latest summary of each availability zone.
     pub summaries: &'a [Summary],
     /// The share of capacity that drains leave of each availability zone, from 0 to 1; default 1.
-    pub left: &'a collections::BTreeMap<id::AzId, f64>,
+    pub capacity_shares: &'a collections::BTreeMap<id::AzId, f64>,
     /// The weights in force.
-    pub now: &'a ByRegion,
+    pub current: &'a WeightsByRegion,
 }
 
 /// Capacity of one availability zone while a plan is computed, in slots.
@@ -131,7 +131,7 @@
 type AzStates = collections::BTreeMap<id::AzId, AzState>;
 
 /// The weights that the plan approaches, without a bound on the share of callers that moves.
-pub fn target(cfg: &Config, inputs: &Inputs<'_>) -> ByRegion {
+pub fn target(cfg: &Config, inputs: &Inputs<'_>) -> WeightsByRegion {
     let demand = demand(cfg, inputs);
     let mut az_states = az_states(cfg, inputs);
     let mut placed = collections::BTreeMap::new();
@@ -174,7 +174,12 @@
 
 /// The next version's weights, which move at most `max_share` of any region's callers from `now`
 /// towards `target`. `None` if every change is below [`Config::min_change_share`].
-pub fn step(cfg: &Config, now: &ByRegion, target: &ByRegion, max_share: f64) -> Option<ByRegion> {
+pub fn step(
+    cfg: &Config,
+    now: &WeightsByRegion,
+    target: &WeightsByRegion,
+    max_share: f64,
+) -> Option<WeightsByRegion> {
     let mut moved = false;
     let mut next = now.clone();
     for (region, to) in target {
@@ -186,14 +191,14 @@
         if churn(from, to) < cfg.min_change_share {
             continue;
         }
-        next.insert(region.clone(), towards(from, to, max_share));
+        next.insert(region.clone(), step_towards(from, to, max_share));
         moved = true;
     }
     moved.then_some(next)
 }
 
 /// The weights between `from` and `to` nearest to `to` that move at most `max_share` of callers.
-pub fn towards(from: &Weights, to: &Weights, max_share: f64) -> Weights {
+pub fn step_towards(from: &Weights, to: &Weights, max_share: f64) -> Weights {
     if churn(from, to) <= max_share + SHARE_EPSILON {
         return to.clone();
     }
@@ -209,7 +214,7 @@
     blend(from, to, low)
 }
 
-/// The share of callers whose first availability zone in [`order`] changes with the weights.
+/// The share of callers whose first availability zone in [`rank_azs`] changes with the weights.
 ///
 /// By weighted rendezvous hashing, a caller draws an exponential time, divided by the weight, for
 /// each availability zone, and the smallest time wins. A caller stays at an AZ that wins under both
@@ -234,7 +239,7 @@
 
 /// The availability zones for one caller, ranked by weighted rendezvous hashing; the first serves
 /// it by the plan. AZs without weight are omitted.
-pub fn order(weights: &Weights, caller: u64) -> Vec<id::AzId> {
+pub fn rank_azs(weights: &Weights, caller: u64) -> Vec<id::AzId> {
     let mut drawn: Vec<_> = weights
         .iter()
         .filter(|(_, weight)| **weight > 0.0)
@@ -246,7 +251,10 @@
 
 /// The weights without load data: each region's callers are spread evenly over its availability
 /// zones that run the service, or over all of the service's AZs if it has none.
-pub fn initial(settings: &settings::Settings, service: &settings::Service) -> ByRegion {
+pub fn initial_weights(
+    settings: &settings::Settings,
+    service: &settings::Service,
+) -> WeightsByRegion {
     settings
         .regions()
         .map(|region| {
@@ -260,18 +268,18 @@
 
 /// The weights in force on one node, which approach the newest known plan version.
 #[derive(Debug, Default)]
-pub struct Applied {
+pub struct AppliedPlan {
     newest: sync::Arc<Plan>,
     services: collections::BTreeMap<id::ServiceId, InForce>,
 }
 
 #[derive(Debug)]
 struct InForce {
-    weights: ByRegion,
+    weights: WeightsByRegion,
     stepped_at: policy::Moment,
 }
 
-impl Applied {
+impl AppliedPlan {
     /// Stores a plan version. Returns false if it is not newer than the newest known one.
     pub fn offer(&mut self, plan: sync::Arc<Plan>) -> bool {
         if plan.version <= self.newest.version {
@@ -294,13 +302,13 @@
         settings: &settings::Settings,
         service: &settings::Service,
         max_share: f64,
-    ) -> &ByRegion {
+    ) -> &WeightsByRegion {
         let newest = self.newest.services.get(&service.name);
         let known = self.services.entry(service.name.clone());
         let in_force = known.or_insert_with(|| InForce {
             weights: newest
                 .cloned()
-                .unwrap_or_else(|| initial(settings, service)),
+                .unwrap_or_else(|| initial_weights(settings, service)),
             stepped_at: now,
         });
         let step_len = time::Duration::from_millis(service.shift_step_ms);
@@ -308,7 +316,8 @@
         if let (true, Some(newest)) = (due, newest) {
             for (region, to) in newest {
                 let from = in_force.weights.get(region);
-                let next = from.map_or_else(|| to.clone(), |from| towards(from, to, max_share));
+                let next =
+                    from.map_or_else(|| to.clone(), |from| step_towards(from, to, max_share));
                 in_force.weights.insert(region.clone(), next);
             }
             in_force.stepped_at = now;
@@ -339,16 +348,22 @@
         let of_az = |s: &&Summary| s.az == *az && s.service == inputs.service.name;
         let summary = inputs.summaries.iter().find(of_az);
         let live = summary.filter(|s| s.age < cfg.lost_after);
-        let left = inputs.left.get(az).copied().unwrap_or(1.0).clamp(0.0, 1.0);
+        let capacity_share = inputs
+            .capacity_shares
+            .get(az)
+            .copied()
+            .unwrap_or(1.0)
+            .clamp(0.0, 1.0);
         let slots = live.map_or(0.0, |s| f64::from(s.slots));
-        let capacity = slots * region.max_load * left;
+        let capacity = slots * region.max_load * capacity_share;
         az_states.insert(
             az.clone(),
             AzState {
                 region: region.name.clone(),
                 capacity,
                 free: capacity,
-                accepts_remote: live.is_some_and(|s| s.age < cfg.fresh_max_age) && left >= 1.0,
+                accepts_remote: live.is_some_and(|s| s.age < cfg.fresh_max_age)
+                    && capacity_share >= 1.0,
             },
         );
     }
@@ -376,7 +391,7 @@
         return f64::INFINITY;
     }
     let remote = inputs
-        .now
+        .current
         .iter()
         .filter(|(region, _)| **region != state.region);
     let current: f64 = remote
@@ -534,17 +549,20 @@
             .collect()
     }
 
-    fn plan(summaries: &[Summary], left: &[(&str, f64)]) -> ByRegion {
+    fn plan(summaries: &[Summary], capacity_shares: &[(&str, f64)]) -> WeightsByRegion {
         let settings = cooperative();
         let service = settings.service("ledger").unwrap();
-        let now = initial(&settings, service);
-        let left = left.iter().map(|(az, l)| ((*az).into(), *l)).collect();
+        let now = initial_weights(&settings, service);
+        let capacity_shares = capacity_shares
+            .iter()
+            .map(|(az, l)| ((*az).into(), *l))
+            .collect();
         let inputs = Inputs {
             settings: &settings,
             service,
             summaries,
-            left: &left,
-            now: &now,
+            capacity_shares: &capacity_shares,
+            current: &now,
         };
         let cfg = Config {
             margin: 0.1,
@@ -553,7 +571,7 @@
         target(&cfg, &inputs)
     }
 
-    fn weight(plan: &ByRegion, region: &str, az: &str) -> f64 {
+    fn weight(plan: &WeightsByRegion, region: &str, az: &str) -> f64 {
         plan[region].get(az).copied().unwrap_or(0.0)
     }
 
@@ -617,12 +635,12 @@
         let from: Weights = [("a".into(), 0.5), ("b".into(), 0.5)].into();
         let to: Weights = [("a".into(), 0.5), ("b".into(), 0.3), ("c".into(), 0.2)].into();
         let moved = (0..20_000u64)
-            .filter(|i| order(&from, mix(*i))[0] != order(&to, mix(*i))[0])
+            .filter(|i| rank_azs(&from, mix(*i))[0] != rank_azs(&to, mix(*i))[0])
             .count();
         let measured = moved as f64 / 20_000.0;
         let computed = churn(&from, &to);
         assert!((measured - computed).abs() < 0.01, "{measured} {computed}");
-        assert!((churn(&from, &towards(&from, &to, 0.05)) - 0.05).abs() < 1e-4);
+        assert!((churn(&from, &step_towards(&from, &to, 0.05)) - 0.05).abs() < 1e-4);
     }
 
     /// Guards against a node that was partitioned during many versions and applies them at once, so
@@ -631,7 +649,7 @@
     fn a_node_that_missed_versions_keeps_the_bound_per_step() {
         let settings = cooperative();
         let service = settings.service("ledger").unwrap();
-        let mut applied = Applied::default();
+        let mut applied = AppliedPlan::default();
         let mut before = applied
             .advance(policy::Moment::ZERO, &settings, service, 0.05)
             .clone();
--- a/src/entry/steer.rs
+++ b/src/entry/steer.rs
@@ -31,7 +31,7 @@
     asker: Mutex<exchange::Asker>,
     loads: Mutex<loads::Table>,
     demand: Mutex<loads::Demand>,
-    applied: Mutex<plan::Applied>,
+    applied: Mutex<plan::AppliedPlan>,
     links: cross_az::SharedLinks,
     told: Mutex<policy::Moment>,
     held: Mutex<Held>,
@@ -147,7 +147,7 @@
             return Vec::new();
         }
         let weights = applied.advance(now, settings, service, most).get(region);
-        weights.map_or_else(Vec::new, |weights| plan::order(weights, caller))
+        weights.map_or_else(Vec::new, |weights| plan::rank_azs(weights, caller))
     }
 }
 
--- a/src/standin/steering/callers.rs
+++ b/src/standin/steering/callers.rs
@@ -94,7 +94,7 @@
         let vm = home.or_else(|| (0..self.vms.len()).find(|vm| self.vms[*vm].up));
         let Some(vm) = vm else { return Vec::new() };
         let weights = self.weights(vm, region);
-        let mut order: Vec<usize> = plan::order(&weights, caller)
+        let mut order: Vec<usize> = plan::rank_azs(&weights, caller)
             .iter()
             .filter_map(|az| self.azs.iter().position(|a| a.name == *az))
             .collect();
--- a/src/standin/steering/mod.rs
+++ b/src/standin/steering/mod.rs
@@ -175,7 +175,7 @@
 
 /// The weights before anything is measured.
 fn initial(dep: &Deployment) -> plan::Plan {
-    let weights = plan::initial(&dep.settings, &dep.service);
+    let weights = plan::initial_weights(&dep.settings, &dep.service);
     plan::Plan {
         version: 1,
         services: [(dep.service.name.clone(), weights)].into(),
--- a/src/standin/steering/places.rs
+++ b/src/standin/steering/places.rs
@@ -21,7 +21,7 @@
         self.azs[az].brought[region] += self.reqs[req].work.as_secs_f64();
         if self.azs[az].region != region && self.way != Way::Naive {
             let weights = self.weights(vm, region);
-            let placed = plan::order(&weights, caller).into_iter().next();
+            let placed = plan::rank_azs(&weights, caller).into_iter().next();
             let here = placed.is_some_and(|placed| {
                 self.azs
                     .iter()
--- a/src/standin/steering/play.rs
+++ b/src/standin/steering/play.rs
@@ -94,7 +94,7 @@
     pub(super) up: bool,
     pub(super) cross_az: cross_az::CrossAzRouter,
     pub(super) granter: grants::Granter,
-    pub(super) applied: plan::Applied,
+    pub(super) applied: plan::AppliedPlan,
     pub(super) own: u32,
 }
 
@@ -292,7 +292,7 @@
         up: true,
         cross_az,
         granter: grants::Granter::new(grants::Config::default(), Moment::ZERO, lender),
-        applied: plan::Applied::default(),
+        applied: plan::AppliedPlan::default(),
         own: 0,
     }
 }
--- a/src/standin/steering/upkeep.rs
+++ b/src/standin/steering/upkeep.rs
@@ -163,8 +163,8 @@
             settings: &self.dep.settings,
             service: &self.dep.service,
             summaries: &summaries,
-            left: &left,
-            now: &self.plan.services[&self.dep.service.name],
+            capacity_shares: &left,
+            current: &self.plan.services[&self.dep.service.name],
         };
         let target = plan::target(&cfg, &inputs);
         let name = &self.dep.service.name;
--- a/tests/steering.rs
+++ b/tests/steering.rs
@@ -196,7 +196,7 @@
         let service = settings.service("ledger").unwrap();
         let cfg = plan::Config::default();
         let mut summaries = Vec::new();
-        let mut left = collections::BTreeMap::new();
+        let mut capacity_shares = collections::BTreeMap::new();
         for (az, (slots, demand, age, part)) in service.azs.iter().zip(&rows) {
             let region = &settings.region_of(az).unwrap().name;
             let mut by_region = collections::BTreeMap::from([(region.clone(), *demand)]);
@@ -209,13 +209,13 @@
                 demand: by_region,
                 age: time::Duration::from_secs(*age),
             });
-            left.insert(az.clone(), *part);
+            capacity_shares.insert(az.clone(), *part);
         }
-        let now = plan::initial(&settings, service);
-        let inputs = plan::Inputs { settings: &settings, service, summaries: &summaries, left: &left, now: &now };
+        let now = plan::initial_weights(&settings, service);
+        let inputs = plan::Inputs { settings: &settings, service, summaries: &summaries, capacity_shares: &capacity_shares, current: &now };
         let target = plan::target(&cfg, &inputs);
         check_plan(&settings, &inputs, &target)?;
-        let start = plan::initial(&settings, service);
+        let start = plan::initial_weights(&settings, service);
         let mut now = start.clone();
         for _ in 0..60 {
             let Some(next) = plan::step(&cfg, &now, &target, 0.05) else { break };
@@ -239,13 +239,13 @@
         let version = |number: u64| {
             let share = shares[number as usize];
             let weights = [("khovd-a".into(), share), ("ub-a".into(), 1.0 - share)].into();
-            let by_region: plan::ByRegion = [("khovd".into(), weights)].into();
+            let by_region: plan::WeightsByRegion = [("khovd".into(), weights)].into();
             sync::Arc::new(plan::Plan {
                 version: number,
                 services: [(service.name.clone(), by_region)].into(),
             })
         };
-        let mut applied = plan::Applied::default();
+        let mut applied = plan::AppliedPlan::default();
         let mut now = policy::Moment::ZERO;
         let mut seen = vec![(now, applied.advance(now, &settings, service, 0.05)["khovd"].clone())];
         let mut newest = 0;
@@ -293,9 +293,9 @@
                 age: time::Duration::ZERO,
             }
         }).collect();
-        let left = collections::BTreeMap::new();
-        let now = plan::initial(&settings, service);
-        let inputs = plan::Inputs { settings: &settings, service, summaries: &summaries, left: &left, now: &now };
+        let capacity_shares = collections::BTreeMap::new();
+        let now = plan::initial_weights(&settings, service);
+        let inputs = plan::Inputs { settings: &settings, service, summaries: &summaries, capacity_shares: &capacity_shares, current: &now };
         let target = plan::target(&plan::Config::default(), &inputs);
         for region in &regions {
             let naive = naive_region(&settings, &region.name, lost_region.as_ref());
@@ -344,7 +344,7 @@
 fn check_plan(
     settings: &settings::Settings,
     inputs: &plan::Inputs<'_>,
-    plan: &plan::ByRegion,
+    plan: &plan::WeightsByRegion,
 ) -> Result<(), TestCaseError> {
     let lost_after = plan::Config::default().lost_after;
     let known = || inputs.summaries.iter().filter(|s| s.age < lost_after);
@@ -355,7 +355,7 @@
     for region in settings.regions() {
         let limit: f64 = known()
             .filter(|s| region.azs.contains(&s.az))
-            .map(|s| f64::from(s.slots) * region.max_load * inputs.left[&s.az].min(1.0))
+            .map(|s| f64::from(s.slots) * region.max_load * inputs.capacity_shares[&s.az].min(1.0))
             .sum();
         let (mut own, mut foreign) = (0.0, 0.0);
         for (from, weights) in plan {
