--- a/src/cli/shift.rs
+++ b/src/cli/shift.rs
@@ -223,9 +223,11 @@
     let a_step = caps::Config::of(service).version_share();
     let steps = match cause {
         Cause::Settings => 1,
-        Cause::Drain { .. } | Cause::Return { .. } => {
-            u64::from(drain::steps(old.weights.clone(), &new.weights, a_step))
-        }
+        Cause::Drain { .. } | Cause::Return { .. } => u64::from(drain::count_steps(
+            old.weights.clone(),
+            &new.weights,
+            a_step,
+        )),
     };
     let leaves = old.open.iter().filter(|az| !new.open.contains(az));
     let stays = new.open.len() as f64 / old.open.len().max(1) as f64;
--- a/src/coordination/plan_writer.rs
+++ b/src/coordination/plan_writer.rs
@@ -205,7 +205,7 @@
         base: &plan::Plan,
         inputs: &Inputs<'_>,
     ) -> Option<plan::Plan> {
-        let left = drain::all_left(inputs.settings, inputs.now_s);
+        let left = drain::remaining_share_by_az(inputs.settings, inputs.now_s);
         let mut next = base.clone();
         let mut changed = false;
         for service in inputs.settings.services() {
--- a/src/decisions/drain.rs
+++ b/src/decisions/drain.rs
@@ -40,7 +40,7 @@
 }
 
 /// The availability zones that a drain empties; none if its target is a VM.
-pub fn azs(settings: &Settings, target: &DrainTarget) -> Vec<id::AzId> {
+pub fn target_azs(settings: &Settings, target: &DrainTarget) -> Vec<id::AzId> {
     match target {
         DrainTarget::Region(name) => settings
             .regions()
@@ -58,11 +58,11 @@
     settings
         .drains()
         .filter(targets_vm)
-        .any(|drain| left(drain, now_s) < 1.0)
+        .any(|drain| remaining_share(drain, now_s) < 1.0)
 }
 
 /// The share of its target's capacity that a drain leaves at `now_s`, in seconds since 1970.
-pub fn left(drain: &Drain, now_s: f64) -> f64 {
+pub fn remaining_share(drain: &Drain, now_s: f64) -> f64 {
     let start = drain.start_s as f64;
     let ramp = (drain.ramp_s as f64).max(1.0);
     let ramp_down = 1.0 - ((now_s - start) / ramp).clamp(0.0, 1.0);
@@ -77,14 +77,17 @@
 }
 
 /// The share of capacity that drains leave of each availability zone; omits those at full capacity.
-pub fn all_left(settings: &Settings, now_s: f64) -> collections::BTreeMap<id::AzId, f64> {
+pub fn remaining_share_by_az(
+    settings: &Settings,
+    now_s: f64,
+) -> collections::BTreeMap<id::AzId, f64> {
     let mut all = collections::BTreeMap::new();
     for drain in settings.drains() {
-        let share = left(drain, now_s);
+        let share = remaining_share(drain, now_s);
         if share >= 1.0 {
             continue;
         }
-        for az in azs(settings, &drain.target) {
+        for az in target_azs(settings, &drain.target) {
             let min_share = all.entry(az).or_insert(1.0f64);
             *min_share = min_share.min(share);
         }
@@ -98,7 +101,7 @@
     drain: &Drain,
     in_force: &collections::BTreeMap<id::ServiceId, plan::WeightsByRegion>,
 ) -> Vec<Estimate> {
-    let emptied = azs(settings, &drain.target);
+    let emptied = target_azs(settings, &drain.target);
     settings
         .services()
         .filter(|service| service.azs.iter().any(|az| emptied.contains(az)))
@@ -129,7 +132,7 @@
     let steps = if stuck {
         0
     } else {
-        steps(now, &target, max_share)
+        count_steps(now, &target, max_share)
     };
     let by_cap_ms = u64::from(steps) * service.shift_step_ms;
     Estimate {
@@ -143,7 +146,7 @@
 
 /// The number of plan versions from the weights `now` to `target`, each of which moves at most the
 /// share `max_share` of any region's callers.
-pub fn steps(
+pub fn count_steps(
     mut now: plan::WeightsByRegion,
     target: &plan::WeightsByRegion,
     max_share: f64,
@@ -207,7 +210,10 @@
             (2_030.0, 0.5),
             (2_060.0, 1.0),
         ] {
-            assert!((left(&drain, at) - share).abs() < 1e-9, "at {at}");
+            assert!(
+                (remaining_share(&drain, at) - share).abs() < 1e-9,
+                "at {at}"
+            );
         }
     }
 
--- a/src/entry/operate.rs
+++ b/src/entry/operate.rs
@@ -140,7 +140,7 @@
     drain: &settings::Drain,
     now_s: u64,
 ) -> history::Drain {
-    let azs = crate::decisions::drain::azs(settings, &drain.target);
+    let azs = crate::decisions::drain::target_azs(settings, &drain.target);
     let sent = azs
         .iter()
         .filter_map(|az| core.observer.last_sent(az))
--- a/src/entry/steer.rs
+++ b/src/entry/steer.rs
@@ -292,7 +292,7 @@
     let now = core.now();
     let settings = core.shared.settings.load_full();
     let fleet = core.shared.fleet.load_full();
-    let drained = drain::all_left(&settings, desk::wall_clock_s() as f64);
+    let drained = drain::remaining_share_by_az(&settings, desk::wall_clock_s() as f64);
     set_links(core, now, &settings, &fleet);
     let tells = {
         let mut told = core.steer.told.lock();
--- a/src/standin/steering/upkeep.rs
+++ b/src/standin/steering/upkeep.rs
@@ -153,8 +153,8 @@
         let summaries: Vec<_> = self.azs.iter().map(|az| self.summary(az)).collect();
         let mut left = collections::BTreeMap::new();
         if let Some(drain) = &self.scenario.drain {
-            let part = drain::left(drain, self.now.as_secs_f64());
-            for az in drain::azs(&self.dep.settings, &drain.target) {
+            let part = drain::remaining_share(drain, self.now.as_secs_f64());
+            for az in drain::target_azs(&self.dep.settings, &drain.target) {
                 left.insert(az, part);
             }
         }
