--- a/src/decisions/cross_az.rs
+++ b/src/decisions/cross_az.rs
@@ -35,8 +35,8 @@
 /// requests of a surge do not wait for a round trip.
 const PREFETCH_LOAD_SHARE: f64 = 0.8;
 
-/// Share of slots kept free below the limit when displaced callers are accepted: their data is not
-/// cached here, and the plan may assign more callers to this availability zone.
+/// Share of slots kept free below the limit when callers that the plan assigns elsewhere are
+/// accepted: their data is not cached here, and the plan may assign more callers here.
 const DISPLACED_MARGIN_SHARE: f64 = 0.1;
 
 /// Time constant of the moving averages of the local load.
@@ -54,8 +54,8 @@
 pub struct Config {
     /// The service's shift cap.
     pub caps: caps::Config,
-    /// The region's load limit, as a share of slots. Displaced callers are accepted only while the
-    /// local load is below it by a margin.
+    /// The region's load limit, as a share of slots. Callers that the plan assigns elsewhere are
+    /// accepted only while the local load is below it by a margin.
     pub max_load: f64,
 }
 
--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -169,8 +169,8 @@
 }
 
 impl Dispatch {
-    /// Creates a dispatcher without backend servers. `cross_az` chooses another availability zone for
-    /// requests that this one cannot answer in time.
+    /// Creates a dispatcher without backend servers. `cross_az` chooses another availability zone
+    /// for requests that this one cannot answer in time.
     pub fn new(cfg: Config, cross_az: cross_az::CrossAzRouter) -> Self {
         Self {
             cross_az,
--- a/src/standin/steering/mod.rs
+++ b/src/standin/steering/mod.rs
@@ -1,8 +1,8 @@
 //! Traffic between availability zones in virtual time: what question 2 of the design is measured
 //! with.
 //!
-//! It drives the real [`cross_az`], [`grants`] and [`plan`] with fixed arrivals. An availability zone
-//! is a pool of slots with one queue; messages take a fixed time, loads are told twice a second,
+//! It drives the real [`cross_az`], [`grants`] and [`plan`] with fixed arrivals. An availability
+//! zone is a pool of slots with one queue; messages take a fixed time, loads are told twice a second,
 //! callers keep a look-up for five seconds. Nothing reads a clock, all randomness is seeded.
 
 mod callers;
