--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -6,8 +6,8 @@
 //! servers that work on answers whose callers have left.
 //!
 //! A request is refused at once when its estimated wait exceeds a share of the time to its
-//! deadline, so that its caller still has time to retry. While requests of the same worth or more
-//! are queued, a caller with far more outstanding requests than the mean is refused first.
+//! deadline, so that its caller still has time to retry. While requests of the same or a better
+//! queue class wait, a caller with far more outstanding requests than the mean is refused first.
 
 use std::collections;
 use std::time;
--- a/src/decisions/naive.rs
+++ b/src/decisions/naive.rs
@@ -16,7 +16,7 @@
 pub struct Config {
     /// Attempts after the first.
     pub retries: u32,
-    /// Retry non-idempotent requests of unknown outcome. A load model counts the duplicate runs.
+    /// Also retry non-idempotent requests of unknown outcome, which can cause duplicate runs.
     pub retry_unknown: bool,
 }
 
--- a/src/decisions/queue.rs
+++ b/src/decisions/queue.rs
@@ -6,9 +6,9 @@
 //!
 //! Requests of equal worth and usual duration form a class. The class with the most worth per
 //! second of work is served first, which maximises the worth answered. To prevent starvation, the
-//! classes behind it have a floor: while a better class is served, they earn credit for a small
-//! share of its time, and a class whose credit covers one request is served next. A class is served
-//! in arrival order, which is also the order of deadlines because its callers have the same
+//! classes behind it have a guaranteed share: while a better class is served, they earn credit for
+//! a small part of its time, and a class whose credit covers one request is served next. A class is
+//! served in arrival order, which is also the order of deadlines: its callers have the same
 //! timeout.
 
 use std::collections;
