--- a/src/coordination/grants.rs
+++ b/src/coordination/grants.rs
@@ -11,7 +11,7 @@
 
 use parking_lot::Mutex;
 
-use crate::decisions::{across, grants, policy};
+use crate::decisions::{cross_az, grants, policy};
 use crate::id;
 use crate::protocol::peer;
 
@@ -45,7 +45,7 @@
 
 impl Lenders {
     /// Takes in the state of the availability zone; the first call makes the service's lender.
-    pub fn set_load(&self, now: policy::Moment, lender: &grants::Lender, load: grants::Load) {
+    pub fn set_load(&self, now: policy::Moment, lender: &grants::Issuer, load: grants::Load) {
         let mut all = self.by_service.lock();
         let granter = all.entry(lender.service.clone()).or_insert_with(|| {
             grants::Granter::new(grants::Config::default(), now, lender.clone())
@@ -62,7 +62,9 @@
         wish: &peer::AskGrant,
     ) -> Option<peer::Granted> {
         let mut all = self.by_service.lock();
-        let grant = all.get_mut(&wish.service)?.ask(now, from, wish.per_s)?;
+        let grant = all
+            .get_mut(&wish.service)?
+            .request_grant(now, from, wish.per_s)?;
         Some(peer::Granted {
             grant,
             asked: wish.asked,
@@ -90,7 +92,7 @@
     /// Requests of a service in hand under grants.
     pub fn in_hand(&self, service: &id::ServiceId) -> u32 {
         let all = self.by_service.lock();
-        all.get(service).map_or(0, grants::Granter::in_hand)
+        all.get(service).map_or(0, grants::Granter::in_flight)
     }
 }
 
@@ -107,7 +109,7 @@
         &mut self,
         now: policy::Moment,
         service: &id::ServiceId,
-        wishes: &[across::Wish],
+        wishes: &[cross_az::GrantRequest],
         linked: &[(id::VmId, id::AzId)],
         me: &id::VmId,
     ) -> Vec<(id::VmId, peer::Message)> {
@@ -172,7 +174,7 @@
 
     fn lenders() -> sync::Arc<Lenders> {
         let lenders = sync::Arc::new(Lenders::default());
-        let lender = grants::Lender {
+        let lender = grants::Issuer {
             service: "s".into(),
             az: "b".into(),
             vm: "b1".into(),
@@ -182,7 +184,7 @@
             slots: 20,
             max_load: 0.9,
             members: 1,
-            own: 0,
+            local_requests: 0,
             az_in_flight: 0,
             service_time: S / 50,
         };
@@ -194,7 +196,7 @@
     #[test]
     fn a_wish_becomes_a_grant_that_is_honoured_by_its_giver() {
         let lenders = lenders();
-        let wish = across::Wish {
+        let wish = cross_az::GrantRequest {
             az: "b".into(),
             per_s: 50.0,
         };
--- a/src/decisions/grants.rs
+++ b/src/decisions/grants.rs
@@ -1,21 +1,21 @@
-//! Headroom that a receiving availability zone lends to senders.
+//! Grants other availability zones a share of the local headroom for a short time.
 //!
-//! Load pattern: several places are overfull at once and one has room. If each sender acts on the
-//! same lagging report of room, all of them send there together, and one notices the place with
-//! room fall over a second after the first ones, then the next: a herd.
+//! Load pattern: several availability zones are overloaded and one has free slots. If all senders
+//! act on the same lagging load report (a thundering herd), they overload that AZ within a second
+//! and then the next one.
 //!
-//! So the receiver decides. Each of its entry VMs lends slices of its own share of the headroom
-//! for a short time. Nothing is sent without a live grant, the receiver honours none beyond its
-//! time or its slots, and its own callers go first: a request under a grant is refused as not run
-//! as soon as own work needs the room.
+//! Therefore the receiver decides. Each of its entry VMs issues short-lived grants from its share
+//! of the headroom. A sender needs a live grant for each request. The receiver refuses requests
+//! that exceed a grant's lifetime or slots, and it refuses any request under a grant, as not run,
+//! once local callers need the slot.
 //!
-//! - Several entry VMs lend from the same backend servers. Each lends from an equal share, counted
-//!   by the most members seen lately, and from what reports leave over, divided alike. A fresh one
-//!   lends nothing until the others have had time to learn of it, and one that knows of no members
-//!   lends nothing at all.
-//! - Caches are cold: what is lent grows only while it is used, doubling each [`Config::ttl`].
-//! - A restarted receiver knows none of its predecessor's grants and refuses them. What still runs
-//!   under them has ended before [`Config::settle`] is over.
+//! - Several entry VMs grant slots of the same backend servers. Each one grants at most an equal
+//!   share of the limit and of the headroom that load reports show. The highest recent member count
+//!   determines the share. A new process grants nothing until the other members have had time to
+//!   count it, and a VM that does not know the member count grants nothing at all.
+//! - Caches are cold: the granted slots grow only while used, doubling each [`Config::ttl`].
+//! - A restarted receiver refuses the grants of its previous process. The requests that still run
+//!   under them end before [`Config::startup_delay`] is over.
 
 use std::collections;
 use std::time;
@@ -23,73 +23,73 @@
 use super::{links, policy};
 use crate::id;
 
-/// A sender's pace under its grant, as a share of what the slots could do. Service times vary; at
-/// the whole pace about every other request would find its slot taken.
-const PACE: f64 = 0.8;
+/// A sender's rate under a grant, as a share of the slots' throughput. Service times vary; at the
+/// full throughput, about every other request would find no free slot.
+const SENDER_RATE_SHARE: f64 = 0.8;
 
-/// The service time that is assumed at least. A lower one would turn a slot into any rate.
-const SHORTEST: time::Duration = time::Duration::from_millis(1);
+/// Lower bound of the assumed service time, which bounds the rate granted per slot.
+const MIN_SERVICE_TIME: time::Duration = time::Duration::from_millis(1);
 
-/// Over how long a load is averaged before headroom is lent from it. With a handful of slots the
-/// load of one moment is a matter of chance; a second holds some hundred requests.
-const USUAL: time::Duration = time::Duration::from_secs(1);
+/// Time constant of the load averages from which headroom is computed. With few slots, the load at
+/// one moment is random; one second covers some hundred requests.
+const LOAD_AVERAGING_TIME: time::Duration = time::Duration::from_secs(1);
 
 key! {
-    /// One grant: the process that gave it and its number there.
+    /// Identifies a grant by the process that issued it and its number in that process.
     pub struct GrantId {
-        /// The start of the process that gave it. A later start knows nothing of it.
+        /// The incarnation of the issuing process. A later incarnation refuses the grant.
         pub incarnation: id::Incarnation,
-        /// Its number in that process.
+        /// Its number within the incarnation.
         pub number: u64,
     }
 }
 
 data! {
-    /// Leave to send work of one service across, short and on the receiver's terms.
+    /// Permits requests of one service from another availability zone for a short time.
     pub struct Grant {
-        /// Its name.
+        /// Its id.
         pub id: GrantId,
-        /// The service it is for.
+        /// The service.
         pub service: id::ServiceId,
-        /// The availability zone that lends.
+        /// The receiving availability zone.
         pub az: id::AzId,
-        /// The entry VM that lends, which alone honours it.
+        /// The entry VM that issued it; only this VM accepts requests under it.
         pub vm: id::VmId,
-        /// Requests that may be in hand there at a time.
+        /// Maximum number of concurrent requests.
         pub slots: u32,
-        /// Requests a second that may be sent.
+        /// Maximum rate of the sender, in requests per second.
         pub per_s: f64,
-        /// How long it lasts.
+        /// Lifetime of the grant.
         pub ttl: time::Duration,
     }
 
-    /// Why a request under a grant was refused. It has not run.
+    /// Why a request under a grant was refused without running.
     #[derive(Copy, Eq, Hash)]
     pub enum Refused {
-        /// This process did not give the grant, or it is over.
+        /// The grant has expired, or this process did not issue it to this sender.
         NoGrant,
         /// All slots of the grant are in use.
         Full,
-        /// Own work needs the room.
+        /// Local callers need the slots.
         OwnFirst,
     }
 }
 
-/// How a receiver lends.
+/// Thresholds of a [`Granter`].
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// How long a grant lasts, from 100 ms to 30 s. Two seconds: several round trips between
-    /// regions, and shorter than a surge takes to fill a queue that callers notice.
+    /// Lifetime of a grant, from 100 ms to 30 s. Two seconds: several round trips between regions,
+    /// and less than a surge takes to build up a queue that delays callers noticeably.
     pub ttl: time::Duration,
-    /// The share of the limit that is never lent, from 0 to 1, for loads that lag. A tenth: about
-    /// what load grows by in the time that a report takes.
+    /// The share of the limit that is never granted, from 0 to below 1, because load reports lag. A
+    /// tenth: about the growth of load during the delay of a report.
     pub margin: f64,
-    /// The share of the limit that is lent at first, above 0 and at most 1.
-    pub first: f64,
-    /// How long a fresh process lends nothing. Longer than `ttl` and than the list of VMs lags.
-    pub settle: time::Duration,
-    /// How long a VM that has gone counts on as a member.
-    pub hold: time::Duration,
+    /// The share of the limit that is granted at first; above 0 and at most 1.
+    pub initial_share: f64,
+    /// How long a new process grants nothing. Longer than `ttl` and the delay of the VM list.
+    pub startup_delay: time::Duration,
+    /// How long a VM still counts as a member after it is no longer seen.
+    pub member_retention: time::Duration,
 }
 
 impl Default for Config {
@@ -97,9 +97,9 @@
         Self {
             ttl: time::Duration::from_secs(2),
             margin: 0.1,
-            first: 0.1,
-            settle: time::Duration::from_secs(5),
-            hold: time::Duration::from_secs(30),
+            initial_share: 0.1,
+            startup_delay: time::Duration::from_secs(5),
+            member_retention: time::Duration::from_secs(30),
         }
     }
 }
@@ -111,43 +111,43 @@
         if !ttl.contains(&self.ttl) {
             return Err("ttl is out of range; give 100 ms to 30 s");
         }
-        let first = self.first > 0.0 && self.first <= 1.0;
-        if !(0.0..1.0).contains(&self.margin) || !first {
-            return Err("margin or first is out of range; give shares from 0 to 1");
+        let initial_share = self.initial_share > 0.0 && self.initial_share <= 1.0;
+        if !(0.0..1.0).contains(&self.margin) || !initial_share {
+            return Err("margin or initial_share is out of range; give shares from 0 to 1");
         }
-        if self.settle <= self.ttl {
-            return Err("settle is too short; give more than ttl");
+        if self.startup_delay <= self.ttl {
+            return Err("startup_delay is too short; give more than ttl");
         }
         Ok(())
     }
 }
 
-/// The state of the receiving availability zone, as one of its entry VMs sees it.
+/// Load of the receiving availability zone as one of its entry VMs sees it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
-    /// Slots of all its live backend servers of the service.
+    /// Slots of all live backend servers of the service in the availability zone.
     pub slots: u32,
-    /// The region's limit, as a share of slots.
+    /// The region's load limit, as a share of slots.
     pub max_load: f64,
-    /// Entry VMs of the availability zone, this one among them. 0: not known, lend nothing.
+    /// Entry VMs of the availability zone, including this one. 0: unknown, nothing is granted.
     pub members: u32,
-    /// Own callers' requests in hand on this VM, waiting or sent.
-    pub own: u32,
-    /// Requests in flight in the whole availability zone: the most that any report says.
+    /// Requests of local callers on this VM, queued or in flight.
+    pub local_requests: u32,
+    /// Requests in flight in the whole availability zone: the highest value in any report.
     pub az_in_flight: u32,
-    /// How long a backend server works on a request, on average.
+    /// Average service time of a backend server.
     pub service_time: time::Duration,
 }
 
 #[derive(Debug)]
-struct Lent {
-    to: id::VmId,
+struct IssuedGrant {
+    sender: id::VmId,
     slots: u32,
-    until: policy::Moment,
-    in_hand: u32,
+    expires_at: policy::Moment,
+    in_flight: u32,
 }
 
-/// The lending side of one service on one entry VM.
+/// Issues grants for one service on one entry VM, and admits requests under them.
 #[derive(Debug)]
 pub struct Granter {
     cfg: Config,
@@ -156,97 +156,107 @@
     vm: id::VmId,
     incarnation: id::Incarnation,
     started: policy::Moment,
-    next: u64,
+    next_number: u64,
     load: Load,
-    loaded: policy::Moment,
-    usual_own: f64,
-    usual_in_flight: f64,
-    members: links::MostSeen,
-    sharers: u32,
-    lent: collections::BTreeMap<u64, Lent>,
-    asked: collections::BTreeMap<id::VmId, policy::Moment>,
-    warm: f64,
-    peak: u32,
-    warmed: policy::Moment,
+    load_updated_at: policy::Moment,
+    avg_local: f64,
+    avg_az_in_flight: f64,
+    member_counts: links::RecentMax,
+    member_count: u32,
+    issued: collections::BTreeMap<u64, IssuedGrant>,
+    requested_at: collections::BTreeMap<id::VmId, policy::Moment>,
+    warmup_limit: f64,
+    peak_in_flight: u32,
+    warmup_updated_at: policy::Moment,
 }
 
-/// Who lends.
+/// Identifies the issuer of grants.
 #[derive(Clone, Debug)]
-pub struct Lender {
+pub struct Issuer {
     /// The service.
     pub service: id::ServiceId,
     /// The availability zone.
     pub az: id::AzId,
     /// The entry VM.
     pub vm: id::VmId,
-    /// This start of its process.
+    /// The incarnation of its process.
     pub incarnation: id::Incarnation,
 }
 
 impl Granter {
-    /// A granter that has lent nothing. `now` is the start of the process.
-    pub fn new(cfg: Config, now: policy::Moment, lender: Lender) -> Self {
+    /// Creates a granter without grants. `now` is the start time of the process.
+    pub fn new(cfg: Config, now: policy::Moment, issuer: Issuer) -> Self {
         Self {
             cfg,
-            service: lender.service,
-            az: lender.az,
-            vm: lender.vm,
-            incarnation: lender.incarnation,
+            service: issuer.service,
+            az: issuer.az,
+            vm: issuer.vm,
+            incarnation: issuer.incarnation,
             started: now,
-            next: 1,
+            next_number: 1,
             load: Load::default(),
-            loaded: now,
-            usual_own: 0.0,
-            usual_in_flight: 0.0,
-            members: links::MostSeen::default(),
-            sharers: 0,
-            lent: collections::BTreeMap::new(),
-            asked: collections::BTreeMap::new(),
-            warm: 0.0,
-            peak: 0,
-            warmed: now,
+            load_updated_at: now,
+            avg_local: 0.0,
+            avg_az_in_flight: 0.0,
+            member_counts: links::RecentMax::default(),
+            member_count: 0,
+            issued: collections::BTreeMap::new(),
+            requested_at: collections::BTreeMap::new(),
+            warmup_limit: 0.0,
+            peak_in_flight: 0,
+            warmup_updated_at: now,
         }
     }
 
-    /// Takes in the state of the availability zone.
+    /// Updates the load of the availability zone and the member count.
     pub fn set_load(&mut self, now: policy::Moment, load: Load) {
-        let passed = now.saturating_sub(self.loaded).as_secs_f64();
-        let gain = 1.0 - (-passed / USUAL.as_secs_f64()).exp();
-        self.usual_own += gain * (f64::from(load.own) - self.usual_own);
-        self.usual_in_flight += gain * (f64::from(load.az_in_flight) - self.usual_in_flight);
-        self.loaded = self.loaded.max(now);
+        let passed = now.saturating_sub(self.load_updated_at).as_secs_f64();
+        let gain = 1.0 - (-passed / LOAD_AVERAGING_TIME.as_secs_f64()).exp();
+        self.avg_local += gain * (f64::from(load.local_requests) - self.avg_local);
+        self.avg_az_in_flight += gain * (f64::from(load.az_in_flight) - self.avg_az_in_flight);
+        self.load_updated_at = self.load_updated_at.max(now);
         self.load = load;
-        self.sharers = match load.members {
+        self.member_count = match load.members {
             0 => 0,
-            members => self.members.note(now, members, self.cfg.hold),
+            members => self
+                .member_counts
+                .record(now, members, self.cfg.member_retention),
         };
     }
 
-    /// Answers a sender that wants to send `per_s` requests a second.
-    pub fn ask(&mut self, now: policy::Moment, from: &id::VmId, per_s: f64) -> Option<Grant> {
+    /// Issues or renews the grant of a sender that requests `per_s` requests per second. Returns
+    /// `None` if less than one slot can be granted or the process has just started.
+    pub fn request_grant(
+        &mut self,
+        now: policy::Moment,
+        from: &id::VmId,
+        per_s: f64,
+    ) -> Option<Grant> {
         self.tick(now);
-        self.asked.insert(from.clone(), now);
-        if now < self.started + self.cfg.settle {
+        self.requested_at.insert(from.clone(), now);
+        if now < self.started + self.cfg.startup_delay {
             return None;
         }
-        let service_s = self.load.service_time.max(SHORTEST).as_secs_f64();
-        let wanted = (per_s.max(0.0) * service_s / PACE).ceil();
-        let fair = (self.lendable() / self.asked.len() as f64).floor().max(1.0);
-        let left = (self.lendable() - self.others(from)).floor();
-        let slots = wanted.min(fair).min(left);
+        let service_s = self.load.service_time.max(MIN_SERVICE_TIME).as_secs_f64();
+        let wanted_slots = (per_s.max(0.0) * service_s / SENDER_RATE_SHARE).ceil();
+        let fair_share = (self.grantable() / self.requested_at.len() as f64)
+            .floor()
+            .max(1.0);
+        let remaining = (self.grantable() - self.slots_of_others(from)).floor();
+        let slots = wanted_slots.min(fair_share).min(remaining);
         if slots < 1.0 {
             return None;
         }
         let slots = slots as u32;
-        let number = self.number_of(from);
-        let lent = self.lent.entry(number).or_insert_with(|| Lent {
-            to: from.clone(),
+        let number = self.number_for(from);
+        let issued = self.issued.entry(number).or_insert_with(|| IssuedGrant {
+            sender: from.clone(),
             slots: 0,
-            until: now,
-            in_hand: 0,
+            expires_at: now,
+            in_flight: 0,
         });
-        lent.slots = slots;
-        lent.until = now + self.cfg.ttl;
+        issued.slots = slots;
+        issued.expires_at = now + self.cfg.ttl;
         Some(Grant {
             id: GrantId {
                 incarnation: self.incarnation,
@@ -256,12 +266,12 @@
             az: self.az.clone(),
             vm: self.vm.clone(),
             slots,
-            per_s: PACE * f64::from(slots) / service_s,
+            per_s: SENDER_RATE_SHARE * f64::from(slots) / service_s,
             ttl: self.cfg.ttl,
         })
     }
 
-    /// Lets a request in that came under a grant. Each `Ok` is ended by one [`Self::done`].
+    /// Admits a request under a grant. Each `Ok` must be followed by one [`Self::done`].
     pub fn admit(
         &mut self,
         now: policy::Moment,
@@ -271,146 +281,154 @@
         if grant.incarnation != self.incarnation {
             return Err(Refused::NoGrant);
         }
-        let room = self.room_now();
-        let in_hand = self.in_hand();
-        let lent = self.lent.get_mut(&grant.number).ok_or(Refused::NoGrant)?;
-        if lent.to != *from || now >= lent.until {
+        let available = self.available_now();
+        let in_flight = self.in_flight();
+        let issued = self.issued.get_mut(&grant.number).ok_or(Refused::NoGrant)?;
+        if issued.sender != *from || now >= issued.expires_at {
             return Err(Refused::NoGrant);
         }
-        if lent.in_hand >= lent.slots {
+        if issued.in_flight >= issued.slots {
             return Err(Refused::Full);
         }
-        if f64::from(in_hand + 1) > room {
+        if f64::from(in_flight + 1) > available {
             return Err(Refused::OwnFirst);
         }
-        lent.in_hand += 1;
-        self.peak = self.peak.max(in_hand + 1);
+        issued.in_flight += 1;
+        self.peak_in_flight = self.peak_in_flight.max(in_flight + 1);
         Ok(())
     }
 
-    /// A request that [`Self::admit`] let in is answered or given up.
+    /// Releases the slot of a request that [`Self::admit`] admitted.
     pub fn done(&mut self, grant: GrantId) {
-        if let Some(lent) = self.lent.get_mut(&grant.number) {
-            lent.in_hand = lent.in_hand.saturating_sub(1);
+        if let Some(issued) = self.issued.get_mut(&grant.number) {
+            issued.in_flight = issued.in_flight.saturating_sub(1);
         }
     }
 
-    /// Time passed.
+    /// Drops expired grants and updates the warm-up limit once per [`Config::ttl`].
     pub fn tick(&mut self, now: policy::Moment) {
-        self.lent
-            .retain(|_, lent| now < lent.until || lent.in_hand > 0);
-        let forget = self.cfg.ttl;
-        self.asked.retain(|_, asked| now < *asked + forget);
-        if now >= self.warmed + self.cfg.ttl {
-            self.warmed = now;
-            self.warm = self.next_warm();
-            self.peak = self.in_hand();
+        self.issued
+            .retain(|_, issued| now < issued.expires_at || issued.in_flight > 0);
+        let retention = self.cfg.ttl;
+        self.requested_at
+            .retain(|_, requested_at| now < *requested_at + retention);
+        if now >= self.warmup_updated_at + self.cfg.ttl {
+            self.warmup_updated_at = now;
+            self.warmup_limit = self.next_warmup_limit();
+            self.peak_in_flight = self.in_flight();
         }
     }
 
-    /// Requests in hand under grants.
-    pub fn in_hand(&self) -> u32 {
-        self.lent.values().map(|lent| lent.in_hand).sum()
+    /// Requests currently admitted under grants.
+    pub fn in_flight(&self) -> u32 {
+        self.issued.values().map(|issued| issued.in_flight).sum()
     }
 
-    /// Slots that are lent, or still in use after their grant.
-    pub fn lent_slots(&self) -> u32 {
-        let held = |lent: &Lent| lent.slots.max(lent.in_hand);
-        self.lent.values().map(held).sum()
+    /// Slots that are granted, or still in use after their grant expired.
+    pub fn granted_slots(&self) -> u32 {
+        let held = |issued: &IssuedGrant| issued.slots.max(issued.in_flight);
+        self.issued.values().map(held).sum()
     }
 
-    /// What this VM may lend: its share of the limit, less usual own work and the margin, in slots.
+    /// Slots that this VM may grant: its share of the limit, less the average load and the margin.
     pub fn headroom(&self) -> f64 {
-        self.room(self.usual_own, self.usual_in_flight)
+        self.available(self.avg_local, self.avg_az_in_flight)
     }
 
     fn limit(&self) -> f64 {
         f64::from(self.load.slots) * self.load.max_load
     }
 
-    /// Slots that work under grants may use, beside own work and what is in flight in the whole
-    /// availability zone. Both count, whichever leaves less: own counts miss what other members do,
-    /// and reports lag. The margin is kept so that own callers can grow until a report tells of it.
-    fn room(&self, own: f64, in_flight: f64) -> f64 {
-        if self.sharers == 0 {
+    /// Slots available for requests under grants: the smaller of the values computed from this VM's
+    /// own counts and from load reports. The counts miss the other members' requests, and the
+    /// reports lag. The margin lets the load of local callers grow until a report shows it.
+    fn available(&self, local: f64, in_flight: f64) -> f64 {
+        if self.member_count == 0 {
             return 0.0;
         }
-        let sharers = f64::from(self.sharers);
-        let by_own = self.limit() / sharers - own;
-        let by_reports = (self.limit() - in_flight) / sharers + f64::from(self.in_hand());
-        let margin = self.cfg.margin * self.limit() / sharers;
-        (by_own.min(by_reports) - margin).max(0.0)
+        let member_count = f64::from(self.member_count);
+        let by_local = self.limit() / member_count - local;
+        let by_reports = (self.limit() - in_flight) / member_count + f64::from(self.in_flight());
+        let margin = self.cfg.margin * self.limit() / member_count;
+        (by_local.min(by_reports) - margin).max(0.0)
     }
 
-    fn room_now(&self) -> f64 {
+    fn available_now(&self) -> f64 {
         let load = &self.load;
-        self.room(f64::from(load.own), f64::from(load.az_in_flight))
+        self.available(f64::from(load.local_requests), f64::from(load.az_in_flight))
     }
 
-    fn lendable(&self) -> f64 {
-        let floor = 1.0f64.max(self.cfg.first * self.limit());
-        self.headroom().min(self.warm.max(floor))
+    fn grantable(&self) -> f64 {
+        let floor = 1.0f64.max(self.cfg.initial_share * self.limit());
+        self.headroom().min(self.warmup_limit.max(floor))
     }
 
-    fn others(&self, than: &id::VmId) -> f64 {
-        let others = self.lent.values().filter(|lent| lent.to != *than);
-        others.map(|l| f64::from(l.slots.max(l.in_hand))).sum()
+    fn slots_of_others(&self, sender: &id::VmId) -> f64 {
+        let others = self
+            .issued
+            .values()
+            .filter(|issued| issued.sender != *sender);
+        others.map(|l| f64::from(l.slots.max(l.in_flight))).sum()
     }
 
-    fn number_of(&mut self, sender: &id::VmId) -> u64 {
-        let known = self.lent.iter().find(|(_, lent)| lent.to == *sender);
+    fn number_for(&mut self, sender: &id::VmId) -> u64 {
+        let known = self
+            .issued
+            .iter()
+            .find(|(_, issued)| issued.sender == *sender);
         if let Some((number, _)) = known {
             return *number;
         }
-        self.next += 1;
-        self.next - 1
-    }
-
-    fn next_warm(&self) -> f64 {
-        let floor = 1.0f64.max(self.cfg.first * self.limit());
-        let warm = self.warm.max(floor);
-        let used = f64::from(self.peak);
-        if used >= 0.5 * warm.floor() {
-            (2.0 * warm).min(self.limit().max(floor))
-        } else if used < 0.25 * warm {
-            (0.5 * warm).max(floor)
+        self.next_number += 1;
+        self.next_number - 1
+    }
+
+    fn next_warmup_limit(&self) -> f64 {
+        let floor = 1.0f64.max(self.cfg.initial_share * self.limit());
+        let warmup_limit = self.warmup_limit.max(floor);
+        let used = f64::from(self.peak_in_flight);
+        if used >= 0.5 * warmup_limit.floor() {
+            (2.0 * warmup_limit).min(self.limit().max(floor))
+        } else if used < 0.25 * warmup_limit {
+            (0.5 * warmup_limit).max(floor)
         } else {
-            warm
+            warmup_limit
         }
     }
 }
 
-/// A grant at its sender.
+/// A grant held by its sender, with the token bucket of its rate.
 #[derive(Clone, Debug)]
 struct Held {
     grant: Grant,
-    until: policy::Moment,
-    saved: f64,
-    filled: policy::Moment,
+    expires_at: policy::Moment,
+    tokens: f64,
+    refilled_at: policy::Moment,
 }
 
-/// The grants that a sender holds, one for each availability zone.
+/// The grants that a sender holds, at most one per availability zone.
 #[derive(Clone, Debug, Default)]
-pub struct Wallet {
+pub struct HeldGrants {
     held: collections::BTreeMap<id::AzId, Held>,
 }
 
-impl Wallet {
-    /// Takes a grant in. `asked` is when this VM asked for it: the time is counted from there, so
-    /// that the sender never uses it longer than the receiver honours it.
-    pub fn put(&mut self, asked: policy::Moment, grant: Grant) {
-        let until = asked + grant.ttl;
+impl HeldGrants {
+    /// Stores a grant. Its lifetime counts from `requested_at`, when this VM requested it, so that
+    /// the sender never uses it after it has expired at the receiver.
+    pub fn insert(&mut self, requested_at: policy::Moment, grant: Grant) {
+        let expires_at = requested_at + grant.ttl;
         let old = self.held.get(&grant.az);
-        if old.is_some_and(|old| old.until > until) {
+        if old.is_some_and(|old| old.expires_at > expires_at) {
             return;
         }
-        let (saved, filled) = old.map_or((1.0, asked), |old| (old.saved, old.filled));
+        let (tokens, refilled_at) =
+            old.map_or((1.0, requested_at), |old| (old.tokens, old.refilled_at));
         let az = grant.az.clone();
         let held = Held {
             grant,
-            until,
-            saved,
-            filled,
+            expires_at,
+            tokens,
+            refilled_at,
         };
         self.held.insert(az, held);
     }
@@ -418,31 +436,31 @@
     /// The live grant for an availability zone.
     pub fn live(&self, now: policy::Moment, az: &id::AzId) -> Option<&Grant> {
         let held = self.held.get(az)?;
-        (now < held.until).then_some(&held.grant)
+        (now < held.expires_at).then_some(&held.grant)
     }
 
-    /// Whether the grant's pace, times `trust`, has room for one request.
+    /// Whether the grant's rate, multiplied by `trust`, permits one more request.
     pub fn allows(&mut self, now: policy::Moment, az: &id::AzId, trust: f64) -> bool {
         let Some(held) = self.held.get_mut(az) else {
             return false;
         };
-        let passed = now.saturating_sub(held.filled).as_secs_f64();
-        held.filled = held.filled.max(now);
-        let most = (f64::from(held.grant.slots) / 2.0).max(1.0);
-        held.saved = (held.saved + passed * held.grant.per_s * trust).min(most);
-        now < held.until && held.saved >= 1.0
+        let passed = now.saturating_sub(held.refilled_at).as_secs_f64();
+        held.refilled_at = held.refilled_at.max(now);
+        let max_tokens = (f64::from(held.grant.slots) / 2.0).max(1.0);
+        held.tokens = (held.tokens + passed * held.grant.per_s * trust).min(max_tokens);
+        now < held.expires_at && held.tokens >= 1.0
     }
 
-    /// Counts a request that goes under the grant.
+    /// Takes one token for a request sent under the grant.
     pub fn take(&mut self, az: &id::AzId) {
         if let Some(held) = self.held.get_mut(az) {
-            held.saved -= 1.0;
+            held.tokens -= 1.0;
         }
     }
 
-    /// Drops what has expired.
+    /// Drops expired grants.
     pub fn tick(&mut self, now: policy::Moment) {
-        self.held.retain(|_, held| now < held.until);
+        self.held.retain(|_, held| now < held.expires_at);
     }
 }
 
@@ -458,14 +476,14 @@
             slots: 40,
             max_load: 0.9,
             members: 2,
-            own: 4,
+            local_requests: 4,
             az_in_flight: 8,
             service_time: MS * 20,
         }
     }
 
-    fn lender(incarnation: u64) -> Lender {
-        Lender {
+    fn issuer(incarnation: u64) -> Issuer {
+        Issuer {
             service: "s".into(),
             az: "a".into(),
             vm: "a1".into(),
@@ -474,39 +492,39 @@
     }
 
     fn granter() -> Granter {
-        let mut granter = Granter::new(Config::default(), policy::Moment::ZERO, lender(1));
+        let mut granter = Granter::new(Config::default(), policy::Moment::ZERO, issuer(1));
         granter.set_load(START, load());
         granter
     }
 
-    /// Three regions are overfull and see the same room in a fourth. Were each given the whole of
-    /// it, its own callers would be answered late as well.
+    /// Guards against a thundering herd: three overloaded regions see the same headroom in a fourth
+    /// one, whose local callers would be answered late if each region got all of it.
     #[test]
-    fn a_herd_shares_the_headroom() {
+    fn senders_share_the_headroom() {
         let mut granter = granter();
         for round in 0..40 {
             let now = START + MS * 500 * round;
             for sender in ["b1", "b2", "c1", "c2", "d1"] {
-                let grant = granter.ask(now, &sender.into(), 10_000.0);
+                let grant = granter.request_grant(now, &sender.into(), 10_000.0);
                 if let Some(grant) = grant {
                     for _ in 0..grant.slots {
                         let _ = granter.admit(now, &sender.into(), grant.id);
                     }
                 }
             }
-            assert!(f64::from(granter.lent_slots()) <= granter.headroom());
+            assert!(f64::from(granter.granted_slots()) <= granter.headroom());
         }
-        assert!(granter.lent_slots() >= 9, "{}", granter.lent_slots());
+        assert!(granter.granted_slots() >= 9, "{}", granter.granted_slots());
     }
 
-    /// Cold caches answer slowly at first. Callers sent there all at once would wait in a queue.
+    /// Guards against a queue in front of cold caches, which answer slowly at first.
     #[test]
-    fn lending_starts_small_and_grows_with_use() {
+    fn granted_slots_start_small_and_grow_with_use() {
         let mut granter = granter();
         let mut slots = Vec::new();
         for round in 0..5 {
             let now = START + MS * 2_100 * round;
-            let grant = granter.ask(now, &"b1".into(), 10_000.0).unwrap();
+            let grant = granter.request_grant(now, &"b1".into(), 10_000.0).unwrap();
             for _ in 0..grant.slots {
                 granter.admit(now, &"b1".into(), grant.id).unwrap();
             }
@@ -519,21 +537,27 @@
     }
 
     #[test]
-    fn own_callers_go_first() {
+    fn local_callers_have_priority() {
         let mut granter = granter();
-        let grant = granter.ask(START, &"b1".into(), 100.0).unwrap();
-        let own = 18;
-        granter.set_load(START, Load { own, ..load() });
+        let grant = granter.request_grant(START, &"b1".into(), 100.0).unwrap();
+        let local_requests = 18;
+        granter.set_load(
+            START,
+            Load {
+                local_requests,
+                ..load()
+            },
+        );
         let refused = granter.admit(START, &"b1".into(), grant.id);
         assert_eq!(refused, Err(Refused::OwnFirst));
     }
 
-    /// A partition holds requests back on their way. When they come out, the room they were sent
-    /// for is long used by others.
+    /// Guards against requests that a partition delays until their grant has expired and others use
+    /// its slots.
     #[test]
     fn an_expired_grant_is_refused() {
         let mut granter = granter();
-        let grant = granter.ask(START, &"b1".into(), 100.0).unwrap();
+        let grant = granter.request_grant(START, &"b1".into(), 100.0).unwrap();
         let late = START + grant.ttl;
         assert_eq!(
             granter.admit(late, &"b1".into(), grant.id),
@@ -541,24 +565,23 @@
         );
     }
 
-    /// The receiver's process is replaced while senders hold its grants. Were the old grants
-    /// honoured beside new ones, the headroom would be lent twice.
+    /// Guards against granting the headroom twice after a restart while senders hold old grants.
     #[test]
-    fn a_restarted_receiver_honours_no_older_grant_and_lends_late() {
-        let old = granter().ask(START, &"b1".into(), 100.0).unwrap();
-        let mut new = Granter::new(Config::default(), START, lender(2));
+    fn a_restarted_receiver_refuses_older_grants_and_delays_new_ones() {
+        let old = granter().request_grant(START, &"b1".into(), 100.0).unwrap();
+        let mut new = Granter::new(Config::default(), START, issuer(2));
         new.set_load(START, load());
         assert_eq!(
             new.admit(START, &"b1".into(), old.id),
             Err(Refused::NoGrant)
         );
-        assert_eq!(new.ask(START, &"b1".into(), 100.0), None);
+        assert_eq!(new.request_grant(START, &"b1".into(), 100.0), None);
     }
 
-    /// Two entry VMs of a place cannot see each other for a while and each takes itself for the
-    /// only one. Both would lend the whole headroom.
+    /// Guards against granting the headroom twice: two entry VMs that a partition separates each
+    /// see only themselves.
     #[test]
-    fn a_member_that_went_unseen_keeps_its_share() {
+    fn a_member_that_is_not_seen_keeps_its_share() {
         let mut granter = granter();
         let alone = Load {
             members: 1,
@@ -567,42 +590,47 @@
         granter.set_load(START + MS * 1_000, alone);
         let before = granter.headroom();
         granter.set_load(START + MS * 30_000, alone);
-        // Averages still settle by a thousandth of a slot.
+        // The load averages still change by up to a thousandth of a slot.
         assert!((granter.headroom() - before).abs() < 1e-3);
         let none = Load {
             members: 0,
             ..load()
         };
         granter.set_load(START + MS * 30_000, none);
-        assert_eq!(granter.ask(START + MS * 30_000, &"b1".into(), 1.0), None);
+        assert_eq!(
+            granter.request_grant(START + MS * 30_000, &"b1".into(), 1.0),
+            None
+        );
     }
 
     #[test]
     fn a_sender_stops_before_the_receiver_does() {
         let mut granter = granter();
-        let (asked, given) = (START, START + MS * 55);
-        let grant = granter.ask(given, &"b1".into(), 1_000.0).unwrap();
-        let mut wallet = Wallet::default();
-        wallet.put(asked, grant.clone());
-        let last = asked + grant.ttl - MS;
-        assert!(wallet.allows(last, &"a".into(), 1.0));
+        let (requested_at, given) = (START, START + MS * 55);
+        let grant = granter.request_grant(given, &"b1".into(), 1_000.0).unwrap();
+        let mut held_grants = HeldGrants::default();
+        held_grants.insert(requested_at, grant.clone());
+        let last = requested_at + grant.ttl - MS;
+        assert!(held_grants.allows(last, &"a".into(), 1.0));
         assert_eq!(
             granter.admit(last + MS * 55, &"b1".into(), grant.id),
             Ok(())
         );
-        assert!(!wallet.allows(last + MS, &"a".into(), 1.0));
+        assert!(!held_grants.allows(last + MS, &"a".into(), 1.0));
     }
 
     #[test]
-    fn a_sender_keeps_the_pace() {
+    fn a_sender_keeps_the_rate() {
         let mut granter = granter();
-        let grant = granter.ask(START, &"b1".into(), 10_000.0).unwrap();
-        let mut wallet = Wallet::default();
-        wallet.put(START, grant.clone());
+        let grant = granter
+            .request_grant(START, &"b1".into(), 10_000.0)
+            .unwrap();
+        let mut held_grants = HeldGrants::default();
+        held_grants.insert(START, grant.clone());
         let mut sent = 0;
         for i in 0..1_000 {
-            if wallet.allows(START + MS * i, &"a".into(), 1.0) {
-                wallet.take(&"a".into());
+            if held_grants.allows(START + MS * i, &"a".into(), 1.0) {
+                held_grants.take(&"a".into());
                 sent += 1;
             }
         }
--- a/src/decisions/plan.rs
+++ b/src/decisions/plan.rs
@@ -1,22 +1,21 @@
-//! The plan: which share of a region's callers belongs to which availability zone, per service.
+//! Computes the plan: each availability zone's share of each region's callers, per service.
 //!
-//! Load pattern: a region stays over its limit, or a place is lost or drained, for longer than a
-//! spill is meant for. If each request has to be refused or carried on by the overfull place first,
-//! callers pay the detour for hours; one notices a steady rate of spills and refusals beside idle
-//! slots elsewhere.
+//! Load pattern: a region exceeds its limit, or an availability zone is lost or drained, for longer
+//! than routing single requests to other AZs is meant for. Every request would first be refused or
+//! forwarded by the overloaded AZ for hours while slots elsewhere are idle.
 //!
-//! [`target`] computes where callers should be from settings, lagging summaries and drains: own
-//! callers first, then the nearest regions that have room, never above a region's limit. What fits
-//! nowhere stays with its home. [`step`] moves from one version towards it by a bounded share, and
-//! each node steps through [`Applied`] within the same bound, so that a node that missed versions
-//! does not jump, and so that two writers that both believe they hold the lease cannot move callers
-//! faster than one.
+//! [`target`] computes the weights from settings, lagging summaries and drains: the local callers
+//! of a region first, then callers of other regions, nearest region first, never above a region's
+//! limit. Demand that fits nowhere stays in its home region. [`step`] moves the weights towards the
+//! target by a bounded share per version. Each node applies versions within the same bound
+//! ([`AppliedPlan`]), so that neither a node that missed versions nor two writers that both assume
+//! they hold the lease move callers faster than one writer.
 //!
-//! A caller is placed by its own hash ([`order`]), so that most callers stay where their data is
-//! cached; [`churn`] tells exactly which share of them a change of weights moves.
+//! A caller's hash determines its availability zones ([`rank_azs`]), so that most callers stay
+//! where their data is cached; [`churn`] computes the exact share of callers that a change moves.
 //!
-//! Summaries lag. A place whose summary is older than [`Config::fresh`] keeps what it has and is
-//! given no more; older than [`Config::gone`] it is taken for lost.
+//! Summaries lag. An availability zone with a summary older than [`Config::fresh_max_age`] gets no
+//! more callers of other regions; beyond [`Config::lost_after`] it counts as lost.
 
 use std::collections;
 use std::sync;
@@ -25,67 +24,68 @@
 use super::policy;
 use crate::{id, settings};
 
-/// Shares of callers per availability zone; together 1.
+/// Share of callers per availability zone; the sum is 1.
 pub type Weights = collections::BTreeMap<id::AzId, f64>;
 
-/// The weights of one service for the callers of each region.
-pub type ByRegion = collections::BTreeMap<id::RegionId, Weights>;
+/// The weights of one service, by the callers' region.
+pub type WeightsByRegion = collections::BTreeMap<id::RegionId, Weights>;
 
-/// Shares below this come from rounding.
-const NOISE: f64 = 1e-9;
+/// Shares below this are rounding errors.
+const SHARE_EPSILON: f64 = 1e-9;
 
-/// Steps of the search for the largest change within the bound; exact to less than [`NOISE`].
-const SEARCH: u32 = 40;
+/// Bisection steps to find the largest change within the bound, accurate to [`SHARE_EPSILON`].
+const BISECTION_STEPS: u32 = 40;
 
 data! {
     /// One version of the plan.
     #[derive(Default)]
     pub struct Plan {
-        /// Grows by one with each version.
+        /// Increases by one with each version.
         pub version: u64,
         /// The weights of each service.
-        pub services: collections::BTreeMap<id::ServiceId, ByRegion>,
+        pub services: collections::BTreeMap<id::ServiceId, WeightsByRegion>,
     }
 
-    /// What an availability zone last said of one service.
+    /// The last load report of an availability zone for one service.
     pub struct Summary {
         /// The availability zone.
         pub az: id::AzId,
         /// The service.
         pub service: id::ServiceId,
-        /// Slots of its backend servers that take work.
+        /// Slots of its backend servers that accept requests.
         pub slots: u32,
-        /// Slots in use, on average over the last second or so.
+        /// Slots in use, averaged over about one second.
         pub in_use: f64,
-        /// Work that callers bring there, answered or not, in slots, by the callers' region.
+        /// Slots that the offered load needs, answered or not, by the callers' region.
         pub demand: collections::BTreeMap<id::RegionId, f64>,
-        /// How old this is.
+        /// Age of the summary.
         pub age: time::Duration,
     }
 }
 
-/// How the plan trusts summaries.
+/// Thresholds of the plan.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Up to this age a summary counts fully. Three seconds: two may be lost on their way.
-    pub fresh: time::Duration,
-    /// From this age on the place counts as lost. Ten seconds: longer than a restart of its reader,
-    /// shorter than callers go on with answers that they cached twice.
-    pub gone: time::Duration,
-    /// A change that moves less than this share of callers is not worth a version.
-    pub least: f64,
-    /// The share of a place's capacity kept free when it is given foreign callers. Three twentieths:
-    /// with a tenth, random arrivals and cold caches took regions of a dozen slots over their limit
-    /// for a few seconds (`cargo bench --bench steering`).
+    /// Maximum age at which a summary counts fully. Three seconds: two may be lost.
+    pub fresh_max_age: time::Duration,
+    /// Summary age from which the availability zone counts as lost. Ten seconds: longer than a
+    /// restart of its elected reader, shorter than two lifetimes of callers' cached look-up
+    /// answers.
+    pub lost_after: time::Duration,
+    /// The smallest share of callers that a change must move to be written as a version.
+    pub min_change_share: f64,
+    /// The share of capacity kept free when an availability zone serves callers of other regions.
+    /// Three twentieths: at a tenth, random arrivals and cold caches take regions of a dozen slots
+    /// over their limit for a few seconds.
     pub margin: f64,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            fresh: time::Duration::from_secs(3),
-            gone: time::Duration::from_secs(10),
-            least: 0.005,
+            fresh_max_age: time::Duration::from_secs(3),
+            lost_after: time::Duration::from_secs(10),
+            min_change_share: 0.005,
             margin: 0.15,
         }
     }
@@ -94,83 +94,92 @@
 impl Config {
     /// Checks that the values are in range.
     pub fn check(&self) -> Result<(), &'static str> {
-        if self.fresh > self.gone {
-            return Err("fresh is over gone; give an age that is not above it");
+        if self.fresh_max_age > self.lost_after {
+            return Err("fresh_max_age is above lost_after; give an age that is not above it");
         }
-        if !(0.0..0.5).contains(&self.least) || !(0.0..0.5).contains(&self.margin) {
-            return Err("least or margin is out of range; give shares from 0 to 0.5");
+        if !(0.0..0.5).contains(&self.min_change_share) || !(0.0..0.5).contains(&self.margin) {
+            return Err("min_change_share or margin is out of range; give shares from 0 to 0.5");
         }
         Ok(())
     }
 }
 
-/// What a plan of one service is computed from.
+/// Inputs of the plan of one service.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs<'a> {
     /// The settings in force.
     pub settings: &'a settings::Settings,
     /// The service.
     pub service: &'a settings::Service,
-    /// The last summary of each availability zone.
+    /// The latest summary of each availability zone.
     pub summaries: &'a [Summary],
-    /// What drains leave of each availability zone, from 0 to 1. Absent: 1.
-    pub left: &'a collections::BTreeMap<id::AzId, f64>,
+    /// The share of capacity that drains leave of each availability zone, from 0 to 1; default 1.
+    pub capacity_shares: &'a collections::BTreeMap<id::AzId, f64>,
     /// The weights in force.
-    pub now: &'a ByRegion,
+    pub current: &'a WeightsByRegion,
 }
 
-/// Room of one availability zone while a plan is computed.
+/// Capacity of one availability zone while a plan is computed, in slots.
 #[derive(Clone, Debug)]
-struct Room {
+struct AzState {
     region: id::RegionId,
     capacity: f64,
-    left: f64,
-    takes_foreign: bool,
+    free: f64,
+    accepts_remote: bool,
 }
 
-type Rooms = collections::BTreeMap<id::AzId, Room>;
+type AzStates = collections::BTreeMap<id::AzId, AzState>;
 
-/// Where the callers of each region should be, if it could be reached in one step.
-pub fn target(cfg: &Config, inputs: &Inputs<'_>) -> ByRegion {
+/// The weights that the plan approaches, without a bound on the share of callers that moves.
+pub fn target(cfg: &Config, inputs: &Inputs<'_>) -> WeightsByRegion {
     let demand = demand(cfg, inputs);
-    let mut rooms = rooms(cfg, inputs);
+    let mut az_states = az_states(cfg, inputs);
     let mut placed = collections::BTreeMap::new();
     for region in inputs.settings.regions() {
         let wanted = demand.get(&region.name).copied().unwrap_or(0.0);
-        let own = fill(&mut rooms, wanted, |room| room.region == region.name);
-        placed.insert(region.name.clone(), own);
+        let assigned = assign(&mut az_states, wanted, |state| state.region == region.name);
+        placed.insert(region.name.clone(), assigned);
     }
-    for (az, room) in &mut rooms {
-        room.left = (room.left - cfg.margin * room.capacity).max(0.0);
-        room.left = room.left.min(foreign_bound(cfg, inputs, &demand, az, room));
+    for (az, state) in &mut az_states {
+        state.free = (state.free - cfg.margin * state.capacity).max(0.0);
+        state.free = state
+            .free
+            .min(remote_load_bound(cfg, inputs, &demand, az, state));
     }
     for region in inputs.settings.regions() {
         let wanted = demand.get(&region.name).copied().unwrap_or(0.0);
-        let own = placed.get_mut(&region.name).expect("inserted above");
-        for other in by_distance(inputs.settings, &region.name) {
-            let rest = wanted - own.values().sum::<f64>();
-            if rest <= NOISE * wanted {
+        let assigned = placed.get_mut(&region.name).expect("inserted above");
+        for other in regions_by_delay(inputs.settings, &region.name) {
+            let rest = wanted - assigned.values().sum::<f64>();
+            if rest <= SHARE_EPSILON * wanted {
                 break;
             }
-            let more = fill(&mut rooms, rest, |r| r.region == other && r.takes_foreign);
-            for (az, work) in more {
-                *own.entry(az).or_default() += work;
+            let more = assign(&mut az_states, rest, |r| {
+                r.region == other && r.accepts_remote
+            });
+            for (az, load) in more {
+                *assigned.entry(az).or_default() += load;
             }
         }
     }
     placed
         .into_iter()
-        .map(|(region, own)| {
+        .map(|(region, assigned)| {
             let wanted = demand.get(&region).copied().unwrap_or(0.0);
-            let weights = to_weights(&region, wanted, own, &rooms, inputs);
+            let weights = to_weights(&region, wanted, assigned, &az_states, inputs);
             (region, weights)
         })
         .collect()
 }
 
-/// One version's step from `now` towards `target`, moving at most `most` of any region's callers.
-/// `None`: what is left to move is not worth a version.
-pub fn step(cfg: &Config, now: &ByRegion, target: &ByRegion, most: f64) -> Option<ByRegion> {
+/// The next version's weights, which move at most `max_share` of any region's callers from `now`
+/// towards `target`. `None` if every change is below [`Config::min_change_share`].
+pub fn step(
+    cfg: &Config,
+    now: &WeightsByRegion,
+    target: &WeightsByRegion,
+    max_share: f64,
+) -> Option<WeightsByRegion> {
     let mut moved = false;
     let mut next = now.clone();
     for (region, to) in target {
@@ -179,24 +188,24 @@
             moved = true;
             continue;
         };
-        if churn(from, to) < cfg.least {
+        if churn(from, to) < cfg.min_change_share {
             continue;
         }
-        next.insert(region.clone(), towards(from, to, most));
+        next.insert(region.clone(), step_towards(from, to, max_share));
         moved = true;
     }
     moved.then_some(next)
 }
 
-/// The weights on the way from `from` to `to` that move at most `most` of the callers.
-pub fn towards(from: &Weights, to: &Weights, most: f64) -> Weights {
-    if churn(from, to) <= most + NOISE {
+/// The weights between `from` and `to` nearest to `to` that move at most `max_share` of callers.
+pub fn step_towards(from: &Weights, to: &Weights, max_share: f64) -> Weights {
+    if churn(from, to) <= max_share + SHARE_EPSILON {
         return to.clone();
     }
     let (mut low, mut high) = (0.0, 1.0);
-    for _ in 0..SEARCH {
+    for _ in 0..BISECTION_STEPS {
         let middle = (low + high) / 2.0;
-        if churn(from, &blend(from, to, middle)) <= most {
+        if churn(from, &blend(from, to, middle)) <= max_share {
             low = middle;
         } else {
             high = middle;
@@ -205,11 +214,12 @@
     blend(from, to, low)
 }
 
-/// The share of callers that [`order`] places elsewhere after a change of weights.
+/// The share of callers whose first availability zone in [`rank_azs`] changes with the weights.
 ///
-/// A caller draws an exponential time for each place, scaled by the place's weight, and the first
-/// one wins. It stays at a place if that one wins under both weights, whose probability is one over
-/// the sum of the larger ratios of weights.
+/// By weighted rendezvous hashing, a caller draws an exponential time, divided by the weight, for
+/// each availability zone, and the smallest time wins. A caller stays at an AZ that wins under both
+/// sets of weights. The probability is 1 over the sum, over all AZs, of the larger of both ratios
+/// of an AZ's weight to the winner's.
 pub fn churn(from: &Weights, to: &Weights) -> f64 {
     let weight = |w: &Weights, az: &id::AzId| w.get(az).copied().unwrap_or(0.0);
     let azs: collections::BTreeSet<_> = from.keys().chain(to.keys()).collect();
@@ -227,9 +237,9 @@
     (1.0 - stay).max(0.0)
 }
 
-/// The availability zones for one caller, the first being its own. Places without weight are left
-/// out.
-pub fn order(weights: &Weights, caller: u64) -> Vec<id::AzId> {
+/// The availability zones for one caller, ranked by weighted rendezvous hashing; the first serves
+/// it by the plan. AZs without weight are omitted.
+pub fn rank_azs(weights: &Weights, caller: u64) -> Vec<id::AzId> {
     let mut drawn: Vec<_> = weights
         .iter()
         .filter(|(_, weight)| **weight > 0.0)
@@ -239,30 +249,38 @@
     drawn.into_iter().map(|(_, az)| az.clone()).collect()
 }
 
-/// The weights where nothing is measured yet: each region's callers in its own availability zones
-/// alike, or in all of the service's where it has none.
-pub fn initial(settings: &settings::Settings, service: &settings::Service) -> ByRegion {
+/// The weights without load data: each region's callers are spread evenly over its availability
+/// zones that run the service, or over all of the service's AZs if it has none.
+pub fn initial_weights(
+    settings: &settings::Settings,
+    service: &settings::Service,
+) -> WeightsByRegion {
     settings
         .regions()
-        .map(|region| (region.name.clone(), even(&homes(region, service))))
+        .map(|region| {
+            (
+                region.name.clone(),
+                even_weights(&home_azs(region, service)),
+            )
+        })
         .collect()
 }
 
-/// What a node has in force, on its way to the newest version.
+/// The weights in force on one node, which approach the newest known plan version.
 #[derive(Debug, Default)]
-pub struct Applied {
+pub struct AppliedPlan {
     newest: sync::Arc<Plan>,
     services: collections::BTreeMap<id::ServiceId, InForce>,
 }
 
 #[derive(Debug)]
 struct InForce {
-    weights: ByRegion,
-    stepped: policy::Moment,
+    weights: WeightsByRegion,
+    stepped_at: policy::Moment,
 }
 
-impl Applied {
-    /// Takes a version in. False: it is not newer than the newest one known.
+impl AppliedPlan {
+    /// Stores a plan version. Returns false if it is not newer than the newest known one.
     pub fn offer(&mut self, plan: sync::Arc<Plan>) -> bool {
         if plan.version <= self.newest.version {
             return false;
@@ -271,37 +289,38 @@
         true
     }
 
-    /// The newest version known.
+    /// The newest known version.
     pub fn newest(&self) -> &sync::Arc<Plan> {
         &self.newest
     }
 
-    /// Steps a service towards the newest version, at most one step in each `step`, and returns the
-    /// weights in force. A process that starts takes over the newest version as it is.
+    /// Moves a service's weights towards the newest version by at most `max_share` per step length,
+    /// and returns them. The first call for a service uses the newest version unchanged.
     pub fn advance(
         &mut self,
         now: policy::Moment,
         settings: &settings::Settings,
         service: &settings::Service,
-        most: f64,
-    ) -> &ByRegion {
+        max_share: f64,
+    ) -> &WeightsByRegion {
         let newest = self.newest.services.get(&service.name);
         let known = self.services.entry(service.name.clone());
         let in_force = known.or_insert_with(|| InForce {
             weights: newest
                 .cloned()
-                .unwrap_or_else(|| initial(settings, service)),
-            stepped: now,
+                .unwrap_or_else(|| initial_weights(settings, service)),
+            stepped_at: now,
         });
         let step_len = time::Duration::from_millis(service.shift_step_ms);
-        let due = now >= in_force.stepped + step_len;
+        let due = now >= in_force.stepped_at + step_len;
         if let (true, Some(newest)) = (due, newest) {
             for (region, to) in newest {
                 let from = in_force.weights.get(region);
-                let next = from.map_or_else(|| to.clone(), |from| towards(from, to, most));
+                let next =
+                    from.map_or_else(|| to.clone(), |from| step_towards(from, to, max_share));
                 in_force.weights.insert(region.clone(), next);
             }
-            in_force.stepped = now;
+            in_force.stepped_at = now;
         }
         &in_force.weights
     }
@@ -309,50 +328,57 @@
 
 fn demand(cfg: &Config, inputs: &Inputs<'_>) -> collections::BTreeMap<id::RegionId, f64> {
     let mut demand: collections::BTreeMap<_, f64> = collections::BTreeMap::new();
-    let known = |s: &&Summary| s.service == inputs.service.name && s.age < cfg.gone;
+    let known = |s: &&Summary| s.service == inputs.service.name && s.age < cfg.lost_after;
     for summary in inputs.summaries.iter().filter(known) {
-        for (region, work) in &summary.demand {
-            if work.is_finite() && *work > 0.0 {
-                *demand.entry(region.clone()).or_default() += work;
+        for (region, load) in &summary.demand {
+            if load.is_finite() && *load > 0.0 {
+                *demand.entry(region.clone()).or_default() += load;
             }
         }
     }
     demand
 }
 
-fn rooms(cfg: &Config, inputs: &Inputs<'_>) -> Rooms {
-    let mut rooms = Rooms::new();
+fn az_states(cfg: &Config, inputs: &Inputs<'_>) -> AzStates {
+    let mut az_states = AzStates::new();
     for az in &inputs.service.azs {
         let Some(region) = inputs.settings.region_of(az) else {
             continue;
         };
         let of_az = |s: &&Summary| s.az == *az && s.service == inputs.service.name;
         let summary = inputs.summaries.iter().find(of_az);
-        let live = summary.filter(|s| s.age < cfg.gone);
-        let left = inputs.left.get(az).copied().unwrap_or(1.0).clamp(0.0, 1.0);
+        let live = summary.filter(|s| s.age < cfg.lost_after);
+        let capacity_share = inputs
+            .capacity_shares
+            .get(az)
+            .copied()
+            .unwrap_or(1.0)
+            .clamp(0.0, 1.0);
         let slots = live.map_or(0.0, |s| f64::from(s.slots));
-        let capacity = slots * region.max_load * left;
-        rooms.insert(
+        let capacity = slots * region.max_load * capacity_share;
+        az_states.insert(
             az.clone(),
-            Room {
+            AzState {
                 region: region.name.clone(),
                 capacity,
-                left: capacity,
-                takes_foreign: live.is_some_and(|s| s.age < cfg.fresh) && left >= 1.0,
+                free: capacity,
+                accepts_remote: live.is_some_and(|s| s.age < cfg.fresh_max_age)
+                    && capacity_share >= 1.0,
             },
         );
     }
-    rooms
+    az_states
 }
 
-/// The foreign work that a place may have by what its slots show. Callers whose caches are cold cost
-/// more than they bring by the settings; a place that is busier than its room tells gives some back.
-fn foreign_bound(
+/// Upper bound on the load of other regions' callers in an AZ, from its slots in use. Callers with
+/// cold caches use more slots than their demand shows. If more slots are in use than the capacity
+/// less the margin, the bound is the present load of other regions' callers less the excess.
+fn remote_load_bound(
     cfg: &Config,
     inputs: &Inputs<'_>,
     demand: &collections::BTreeMap<id::RegionId, f64>,
     az: &id::AzId,
-    room: &Room,
+    state: &AzState,
 ) -> f64 {
     let of_az = |s: &&Summary| s.az == *az && s.service == inputs.service.name;
     let in_use = inputs
@@ -360,95 +386,97 @@
         .iter()
         .find(of_az)
         .map_or(0.0, |s| s.in_use);
-    let wanted = room.capacity * (1.0 - cfg.margin);
-    if in_use <= wanted {
+    let usable = state.capacity * (1.0 - cfg.margin);
+    if in_use <= usable {
         return f64::INFINITY;
     }
-    let others = inputs
-        .now
+    let remote = inputs
+        .current
         .iter()
-        .filter(|(region, _)| **region != room.region);
-    let now: f64 = others
+        .filter(|(region, _)| **region != state.region);
+    let current: f64 = remote
         .map(|(region, weights)| {
-            let work = demand.get(region).copied().unwrap_or(0.0);
-            work * weights.get(az).copied().unwrap_or(0.0)
+            let load = demand.get(region).copied().unwrap_or(0.0);
+            load * weights.get(az).copied().unwrap_or(0.0)
         })
         .sum();
-    (now - (in_use - wanted)).max(0.0)
+    (current - (in_use - usable)).max(0.0)
 }
 
-/// Places work in rooms that `fits` picks, in proportion to what they have left.
-fn fill(rooms: &mut Rooms, wanted: f64, fits: impl Fn(&Room) -> bool) -> Weights {
-    let left: f64 = rooms.values().filter(|r| fits(r)).map(|r| r.left).sum();
-    let part = if left > 0.0 {
-        (wanted / left).clamp(0.0, 1.0)
+/// Assigns load to the AZs that `fits` selects, in proportion to their free capacity.
+fn assign(az_states: &mut AzStates, wanted: f64, fits: impl Fn(&AzState) -> bool) -> Weights {
+    let free: f64 = az_states.values().filter(|r| fits(r)).map(|r| r.free).sum();
+    let part = if free > 0.0 {
+        (wanted / free).clamp(0.0, 1.0)
     } else {
         0.0
     };
     let mut placed = Weights::new();
-    for (az, room) in rooms.iter_mut().filter(|(_, room)| fits(room)) {
-        let work = room.left * part;
-        if work > 0.0 {
-            room.left -= work;
-            placed.insert(az.clone(), work);
+    for (az, state) in az_states.iter_mut().filter(|(_, state)| fits(state)) {
+        let load = state.free * part;
+        if load > 0.0 {
+            state.free -= load;
+            placed.insert(az.clone(), load);
         }
     }
     placed
 }
 
-/// Turns placed work to shares. What found no place stays with its home.
+/// Converts assigned load to shares. Unassigned load stays in its home region.
 fn to_weights(
     region: &id::RegionId,
     wanted: f64,
     mut placed: Weights,
-    rooms: &Rooms,
+    az_states: &AzStates,
     inputs: &Inputs<'_>,
 ) -> Weights {
     let rest = wanted - placed.values().sum::<f64>();
-    if wanted <= 0.0 || rest > NOISE * wanted {
-        let home = home_weights(region, rooms, inputs);
+    if wanted <= 0.0 || rest > SHARE_EPSILON * wanted {
+        let home = home_weights(region, az_states, inputs);
         let rest = if wanted <= 0.0 { 1.0 } else { rest };
         for (az, part) in home {
             *placed.entry(az).or_default() += part * rest;
         }
     }
     let sum: f64 = placed.values().sum();
-    placed.values_mut().for_each(|work| *work /= sum);
+    placed.values_mut().for_each(|load| *load /= sum);
     placed
 }
 
-/// A region's own places by their capacity, or alike where none has any: what fits nowhere must not
-/// be planned into a place that is full.
-fn home_weights(region: &id::RegionId, rooms: &Rooms, inputs: &Inputs<'_>) -> Weights {
-    let own = rooms.iter().filter(|(_, room)| room.region == *region);
-    let sum: f64 = own.clone().map(|(_, room)| room.capacity).sum();
+/// Weights of a region's availability zones by capacity, or equal ones if none has capacity. Load
+/// that fits nowhere stays here, because the plan must not overload other regions.
+fn home_weights(region: &id::RegionId, az_states: &AzStates, inputs: &Inputs<'_>) -> Weights {
+    let home = az_states
+        .iter()
+        .filter(|(_, state)| state.region == *region);
+    let sum: f64 = home.clone().map(|(_, state)| state.capacity).sum();
     if sum > 0.0 {
-        return own
-            .filter(|(_, room)| room.capacity > 0.0)
-            .map(|(az, room)| (az.clone(), room.capacity / sum))
+        return home
+            .filter(|(_, state)| state.capacity > 0.0)
+            .map(|(az, state)| (az.clone(), state.capacity / sum))
             .collect();
     }
     let declared = inputs.settings.regions().find(|r| r.name == *region);
-    even(&declared.map_or_else(Vec::new, |r| homes(r, inputs.service)))
+    even_weights(&declared.map_or_else(Vec::new, |r| home_azs(r, inputs.service)))
 }
 
-fn homes(region: &settings::Region, service: &settings::Service) -> Vec<id::AzId> {
+fn home_azs(region: &settings::Region, service: &settings::Service) -> Vec<id::AzId> {
     let runs = |az: &&id::AzId| service.azs.contains(az);
-    let own: Vec<_> = region.azs.iter().filter(runs).cloned().collect();
-    if own.is_empty() {
+    let home: Vec<_> = region.azs.iter().filter(runs).cloned().collect();
+    if home.is_empty() {
         service.azs.clone()
     } else {
-        own
+        home
     }
 }
 
-fn even(azs: &[id::AzId]) -> Weights {
+fn even_weights(azs: &[id::AzId]) -> Weights {
     let part = 1.0 / azs.len().max(1) as f64;
     azs.iter().map(|az| (az.clone(), part)).collect()
 }
 
-/// The other regions that a link leads to, nearest first.
-fn by_distance(settings: &settings::Settings, from: &id::RegionId) -> Vec<id::RegionId> {
+/// The regions that a link connects to `from`, nearest first.
+fn regions_by_delay(settings: &settings::Settings, from: &id::RegionId) -> Vec<id::RegionId> {
     let mut links: Vec<_> = settings.links().filter(|l| l.from == *from).collect();
     links.sort_by(|a, b| {
         let by_delay = a.one_way_ms.total_cmp(&b.one_way_ms);
@@ -469,7 +497,7 @@
     mixed
 }
 
-/// A number above 0 and at most 1 that a caller draws for a place: the same on every node.
+/// A pseudo-random number above 0 and at most 1 for a caller and an AZ; the same on every node.
 fn draw(caller: u64, az: &id::AzId) -> f64 {
     let mut hash = caller ^ 0x9e37_79b9_7f4a_7c15;
     for byte in az.as_str().bytes() {
@@ -478,7 +506,7 @@
     ((hash >> 11) + 1) as f64 / (1u64 << 53) as f64
 }
 
-/// The finalizer of splitmix64, which spreads each bit over all.
+/// The finalizer of splitmix64: each input bit affects all output bits.
 fn mix(mut hash: u64) -> u64 {
     hash = hash.wrapping_add(0x9e37_79b9_7f4a_7c15);
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -507,7 +535,7 @@
         }
     }
 
-    fn all(demand: f64) -> Vec<Summary> {
+    fn all_summaries(demand: f64) -> Vec<Summary> {
         ["ulaanbaatar", "khovd", "dornod"]
             .iter()
             .flat_map(|region| {
@@ -521,17 +549,20 @@
             .collect()
     }
 
-    fn plan(summaries: &[Summary], left: &[(&str, f64)]) -> ByRegion {
+    fn plan(summaries: &[Summary], capacity_shares: &[(&str, f64)]) -> WeightsByRegion {
         let settings = cooperative();
         let service = settings.service("ledger").unwrap();
-        let now = initial(&settings, service);
-        let left = left.iter().map(|(az, l)| ((*az).into(), *l)).collect();
+        let now = initial_weights(&settings, service);
+        let capacity_shares = capacity_shares
+            .iter()
+            .map(|(az, l)| ((*az).into(), *l))
+            .collect();
         let inputs = Inputs {
             settings: &settings,
             service,
             summaries,
-            left: &left,
-            now: &now,
+            capacity_shares: &capacity_shares,
+            current: &now,
         };
         let cfg = Config {
             margin: 0.1,
@@ -540,33 +571,33 @@
         target(&cfg, &inputs)
     }
 
-    fn weight(plan: &ByRegion, region: &str, az: &str) -> f64 {
+    fn weight(plan: &WeightsByRegion, region: &str, az: &str) -> f64 {
         plan[region].get(az).copied().unwrap_or(0.0)
     }
 
     #[test]
-    fn without_overload_everyone_stays_home() {
-        let plan = plan(&all(3.0), &[]);
+    fn callers_stay_home_without_overload() {
+        let plan = plan(&all_summaries(3.0), &[]);
         assert!((weight(&plan, "khovd", "khovd-a") - 0.5).abs() < 1e-9);
         assert_eq!(plan["khovd"].len(), 2);
     }
 
-    /// A storm doubles one region's load for an hour. What it cannot bear goes to the others only
-    /// as far as their own callers leave room.
+    /// Guards against an overloaded region that moves more load to other regions than their local
+    /// callers leave free: one region's load doubles.
     #[test]
-    fn a_surge_goes_where_there_is_room() {
-        let mut summaries = all(4.0);
+    fn a_surge_moves_only_into_free_capacity() {
+        let mut summaries = all_summaries(4.0);
         summaries[2].demand.insert("khovd".into(), 9.0);
         let plan = plan(&summaries, &[]);
         let away = 1.0 - weight(&plan, "khovd", "khovd-a") - weight(&plan, "khovd", "khovd-b");
         assert!((away - (13.0 - 10.8) / 13.0).abs() < 1e-6, "{away}");
     }
 
-    /// A region is lost. Its callers must not make a second one fall over; those that fit nowhere
-    /// are refused at home.
+    /// Guards against a cascade: the callers of a lost region must not overload a second one. Those
+    /// that fit nowhere stay at home and are refused there.
     #[test]
-    fn a_lost_region_does_not_overfill_the_others() {
-        let mut summaries = all(4.0);
+    fn a_lost_region_does_not_overload_the_others() {
+        let mut summaries = all_summaries(4.0);
         for summary in &mut summaries[2..4] {
             summary.age = time::Duration::from_secs(60);
         }
@@ -580,16 +611,16 @@
     }
 
     #[test]
-    fn a_drained_place_keeps_no_callers() {
-        let plan = plan(&all(2.0), &[("khovd-a", 0.0)]);
+    fn a_drained_az_keeps_no_callers() {
+        let plan = plan(&all_summaries(2.0), &[("khovd-a", 0.0)]);
         assert_eq!(weight(&plan, "khovd", "khovd-a"), 0.0);
         assert_eq!(weight(&plan, "khovd", "khovd-b"), 1.0);
     }
 
-    /// A summary that is some seconds old may show room that is gone.
+    /// Guards against using free capacity that only an outdated summary shows.
     #[test]
-    fn a_place_that_fell_silent_gets_no_more() {
-        let mut summaries = all(4.0);
+    fn an_az_with_an_old_summary_gets_no_more_callers() {
+        let mut summaries = all_summaries(4.0);
         summaries[2].demand.insert("khovd".into(), 9.0);
         for summary in &mut summaries[4..] {
             summary.age = time::Duration::from_secs(5);
@@ -600,30 +631,34 @@
     }
 
     #[test]
-    fn churn_tells_how_many_callers_move() {
+    fn churn_equals_the_share_of_callers_that_move() {
         let from: Weights = [("a".into(), 0.5), ("b".into(), 0.5)].into();
         let to: Weights = [("a".into(), 0.5), ("b".into(), 0.3), ("c".into(), 0.2)].into();
         let moved = (0..20_000u64)
-            .filter(|i| order(&from, mix(*i))[0] != order(&to, mix(*i))[0])
+            .filter(|i| rank_azs(&from, mix(*i))[0] != rank_azs(&to, mix(*i))[0])
             .count();
         let measured = moved as f64 / 20_000.0;
-        let told = churn(&from, &to);
-        assert!((measured - told).abs() < 0.01, "{measured} {told}");
-        assert!((churn(&from, &towards(&from, &to, 0.05)) - 0.05).abs() < 1e-4);
+        let computed = churn(&from, &to);
+        assert!((measured - computed).abs() < 0.01, "{measured} {computed}");
+        assert!((churn(&from, &step_towards(&from, &to, 0.05)) - 0.05).abs() < 1e-4);
     }
 
-    /// A node was cut off for an hour while the plan moved on by many versions. Applied at once,
-    /// they would throw all its callers onto places that are cold to them.
+    /// Guards against a node that was partitioned during many versions and applies them at once, so
+    /// that all of its callers move to cold caches.
     #[test]
-    fn a_node_that_missed_versions_steps_like_the_others() {
+    fn a_node_that_missed_versions_keeps_the_bound_per_step() {
         let settings = cooperative();
         let service = settings.service("ledger").unwrap();
-        let mut applied = Applied::default();
+        let mut applied = AppliedPlan::default();
         let mut before = applied
             .advance(policy::Moment::ZERO, &settings, service, 0.05)
             .clone();
-        let far: Weights = [("dornod-a".into(), 1.0)].into();
-        let services = [("ledger".into(), [("khovd".into(), far.clone())].into())].into();
+        let target_weights: Weights = [("dornod-a".into(), 1.0)].into();
+        let services = [(
+            "ledger".into(),
+            [("khovd".into(), target_weights.clone())].into(),
+        )]
+        .into();
         let plan = sync::Arc::new(Plan {
             version: 40,
             services,
@@ -636,10 +671,10 @@
             let next = applied.advance(now, &settings, service, 0.05).clone();
             let moved = churn(&before["khovd"], &next["khovd"]);
             assert!(moved <= 0.05 + 1e-6, "{moved}");
-            steps += u32::from(moved > NOISE);
+            steps += u32::from(moved > SHARE_EPSILON);
             before = next;
         }
-        assert_eq!(before["khovd"], far);
+        assert_eq!(before["khovd"], target_weights);
         assert!((20..=21).contains(&steps), "{steps}");
     }
 }
