--- a/src/standin/steering/mod.rs
+++ b/src/standin/steering/mod.rs
@@ -2,8 +2,8 @@
 //! with.
 //!
 //! It drives the real [`cross_az`], [`grants`] and [`plan`] with fixed arrivals. An availability
-//! zone is a pool of slots with one queue; messages take a fixed time, loads are told twice a second,
-//! callers keep a look-up for five seconds. Nothing reads a clock, all randomness is seeded.
+//! zone is a pool of slots with one queue; messages take a fixed time, loads are told twice a
+//! second, callers keep a look-up for five seconds. Nothing reads a clock, all randomness is seeded.
 
 mod callers;
 mod places;
