--- a/src/coordination/settings_sync.rs
+++ b/src/coordination/settings_sync.rs
@@ -1,17 +1,17 @@
-//! Brings accepted settings to every entry process, and keeps them from going back.
+//! Distributes accepted settings to every entry process and prevents reverts to older versions.
 //!
-//! The reader of an availability zone lists and watches the store; whatever is new to a process
-//! goes on to its peers at once. What got lost on the way heals by digests: every 2 s a process
-//! tells its peers one number over all that it holds, and where two numbers differ they compare
-//! key by key and ask each other for what is newer. So a VM that starts while the store is down
-//! learns its settings from peers, and a store that was put back to an older state is written
-//! again by the readers before an operator builds on it.
+//! The reader of an availability zone lists and watches the store. Each process forwards new
+//! values to its peers at once. Digests repair message loss: every 2 s a process sends its peers a
+//! hash of all values it holds; two peers whose hashes differ compare key by key and request the
+//! newer values. So a VM that starts while the store is down gets its settings from peers, and the
+//! readers rewrite a store that was restored to an older state before an operator builds on it.
 //!
-//! Without the reader each VM would hold two watches, 8,800 calls at a time for 4,400 VMs. Without
-//! the digests a message lost between two peers would leave a VM on old settings until the next
-//! change: one would notice by `bulrushwind status`, which lists the VMs that lag.
+//! Without the reader each VM would hold two watches: 8,800 concurrent calls for 4,400 VMs.
+//! Without digests a lost message would leave a VM on old settings until the next change;
+//! `bulrushwind status` would list that VM as lagging.
 //!
-//! Nothing here blocks or reads a clock: events and the time go in, [`action::Action`]s come out.
+//! Nothing here blocks or reads a clock: inputs are events and the time, outputs are
+//! [`action::Action`]s.
 
 use std::collections;
 use std::time;
@@ -27,39 +27,39 @@
 use action::{Action, Note, PREFIXES, Prefix};
 use book::Taken;
 
-/// How often a process tells its peers what it holds.
+/// Interval at which a process sends its digest to its peers.
 const DIGEST_EVERY: time::Duration = time::Duration::from_secs(2);
 
-/// How often two peers compare key by key. Two that can never agree, because one of them holds
-/// settings by a key that was revoked since, must not talk about it all the time.
+/// Shortest interval between two key-by-key comparisons with one peer. It limits the traffic of
+/// peers that can never agree because one holds settings signed by a key revoked since.
 const COMPARE_EVERY: time::Duration = time::Duration::from_secs(1);
 
-/// How long a value that was asked for may take before another peer is asked.
+/// Time to wait for a requested value before requesting it from another peer.
 const WANT_EVERY: time::Duration = time::Duration::from_secs(1);
 
-/// How often a reader reads everything again beside its watch: when a store is put back and
-/// written to before the watch comes back, its revisions run on past the watch's, which then says
-/// nothing of what lies between. The interval grows with what there is to read, so that reading
-/// costs at most [`FULL_READ_BYTES_PER_S`].
+/// Shortest interval between full reads, which a reader makes in addition to its watch. If a store
+/// is restored and written to before the watch reconnects, its revisions pass that of the watch,
+/// which then misses the writes in between. The interval grows with the stored bytes, so that full
+/// reads cost at most [`FULL_READ_BYTES_PER_S`].
 const MIN_FULL_READ_EVERY: time::Duration = time::Duration::from_secs(3);
 
-/// The longest time between two full reads.
+/// Longest interval between two full reads.
 const MAX_FULL_READ_EVERY: time::Duration = time::Duration::from_secs(300);
 
-/// Bytes a second that full reads may take of a reader, from the 10 KB/s that it has for control.
+/// Bandwidth for full reads, out of the 10 KB/s that a reader may use for control traffic.
 const FULL_READ_BYTES_PER_S: f64 = 3_000.0;
 
-/// Within this time the readers of all availability zones write an old store again, each at a
-/// time of its own: the first one's write spares the others theirs.
+/// Longest random delay before a reader rewrites an outdated value in the store. The readers of
+/// all availability zones draw different delays, so that usually only the first one writes.
 const HEAL_WITHIN: time::Duration = time::Duration::from_secs(1);
 
-/// Bytes of values that one message may be answered with. The next digest brings the rest.
+/// Bytes of values after which the answer to one message ends. The next digest brings the rest.
 const MAX_ANSWER_BYTES: usize = 2 << 20;
 
-/// Keys that one message may list.
+/// Keys listed in one message.
 const MAX_KEYS: usize = 10_000;
 
-/// Refusals that are remembered, so that each is told once.
+/// Refusals remembered so that each is logged once.
 const MAX_REFUSALS: usize = 256;
 
 #[derive(Debug, Default)]
@@ -74,11 +74,11 @@
 struct Heal {
     expect: store::Revision,
     due: policy::Moment,
-    /// A read after `due` still showed the older value.
+    /// A read after `due` still returned the older value.
     confirmed: bool,
 }
 
-/// The settings of one process.
+/// Keeps the settings of one process in sync with the store and its peers.
 #[derive(Debug)]
 pub struct Sync {
     book: book::Book,
@@ -94,7 +94,7 @@
 }
 
 impl Sync {
-    /// Holds nothing yet. `seed` sets the jitter, and must differ between processes.
+    /// Creates an empty instance. `seed` seeds the jitter and must differ between processes.
     pub fn new(roots: Vec<keys::PublicKey>, seed: u64) -> Self {
         Self {
             book: book::Book::new(roots),
@@ -110,13 +110,13 @@
         }
     }
 
-    /// What this process holds.
+    /// The signed values that this process holds.
     pub fn book(&self) -> &book::Book {
         &self.book
     }
 
-    /// Makes this process read the store, or stop. It begins with a full read: what it knew of
-    /// the store's revisions may be from before a restore.
+    /// Starts or stops reading the store. Reading starts with a full read, since the revisions
+    /// from an earlier read may predate a restore of the store.
     pub fn set_reads(&mut self, reads: bool) {
         if reads != self.reads {
             self.reads = reads;
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Reads everything again instead of going on from the last revision.
+    /// Schedules full reads instead of continuing from the last revisions.
     fn read_again(&mut self) {
         for stream in self.streams.values_mut() {
             stream.after = None;
@@ -133,13 +133,13 @@
         }
     }
 
-    /// A peer is linked: it learns what we hold, and we what it holds, without waiting a round.
+    /// Sends the digest to a newly linked peer, so that it need not wait for the next interval.
     pub fn greet(&self, peer: &id::VmId, out: &mut Vec<Action>) {
         let message = peer::Message::Digest(self.book.digest());
         out.push(Action::Send(peer.clone(), message));
     }
 
-    /// Time has passed.
+    /// Sends the digest, and starts store reads and writes, if they are due.
     pub fn tick(
         &mut self,
         now: policy::Moment,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// A full read has ended.
+    /// Handles the end of a full read.
     pub fn listed(
         &mut self,
         now: policy::Moment,
@@ -190,7 +190,7 @@
         self.put_in_force(out);
     }
 
-    /// A watch has ended.
+    /// Handles the end of a watch.
     pub fn watched(
         &mut self,
         now: policy::Moment,
@@ -209,12 +209,12 @@
                 }
                 self.put_in_force(out);
             }
-            // The store may have been put back while it was away.
+            // The store may have been restored during an outage.
             Err(_) => stream.next_full = now,
         }
     }
 
-    /// A write of ours has ended. Whatever came of it, the store says best what it holds now.
+    /// Handles the end of a write. After an error a full read shows what the store holds.
     pub fn wrote(&mut self, key: &str, result: &Result<store::Revision, store::Error>) {
         self.writing = false;
         self.heals.remove(key);
@@ -225,7 +225,7 @@
         }
     }
 
-    /// A peer sent something. Messages about other things are left alone.
+    /// Handles a peer's message about settings. Ignores other messages.
     pub fn message(
         &mut self,
         now: policy::Moment,
@@ -286,12 +286,12 @@
 
     fn offer(&mut self, now: policy::Moment, entry: &store::Entry, out: &mut Vec<Action>) {
         if entry.value.is_empty() {
-            // Nobody signs a deletion; a team that goes applies empty settings.
+            // Deletions are unsigned and are undone. A team is removed by applying empty settings.
             self.plan_heal(now, &entry.key, store::Revision(0), 0, out);
             return;
         }
         let Ok(text) = std::str::from_utf8(&entry.value) else {
-            let why = "it is not text; write it again with `bulrushwind apply`".to_owned();
+            let why = "the value is not UTF-8; write it again with `bulrushwind apply`".to_owned();
             self.refuse(&entry.key, why, out);
             return;
         };
@@ -304,11 +304,11 @@
         self.pass_on(&entry.key, None, taken, out);
     }
 
-    /// Writes what is held to the store where that has less. What the store holds and we cannot
-    /// read stays: it may be from a version of ours that knows more.
+    /// Schedules a write of the held value to a store that has an older value or none. Values that
+    /// this process cannot read stay: a newer software version may have written them.
     ///
-    /// A store that was put back counts its revisions anew, so that a write on an old read could
-    /// hit another value of the same revision. So the value is read again right before.
+    /// A restored store reuses revision numbers, so a write based on an old read could overwrite
+    /// a different value of the same revision. The value is therefore read again before the write.
     fn plan_heal(
         &mut self,
         now: policy::Moment,
