--- a/src/coordination/plan_writer.rs
+++ b/src/coordination/plan_writer.rs
@@ -1,16 +1,16 @@
-//! The one process that writes the steering plan, picked by a lease.
+//! Elects one process by a lease to write the steering plan, and computes each new version.
 //!
-//! The lease only saves work: what keeps the plan sound is the compare-and-swap on the version that
-//! a new one was computed from. A writer that was paused past its lease, and wakes in the middle of
-//! a write, fails on the revision. Two writers that both believe they hold the lease write
-//! one chain of versions, and every node steps along it by its own bound in its own time
-//! ([`plan::AppliedPlan`]), so that even twice the versions move no caller faster.
+//! The lease only avoids duplicate work; consistency comes from the compare-and-swap on the
+//! revision that a new version was computed from. The write of a process that was paused beyond
+//! its lease fails on the revision. Two processes that both assume to hold the lease write a single
+//! sequence of versions, and every node limits its own steps along that sequence
+//! ([`plan::AppliedPlan`]), so twice as many versions do not shift callers faster.
 //!
-//! With the store down nothing is written and the last version holds. A store that was restored
-//! from an older state shows an older version than the nodes have: the next one is then numbered
-//! and computed from what this node has, so that no node waits for numbers that it has passed.
+//! While the store is down nothing is written and the last version stays in use. If the store was
+//! restored to an older state, the next version is computed and numbered from the newest one that
+//! this node has: nodes ignore versions below the one they have.
 //!
-//! Only readers of settings contend, so that the calls grow with availability zones and not with
+//! Only readers of settings contend, so that store calls grow with availability zones, not with
 //! nodes: a contender reads one key every [`Config::retry`], the writer reads one key every
 //! [`Config::every`] and renews its lease.
 
@@ -22,22 +22,22 @@
 use crate::decisions::{caps, drain, plan, policy};
 use crate::{id, settings};
 
-/// The key that the writer holds under its lease.
+/// Store key that the writer holds under its lease.
 pub const WRITER_KEY: &str = "steering/writer";
 
-/// The key of the plan.
+/// Store key of the plan.
 pub const PLAN_KEY: &str = "steering/plan";
 
-/// How the plan is written.
+/// Timing of the writer and parameters of the plan.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// How long the lease lasts. Ten seconds without a writer cost one step of the plan at most.
+    /// Duration of the lease. Ten seconds without a writer delay the plan by one step at most.
     pub ttl: time::Duration,
-    /// How often the writer looks whether a new version is due.
+    /// Interval at which the writer checks whether a new version is due.
     pub every: time::Duration,
-    /// How often a contender looks whether there is a writer.
+    /// Interval at which a contender checks whether there is a writer.
     pub retry: time::Duration,
-    /// How the plan trusts summaries.
+    /// The parameters of the plan.
     pub plan: plan::Config,
 }
 
@@ -55,11 +55,11 @@
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     id: store::LeaseId,
-    // Counted from before the call that took or renewed it.
+    // Time before the call that granted or renewed the lease.
     renewed: policy::Moment,
 }
 
-/// A contender for the writer's role on one node.
+/// One node's contender for the writer role.
 #[derive(Debug)]
 pub struct Writer<S> {
     cfg: Config,
@@ -67,25 +67,25 @@
     store: S,
     lease: Option<Lease>,
     next_look: policy::Moment,
-    // Since when each service's weights are as they are, as far as this process saw.
+    // Each service's weights, and since when this process has seen them unchanged.
     since: collections::BTreeMap<id::ServiceId, (plan::WeightsByRegion, policy::Moment)>,
 }
 
-/// What a new version is computed from.
+/// The inputs of a new version.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs<'a> {
     /// The settings in force.
     pub settings: &'a settings::Settings,
-    /// The last summaries.
+    /// The latest load summaries.
     pub summaries: &'a [plan::Summary],
-    /// The time of day, in seconds since 1970, which drains are dated by.
+    /// Wall-clock time in seconds since 1970, for the schedules of drains.
     pub now_s: f64,
-    /// The newest version that this node knows.
+    /// The newest version that this node has received.
     pub known: &'a plan::Plan,
 }
 
 impl<S: store::Store> Writer<S> {
-    /// A contender that does not hold the role.
+    /// Creates a contender without the lease.
     pub fn new(cfg: Config, me: id::VmId, store: S) -> Self {
         Self {
             cfg,
@@ -97,13 +97,13 @@
         }
     }
 
-    /// Whether this process holds the role as far as it knows.
+    /// Whether this process assumes to hold the lease.
     pub fn is_writer(&self) -> bool {
         self.lease.is_some()
     }
 
-    /// Contends for the role, or does its work. Returns the plan that the store holds where it
-    /// looked. Fails with what the store answered; the last version then holds.
+    /// Contends for the lease or, with the lease, writes a due version. Returns the current plan
+    /// if it read the store. Fails with the store's error; the last version then stays in use.
     pub fn tick(
         &mut self,
         now: policy::Moment,
@@ -139,10 +139,10 @@
         }
     }
 
-    /// Gives the role up, so that another can take it at once.
+    /// Revokes the lease, so that another process can take over at once.
     pub fn stop(&mut self) {
         if let Some(lease) = self.lease.take() {
-            // If this fails, the lease lapses by itself.
+            // If this fails, the lease expires.
             let _ = self.store.revoke(lease.id);
         }
     }
@@ -182,15 +182,15 @@
                 Ok(false)
             }
             Err(err) => {
-                // The write may stand. The lease is let lapse or given up, and its key with it.
+                // The write may have taken effect. The key is removed with the lease.
                 let _ = self.store.revoke(id);
                 Err(err)
             }
         }
     }
 
-    /// The plan in the store. `None`: a version of ours that this one cannot read wrote it, and
-    /// writing over it would turn an upgrade back.
+    /// The plan in the store. `None` if it cannot be decoded: a newer software version may have
+    /// written it, and overwriting it would undo that upgrade.
     fn read(&self) -> Result<Option<(plan::Plan, store::Revision)>, store::Error> {
         let Some(entry) = self.store.get(PLAN_KEY)? else {
             return Ok(Some((plan::Plan::default(), store::Revision(0))));
@@ -239,8 +239,8 @@
         changed.then_some(next)
     }
 
-    /// Whether a service's weights have stood for a whole step, as far as this process saw. One
-    /// that just became writer does not know when its predecessor stepped, so it waits a step.
+    /// Whether a service's weights have been unchanged for a whole step. A new writer does not
+    /// know when the previous writer changed them, so it waits for one step.
     fn step_is_due(
         &mut self,
         now: policy::Moment,
@@ -263,8 +263,8 @@
         next: plan::Plan,
         revision: store::Revision,
     ) -> Result<sync::Arc<plan::Plan>, store::Error> {
-        let value = serde_json::to_vec(&next).expect("a plan holds only what JSON can");
-        // No lease on this key: the plan outlives its writer.
+        let value = serde_json::to_vec(&next).expect("a plan can be encoded as JSON");
+        // No lease on this key: the plan stays when its writer stops.
         self.store
             .compare_and_swap(PLAN_KEY, revision, &value, None)?;
         Ok(sync::Arc::new(next))
@@ -290,7 +290,7 @@
         Writer::new(Config::default(), name.into(), store)
     }
 
-    /// Summaries in which khovd has fallen silent.
+    /// Summaries from all availability zones except those in khovd.
     fn summaries(settings: &settings::Settings) -> Vec<plan::Summary> {
         let ledger = settings.service("ledger").unwrap();
         let live = ledger
@@ -371,7 +371,7 @@
         assert!(away(&plan) >= most * 3.0, "{}", away(&plan));
     }
 
-    /// A store that hands the writer's process a pause in the middle of its write.
+    /// A store that runs `pause` before each write of the plan.
     struct Pausing<F> {
         inner: standin::Memory,
         pause: F,
@@ -425,9 +425,8 @@
         }
     }
 
-    /// A writer's process is paused between its read and its write. Its lease lapses, a second
-    /// writer goes on, and the first wakes and writes what it had computed. If that took effect,
-    /// callers would jump back and forth between places.
+    /// A process pauses between its read and its write, its lease expires, and a second writer
+    /// writes a version. The outdated write must fail, or callers would shift back and forth.
     #[test]
     fn a_writer_that_wakes_past_its_lease_changes_nothing() {
         let (store, play) = (standin::Memory::default(), Play::new());
@@ -454,8 +453,8 @@
         assert_eq!(stored(&store).version, 77);
     }
 
-    /// The lease is gone at the store while its holder has not noticed, and a second process took
-    /// it: two write. Were each to step at its own pace, callers would move twice as fast.
+    /// The lease is revoked without its holder's knowledge and a second process takes it, so two
+    /// processes write. Independent steps of both would shift callers twice as fast.
     #[test]
     fn two_writers_move_no_caller_faster() {
         let (store, play) = (standin::Memory::default(), Play::new());
@@ -469,7 +468,7 @@
         let mut applied = plan::AppliedPlan::default();
         let mut seen = Vec::new();
         for s in 0..120 {
-            // The first keeps believing.
+            // The first process still assumes to hold the lease.
             first.lease = Some(Lease {
                 renewed: S * s,
                 ..lease
@@ -490,8 +489,8 @@
         assert!(plan::churn(&seen[0], seen.last().unwrap()) > 3.0 * most);
     }
 
-    /// The store writes a version and loses its reply. A writer that took it for lost and wrote
-    /// the step again from memory would have moved callers by two steps.
+    /// The store writes a version but the reply is lost. A writer that repeated the step from
+    /// memory would shift callers by two steps.
     #[test]
     fn a_lost_reply_does_not_step_twice() {
         let (store, play) = (standin::Memory::default(), Play::new());
@@ -511,11 +510,11 @@
         store.set_faults(standin::Faults::default());
         let before = stored(&store);
         play.tick(&mut writer, S * 20).unwrap();
-        assert_eq!(stored(&store), before, "the step that was written counts");
+        assert_eq!(stored(&store), before, "the written step takes effect once");
     }
 
-    /// The platform brings its store back from an hour-old copy. Nodes keep the newest version they
-    /// know; numbers that start over would leave them deaf to the plan for as many versions.
+    /// The store is restored from an older copy. Nodes ignore versions below the newest they have
+    /// received, so reused numbers would leave them without updates for as many versions.
     #[test]
     fn a_restored_store_does_not_turn_the_plan_back() {
         let (store, mut play) = (standin::Memory::default(), Play::new());
@@ -542,7 +541,7 @@
         for s in 1..40 {
             assert!(matches!(play.tick(&mut writer, S * s), Ok(None) | Err(_)));
         }
-        assert!(!writer.is_writer(), "its lease is past");
+        assert!(!writer.is_writer(), "its lease has expired");
         store.set_faults(standin::Faults::default());
         assert_eq!(stored(&store), before);
     }
