--- a/src/coordination/reader.rs
+++ b/src/coordination/reader.rs
@@ -1,20 +1,21 @@
-//! Which entry process of an availability zone reads the store for all of them.
+//! Elects the entry process of an availability zone that reads the store for the whole zone.
 //!
-//! The reader holds the watches and passes on what they bring, so that the store's load grows with
-//! the number of availability zones and not with the number of VMs. Two readers at a time cost
-//! calls and harm nothing; none at all holds settings back, and so does a reader whose messages
-//! do not arrive or that cannot reach the store itself.
+//! The reader holds the watches and forwards their events, so that the store's load grows with
+//! the number of availability zones and not with the number of VMs. Two readers at a time only
+//! cost calls. Settings are delayed without a reader, and with one whose messages are lost or that
+//! cannot reach the store.
 //!
-//! Two ways stand behind [`Election`], and docs/design/reader.md measures them. [`Lowest`] takes
-//! the lowest name among those heard lately. [`Accused`] is after Aguilera, Delporte-Gallet,
-//! Fauconnier and Toueg, "On implementing Omega with weak reliability and synchrony assumptions",
-//! figures 2 and 3: only the reader sends heartbeats; whoever misses them accuses it; each process
-//! counts the accusations against itself and tells the count in its heartbeats; the lowest
-//! (count, name) reads. A phase number keeps a process from being accused for the silence that
-//! follows from giving the role up, and whoever prefers another reader tells a contender so.
-//! Beyond the paper, a process that starts listens first and joins with a count above the
-//! reader's, so that a VM that keeps restarting does not take the role each time; a reader that
-//! cannot reach the store counts that against itself; and timeouts grow up to a bound.
+//! [`Election`] has two implementations, compared in docs/design/reader.md. [`Lowest`] picks the
+//! lowest name among the processes with a recent heartbeat. [`Accused`] follows Aguilera,
+//! Delporte-Gallet, Fauconnier and Toueg, "On implementing Omega with weak reliability and
+//! synchrony assumptions", figures 2 and 3: only the reader sends heartbeats; processes that miss
+//! them accuse it; each process counts the accusations against itself and sends the count in its
+//! heartbeats; the lowest (count, name) is the reader. A phase number keeps a process from being
+//! accused for not sending after it gave up the role. A process that receives a heartbeat of a
+//! contender sends the contender the heartbeat of the reader that it prefers. Beyond the paper, a
+//! new process listens first and joins with a count above the reader's, so that a VM that keeps
+//! restarting does not take the role each time; a reader that cannot reach the store counts that
+//! as an accusation; and timeouts grow up to a bound.
 
 use std::collections;
 use std::time;
@@ -24,20 +25,20 @@
 use crate::protocol::peer;
 
 data! {
-    /// How often heartbeats go and how long they may stay out.
+    /// The intervals and timeouts of heartbeats.
     #[derive(Copy, Eq)]
     pub struct Timing {
-        /// Between two heartbeats.
+        /// The interval between two heartbeats.
         pub every: time::Duration,
-        /// The first timeout: three heartbeats.
+        /// The first timeout: three heartbeat intervals.
         pub timeout: time::Duration,
-        /// What each timeout that ran out adds to the next.
+        /// The increase of a process's timeout each time that it expires.
         pub step: time::Duration,
-        /// The longest timeout. It bounds how long an availability zone is without a reader.
+        /// The longest timeout. It bounds the time an availability zone is without a reader.
         pub max_timeout: time::Duration,
     }
 
-    /// A message that an election wants sent inside the availability zone.
+    /// A message to send inside the availability zone.
     pub enum Out {
         /// To every peer of the availability zone.
         All(peer::Message),
@@ -57,9 +58,9 @@
     }
 }
 
-/// A way to pick the reader. Each process runs one; they need not agree at every moment.
+/// An election algorithm. Each process runs an instance; their results may differ temporarily.
 pub trait Election {
-    /// Starts listening.
+    /// Creates an instance that listens before it elects a reader.
     fn new(
         own: id::VmId,
         incarnation: id::Incarnation,
@@ -67,11 +68,11 @@
         now: policy::Moment,
     ) -> Self;
 
-    /// Time has passed.
+    /// Handles expired timeouts and sends due heartbeats.
     fn tick(&mut self, now: policy::Moment, out: &mut Vec<Out>);
 
-    /// A heartbeat came from `from`, its own or one that it passed on. True: it is the first
-    /// copy, to be passed on where not all are linked.
+    /// Handles a heartbeat that `from` sent or relayed. True: it is the first copy, to be relayed
+    /// where not all processes are linked.
     fn alive(
         &mut self,
         now: policy::Moment,
@@ -80,17 +81,17 @@
         out: &mut Vec<Out>,
     ) -> bool;
 
-    /// An accusation came. True: it is the first copy, to be passed on where not all are linked.
+    /// Handles an accusation. True: it is the first copy, to be relayed.
     fn accuse(&mut self, now: policy::Moment, accuse: &peer::Accuse, out: &mut Vec<Out>) -> bool;
 
-    /// This process cannot reach the store.
+    /// Handles this process's loss of the store.
     fn store_lost(&mut self, now: policy::Moment);
 
-    /// The reader as this process sees it. None: it has just started and listens.
+    /// The reader that this process has elected. None while it listens after its start.
     fn reader(&self) -> Option<&id::VmId>;
 }
 
-/// Picks the lowest name among the processes that were heard lately. All send heartbeats.
+/// Elects the lowest name among the processes with a recent heartbeat. All send heartbeats.
 #[derive(Debug)]
 pub struct Lowest {
     own: id::VmId,
@@ -159,7 +160,7 @@
     }
 }
 
-/// Picks the process with the fewest accusations. Only the reader sends heartbeats.
+/// Elects the process with the fewest accusations. Only the reader sends heartbeats.
 #[derive(Debug)]
 pub struct Accused {
     own: id::VmId,
@@ -167,10 +168,10 @@
     counted: Option<policy::Moment>,
     contenders: collections::BTreeMap<id::VmId, Contender>,
     timeouts: collections::BTreeMap<id::VmId, time::Duration>,
-    /// The last heartbeat of each, also of those that fell silent: one that a peer passes on must
-    /// not bring a dead reader back.
+    /// The last heartbeat of each process, kept after its timeout: a relayed copy must not make a
+    /// dead process the reader again.
     seen: collections::BTreeMap<id::VmId, (id::Incarnation, u64)>,
-    /// The last accusation of each, and when it came.
+    /// The last accusation against each process, and when it was received.
     accusations: collections::BTreeMap<id::VmId, ((id::Incarnation, u64), policy::Moment)>,
     reader: Option<id::VmId>,
 }
@@ -264,8 +265,8 @@
         self.reader.as_ref() == Some(&self.own)
     }
 
-    /// Those whose heartbeats stayed out are accused. Others may reach them where we cannot, so
-    /// everybody hears the accusation and passes it on.
+    /// Accuses contenders whose heartbeats timed out. The accusation goes to all peers, which
+    /// relay it, since some of them may reach the contender when this process cannot.
     fn expire(&mut self, now: policy::Moment, out: &mut Vec<Out>) {
         let expired: Vec<_> = self
             .contenders
@@ -288,7 +289,7 @@
         }
     }
 
-    /// A process that joins stands behind the reader it finds.
+    /// Joins with a count above the current reader's, so that the reader keeps the role.
     fn join(&mut self) {
         let counters = self.contenders.values().map(|c| c.beat.counter);
         self.pulse.beat.counter = counters.min().map_or(0, |counter| counter + 1);
@@ -308,12 +309,12 @@
         let gives_up = self.is_reader();
         self.reader = Some(first.clone());
         if gives_up {
-            // Our silence from now on is no fault.
+            // From now on missing heartbeats of this process are expected.
             self.pulse.beat.phase += 1;
         }
     }
 
-    /// Tells a contender of the reader that we prefer: the two may not hear each other.
+    /// Sends a contender the preferred reader's heartbeat: the two may not be linked.
     fn check(&self, from: &id::VmId, alive: &peer::Alive, out: &mut Vec<Out>) {
         let Some(reader) = self.reader.as_ref().filter(|r| **r != alive.vm) else {
             return;
@@ -324,7 +325,7 @@
         }
     }
 
-    /// Counts one accusation; those of several peers over one silence count once.
+    /// Counts an accusation. Those of several peers for the same missed heartbeats count once.
     fn count(&mut self, now: policy::Moment) {
         let recent = self
             .counted
@@ -337,7 +338,7 @@
         self.update();
     }
 
-    /// Whether an accusation over the same silence was not passed on yet.
+    /// Whether no accusation for the same missed heartbeats was relayed yet.
     fn is_first(&mut self, now: policy::Moment, accuse: &peer::Accuse) -> bool {
         let timeout = self.pulse.timing.timeout;
         let said = (accuse.incarnation, accuse.phase);
@@ -368,7 +369,7 @@
     }
 }
 
-/// A process's own heartbeats: the last one, and when the next is due.
+/// The heartbeats of this process: the last one, and when the next is due.
 #[derive(Debug)]
 struct Pulse {
     beat: peer::Alive,
@@ -402,7 +403,7 @@
         out.push(Out::All(peer::Message::Alive(self.beat.clone())));
     }
 
-    /// Whether the process has listened for so long that it would have heard a reader.
+    /// Whether the process has listened long enough to receive a reader's heartbeat.
     fn has_listened(&self, now: policy::Moment) -> bool {
         now >= self.started + self.timing.timeout
     }
@@ -428,8 +429,8 @@
         }
     }
 
-    /// The VM with the lowest name keeps restarting. If it took the role back each time, the
-    /// availability zone would lose its watch as often and see settings late.
+    /// The VM with the lowest name keeps restarting. If it took the role each time, the
+    /// availability zone would lose its watch each time and get settings late.
     #[test]
     fn a_restarted_process_does_not_take_the_role() {
         let mut a: Accused = elect("a");
@@ -439,11 +440,11 @@
         a.alive(ms(400), &"b".into(), &heartbeat("b", 3, 9), &mut out);
         a.tick(ms(1_500), &mut out);
         assert_eq!(a.reader(), Some(&"b".into()));
-        assert!(out.is_empty(), "a listener sends nothing: {out:?}");
+        assert!(out.is_empty(), "messages sent while listening: {out:?}");
     }
 
-    /// The reader's way to the store is cut and its heartbeats still arrive. Without giving the
-    /// role up, its availability zone would have no settings until somebody looked.
+    /// The reader cannot reach the store, but its heartbeats still arrive. If it kept the role, its
+    /// availability zone would get no settings until an operator intervened.
     #[test]
     fn a_reader_without_the_store_gives_up() {
         let mut a: Accused = elect("a");
@@ -456,8 +457,8 @@
         assert_eq!(a.reader(), Some(&"b".into()));
     }
 
-    /// A reader dies and one that did not notice yet passes its last heartbeat on. If that
-    /// brought it back, the availability zone would follow a dead reader over and over.
+    /// A reader crashes and a peer relays its last heartbeat late. If that restored its role, the
+    /// availability zone would follow a dead reader again and again.
     #[test]
     fn a_dead_reader_is_not_brought_back() {
         let mut b: Accused = elect("b");
@@ -470,8 +471,8 @@
         assert_eq!(b.reader(), Some(&"b".into()));
     }
 
-    /// A reader gives the role up and falls silent; its peers time out and accuse it. Counting
-    /// that would push the role around for no fault.
+    /// A reader gives up the role and stops sending heartbeats; its peers time out and accuse it.
+    /// Counting that would move the role without a fault.
     #[test]
     fn silence_after_giving_up_is_not_counted() {
         let mut b: Accused = elect("b");
