--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -1,9 +1,9 @@
-//! All that one entry process decides about agreement, without threads, sockets or a clock.
+//! One entry process's part in agreement, without threads, sockets or a clock.
 //!
-//! A [`Node`] joins the settings ([`super::settings_sync`]), the view of the VMs
-//! ([`super::membership`]), the choice of the reader ([`super::reader`]) and the budget of store
-//! calls ([`super::budget`]). The process around it feeds [`Event`]s with the time and carries
-//! out the actions; the tests do the same in virtual time.
+//! A [`Node`] combines the settings ([`super::settings_sync`]), the view of the VMs
+//! ([`super::membership`]), the election of the reader ([`super::reader`]) and the budget of store
+//! calls ([`super::budget`]). The driver passes in [`Event`]s with the time and carries out the
+//! returned actions; tests do the same in virtual time.
 
 use std::collections;
 use std::time;
@@ -16,41 +16,41 @@
 use action::{Action, Note, Prefix};
 use reader::Election;
 
-/// How often the reader reads the platform's list of VMs. A backend server that is leaving gets no
-/// new work after this and the list's own lag.
+/// Interval at which the reader reads the platform's list of VMs. A backend server that is leaving
+/// gets no new requests after at most this interval plus the lag of the list.
 const VMS_EVERY: time::Duration = time::Duration::from_secs(1);
 
-/// How long a reader's calls may fail before it counts that against itself.
+/// How long a reader's calls may fail before it counts the outage as an accusation.
 const STORE_PATIENCE: time::Duration = time::Duration::from_secs(3);
 
-/// How often a process that has another list than the reader asks for the reader's.
+/// Shortest interval between two requests of a process for the reader's list of VMs.
 const WANT_VMS_EVERY: time::Duration = time::Duration::from_secs(1);
 
-/// How long a process without any list waits for peers before it takes its seeds for all it has.
+/// How long a process without a list of VMs waits for links before it connects to its seeds.
 const SEEDS_AFTER: time::Duration = time::Duration::from_secs(1);
 
-/// Who a node is and what it starts from.
+/// A node's identity and startup settings.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// This VM.
     pub vm: id::VmId,
     /// Its availability zone.
     pub az: id::AzId,
-    /// This start of the process.
+    /// Identifies this run of the process.
     pub incarnation: id::Incarnation,
     /// The public root keys, which sign the teams' key rings.
     pub roots: Vec<keys::PublicKey>,
-    /// Where entry VMs may listen that know the fleet, for a start without the store.
+    /// Addresses of entry VMs that have the list of VMs, for a start without the store.
     pub seeds: Vec<std::net::SocketAddr>,
-    /// Sets the jitter, and must differ between processes.
+    /// Seeds the jitter and must differ between processes.
     pub seed: u64,
-    /// The limits of its store calls.
+    /// The limits of store calls.
     pub limits: budget::Limits,
-    /// The heartbeats of readers.
+    /// The timing of the readers' heartbeats.
     pub timing: reader::Timing,
 }
 
-/// Whether a message is one that a node takes. All others are for other parts of the process.
+/// Whether a node handles this message. All others are for other parts of the process.
 pub fn takes(message: &peer::Message) -> bool {
     matches!(
         message,
@@ -66,7 +66,7 @@
     )
 }
 
-/// What happened.
+/// An input of a node.
 #[derive(Debug)]
 pub enum Event {
     /// A full read ended.
@@ -77,17 +77,17 @@
     Wrote(String, Result<store::Revision, store::Error>),
     /// A read of the list of VMs ended.
     Vms(Result<Vec<store::Vm>, store::Error>),
-    /// A peer sent something.
+    /// A peer sent a message.
     Message(id::VmId, peer::Message),
-    /// The links as they are now.
+    /// The current links.
     Links(Vec<peers::Linked>),
     /// Time has passed.
     Tick,
-    /// This process is about to stop as planned.
+    /// This process is about to make a planned stop.
     Stopping,
 }
 
-/// The agreement of one process with its peers and the store.
+/// Coordinates one process with its peers and the store.
 #[derive(Debug)]
 pub struct Node<E = reader::Accused> {
     cfg: Config,
@@ -107,7 +107,7 @@
 }
 
 impl<E: Election> Node<E> {
-    /// A process that has just started.
+    /// Creates the node of a process that has just started.
     pub fn new(cfg: Config, now: policy::Moment) -> Self {
         Self {
             sync: settings_sync::Sync::new(cfg.roots.clone(), cfg.seed),
@@ -127,17 +127,17 @@
         }
     }
 
-    /// The settings that this process holds.
+    /// The settings of this process.
     pub fn sync(&self) -> &settings_sync::Sync {
         &self.sync
     }
 
-    /// The VMs that this process knows.
+    /// This process's view of the VMs.
     pub fn view(&self) -> &membership::View {
         &self.view
     }
 
-    /// Who reads the store for this availability zone, as far as this process knows.
+    /// The reader of this availability zone that this process has elected.
     pub fn reader(&self) -> Option<&id::VmId> {
         self.reader.as_ref()
     }
@@ -147,7 +147,7 @@
         self.store_up
     }
 
-    /// Takes an event and appends what is to be done.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn step(&mut self, now: policy::Moment, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Listed(prefix, result) => {
@@ -269,7 +269,7 @@
         }
     }
 
-    /// A call to the store ended. Whatever the store answered, it is there.
+    /// Records the end of a store call. Any answer, also a refusal, shows that the store is up.
     fn ended<T>(&mut self, now: policy::Moment, result: &Result<T, store::Error>) {
         let failed = matches!(
             result,
@@ -305,8 +305,8 @@
         }
     }
 
-    /// Answers with our list under the name of the reader it came by, as that is whom the asker
-    /// follows.
+    /// Sends this process's list of VMs. It carries the reader's name, since the receiver accepts
+    /// only a list by its reader.
     fn hand_vms(&self, to: &id::VmId, out: &mut Vec<Action>) {
         if self.view.list_hash() == 0 {
             return;
@@ -327,7 +327,7 @@
         out.extend(self.reader.clone().map(|vm| Action::Log(Note::Reader(vm))));
     }
 
-    /// A reader that gets no answers for long leaves the role to a VM that may.
+    /// Counts a store outage against a reader that gets no answers, so that another VM takes over.
     fn watch_store(&mut self, now: policy::Moment) {
         if !self.is_reader() || !self.budget.is_open() {
             self.store_lost = None;
@@ -340,7 +340,7 @@
         }
     }
 
-    /// A process that starts while the store is out of reach has no list of VMs to dial.
+    /// Connects to the seeds: a process that starts during a store outage has no list of VMs.
     fn use_seeds(&mut self, now: policy::Moment, out: &mut Vec<Action>) {
         let waits = now < self.started + SEEDS_AFTER || self.view.list_hash() != 0;
         if self.seeded || waits || self.cfg.seeds.is_empty() {
