--- a/src/coordination/action.rs
+++ b/src/coordination/action.rs
@@ -1,4 +1,4 @@
-//! What the pure parts of coordination ask the process around them to do.
+//! The actions that the coordination logic returns for its driver to carry out.
 
 use std::sync;
 
@@ -6,11 +6,11 @@
 use crate::protocol::peer;
 use crate::{id, settings};
 
-/// The parts of the store that hold signed values, keys first: settings are checked with them.
+/// The prefixes of signed values, keys first: settings are verified with them.
 pub const PREFIXES: [Prefix; 2] = [Prefix::Keys, Prefix::Settings];
 
 key! {
-    /// A part of the store that holds signed values.
+    /// A store prefix that holds signed values.
     pub enum Prefix {
         /// The teams' key rings.
         Keys,
@@ -28,24 +28,24 @@
         }
     }
 
-    /// The prefix that a key lies under.
+    /// The prefix of a key.
     pub fn of(key: &str) -> Option<Self> {
         PREFIXES.into_iter().find(|p| key.starts_with(p.as_str()))
     }
 }
 
-/// Something to do.
+/// An action for the driver.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Read everything under a prefix.
+    /// Read all values under a prefix.
     List(Prefix),
     /// Wait for writes under a prefix after a revision.
     Watch(Prefix, store::Revision),
-    /// Write a value back if the key is still at a revision.
+    /// Write a value if the key's revision is unchanged.
     Write {
         /// The key.
         key: String,
-        /// The revision that the key must still have.
+        /// The expected revision of the key.
         expect: store::Revision,
         /// The value.
         value: sync::Arc<str>,
@@ -54,51 +54,51 @@
     ReadVms,
     /// Send to one peer.
     Send(id::VmId, peer::Message),
-    /// Send to all linked peers but the one it came from.
+    /// Send to all linked peers except the sender.
     ToAll {
-        /// Who told us.
+        /// The peer that sent it to this process.
         except: Option<id::VmId>,
         /// The message.
         message: peer::Message,
     },
-    /// Send to all linked peers of our own availability zone but the one it came from.
+    /// Send to all linked peers of this availability zone except the sender.
     ToOwnAz {
-        /// Who told us.
+        /// The peer that sent it to this process.
         except: Option<id::VmId>,
         /// The message.
         message: peer::Message,
     },
-    /// Keep links to these entry VMs.
+    /// Link to these entry VMs.
     Targets(Vec<peers::Target>),
-    /// These settings are in force from now on.
+    /// Use these settings from now on.
     InForce(sync::Arc<settings::Settings>),
-    /// This is the list of VMs from now on.
+    /// Use this list of VMs from now on.
     Vms(Vec<store::Vm>),
-    /// Tell the operators.
+    /// Log a message for operators.
     Log(Note),
 }
 
-/// What operators are told.
+/// A log message for operators.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum Note {
-    /// A value was not taken.
+    /// A value was refused.
     #[error("{key} is refused: {why}")]
     Refused {
         /// The key.
         key: String,
-        /// Why, with the remedy.
+        /// The reason and the remedy.
         why: String,
     },
-    /// The store holds an older value than this process.
+    /// The store holds an older value than this process, or none.
     #[error(
-        "{key}: the store holds version {stored} and version {held} is in force; the store was put back to an older state, and the version in force is written to it again"
+        "{key}: the store holds version {stored} but this VM holds version {held}; the store was restored to an older state, and this VM's version is written to it again"
     )]
     StoreBehind {
         /// The key.
         key: String,
         /// The version in the store; 0: none.
         stored: u64,
-        /// The version in force.
+        /// The version that this process holds.
         held: u64,
     },
     /// Two different values have the same version.
@@ -115,14 +115,14 @@
         /// The change that is dropped.
         other: String,
     },
-    /// A team's newest settings are signed and accepted but do not fit the other teams'.
+    /// A team's newest settings are signed but inconsistent with those of other teams.
     #[error(
         "team `{team}`'s newest settings do not go with the others', their last good ones stay in force: {why}"
     )]
     NotInForce {
         /// The team.
         team: id::TeamId,
-        /// Why, with the remedy.
+        /// The reason and the remedy.
         why: String,
     },
     /// A team's settings came into force.
@@ -133,7 +133,7 @@
         /// The version.
         version: u64,
     },
-    /// This process became the reader of its availability zone, or another did.
+    /// The availability zone has a new reader: this process or another one.
     #[error("`{0}` reads the store for this availability zone")]
     Reader(id::VmId),
 }
