--- a/src/coordination/book.rs
+++ b/src/coordination/book.rs
@@ -1,15 +1,15 @@
-//! The signed values that one process holds, and the settings that follow from them.
+//! The signed values that one process holds, and the settings in force derived from them.
 //!
-//! Values come from the store and from peers, in any order, twice, late, or from a store that was
-//! put back to an older state. Whatever comes, a value is only ever replaced by one of a higher
-//! [`Rank`], which is a total order: so nothing goes back, and all processes that have seen the
-//! same values hold the same ones. Two different values with one version can only come about when
-//! the store was put back and somebody applied again with a clock that runs behind; then the
-//! signature's hash decides, which is the same everywhere, and operators are told.
+//! Values arrive from the store and from peers: out of order, duplicated, late, or from a store
+//! that was restored to an older state. A value is replaced only by one of a higher [`Rank`], which
+//! is a total order, so nothing reverts and all processes that received the same values hold the
+//! same ones. Two values of one version occur only when the store was restored and an operator
+//! applied again with a clock that runs behind. The hash of the signature then decides, which is
+//! the same everywhere, and a message is logged for operators.
 //!
-//! Held is not yet in force: a value that does not parse, or that does not go with the other
-//! teams' values, is held and passed on, while the last good part of its team stays in force. A
-//! process that took it, or stopped on it, would steer its callers by nothing.
+//! A held value is not yet in force: one that does not parse, or that is inconsistent with other
+//! teams' values, is held and forwarded, while the team's last valid settings stay in force. A
+//! process that used it, or stopped because of it, could not steer its callers.
 
 use std::collections;
 use std::sync;
@@ -22,36 +22,36 @@
 use crate::{id, settings};
 use action::Note;
 
-/// Teams whose settings may wait for a key ring. What waits is not checked yet.
+/// Teams whose settings may wait for a key ring. Waiting settings are not verified yet.
 const MAX_WAITING: usize = 256;
 
 key! {
-    /// The place of a value among all that its key ever had.
+    /// Orders the values of one key.
     pub struct Rank {
-        /// The version that its author gave it.
+        /// The version that the value's author assigned.
         pub version: u64,
-        /// A hash of its signature, which decides between equal versions.
+        /// A hash of the value's signature, which decides between equal versions.
         pub hash: u64,
     }
 }
 
-/// What became of a value that was offered.
+/// The result of offering a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// It is held now, and so are those that waited for it. These are their keys.
+    /// The value, and any that waited for it, are held now. Contains their keys.
     New(Vec<String>),
-    /// It is the one that is held.
+    /// The value was already held.
     Known,
-    /// A higher one is held.
+    /// A value of a higher rank is held.
     Older {
-        /// Its version.
+        /// The version of the offered value.
         offered: u64,
-        /// The version that is held.
+        /// The version of the held value.
         held: u64,
     },
-    /// It waits for its team's key ring.
+    /// The value waits for its team's key ring.
     Waiting,
-    /// It is not sound.
+    /// The value is invalid, for this reason.
     Refused(String),
 }
 
@@ -63,7 +63,7 @@
     body: T,
 }
 
-/// The values that a process holds.
+/// The signed values that a process holds, and the settings in force.
 #[derive(Debug)]
 pub struct Book {
     roots: Vec<keys::PublicKey>,
@@ -79,7 +79,7 @@
 }
 
 impl Book {
-    /// An empty one, which trusts key rings that one of `roots` signed.
+    /// Creates an empty instance, which trusts key rings signed by one of `roots`.
     pub fn new(roots: Vec<keys::PublicKey>) -> Self {
         Self {
             roots,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Takes a value if it is sound and of a higher rank than the one that is held.
+    /// Holds a value if it is valid and of a higher rank than the held one.
     pub fn take(&mut self, key: &str, text: &sync::Arc<str>) -> Taken {
         if let Some(team) = key.strip_prefix(envelope::STORE_PREFIX) {
             return self.take_part(key, &team.into(), text);
@@ -129,17 +129,17 @@
         Some(sync::Arc::new(self.in_force.clone()))
     }
 
-    /// What operators are to be told since the last call.
+    /// The messages for operators since the last call.
     pub fn notes(&mut self) -> Vec<Note> {
         std::mem::take(&mut self.notes)
     }
 
-    /// All that is held, as one number.
+    /// A digest of all held values.
     pub fn digest(&self) -> peer::Digest {
         self.digest
     }
 
-    /// All that is held, key by key.
+    /// The version and hash of each held value.
     pub fn held(&self) -> Vec<peer::Held> {
         let rings = self.rings.iter().map(|(t, v)| (keys::store_key(t), v.rank));
         let parts = self
@@ -156,17 +156,17 @@
             .collect()
     }
 
-    /// The rank of the value that is held under a key.
+    /// The rank of the value held under a key.
     pub fn rank(&self, key: &str) -> Option<Rank> {
         self.value(key).map(|(rank, _)| rank)
     }
 
-    /// The text of the value that is held under a key.
+    /// The text of the value held under a key.
     pub fn text(&self, key: &str) -> Option<sync::Arc<str>> {
         self.value(key).map(|(_, text)| text.clone())
     }
 
-    /// The version of each team's settings in force.
+    /// The rank of each team's settings in force.
     pub fn versions(&self) -> &collections::BTreeMap<id::TeamId, Rank> {
         &self.versions
     }
@@ -185,7 +185,7 @@
             Err(err) => return Taken::Refused(err.to_string()),
         };
         let rank = rank(envelope.version, envelope.signature);
-        // Before the signature: what is held or older needs no check, and costs none.
+        // Checked before the signature, to save that cost for known and older values.
         if let Some(taken) = not_higher(rank, self.rank(key)) {
             return taken;
         }
@@ -285,7 +285,7 @@
         self.digest.hash ^= hash_of(key, now);
     }
 
-    /// Puts every team's newest part in force if they all go together.
+    /// Puts every team's newest settings in force if all of them are consistent.
     fn settle_whole(&mut self) -> bool {
         let mut all = settings::Settings::default();
         let mut versions = collections::BTreeMap::new();
@@ -303,8 +303,8 @@
         true
     }
 
-    /// Puts the newest parts in force that go with what is in force, places first because the
-    /// others name them.
+    /// Puts in force each team's newest settings that are consistent with those in force. The
+    /// places come first because the other teams' settings refer to them.
     fn settle_by_team(&mut self) {
         let mut teams: Vec<_> = self.parts.keys().cloned().collect();
         teams.sort_by_key(|team| team.as_str() != settings::PLACES_TEAM);
