--- a/src/coordination/budget.rs
+++ b/src/coordination/budget.rs
@@ -1,18 +1,17 @@
-//! How often this process may call the platform's store.
+//! Limits how often this process calls the platform's store.
 //!
 //! The store answers about 2,000 reads a second for the whole fleet, and a waiting watch counts as
-//! one. After an outage every process wants to read at once: without a budget some thousand
-//! processes that try again every few milliseconds would hold the store down, which one would
-//! notice as an outage that outlasts its cause. So a [`Budget`] spaces the calls (a token bucket),
-//! waits longer after each failure with jitter (backoff), and after several failures in a row lets
-//! one call at a time through (circuit breaker) until one of them is answered.
+//! one. Without a budget, thousands of processes that retry every few milliseconds after an outage
+//! would overload the store and prolong the outage beyond its cause. A [`Budget`] limits the call
+//! rate (token bucket), waits longer after each failure with jitter (backoff), and after several
+//! consecutive failures permits one call at a time until one is answered (circuit breaker).
 //!
-//! Thresholds. A reader in its ordinary state makes about 1.8 calls a second (two watches of 25 s,
-//! two full reads every 3 s, a list of VMs every second), so [`Limits::per_s`] leaves it twice that. The longest wait
-//! decides how soon settings move again after an outage and has to stay well under the 5 s, so
-//! [`Limits::max_backoff`] is 2 s. That is enough while each availability zone has one reader. A
-//! process that hears no peers may be one of thousands that all read for themselves: its wait
-//! grows with the fleet so that all of them together stay under 1,000 calls a second.
+//! A reader normally makes about 1.8 calls a second (two watches of 25 s, two full reads every 3 s,
+//! a list of VMs every second), so [`Limits::per_s`] permits about twice that. The longest backoff
+//! bounds how soon settings are distributed again after an outage and must stay well under the
+//! required 5 s, so [`Limits::max_backoff`] is 2 s. That suffices while each availability zone has
+//! one reader. A process without linked peers may be one of thousands that all read the store, so
+//! its backoff grows with the fleet to keep their sum under 1,000 calls a second.
 
 use std::time;
 
@@ -21,26 +20,25 @@
 
 use crate::decisions::policy;
 
-/// Calls a second that the whole fleet may make while it comes back from an outage: half of what
-/// the store answers.
+/// Calls a second by the whole fleet during recovery from an outage: half of the store's capacity.
 const FLEET_CALLS_PER_S: f64 = 1_000.0;
 
-/// Calls that one process needs until it is up to date: two lists, two watches, the VMs.
+/// Calls that one process needs to catch up: two full reads, two watches, the list of VMs.
 const CALLS_TO_CATCH_UP: f64 = 5.0;
 
 data! {
-    /// The limits of one process's calls.
+    /// The limits of one process's store calls.
     #[derive(Copy)]
     pub struct Limits {
-        /// Calls a second, in the long run.
+        /// Sustained calls a second.
         pub per_s: f64,
-        /// Calls that may be made at once after a quiet time.
+        /// Calls permitted at once after a time without calls.
         pub burst: f64,
-        /// The wait after a first failure.
+        /// The backoff after the first failure.
         pub min_backoff: time::Duration,
-        /// The longest wait after failures.
+        /// The longest backoff.
         pub max_backoff: time::Duration,
-        /// Failures in a row that open the circuit.
+        /// Consecutive failures that open the circuit.
         pub failures: u32,
     }
 }
@@ -71,7 +69,7 @@
 }
 
 impl Budget {
-    /// A full budget. `seed` sets the jitter, and must differ between processes.
+    /// Creates a full budget. `seed` seeds the jitter and must differ between processes.
     pub fn new(limits: Limits, seed: u64) -> Self {
         Self {
             limits,
@@ -85,7 +83,7 @@
         }
     }
 
-    /// Takes one call from the budget. False: not now.
+    /// Takes a token for one call. False: the call must wait.
     pub fn take(&mut self, now: policy::Moment) -> bool {
         self.fill(now);
         let probing = self.is_open() && self.waiting > 0;
@@ -97,12 +95,12 @@
         true
     }
 
-    /// A call that was taken has ended. `answered`: the store answered, be it with a refusal.
+    /// Records the end of a permitted call. `answered`: the store answered, even with a refusal.
     pub fn ended(&mut self, now: policy::Moment, answered: bool) {
         self.waiting = self.waiting.saturating_sub(1);
         if answered {
             if self.is_open() {
-                // Many processes learn at this moment that the store is back.
+                // Many processes detect the store's recovery at the same time.
                 self.tokens = self.tokens.min(1.0);
                 self.filled = now;
             }
@@ -114,13 +112,13 @@
         self.not_before = self.not_before.max(now + self.backoff());
     }
 
-    /// How many processes may be reading for themselves beside this one: 0 when a reader of its
-    /// own availability zone does it for all.
+    /// Sets how many other processes may be reading the store on their own: 0 while a reader reads
+    /// for the availability zone.
     pub fn set_fleet(&mut self, processes: usize) {
         self.fleet = processes;
     }
 
-    /// Whether the store is taken to be out of reach.
+    /// Whether the circuit is open: the store is presumed unreachable.
     pub fn is_open(&self) -> bool {
         self.failures >= self.limits.failures
     }
@@ -134,7 +132,7 @@
         } else {
             wait.min(longest)
         };
-        // Half fixed, half drawn: processes that failed together do not come back together.
+        // Half is random, so that processes that failed together do not retry together.
         wait / 2 + (wait / 2).mul_f64(self.rng.random())
     }
 
@@ -173,9 +171,8 @@
         assert!((240..=248).contains(&taken), "{taken} calls in a minute");
     }
 
-    /// The store is down for a minute while 4,400 processes, cut off from their peers, all try to
-    /// read. When it comes back they must not take it down again, or the operators' next change
-    /// waits on an outage that has no cause any more.
+    /// The store is down for a minute while 4,400 processes without links to peers try to read.
+    /// If their calls overloaded it again on its recovery, the outage would outlast its cause.
     #[test]
     fn an_outage_ends_without_a_stampede() {
         let fleet = 4_400;
@@ -215,8 +212,8 @@
         );
     }
 
-    /// A call is lost and the next one is answered. Waiting long after one loss would hold back
-    /// settings for nothing.
+    /// A call is lost and the next one is answered. A long backoff after one loss would delay
+    /// settings needlessly.
     #[test]
     fn one_failure_costs_little_and_many_open_the_circuit() {
         let mut budget = Budget::new(Limits::default(), 1);
