--- a/src/coordination/grants.rs
+++ b/src/coordination/grants.rs
@@ -1,9 +1,9 @@
-//! Asking for grants, giving them, and honouring them.
+//! Exchanges grants of capacity between availability zones and admits requests by them.
 //!
-//! A sender asks one entry VM of the receiving availability zone, which lends from its own share;
-//! its grants are asked for again before they run out, as long as there is demand. The receiver
-//! answers only what it lends, and keeps the only record that counts ([`Lenders`]): what a sender
-//! believes decides nothing. A message that is lost, late or doubled costs a grant's time at most.
+//! A sender requests a grant from one entry VM of the receiving availability zone, which grants
+//! part of its own share. While there is demand, the sender renews grants before they expire. The
+//! receiver answers only requests that it grants, and admits only by its own record ([`Lenders`]).
+//! A lost, late or duplicate message costs at most one lifetime of a grant.
 
 use std::collections;
 use std::sync;
@@ -15,18 +15,18 @@
 use crate::id;
 use crate::protocol::peer;
 
-/// How often one availability zone is asked for one service. Several times in a grant's life, so
-/// that a lost message does not end the spill.
+/// Interval of the grant requests to one availability zone for one service. Several fit into a
+/// grant's lifetime, so that a lost message does not stop the spill to that availability zone.
 pub const ASK_EVERY: time::Duration = time::Duration::from_millis(500);
 
-/// The lending sides of one entry VM, one for each service. Its lock is a leaf: nothing else is
-/// locked while it is held.
+/// The issuers of grants of one entry VM, one for each service. Its lock is a leaf: no other lock
+/// is taken while it is held.
 #[derive(Debug, Default)]
 pub struct Lenders {
     by_service: Mutex<collections::BTreeMap<id::ServiceId, grants::Granter>>,
 }
 
-/// A request that was let in under a grant. Dropping it ends it.
+/// A request admitted under a grant. Dropping it releases the grant's slot.
 #[derive(Debug)]
 pub struct Admitted {
     lenders: sync::Arc<Lenders>,
@@ -44,7 +44,7 @@
 }
 
 impl Lenders {
-    /// Takes in the state of the availability zone; the first call makes the service's lender.
+    /// Updates the load of the availability zone. The first call creates the service's issuer.
     pub fn set_load(&self, now: policy::Moment, lender: &grants::Issuer, load: grants::Load) {
         let mut all = self.by_service.lock();
         let granter = all.entry(lender.service.clone()).or_insert_with(|| {
@@ -54,7 +54,7 @@
         granter.tick(now);
     }
 
-    /// Answers a wish.
+    /// Answers a grant request. `None`: nothing is granted.
     pub fn ask(
         &self,
         now: policy::Moment,
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Lets a request in that names a grant. The error says why it is refused; it has not run.
+    /// Admits a request by its grant. On an error the request was refused and has not run.
     pub fn admit(
         self: &sync::Arc<Self>,
         now: policy::Moment,
@@ -89,22 +89,22 @@
         })
     }
 
-    /// Requests of a service in hand under grants.
+    /// In-flight requests of a service that were admitted under grants.
     pub fn in_hand(&self, service: &id::ServiceId) -> u32 {
         let all = self.by_service.lock();
         all.get(service).map_or(0, grants::Granter::in_flight)
     }
 }
 
-/// The asking side of one entry VM.
+/// Requests grants for one entry VM.
 #[derive(Debug, Default)]
 pub struct Asker {
     asked: collections::BTreeMap<(id::ServiceId, id::AzId), policy::Moment>,
 }
 
 impl Asker {
-    /// The messages that a service's wishes make, each with the entry VM that it goes to.
-    /// `linked` are the entry VMs that are linked now; a zone without any cannot be asked.
+    /// The due grant requests of a service, each with the entry VM to send it to. `linked` are the
+    /// linked entry VMs; an availability zone without any gets no request.
     pub fn ask(
         &mut self,
         now: policy::Moment,
@@ -136,8 +136,8 @@
     }
 }
 
-/// The entry VM that a sender asks: always the same as long as it is linked, since a grant is
-/// renewed only by the one that gave it, and spread over all of them by the senders' names.
+/// Picks the entry VM to request grants from: the same one as long as it is linked, since only the
+/// issuer of a grant renews it. The senders' names spread the requests over all entry VMs.
 fn pick<'a>(there: &[&'a (id::VmId, id::AzId)], me: &id::VmId) -> Option<&'a (id::VmId, id::AzId)> {
     let hash = |vm: &id::VmId| {
         let both = me.as_str().bytes().chain(vm.as_str().bytes());
@@ -148,12 +148,12 @@
     there.iter().copied().min_by_key(|(vm, _)| hash(vm))
 }
 
-/// The text in which a request names its grant.
+/// Encodes the grant of a request as text.
 pub fn to_text(from: &id::VmId, grant: grants::GrantId) -> String {
     format!("{};{:x};{}", from, grant.incarnation.0, grant.number)
 }
 
-/// Reads what [`to_text`] wrote: the sender and the grant.
+/// Decodes the sender and the grant from the output of [`to_text`].
 pub fn from_text(text: &str) -> Option<(id::VmId, grants::GrantId)> {
     let mut parts = text.rsplitn(3, ';');
     let number = parts.next()?.parse().ok()?;
