--- a/src/coordination/loads.rs
+++ b/src/coordination/loads.rs
@@ -1,12 +1,12 @@
-//! What each availability zone has in hand: exchanged inside it, added up, told to the others.
+//! Aggregates the load of each availability zone and exchanges it with the other ones.
 //!
-//! Inside an availability zone each entry VM tells the others what it has in hand. One of them, the
-//! one with the lowest name that is heard, adds up and tells the other availability zones, so that
-//! messages between zones do not grow with VMs. Two that both believe to be the lowest tell the
-//! same twice, which harms nothing. What comes from another zone is passed on inside the own one
-//! once, told apart by the sender's count.
+//! Each entry VM sends its load to the others in its availability zone. The one with the lowest
+//! name among those with a recent message is the reporter: it sends the sum to the other
+//! availability zones, so that messages between them do not grow with the number of VMs. Two
+//! reporters at a time send the same sum twice, which is harmless. Each report from another
+//! availability zone is relayed once inside this one; sequence numbers identify copies.
 //!
-//! Loads lag by [`EVERY`] and the way. Those who use them are told their age.
+//! Loads lag by [`EVERY`] and the network delay. Each summary contains its age.
 
 use std::collections;
 use std::time;
@@ -15,11 +15,11 @@
 use crate::id;
 use crate::protocol::peer;
 
-/// How often loads are told. Twice a second: a surge is seen by the plan within a second, and a
-/// row of some 200 bytes for each service stays far below 10 KB/s.
+/// Interval at which loads are sent. At twice a second the plan detects a surge within a second,
+/// and a row of some 200 bytes for each service stays far below 10 KB/s.
 pub const EVERY: time::Duration = time::Duration::from_millis(500);
 
-/// After how long an entry VM that is not heard counts no longer.
+/// Age after which the last load of an entry VM is ignored.
 pub const FORGET: time::Duration = time::Duration::from_secs(3);
 
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     loads: peer::Loads,
 }
 
-/// The loads that this entry VM knows.
+/// The loads that this entry VM has received, and its own.
 #[derive(Debug)]
 pub struct Table {
     me: id::VmId,
@@ -47,7 +47,7 @@
 }
 
 impl Table {
-    /// A table of an entry VM that has heard nothing.
+    /// Creates a table without loads.
     pub fn new(me: id::VmId, az: id::AzId, incarnation: id::Incarnation) -> Self {
         Self {
             me,
@@ -60,20 +60,21 @@
         }
     }
 
-    /// Takes in what this VM has in hand.
+    /// Sets this VM's load and removes expired loads.
     pub fn set_own(&mut self, now: policy::Moment, work: peer::Work) {
         self.own = work;
         self.neighbours.retain(|_, heard| now < heard.at + FORGET);
     }
 
-    /// An entry VM of the own availability zone told what it has in hand.
+    /// Records the load of another entry VM of this availability zone.
     pub fn neighbour(&mut self, now: policy::Moment, from: id::VmId, work: peer::Work) {
         if from != self.me {
             self.neighbours.insert(from, Heard { at: now, work });
         }
     }
 
-    /// Another availability zone told. True: it is news, to be passed on in the own zone.
+    /// Records the load of another availability zone. True: it is new and must be relayed to the
+    /// other entry VMs of this availability zone.
     pub fn zone(&mut self, now: policy::Moment, loads: &peer::Loads) -> bool {
         if loads.az == self.az {
             return false;
@@ -83,7 +84,7 @@
             let known = &zone.loads;
             let stale = loads.by == known.by
                 && (loads.incarnation, loads.seq) <= (known.incarnation, known.seq);
-            // While the one that was heard last goes on telling, a second one is not needed.
+            // Ignores a second reporter while the first one's last report is recent.
             let second = loads.by > known.by && now < zone.at + FORGET;
             stale || second
         });
@@ -95,22 +96,22 @@
         true
     }
 
-    /// Entry VMs of the own availability zone that are heard, this one among them.
+    /// The number of entry VMs of this availability zone with a current load, including this one.
     pub fn members(&self) -> u32 {
         self.neighbours.len() as u32 + 1
     }
 
-    /// Requests in hand in the own availability zone.
+    /// In-flight requests of a service in this availability zone.
     pub fn az_in_hand(&self, service: &id::ServiceId) -> u32 {
         self.rows(service).map(|row| row.in_hand).sum()
     }
 
-    /// Whether this VM is the one that tells the other availability zones.
+    /// Whether this VM is the reporter of its availability zone.
     pub fn tells(&self) -> bool {
         self.neighbours.keys().all(|vm| *vm > self.me)
     }
 
-    /// The sum of the own availability zone, where this VM is the one to tell it.
+    /// The load of this availability zone to report, if this VM is the reporter.
     pub fn tell(&mut self) -> Option<peer::Loads> {
         if !self.tells() {
             return None;
@@ -125,7 +126,7 @@
         })
     }
 
-    /// Everything known, for the plan.
+    /// Summaries of all known loads, for the plan.
     pub fn summaries(&self, now: policy::Moment) -> Vec<plan::Summary> {
         let mut all = Vec::new();
         for row in self.sum() {
@@ -153,7 +154,7 @@
                 sums.insert(row.service.clone(), row.clone());
                 continue;
             };
-            // All see the same backend servers; one that sees fewer may be right.
+            // All VMs list the same backend servers; a VM with fewer may be more current.
             sum.slots = sum.slots.min(row.slots);
             sum.in_use = sum.in_use.max(row.in_use);
             sum.in_hand += row.in_hand;
@@ -176,7 +177,7 @@
     }
 }
 
-/// The work that callers bring, by their region, over the last windows.
+/// The demand of callers in slots, by their region, smoothed over the last windows.
 #[derive(Debug, Default)]
 pub struct Demand {
     since: policy::Moment,
@@ -185,16 +186,16 @@
     means: collections::BTreeMap<id::ServiceId, f64>,
 }
 
-/// How fast the mean work of a request follows: over about 64 requests.
+/// Smoothing factor of a request's mean service time: an average over about 64 requests.
 const MEAN_GAIN: f64 = 1.0 / 64.0;
 
 impl Demand {
-    /// How fast rates follow: half of each window of [`EVERY`].
+    /// Smoothing factor of the rates: each window of [`EVERY`] contributes half.
     const GAIN: f64 = 0.5;
 
-    /// A caller brought work.
+    /// Records a request with its expected service time, `work`.
     ///
-    /// `region` is where the caller's address lies; `None`: nobody knows, and the plan leaves it.
+    /// `region` is that of the caller's address. With `None` the request adds no demand.
     pub fn count(
         &mut self,
         service: &id::ServiceId,
@@ -210,13 +211,13 @@
         }
     }
 
-    /// How long a request takes on average.
+    /// The mean service time of a request.
     pub fn mean(&self, service: &id::ServiceId) -> time::Duration {
         let mean = self.means.get(service).copied().unwrap_or(0.0);
         time::Duration::from_secs_f64(mean)
     }
 
-    /// Ends a window.
+    /// Ends a window and updates the rates.
     pub fn roll(&mut self, now: policy::Moment) {
         let passed = now.saturating_sub(self.since).as_secs_f64();
         if passed <= 0.0 {
@@ -234,7 +235,7 @@
         self.rates.retain(|_, rate| *rate > 1e-6);
     }
 
-    /// The work brought to a service, in slots, by the callers' region.
+    /// The demand for a service, in slots, by the callers' region.
     pub fn of(&self, service: &id::ServiceId) -> collections::BTreeMap<id::RegionId, f64> {
         let of_service = self.rates.iter().filter(|((of, _), _)| of == service);
         of_service
@@ -277,13 +278,13 @@
         let loads = low.tell().unwrap();
         assert_eq!((loads.rows[0].slots, loads.rows[0].in_hand), (12, 7));
         assert_eq!(loads.rows[0].demand["r"], 4.0);
-        // The lowest dies; the other takes over once it is not heard.
+        // The reporter crashes; the other takes over once its load has expired.
         high.set_own(S * 5, work(3));
         assert!(high.tell().is_some());
     }
 
-    /// Messages are doubled and arrive out of order. An older load that replaced a newer one would
-    /// show room that is gone; one that is passed on twice would go round for ever.
+    /// Messages are duplicated and reordered. An older load that replaced a newer one would show
+    /// capacity that is already in use; a load relayed twice would circulate forever.
     #[test]
     fn an_older_load_is_not_news() {
         let mut far = table("a1", "a");
