--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,4 +1,4 @@
-//! What entry processes agree on with one another and with the platform.
+//! Coordination of the entry processes with one another and with the platform's store.
 
 pub mod action;
 pub mod book;
