--- a/src/coordination/reader.rs
+++ b/src/coordination/reader.rs
@@ -62,7 +62,7 @@
 pub trait Election {
     /// Creates an instance that listens before it elects a reader.
     fn new(
-        own: id::VmId,
+        this_vm: id::VmId,
         incarnation: id::Incarnation,
         timing: Timing,
         now: policy::Moment,
@@ -94,36 +94,37 @@
 /// Elects the lowest name among the processes with a recent heartbeat. All send heartbeats.
 #[derive(Debug)]
 pub struct Lowest {
-    own: id::VmId,
-    pulse: Pulse,
-    heard: collections::BTreeMap<id::VmId, (u64, policy::Moment)>,
+    this_vm: id::VmId,
+    heartbeats: Heartbeats,
+    last_heartbeats: collections::BTreeMap<id::VmId, (u64, policy::Moment)>,
     reader: Option<id::VmId>,
 }
 
 impl Election for Lowest {
     fn new(
-        own: id::VmId,
+        this_vm: id::VmId,
         incarnation: id::Incarnation,
         timing: Timing,
         now: policy::Moment,
     ) -> Self {
         Self {
-            pulse: Pulse::new(&own, incarnation, timing, now),
-            own,
-            heard: collections::BTreeMap::new(),
+            heartbeats: Heartbeats::new(&this_vm, incarnation, timing, now),
+            this_vm,
+            last_heartbeats: collections::BTreeMap::new(),
             reader: None,
         }
     }
 
     fn tick(&mut self, now: policy::Moment, out: &mut Vec<Out>) {
-        self.pulse.send_due(now, out);
-        let timeout = self.pulse.timing.timeout;
-        self.heard.retain(|_, (_, at)| now <= *at + timeout);
-        if !self.pulse.has_listened(now) {
+        self.heartbeats.send_due(now, out);
+        let timeout = self.heartbeats.timing.timeout;
+        self.last_heartbeats
+            .retain(|_, (_, at)| now <= *at + timeout);
+        if !self.heartbeats.has_listened_enough(now) {
             return;
         }
-        let lowest = self.heard.keys().next().unwrap_or(&self.own);
-        let reader = lowest.min(&self.own);
+        let lowest = self.last_heartbeats.keys().next().unwrap_or(&self.this_vm);
+        let reader = lowest.min(&self.this_vm);
         if self.reader.as_ref() != Some(reader) {
             self.reader = Some(reader.clone());
         }
@@ -136,10 +137,11 @@
         alive: &peer::Alive,
         _out: &mut Vec<Out>,
     ) -> bool {
-        let known = self.heard.get(&alive.vm).map(|(seq, _)| *seq);
-        let first = alive.vm != self.own && known.is_none_or(|seq| seq < alive.seq);
+        let known = self.last_heartbeats.get(&alive.vm).map(|(seq, _)| *seq);
+        let first = alive.vm != self.this_vm && known.is_none_or(|seq| seq < alive.seq);
         if first {
-            self.heard.insert(alive.vm.clone(), (alive.seq, now));
+            self.last_heartbeats
+                .insert(alive.vm.clone(), (alive.seq, now));
         }
         first
     }
@@ -163,14 +165,14 @@
 /// Elects the process with the fewest accusations. Only the reader sends heartbeats.
 #[derive(Debug)]
 pub struct Accused {
-    own: id::VmId,
-    pulse: Pulse,
-    counted: Option<policy::Moment>,
+    this_vm: id::VmId,
+    heartbeats: Heartbeats,
+    last_counted: Option<policy::Moment>,
     contenders: collections::BTreeMap<id::VmId, Contender>,
     timeouts: collections::BTreeMap<id::VmId, time::Duration>,
     /// The last heartbeat of each process, kept after its timeout: a relayed copy must not make a
     /// dead process the reader again.
-    seen: collections::BTreeMap<id::VmId, (id::Incarnation, u64)>,
+    last_seen: collections::BTreeMap<id::VmId, (id::Incarnation, u64)>,
     /// The last accusation against each process, and when it was received.
     accusations: collections::BTreeMap<id::VmId, ((id::Incarnation, u64), policy::Moment)>,
     reader: Option<id::VmId>,
@@ -178,37 +180,37 @@
 
 #[derive(Debug)]
 struct Contender {
-    beat: peer::Alive,
-    until: policy::Moment,
+    heartbeat: peer::Alive,
+    expires: policy::Moment,
 }
 
 impl Election for Accused {
     fn new(
-        own: id::VmId,
+        this_vm: id::VmId,
         incarnation: id::Incarnation,
         timing: Timing,
         now: policy::Moment,
     ) -> Self {
         Self {
-            pulse: Pulse::new(&own, incarnation, timing, now),
-            own,
-            counted: None,
+            heartbeats: Heartbeats::new(&this_vm, incarnation, timing, now),
+            this_vm,
+            last_counted: None,
             contenders: collections::BTreeMap::new(),
             timeouts: collections::BTreeMap::new(),
-            seen: collections::BTreeMap::new(),
+            last_seen: collections::BTreeMap::new(),
             accusations: collections::BTreeMap::new(),
             reader: None,
         }
     }
 
     fn tick(&mut self, now: policy::Moment, out: &mut Vec<Out>) {
-        self.expire(now, out);
-        if self.reader.is_none() && self.pulse.has_listened(now) {
+        self.accuse_expired(now, out);
+        if self.reader.is_none() && self.heartbeats.has_listened_enough(now) {
             self.join();
         }
-        self.update();
+        self.update_reader();
         if self.is_reader() {
-            self.pulse.send_due(now, out);
+            self.heartbeats.send_due(now, out);
         }
     }
 
@@ -219,29 +221,34 @@
         alive: &peer::Alive,
         out: &mut Vec<Out>,
     ) -> bool {
-        if alive.vm == self.own || self.is_old(alive) {
+        if alive.vm == self.this_vm || self.is_outdated(alive) {
             return false;
         }
-        self.seen
+        self.last_seen
             .insert(alive.vm.clone(), (alive.incarnation, alive.seq));
-        let until = now + self.timeout(&alive.vm);
-        let beat = alive.clone();
+        let expires = now + self.timeout(&alive.vm);
+        let heartbeat = alive.clone();
         self.contenders
-            .insert(alive.vm.clone(), Contender { beat, until });
-        self.update();
-        self.check(from, alive, out);
+            .insert(alive.vm.clone(), Contender { heartbeat, expires });
+        self.update_reader();
+        self.send_preferred(from, alive, out);
         true
     }
 
     fn accuse(&mut self, now: policy::Moment, accuse: &peer::Accuse, out: &mut Vec<Out>) -> bool {
-        if accuse.vm == self.own {
-            let ours = (accuse.incarnation, accuse.phase);
-            if ours == (self.pulse.beat.incarnation, self.pulse.beat.phase) {
-                self.count(now);
+        if accuse.vm == self.this_vm {
+            let current = (accuse.incarnation, accuse.phase);
+            if current
+                == (
+                    self.heartbeats.latest.incarnation,
+                    self.heartbeats.latest.phase,
+                )
+            {
+                self.count_accusation(now);
             }
             return false;
         }
-        let first = self.is_first(now, accuse);
+        let first = self.is_new_accusation(now, accuse);
         if first {
             let message = peer::Message::Accuse(accuse.clone());
             out.push(Out::One(accuse.vm.clone(), message));
@@ -251,7 +258,7 @@
 
     fn store_lost(&mut self, now: policy::Moment) {
         if self.is_reader() {
-            self.count(now);
+            self.count_accusation(now);
         }
     }
 
@@ -262,104 +269,111 @@
 
 impl Accused {
     fn is_reader(&self) -> bool {
-        self.reader.as_ref() == Some(&self.own)
+        self.reader.as_ref() == Some(&self.this_vm)
     }
 
     /// Accuses contenders whose heartbeats timed out. The accusation goes to all peers, which
     /// relay it, since some of them may reach the contender when this process cannot.
-    fn expire(&mut self, now: policy::Moment, out: &mut Vec<Out>) {
+    fn accuse_expired(&mut self, now: policy::Moment, out: &mut Vec<Out>) {
         let expired: Vec<_> = self
             .contenders
             .iter()
-            .filter(|(_, c)| now > c.until)
+            .filter(|(_, c)| now > c.expires)
             .map(|(vm, _)| vm.clone())
             .collect();
         for vm in expired {
             let Some(contender) = self.contenders.remove(&vm) else {
                 continue;
             };
-            let longer = self.timeout(&vm) + self.pulse.timing.step;
-            self.timeouts
-                .insert(vm.clone(), longer.min(self.pulse.timing.max_timeout));
+            let increased = self.timeout(&vm) + self.heartbeats.timing.step;
+            self.timeouts.insert(
+                vm.clone(),
+                increased.min(self.heartbeats.timing.max_timeout),
+            );
             out.push(Out::All(peer::Message::Accuse(peer::Accuse {
                 vm,
-                incarnation: contender.beat.incarnation,
-                phase: contender.beat.phase,
+                incarnation: contender.heartbeat.incarnation,
+                phase: contender.heartbeat.phase,
             })));
         }
     }
 
     /// Joins with a count above the current reader's, so that the reader keeps the role.
     fn join(&mut self) {
-        let counters = self.contenders.values().map(|c| c.beat.counter);
-        self.pulse.beat.counter = counters.min().map_or(0, |counter| counter + 1);
-        self.reader = Some(self.own.clone());
+        let counters = self.contenders.values().map(|c| c.heartbeat.counter);
+        self.heartbeats.latest.counter = counters.min().map_or(0, |counter| counter + 1);
+        self.reader = Some(self.this_vm.clone());
     }
 
-    fn update(&mut self) {
+    fn update_reader(&mut self) {
         if self.reader.is_none() {
             return;
         }
-        let own = (self.pulse.beat.counter, &self.own);
-        let others = self.contenders.iter().map(|(vm, c)| (c.beat.counter, vm));
-        let (_, first) = others.fold(own, Ord::min);
-        if self.reader.as_ref() == Some(first) {
+        let this_process = (self.heartbeats.latest.counter, &self.this_vm);
+        let others = self
+            .contenders
+            .iter()
+            .map(|(vm, c)| (c.heartbeat.counter, vm));
+        let (_, preferred) = others.fold(this_process, Ord::min);
+        if self.reader.as_ref() == Some(preferred) {
             return;
         }
-        let gives_up = self.is_reader();
-        self.reader = Some(first.clone());
-        if gives_up {
+        let was_reader = self.is_reader();
+        self.reader = Some(preferred.clone());
+        if was_reader {
             // From now on missing heartbeats of this process are expected.
-            self.pulse.beat.phase += 1;
+            self.heartbeats.latest.phase += 1;
         }
     }
 
     /// Sends a contender the preferred reader's heartbeat: the two may not be linked.
-    fn check(&self, from: &id::VmId, alive: &peer::Alive, out: &mut Vec<Out>) {
+    fn send_preferred(&self, from: &id::VmId, alive: &peer::Alive, out: &mut Vec<Out>) {
         let Some(reader) = self.reader.as_ref().filter(|r| **r != alive.vm) else {
             return;
         };
         if let Some(preferred) = self.contenders.get(reader).filter(|_| *from == alive.vm) {
-            let message = peer::Message::Alive(preferred.beat.clone());
+            let message = peer::Message::Alive(preferred.heartbeat.clone());
             out.push(Out::One(alive.vm.clone(), message));
         }
     }
 
     /// Counts an accusation. Those of several peers for the same missed heartbeats count once.
-    fn count(&mut self, now: policy::Moment) {
+    fn count_accusation(&mut self, now: policy::Moment) {
         let recent = self
-            .counted
-            .is_some_and(|at| now < at + self.pulse.timing.timeout);
+            .last_counted
+            .is_some_and(|at| now < at + self.heartbeats.timing.timeout);
         if recent {
             return;
         }
-        self.counted = Some(now);
-        self.pulse.beat.counter += 1;
-        self.update();
+        self.last_counted = Some(now);
+        self.heartbeats.latest.counter += 1;
+        self.update_reader();
     }
 
     /// Whether no accusation for the same missed heartbeats was relayed yet.
-    fn is_first(&mut self, now: policy::Moment, accuse: &peer::Accuse) -> bool {
-        let timeout = self.pulse.timing.timeout;
-        let said = (accuse.incarnation, accuse.phase);
-        let before = self.accusations.insert(accuse.vm.clone(), (said, now));
-        before.is_none_or(|(what, at)| what != said || now >= at + timeout)
+    fn is_new_accusation(&mut self, now: policy::Moment, accuse: &peer::Accuse) -> bool {
+        let timeout = self.heartbeats.timing.timeout;
+        let accusation = (accuse.incarnation, accuse.phase);
+        let before = self
+            .accusations
+            .insert(accuse.vm.clone(), (accusation, now));
+        before.is_none_or(|(previous, at)| previous != accusation || now >= at + timeout)
     }
 
-    fn is_old(&self, alive: &peer::Alive) -> bool {
-        let seen = self.seen.get(&alive.vm);
-        seen.is_some_and(|seen| (alive.incarnation, alive.seq) <= *seen)
+    fn is_outdated(&self, alive: &peer::Alive) -> bool {
+        let last_seen = self.last_seen.get(&alive.vm);
+        last_seen.is_some_and(|last_seen| (alive.incarnation, alive.seq) <= *last_seen)
     }
 
     fn timeout(&self, vm: &id::VmId) -> time::Duration {
         let known = self.timeouts.get(vm).copied();
-        known.unwrap_or(self.pulse.timing.timeout)
+        known.unwrap_or(self.heartbeats.timing.timeout)
     }
 }
 
-fn beat(own: &id::VmId, incarnation: id::Incarnation) -> peer::Alive {
+fn initial_heartbeat(this_vm: &id::VmId, incarnation: id::Incarnation) -> peer::Alive {
     peer::Alive {
-        vm: own.clone(),
+        vm: this_vm.clone(),
         incarnation,
         counter: 0,
         phase: 0,
@@ -371,40 +385,40 @@
 
 /// The heartbeats of this process: the last one, and when the next is due.
 #[derive(Debug)]
-struct Pulse {
-    beat: peer::Alive,
+struct Heartbeats {
+    latest: peer::Alive,
     timing: Timing,
     started: policy::Moment,
-    next: policy::Moment,
+    next_due: policy::Moment,
 }
 
-impl Pulse {
+impl Heartbeats {
     fn new(
-        own: &id::VmId,
+        this_vm: &id::VmId,
         incarnation: id::Incarnation,
         timing: Timing,
         now: policy::Moment,
     ) -> Self {
         Self {
-            beat: beat(own, incarnation),
+            latest: initial_heartbeat(this_vm, incarnation),
             timing,
             started: now,
-            next: now,
+            next_due: now,
         }
     }
 
     /// Sends the next heartbeat, if it is due.
     fn send_due(&mut self, now: policy::Moment, out: &mut Vec<Out>) {
-        if now < self.next {
+        if now < self.next_due {
             return;
         }
-        self.next = now + self.timing.every;
-        self.beat.seq += 1;
-        out.push(Out::All(peer::Message::Alive(self.beat.clone())));
+        self.next_due = now + self.timing.every;
+        self.latest.seq += 1;
+        out.push(Out::All(peer::Message::Alive(self.latest.clone())));
     }
 
     /// Whether the process has listened long enough to receive a reader's heartbeat.
-    fn has_listened(&self, now: policy::Moment) -> bool {
+    fn has_listened_enough(&self, now: policy::Moment) -> bool {
         now >= self.started + self.timing.timeout
     }
 }
@@ -417,7 +431,7 @@
         policy::Moment::from_millis(ms)
     }
 
-    fn elect<E: Election>(vm: &str) -> E {
+    fn new_election<E: Election>(vm: &str) -> E {
         E::new(vm.into(), id::Incarnation(1), Timing::default(), ms(0))
     }
 
@@ -425,7 +439,7 @@
         peer::Alive {
             counter,
             seq,
-            ..beat(&vm.into(), id::Incarnation(1))
+            ..initial_heartbeat(&vm.into(), id::Incarnation(1))
         }
     }
 
@@ -433,7 +447,7 @@
     /// availability zone would lose its watch each time and get settings late.
     #[test]
     fn a_restarted_process_does_not_take_the_role() {
-        let mut a: Accused = elect("a");
+        let mut a: Accused = new_election("a");
         let mut out = Vec::new();
         a.tick(ms(0), &mut out);
         assert_eq!(a.reader(), None);
@@ -447,7 +461,7 @@
     /// availability zone would get no settings until an operator intervened.
     #[test]
     fn a_reader_without_the_store_gives_up() {
-        let mut a: Accused = elect("a");
+        let mut a: Accused = new_election("a");
         let mut out = Vec::new();
         a.tick(ms(2_000), &mut out);
         assert_eq!(a.reader(), Some(&"a".into()));
@@ -461,7 +475,7 @@
     /// availability zone would follow a dead reader again and again.
     #[test]
     fn a_dead_reader_is_not_brought_back() {
-        let mut b: Accused = elect("b");
+        let mut b: Accused = new_election("b");
         let mut out = Vec::new();
         b.tick(ms(1_500), &mut out);
         let last = heartbeat("a", 0, 7);
@@ -475,7 +489,7 @@
     /// Counting that would move the role without a fault.
     #[test]
     fn silence_after_giving_up_is_not_counted() {
-        let mut b: Accused = elect("b");
+        let mut b: Accused = new_election("b");
         let mut out = Vec::new();
         b.tick(ms(2_000), &mut out);
         b.alive(ms(2_100), &"a".into(), &heartbeat("a", 0, 1), &mut out);
@@ -485,6 +499,6 @@
             phase: 0,
         };
         b.accuse(ms(4_000), &accuse, &mut out);
-        assert_eq!(b.pulse.beat.counter, 0);
+        assert_eq!(b.heartbeats.latest.counter, 0);
     }
 }
