--- a/src/coordination/grants.rs
+++ b/src/coordination/grants.rs
@@ -17,7 +17,7 @@
 
 /// Interval of the grant requests to one availability zone for one service. Several fit into a
 /// grant's lifetime, so that a lost message does not stop the spill to that availability zone.
-pub const ASK_EVERY: time::Duration = time::Duration::from_millis(500);
+pub const GRANT_REQUEST_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
 /// The issuers of grants of one entry VM, one for each service. Its lock is a leaf: no other lock
 /// is taken while it is held.
@@ -36,8 +36,8 @@
 
 impl Drop for Admitted {
     fn drop(&mut self) {
-        let mut all = self.lenders.by_service.lock();
-        if let Some(granter) = all.get_mut(&self.service) {
+        let mut granters = self.lenders.by_service.lock();
+        if let Some(granter) = granters.get_mut(&self.service) {
             granter.done(self.grant);
         }
     }
@@ -45,10 +45,10 @@
 
 impl Lenders {
     /// Updates the load of the availability zone. The first call creates the service's issuer.
-    pub fn set_load(&self, now: policy::Moment, lender: &grants::Issuer, load: grants::Load) {
-        let mut all = self.by_service.lock();
-        let granter = all.entry(lender.service.clone()).or_insert_with(|| {
-            grants::Granter::new(grants::Config::default(), now, lender.clone())
+    pub fn set_load(&self, now: policy::Moment, issuer: &grants::Issuer, load: grants::Load) {
+        let mut granters = self.by_service.lock();
+        let granter = granters.entry(issuer.service.clone()).or_insert_with(|| {
+            grants::Granter::new(grants::Config::default(), now, issuer.clone())
         });
         granter.set_load(now, load);
         granter.tick(now);
@@ -59,15 +59,15 @@
         &self,
         now: policy::Moment,
         from: &id::VmId,
-        wish: &peer::AskGrant,
+        request: &peer::AskGrant,
     ) -> Option<peer::Granted> {
-        let mut all = self.by_service.lock();
-        let grant = all
-            .get_mut(&wish.service)?
-            .request_grant(now, from, wish.per_s)?;
+        let mut granters = self.by_service.lock();
+        let grant = granters
+            .get_mut(&request.service)?
+            .request_grant(now, from, request.per_s)?;
         Some(peer::Granted {
             grant,
-            asked: wish.asked,
+            asked: request.asked,
         })
     }
 
@@ -79,8 +79,8 @@
         from: &id::VmId,
         grant: grants::GrantId,
     ) -> Result<Admitted, grants::Refused> {
-        let mut all = self.by_service.lock();
-        let granter = all.get_mut(service).ok_or(grants::Refused::NoGrant)?;
+        let mut granters = self.by_service.lock();
+        let granter = granters.get_mut(service).ok_or(grants::Refused::NoGrant)?;
         granter.admit(now, from, grant)?;
         Ok(Admitted {
             lenders: self.clone(),
@@ -91,15 +91,15 @@
 
     /// In-flight requests of a service that were admitted under grants.
     pub fn in_hand(&self, service: &id::ServiceId) -> u32 {
-        let all = self.by_service.lock();
-        all.get(service).map_or(0, grants::Granter::in_flight)
+        let granters = self.by_service.lock();
+        granters.get(service).map_or(0, grants::Granter::in_flight)
     }
 }
 
 /// Requests grants for one entry VM.
 #[derive(Debug, Default)]
 pub struct Asker {
-    asked: collections::BTreeMap<(id::ServiceId, id::AzId), policy::Moment>,
+    last_requested: collections::BTreeMap<(id::ServiceId, id::AzId), policy::Moment>,
 }
 
 impl Asker {
@@ -109,25 +109,25 @@
         &mut self,
         now: policy::Moment,
         service: &id::ServiceId,
-        wishes: &[cross_az::GrantRequest],
+        requests: &[cross_az::GrantRequest],
         linked: &[(id::VmId, id::AzId)],
-        me: &id::VmId,
+        this_vm: &id::VmId,
     ) -> Vec<(id::VmId, peer::Message)> {
         let mut messages = Vec::new();
-        for wish in wishes {
-            let key = (service.clone(), wish.az.clone());
-            let asked = self.asked.get(&key);
-            if asked.is_some_and(|asked| now < *asked + ASK_EVERY) {
+        for request in requests {
+            let key = (service.clone(), request.az.clone());
+            let last = self.last_requested.get(&key);
+            if last.is_some_and(|last| now < *last + GRANT_REQUEST_INTERVAL) {
                 continue;
             }
-            let there: Vec<_> = linked.iter().filter(|(_, az)| *az == wish.az).collect();
-            let Some((vm, _)) = pick(&there, me) else {
+            let candidates: Vec<_> = linked.iter().filter(|(_, az)| *az == request.az).collect();
+            let Some((vm, _)) = pick_issuer(&candidates, this_vm) else {
                 continue;
             };
-            self.asked.insert(key, now);
+            self.last_requested.insert(key, now);
             let message = peer::Message::AskGrant(peer::AskGrant {
                 service: service.clone(),
-                per_s: wish.per_s,
+                per_s: request.per_s,
                 asked: now,
             });
             messages.push((vm.clone(), message));
@@ -138,14 +138,17 @@
 
 /// Picks the entry VM to request grants from: the same one as long as it is linked, since only the
 /// issuer of a grant renews it. The senders' names spread the requests over all entry VMs.
-fn pick<'a>(there: &[&'a (id::VmId, id::AzId)], me: &id::VmId) -> Option<&'a (id::VmId, id::AzId)> {
+fn pick_issuer<'a>(
+    candidates: &[&'a (id::VmId, id::AzId)],
+    this_vm: &id::VmId,
+) -> Option<&'a (id::VmId, id::AzId)> {
     let hash = |vm: &id::VmId| {
-        let both = me.as_str().bytes().chain(vm.as_str().bytes());
-        both.fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
+        let bytes = this_vm.as_str().bytes().chain(vm.as_str().bytes());
+        bytes.fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
             (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
         })
     };
-    there.iter().copied().min_by_key(|(vm, _)| hash(vm))
+    candidates.iter().copied().min_by_key(|(vm, _)| hash(vm))
 }
 
 /// Encodes the grant of a request as text.
@@ -174,7 +177,7 @@
 
     fn lenders() -> sync::Arc<Lenders> {
         let lenders = sync::Arc::new(Lenders::default());
-        let lender = grants::Issuer {
+        let issuer = grants::Issuer {
             service: "s".into(),
             az: "b".into(),
             vm: "b1".into(),
@@ -188,21 +191,21 @@
             az_in_flight: 0,
             service_time: S / 50,
         };
-        lenders.set_load(policy::Moment::ZERO, &lender, load);
-        lenders.set_load(S * 10, &lender, load);
+        lenders.set_load(policy::Moment::ZERO, &issuer, load);
+        lenders.set_load(S * 10, &issuer, load);
         lenders
     }
 
     #[test]
-    fn a_wish_becomes_a_grant_that_is_honoured_by_its_giver() {
+    fn a_request_becomes_a_grant_that_its_issuer_admits() {
         let lenders = lenders();
-        let wish = cross_az::GrantRequest {
+        let request = cross_az::GrantRequest {
             az: "b".into(),
             per_s: 50.0,
         };
         let linked = [("b1".into(), "b".into()), ("c1".into(), "c".into())];
         let mut asker = Asker::default();
-        let messages = asker.ask(S * 10, &"s".into(), &[wish], &linked, &"a1".into());
+        let messages = asker.ask(S * 10, &"s".into(), &[request], &linked, &"a1".into());
         let [(to, peer::Message::AskGrant(ask))] = &messages[..] else {
             panic!("{messages:?}");
         };
@@ -219,7 +222,7 @@
     }
 
     #[test]
-    fn a_grant_that_is_no_grant_is_refused() {
+    fn malformed_grants_are_refused() {
         for text in ["", "a1", "a1;x;1", "a1;1;", ";;", "a1;1;-1"] {
             assert_eq!(from_text(text), None, "{text}");
         }
