--- a/src/coordination/loads.rs
+++ b/src/coordination/loads.rs
@@ -20,16 +20,16 @@
 pub const EVERY: time::Duration = time::Duration::from_millis(500);
 
 /// Age after which the last load of an entry VM is ignored.
-pub const FORGET: time::Duration = time::Duration::from_secs(3);
+pub const LOAD_EXPIRY: time::Duration = time::Duration::from_secs(3);
 
 #[derive(Debug)]
-struct Heard {
+struct ReceivedWork {
     at: policy::Moment,
     work: peer::Work,
 }
 
 #[derive(Debug)]
-struct Zone {
+struct ReceivedLoads {
     at: policy::Moment,
     loads: peer::Loads,
 }
@@ -37,39 +37,40 @@
 /// The loads that this entry VM has received, and its own.
 #[derive(Debug)]
 pub struct Table {
-    me: id::VmId,
+    this_vm: id::VmId,
     az: id::AzId,
     incarnation: id::Incarnation,
     seq: u64,
-    own: peer::Work,
-    neighbours: collections::BTreeMap<id::VmId, Heard>,
-    zones: collections::BTreeMap<id::AzId, Zone>,
+    own_work: peer::Work,
+    work_by_vm: collections::BTreeMap<id::VmId, ReceivedWork>,
+    loads_by_az: collections::BTreeMap<id::AzId, ReceivedLoads>,
 }
 
 impl Table {
     /// Creates a table without loads.
-    pub fn new(me: id::VmId, az: id::AzId, incarnation: id::Incarnation) -> Self {
+    pub fn new(this_vm: id::VmId, az: id::AzId, incarnation: id::Incarnation) -> Self {
         Self {
-            me,
+            this_vm,
             az,
             incarnation,
             seq: 0,
-            own: peer::Work { rows: Vec::new() },
-            neighbours: collections::BTreeMap::new(),
-            zones: collections::BTreeMap::new(),
+            own_work: peer::Work { rows: Vec::new() },
+            work_by_vm: collections::BTreeMap::new(),
+            loads_by_az: collections::BTreeMap::new(),
         }
     }
 
     /// Sets this VM's load and removes expired loads.
     pub fn set_own(&mut self, now: policy::Moment, work: peer::Work) {
-        self.own = work;
-        self.neighbours.retain(|_, heard| now < heard.at + FORGET);
+        self.own_work = work;
+        self.work_by_vm
+            .retain(|_, received| now < received.at + LOAD_EXPIRY);
     }
 
     /// Records the load of another entry VM of this availability zone.
     pub fn neighbour(&mut self, now: policy::Moment, from: id::VmId, work: peer::Work) {
-        if from != self.me {
-            self.neighbours.insert(from, Heard { at: now, work });
+        if from != self.this_vm {
+            self.work_by_vm.insert(from, ReceivedWork { at: now, work });
         }
     }
 
@@ -79,26 +80,27 @@
         if loads.az == self.az {
             return false;
         }
-        let known = self.zones.get(&loads.az);
-        let old = known.is_some_and(|zone| {
-            let known = &zone.loads;
+        let known = self.loads_by_az.get(&loads.az);
+        let old = known.is_some_and(|received| {
+            let known = &received.loads;
             let stale = loads.by == known.by
                 && (loads.incarnation, loads.seq) <= (known.incarnation, known.seq);
             // Ignores a second reporter while the first one's last report is recent.
-            let second = loads.by > known.by && now < zone.at + FORGET;
-            stale || second
+            let other_reporter = loads.by > known.by && now < received.at + LOAD_EXPIRY;
+            stale || other_reporter
         });
         if old {
             return false;
         }
         let loads = loads.clone();
-        self.zones.insert(loads.az.clone(), Zone { at: now, loads });
+        self.loads_by_az
+            .insert(loads.az.clone(), ReceivedLoads { at: now, loads });
         true
     }
 
     /// The number of entry VMs of this availability zone with a current load, including this one.
     pub fn members(&self) -> u32 {
-        self.neighbours.len() as u32 + 1
+        self.work_by_vm.len() as u32 + 1
     }
 
     /// In-flight requests of a service in this availability zone.
@@ -108,7 +110,7 @@
 
     /// Whether this VM is the reporter of its availability zone.
     pub fn tells(&self) -> bool {
-        self.neighbours.keys().all(|vm| *vm > self.me)
+        self.work_by_vm.keys().all(|vm| *vm > self.this_vm)
     }
 
     /// The load of this availability zone to report, if this VM is the reporter.
@@ -119,7 +121,7 @@
         self.seq += 1;
         Some(peer::Loads {
             az: self.az.clone(),
-            by: self.me.clone(),
+            by: self.this_vm.clone(),
             incarnation: self.incarnation,
             seq: self.seq,
             rows: self.sum(),
@@ -132,24 +134,30 @@
         for row in self.sum() {
             all.push(summary(&self.az, row, time::Duration::ZERO));
         }
-        for (az, zone) in &self.zones {
-            let age = now.saturating_sub(zone.at);
-            let rows = zone.loads.rows.iter();
+        for (az, received) in &self.loads_by_az {
+            let age = now.saturating_sub(received.at);
+            let rows = received.loads.rows.iter();
             all.extend(rows.map(|row| summary(az, row.clone(), age)));
         }
         all
     }
 
     fn rows<'a>(&'a self, service: &'a id::ServiceId) -> impl Iterator<Item = &'a peer::WorkRow> {
-        let neighbours = self.neighbours.values().flat_map(|heard| &heard.work.rows);
-        let all = self.own.rows.iter().chain(neighbours);
+        let work_by_vm = self
+            .work_by_vm
+            .values()
+            .flat_map(|received| &received.work.rows);
+        let all = self.own_work.rows.iter().chain(work_by_vm);
         all.filter(move |row| row.service == *service)
     }
 
     fn sum(&self) -> Vec<peer::WorkRow> {
-        let neighbours = self.neighbours.values().flat_map(|heard| &heard.work.rows);
+        let work_by_vm = self
+            .work_by_vm
+            .values()
+            .flat_map(|received| &received.work.rows);
         let mut sums: collections::BTreeMap<_, peer::WorkRow> = collections::BTreeMap::new();
-        for row in self.own.rows.iter().chain(neighbours) {
+        for row in self.own_work.rows.iter().chain(work_by_vm) {
             let Some(sum) = sums.get_mut(&row.service) else {
                 sums.insert(row.service.clone(), row.clone());
                 continue;
@@ -180,18 +188,18 @@
 /// The demand of callers in slots, by their region, smoothed over the last windows.
 #[derive(Debug, Default)]
 pub struct Demand {
-    since: policy::Moment,
-    counted: collections::BTreeMap<(id::ServiceId, id::RegionId), f64>,
+    window_start: policy::Moment,
+    window_work: collections::BTreeMap<(id::ServiceId, id::RegionId), f64>,
     rates: collections::BTreeMap<(id::ServiceId, id::RegionId), f64>,
-    means: collections::BTreeMap<id::ServiceId, f64>,
+    mean_service_times: collections::BTreeMap<id::ServiceId, f64>,
 }
 
 /// Smoothing factor of a request's mean service time: an average over about 64 requests.
-const MEAN_GAIN: f64 = 1.0 / 64.0;
+const SERVICE_TIME_SMOOTHING_FACTOR: f64 = 1.0 / 64.0;
 
 impl Demand {
     /// Smoothing factor of the rates: each window of [`EVERY`] contributes half.
-    const GAIN: f64 = 0.5;
+    const RATE_SMOOTHING_FACTOR: f64 = 0.5;
 
     /// Records a request with its expected service time, `work`.
     ///
@@ -203,34 +211,37 @@
         work: time::Duration,
     ) {
         let work = work.as_secs_f64();
-        let mean = self.means.entry(service.clone()).or_insert(work);
-        *mean += MEAN_GAIN * (work - *mean);
+        let mean = self
+            .mean_service_times
+            .entry(service.clone())
+            .or_insert(work);
+        *mean += SERVICE_TIME_SMOOTHING_FACTOR * (work - *mean);
         if let Some(region) = region {
             let key = (service.clone(), region.clone());
-            *self.counted.entry(key).or_default() += work;
+            *self.window_work.entry(key).or_default() += work;
         }
     }
 
     /// The mean service time of a request.
     pub fn mean(&self, service: &id::ServiceId) -> time::Duration {
-        let mean = self.means.get(service).copied().unwrap_or(0.0);
+        let mean = self.mean_service_times.get(service).copied().unwrap_or(0.0);
         time::Duration::from_secs_f64(mean)
     }
 
     /// Ends a window and updates the rates.
     pub fn roll(&mut self, now: policy::Moment) {
-        let passed = now.saturating_sub(self.since).as_secs_f64();
+        let passed = now.saturating_sub(self.window_start).as_secs_f64();
         if passed <= 0.0 {
             return;
         }
-        self.since = now;
-        let counted = std::mem::take(&mut self.counted);
-        for key in counted.keys() {
+        self.window_start = now;
+        let window_work = std::mem::take(&mut self.window_work);
+        for key in window_work.keys() {
             self.rates.entry(key.clone()).or_default();
         }
         for (key, rate) in &mut self.rates {
-            let seen = counted.get(key).copied().unwrap_or(0.0) / passed;
-            *rate += Self::GAIN * (seen - *rate);
+            let current = window_work.get(key).copied().unwrap_or(0.0) / passed;
+            *rate += Self::RATE_SMOOTHING_FACTOR * (current - *rate);
         }
         self.rates.retain(|_, rate| *rate > 1e-6);
     }
@@ -262,12 +273,12 @@
         }
     }
 
-    fn table(me: &str, az: &str) -> Table {
-        Table::new(me.into(), az.into(), id::Incarnation(1))
+    fn table(this_vm: &str, az: &str) -> Table {
+        Table::new(this_vm.into(), az.into(), id::Incarnation(1))
     }
 
     #[test]
-    fn the_lowest_that_is_heard_tells_the_sum() {
+    fn the_lowest_name_reports_the_sum() {
         let (mut low, mut high) = (table("a1", "a"), table("a2", "a"));
         for table in [&mut low, &mut high] {
             table.set_own(S, work(3));
@@ -286,7 +297,7 @@
     /// Messages are duplicated and reordered. An older load that replaced a newer one would show
     /// capacity that is already in use; a load relayed twice would circulate forever.
     #[test]
-    fn an_older_load_is_not_news() {
+    fn an_older_load_is_ignored() {
         let mut far = table("a1", "a");
         far.set_own(S, work(1));
         let (first, second) = (far.tell().unwrap(), far.tell().unwrap());
@@ -299,7 +310,7 @@
     }
 
     #[test]
-    fn demand_follows_what_callers_bring() {
+    fn demand_follows_the_callers_work() {
         let mut demand = Demand::default();
         for window in 1..20 {
             for _ in 0..100 {
