--- a/src/coordination/plan_writer.rs
+++ b/src/coordination/plan_writer.rs
@@ -63,12 +63,12 @@
 #[derive(Debug)]
 pub struct Writer<S> {
     cfg: Config,
-    me: id::VmId,
+    this_vm: id::VmId,
     store: S,
     lease: Option<Lease>,
-    next_look: policy::Moment,
+    next_check: policy::Moment,
     // Each service's weights, and since when this process has seen them unchanged.
-    since: collections::BTreeMap<id::ServiceId, (plan::WeightsByRegion, policy::Moment)>,
+    unchanged_since: collections::BTreeMap<id::ServiceId, (plan::WeightsByRegion, policy::Moment)>,
 }
 
 /// The inputs of a new version.
@@ -86,14 +86,14 @@
 
 impl<S: store::Store> Writer<S> {
     /// Creates a contender without the lease.
-    pub fn new(cfg: Config, me: id::VmId, store: S) -> Self {
+    pub fn new(cfg: Config, this_vm: id::VmId, store: S) -> Self {
         Self {
             cfg,
-            me,
+            this_vm,
             store,
             lease: None,
-            next_look: policy::Moment::ZERO,
-            since: collections::BTreeMap::new(),
+            next_check: policy::Moment::ZERO,
+            unchanged_since: collections::BTreeMap::new(),
         }
     }
 
@@ -109,31 +109,31 @@
         now: policy::Moment,
         inputs: &Inputs<'_>,
     ) -> Result<Option<sync::Arc<plan::Plan>>, store::Error> {
-        if now < self.next_look {
+        if now < self.next_check {
             return Ok(None);
         }
-        let lapsed = |lease: Lease| now >= lease.renewed + self.cfg.ttl;
-        if self.lease.is_some_and(lapsed) {
+        let expired = |lease: Lease| now >= lease.renewed + self.cfg.ttl;
+        if self.lease.is_some_and(expired) {
             self.lease = None;
         }
-        self.next_look = now + self.cfg.retry;
-        let held = match self.lease {
+        self.next_check = now + self.cfg.retry;
+        let has_lease = match self.lease {
             Some(lease) => self.renew(now, lease)?,
             None => self.contend(now)?,
         };
         let Some((plan, revision)) = self.read()? else {
             return Ok(None);
         };
-        if !held {
+        if !has_lease {
             return Ok(Some(sync::Arc::new(plan)));
         }
-        self.next_look = now + self.cfg.every;
+        self.next_check = now + self.cfg.every;
         let base = if plan.version >= inputs.known.version {
             plan
         } else {
             inputs.known.clone()
         };
-        match self.next(now, &base, inputs) {
+        match self.next_version(now, &base, inputs) {
             Some(next) => self.write(next, revision).map(Some),
             None => Ok(Some(sync::Arc::new(base))),
         }
@@ -170,9 +170,12 @@
             return Ok(false);
         }
         let id = self.store.grant(self.cfg.ttl)?;
-        let me = self.me.as_str().as_bytes();
+        let name = self.this_vm.as_str().as_bytes();
         let none = store::Revision(0);
-        match self.store.compare_and_swap(WRITER_KEY, none, me, Some(id)) {
+        match self
+            .store
+            .compare_and_swap(WRITER_KEY, none, name, Some(id))
+        {
             Ok(_) => {
                 self.lease = Some(Lease { id, renewed: now });
                 Ok(true)
@@ -199,13 +202,13 @@
         Ok(plan.map(|plan| (plan, entry.revision)))
     }
 
-    fn next(
+    fn next_version(
         &mut self,
         now: policy::Moment,
         base: &plan::Plan,
         inputs: &Inputs<'_>,
     ) -> Option<plan::Plan> {
-        let left = drain::remaining_share_by_az(inputs.settings, inputs.now_s);
+        let capacity_shares = drain::remaining_share_by_az(inputs.settings, inputs.now_s);
         let mut next = base.clone();
         let mut changed = false;
         for service in inputs.settings.services() {
@@ -225,12 +228,12 @@
                     settings: inputs.settings,
                     service,
                     summaries: inputs.summaries,
-                    capacity_shares: &left,
+                    capacity_shares: &capacity_shares,
                     current: &current,
                 },
             );
-            let most = caps::Config::of(service).version_share();
-            if let Some(weights) = plan::step(&self.cfg.plan, &current, &target, most) {
+            let max_share = caps::Config::of(service).version_share();
+            if let Some(weights) = plan::step(&self.cfg.plan, &current, &target, max_share) {
                 next.services.insert(service.name.clone(), weights);
                 changed = true;
             }
@@ -248,11 +251,11 @@
         current: &plan::WeightsByRegion,
     ) -> bool {
         let step = time::Duration::from_millis(service.shift_step_ms);
-        match self.since.get(&service.name) {
+        match self.unchanged_since.get(&service.name) {
             Some((seen, since)) if seen == current => now >= *since + step,
             _ => {
                 let seen = (current.clone(), now);
-                self.since.insert(service.name.clone(), seen);
+                self.unchanged_since.insert(service.name.clone(), seen);
                 false
             }
         }
@@ -308,13 +311,13 @@
         .collect()
     }
 
-    struct Play {
+    struct Scenario {
         settings: settings::Settings,
         summaries: Vec<plan::Summary>,
         known: plan::Plan,
     }
 
-    impl Play {
+    impl Scenario {
         fn new() -> Self {
             let settings = cooperative();
             let summaries = summaries(&settings);
@@ -345,7 +348,7 @@
         serde_json::from_slice(&entry.value).unwrap()
     }
 
-    fn away(plan: &plan::Plan) -> f64 {
+    fn diverted_share(plan: &plan::Plan) -> f64 {
         let khovd = &plan.services["ledger"]["khovd"];
         khovd
             .iter()
@@ -355,20 +358,25 @@
     }
 
     #[test]
-    fn one_writes_and_the_others_follow() {
-        let (store, play) = (standin::Memory::default(), Play::new());
+    fn one_process_writes_and_the_others_read() {
+        let (store, scenario) = (standin::Memory::default(), Scenario::new());
         let mut fleet = ["a", "b", "c"].map(|name| writer(name, store.clone()));
         for s in 0..60 {
             for writer in &mut fleet {
-                play.tick(writer, S * s).unwrap();
+                scenario.tick(writer, S * s).unwrap();
             }
         }
         assert_eq!(fleet.iter().filter(|w| w.is_writer()).count(), 1);
         let plan = stored(&store);
-        let most = caps::Config::of(play.settings.service("ledger").unwrap()).version_share();
+        let max_share =
+            caps::Config::of(scenario.settings.service("ledger").unwrap()).version_share();
         assert!(plan.version >= 4, "{}", plan.version);
-        assert!(away(&plan) <= most * (plan.version - 1) as f64 + 1e-6);
-        assert!(away(&plan) >= most * 3.0, "{}", away(&plan));
+        assert!(diverted_share(&plan) <= max_share * (plan.version - 1) as f64 + 1e-6);
+        assert!(
+            diverted_share(&plan) >= max_share * 3.0,
+            "{}",
+            diverted_share(&plan)
+        );
     }
 
     /// A store that runs `pause` before each write of the plan.
@@ -428,8 +436,8 @@
     /// A process pauses between its read and its write, its lease expires, and a second writer
     /// writes a version. The outdated write must fail, or callers would shift back and forth.
     #[test]
-    fn a_writer_that_wakes_past_its_lease_changes_nothing() {
-        let (store, play) = (standin::Memory::default(), Play::new());
+    fn a_write_after_the_lease_has_expired_fails() {
+        let (store, scenario) = (standin::Memory::default(), Scenario::new());
         let other = store.clone();
         let pause = move || {
             let later = other.get(PLAN_KEY).unwrap();
@@ -445,10 +453,10 @@
         };
         let inner = store.clone();
         let mut paused = writer("a", Pausing { inner, pause });
-        let woken = play.tick(&mut paused, S);
+        let result = scenario.tick(&mut paused, S);
         assert!(
-            matches!(woken, Err(store::Error::Conflict { .. })),
-            "{woken:?}"
+            matches!(result, Err(store::Error::Conflict { .. })),
+            "{result:?}"
         );
         assert_eq!(stored(&store).version, 77);
     }
@@ -456,15 +464,15 @@
     /// The lease is revoked without its holder's knowledge and a second process takes it, so two
     /// processes write. Independent steps of both would shift callers twice as fast.
     #[test]
-    fn two_writers_move_no_caller_faster() {
-        let (store, play) = (standin::Memory::default(), Play::new());
+    fn two_writers_do_not_shift_callers_faster() {
+        let (store, scenario) = (standin::Memory::default(), Scenario::new());
         let mut first = writer("a", store.clone());
-        play.tick(&mut first, policy::Moment::ZERO).unwrap();
+        scenario.tick(&mut first, policy::Moment::ZERO).unwrap();
         let lease = first.lease.unwrap();
         store.revoke(lease.id).unwrap();
         let mut second = writer("b", store.clone());
-        let service = play.settings.service("ledger").unwrap();
-        let most = caps::Config::of(service).version_share();
+        let service = scenario.settings.service("ledger").unwrap();
+        let max_share = caps::Config::of(service).version_share();
         let mut applied = plan::AppliedPlan::default();
         let mut seen = Vec::new();
         for s in 0..120 {
@@ -474,28 +482,28 @@
                 ..lease
             });
             for writer in [&mut first, &mut second] {
-                if let Ok(Some(plan)) = play.tick(writer, S * s) {
+                if let Ok(Some(plan)) = scenario.tick(writer, S * s) {
                     applied.offer(plan);
                 }
             }
-            let weights = applied.advance(S * s, &play.settings, service, most);
+            let weights = applied.advance(S * s, &scenario.settings, service, max_share);
             seen.push(weights["khovd"].clone());
         }
         assert!(second.is_writer());
         let step = service.shift_step_ms as usize / 1_000;
         for (before, after) in seen.iter().zip(&seen[step - 1..]) {
-            assert!(plan::churn(before, after) <= most + 1e-6);
+            assert!(plan::churn(before, after) <= max_share + 1e-6);
         }
-        assert!(plan::churn(&seen[0], seen.last().unwrap()) > 3.0 * most);
+        assert!(plan::churn(&seen[0], seen.last().unwrap()) > 3.0 * max_share);
     }
 
     /// The store writes a version but the reply is lost. A writer that repeated the step from
     /// memory would shift callers by two steps.
     #[test]
     fn a_lost_reply_does_not_step_twice() {
-        let (store, play) = (standin::Memory::default(), Play::new());
+        let (store, scenario) = (standin::Memory::default(), Scenario::new());
         let mut writer = writer("a", store.clone());
-        play.tick(&mut writer, policy::Moment::ZERO).unwrap();
+        scenario.tick(&mut writer, policy::Moment::ZERO).unwrap();
         for s in 1..14 {
             let due = stored(&store).version;
             if s == 12 {
@@ -504,42 +512,45 @@
                     ..standin::Faults::default()
                 });
             }
-            let _ = play.tick(&mut writer, S * s);
+            let _ = scenario.tick(&mut writer, S * s);
             assert!(stored(&store).version <= due + 1);
         }
         store.set_faults(standin::Faults::default());
         let before = stored(&store);
-        play.tick(&mut writer, S * 20).unwrap();
+        scenario.tick(&mut writer, S * 20).unwrap();
         assert_eq!(stored(&store), before, "the written step takes effect once");
     }
 
     /// The store is restored from an older copy. Nodes ignore versions below the newest they have
     /// received, so reused numbers would leave them without updates for as many versions.
     #[test]
-    fn a_restored_store_does_not_turn_the_plan_back() {
-        let (store, mut play) = (standin::Memory::default(), Play::new());
+    fn a_restored_store_does_not_revert_the_plan() {
+        let (store, mut scenario) = (standin::Memory::default(), Scenario::new());
         let mut writer = writer("a", store.clone());
-        play.tick(&mut writer, policy::Moment::ZERO).unwrap();
-        play.known = stored(&store);
-        play.known.version = 500;
+        scenario.tick(&mut writer, policy::Moment::ZERO).unwrap();
+        scenario.known = stored(&store);
+        scenario.known.version = 500;
         for s in 1..40 {
-            play.tick(&mut writer, S * s).unwrap();
+            scenario.tick(&mut writer, S * s).unwrap();
         }
         assert!(stored(&store).version > 500);
     }
 
     #[test]
-    fn an_outage_leaves_the_last_version() {
-        let (store, play) = (standin::Memory::default(), Play::new());
+    fn the_last_version_stays_during_an_outage() {
+        let (store, scenario) = (standin::Memory::default(), Scenario::new());
         let mut writer = writer("a", store.clone());
-        play.tick(&mut writer, policy::Moment::ZERO).unwrap();
+        scenario.tick(&mut writer, policy::Moment::ZERO).unwrap();
         let before = stored(&store);
         store.set_faults(standin::Faults {
             down: true,
             ..standin::Faults::default()
         });
         for s in 1..40 {
-            assert!(matches!(play.tick(&mut writer, S * s), Ok(None) | Err(_)));
+            assert!(matches!(
+                scenario.tick(&mut writer, S * s),
+                Ok(None) | Err(_)
+            ));
         }
         assert!(!writer.is_writer(), "its lease has expired");
         store.set_faults(standin::Faults::default());
