--- a/src/coordination/book.rs
+++ b/src/coordination/book.rs
@@ -23,7 +23,7 @@
 use action::Note;
 
 /// Teams whose settings may wait for a key ring. Waiting settings are not verified yet.
-const MAX_WAITING: usize = 256;
+const MAX_TEAMS_AWAITING_RING: usize = 256;
 
 key! {
     /// Orders the values of one key.
@@ -37,9 +37,9 @@
 
 /// The result of offering a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum OfferOutcome {
     /// The value, and any that waited for it, are held now. Contains their keys.
-    New(Vec<String>),
+    Accepted(Vec<String>),
     /// The value was already held.
     Known,
     /// A value of a higher rank is held.
@@ -60,60 +60,60 @@
     rank: Rank,
     text: sync::Arc<str>,
     change: String,
-    body: T,
+    decoded: T,
 }
 
 /// The signed values that a process holds, and the settings in force.
 #[derive(Debug)]
-pub struct Book {
+pub struct SignedValues {
     roots: Vec<keys::PublicKey>,
     rings: collections::BTreeMap<id::TeamId, Value<keys::Trusted>>,
-    parts: collections::BTreeMap<id::TeamId, Value<Result<settings::Team, String>>>,
-    waiting: collections::BTreeMap<id::TeamId, sync::Arc<str>>,
+    team_settings: collections::BTreeMap<id::TeamId, Value<Result<settings::Team, String>>>,
+    awaiting_ring: collections::BTreeMap<id::TeamId, sync::Arc<str>>,
     digest: peer::Digest,
     in_force: settings::Settings,
     versions: collections::BTreeMap<id::TeamId, Rank>,
-    complained: collections::BTreeMap<id::TeamId, Rank>,
+    logged_inconsistent: collections::BTreeMap<id::TeamId, Rank>,
     notes: Vec<Note>,
-    unsettled: bool,
+    in_force_outdated: bool,
 }
 
-impl Book {
+impl SignedValues {
     /// Creates an empty instance, which trusts key rings signed by one of `roots`.
     pub fn new(roots: Vec<keys::PublicKey>) -> Self {
         Self {
             roots,
             rings: collections::BTreeMap::new(),
-            parts: collections::BTreeMap::new(),
-            waiting: collections::BTreeMap::new(),
+            team_settings: collections::BTreeMap::new(),
+            awaiting_ring: collections::BTreeMap::new(),
             digest: peer::Digest { keys: 0, hash: 0 },
             in_force: settings::Settings::default(),
             versions: collections::BTreeMap::new(),
-            complained: collections::BTreeMap::new(),
+            logged_inconsistent: collections::BTreeMap::new(),
             notes: Vec::new(),
-            unsettled: false,
+            in_force_outdated: false,
         }
     }
 
     /// Holds a value if it is valid and of a higher rank than the held one.
-    pub fn take(&mut self, key: &str, text: &sync::Arc<str>) -> Taken {
+    pub fn offer(&mut self, key: &str, text: &sync::Arc<str>) -> OfferOutcome {
         if let Some(team) = key.strip_prefix(envelope::STORE_PREFIX) {
-            return self.take_part(key, &team.into(), text);
+            return self.offer_settings(key, &team.into(), text);
         }
         if let Some(team) = key.strip_prefix(keys::STORE_PREFIX) {
-            return self.take_ring(key, &team.into(), text);
+            return self.offer_ring(key, &team.into(), text);
         }
-        Taken::Refused("the key is neither under settings/ nor under keys/".to_owned())
+        OfferOutcome::Refused("the key is neither under settings/ nor under keys/".to_owned())
     }
 
     /// The settings in force, if they changed since the last call.
-    pub fn settle(&mut self) -> Option<sync::Arc<settings::Settings>> {
-        if !std::mem::take(&mut self.unsettled) {
+    pub fn update_in_force(&mut self) -> Option<sync::Arc<settings::Settings>> {
+        if !std::mem::take(&mut self.in_force_outdated) {
             return None;
         }
         let before = self.versions.clone();
-        if !self.settle_whole() {
-            self.settle_by_team();
+        if !self.apply_all_teams() {
+            self.apply_consistent_teams();
         }
         if self.versions == before {
             return None;
@@ -130,7 +130,7 @@
     }
 
     /// The messages for operators since the last call.
-    pub fn notes(&mut self) -> Vec<Note> {
+    pub fn take_notes(&mut self) -> Vec<Note> {
         std::mem::take(&mut self.notes)
     }
 
@@ -142,12 +142,12 @@
     /// The version and hash of each held value.
     pub fn held(&self) -> Vec<peer::Held> {
         let rings = self.rings.iter().map(|(t, v)| (keys::store_key(t), v.rank));
-        let parts = self
-            .parts
+        let team_settings = self
+            .team_settings
             .iter()
             .map(|(t, v)| (envelope::store_key(t), v.rank));
         rings
-            .chain(parts)
+            .chain(team_settings)
             .map(|(key, rank)| peer::Held {
                 key,
                 version: rank.version,
@@ -173,71 +173,80 @@
 
     fn value(&self, key: &str) -> Option<(Rank, &sync::Arc<str>)> {
         if let Some(team) = key.strip_prefix(envelope::STORE_PREFIX) {
-            return self.parts.get(team).map(|v| (v.rank, &v.text));
+            return self.team_settings.get(team).map(|v| (v.rank, &v.text));
         }
         let team = key.strip_prefix(keys::STORE_PREFIX)?;
         self.rings.get(team).map(|v| (v.rank, &v.text))
     }
 
-    fn take_part(&mut self, key: &str, team: &id::TeamId, text: &sync::Arc<str>) -> Taken {
+    fn offer_settings(
+        &mut self,
+        key: &str,
+        team: &id::TeamId,
+        text: &sync::Arc<str>,
+    ) -> OfferOutcome {
         let envelope = match envelope::Envelope::decode(text.as_bytes()) {
             Ok(envelope) => envelope,
-            Err(err) => return Taken::Refused(err.to_string()),
+            Err(err) => return OfferOutcome::Refused(err.to_string()),
         };
-        let rank = rank(envelope.version, envelope.signature);
+        let rank = rank_of(envelope.version, envelope.signature);
         // Checked before the signature, to save that cost for known and older values.
-        if let Some(taken) = not_higher(rank, self.rank(key)) {
-            return taken;
+        if let Some(outcome) = outcome_unless_higher(rank, self.rank(key)) {
+            return outcome;
         }
         match self.verify(team, &envelope) {
             Ok(()) => {}
-            Err(envelope::Error::UnknownKey { .. }) => return self.wait(team, text),
-            Err(err) => return Taken::Refused(err.to_string()),
+            Err(envelope::Error::UnknownKey { .. }) => return self.wait_for_ring(team, text),
+            Err(err) => return OfferOutcome::Refused(err.to_string()),
         }
         self.note_tie(key, rank, envelope.change.as_str());
-        let body = settings::Team::parse(&format!("teams/{team}"), &envelope.text);
+        let decoded = settings::Team::parse(&format!("teams/{team}"), &envelope.text);
         let value = Value {
             rank,
             text: text.clone(),
             change: envelope.change.to_string(),
-            body: body.map_err(|err| err.to_string()),
+            decoded: decoded.map_err(|err| err.to_string()),
         };
-        self.waiting.remove(team);
-        let before = self.parts.insert(team.clone(), value).map(|v| v.rank);
-        self.count(key, before, rank);
-        self.unsettled = true;
-        Taken::New(vec![key.to_owned()])
+        self.awaiting_ring.remove(team);
+        let before = self
+            .team_settings
+            .insert(team.clone(), value)
+            .map(|v| v.rank);
+        self.update_digest(key, before, rank);
+        self.in_force_outdated = true;
+        OfferOutcome::Accepted(vec![key.to_owned()])
     }
 
-    fn take_ring(&mut self, key: &str, team: &id::TeamId, text: &sync::Arc<str>) -> Taken {
+    fn offer_ring(&mut self, key: &str, team: &id::TeamId, text: &sync::Arc<str>) -> OfferOutcome {
         let ring = match keys::KeyRing::decode(text.as_bytes()) {
             Ok(ring) => ring,
-            Err(err) => return Taken::Refused(err.to_string()),
+            Err(err) => return OfferOutcome::Refused(err.to_string()),
         };
-        let rank = rank(ring.version, ring.signature);
-        if let Some(taken) = not_higher(rank, self.rank(key)) {
-            return taken;
+        let rank = rank_of(ring.version, ring.signature);
+        if let Some(outcome) = outcome_unless_higher(rank, self.rank(key)) {
+            return outcome;
         }
-        let body = match ring.verify(team, &self.roots, None) {
+        let decoded = match ring.verify(team, &self.roots, None) {
             Ok(trusted) => trusted,
-            Err(err) => return Taken::Refused(err.to_string()),
+            Err(err) => return OfferOutcome::Refused(err.to_string()),
         };
         self.note_tie(key, rank, "key ring");
         let value = Value {
             rank,
             text: text.clone(),
             change: "key ring".to_owned(),
-            body,
+            decoded,
         };
         let before = self.rings.insert(team.clone(), value).map(|v| v.rank);
-        self.count(key, before, rank);
-        let mut taken = vec![key.to_owned()];
-        if let Some(text) = self.waiting.remove(team)
-            && let Taken::New(more) = self.take_part(&envelope::store_key(team), team, &text)
+        self.update_digest(key, before, rank);
+        let mut accepted = vec![key.to_owned()];
+        if let Some(text) = self.awaiting_ring.remove(team)
+            && let OfferOutcome::Accepted(more) =
+                self.offer_settings(&envelope::store_key(team), team, &text)
         {
-            taken.extend(more);
+            accepted.extend(more);
         }
-        Taken::New(taken)
+        OfferOutcome::Accepted(accepted)
     }
 
     fn verify(
@@ -251,14 +260,16 @@
                 key: envelope.key.clone(),
             });
         };
-        envelope.verify(team, &ring.body)
+        envelope.verify(team, &ring.decoded)
     }
 
-    fn wait(&mut self, team: &id::TeamId, text: &sync::Arc<str>) -> Taken {
-        if self.waiting.len() < MAX_WAITING || self.waiting.contains_key(team) {
-            self.waiting.insert(team.clone(), text.clone());
+    fn wait_for_ring(&mut self, team: &id::TeamId, text: &sync::Arc<str>) -> OfferOutcome {
+        if self.awaiting_ring.len() < MAX_TEAMS_AWAITING_RING
+            || self.awaiting_ring.contains_key(team)
+        {
+            self.awaiting_ring.insert(team.clone(), text.clone());
         }
-        Taken::Waiting
+        OfferOutcome::Waiting
     }
 
     fn note_tie(&mut self, key: &str, rank: Rank, change: &str) {
@@ -266,7 +277,10 @@
             return;
         };
         let team = key.rsplit('/').next().unwrap_or_default();
-        let other = self.parts.get(team).map_or("key ring", |v| &v.change);
+        let other = self
+            .team_settings
+            .get(team)
+            .map_or("key ring", |v| &v.change);
         let note = Note::Tie {
             key: key.to_owned(),
             version: held.version,
@@ -276,67 +290,69 @@
         self.notes.push(note);
     }
 
-    fn count(&mut self, key: &str, before: Option<Rank>, now: Rank) {
+    fn update_digest(&mut self, key: &str, before: Option<Rank>, now: Rank) {
         if let Some(before) = before {
-            self.digest.hash ^= hash_of(key, before);
+            self.digest.hash ^= entry_hash(key, before);
         } else {
             self.digest.keys += 1;
         }
-        self.digest.hash ^= hash_of(key, now);
+        self.digest.hash ^= entry_hash(key, now);
     }
 
     /// Puts every team's newest settings in force if all of them are consistent.
-    fn settle_whole(&mut self) -> bool {
-        let mut all = settings::Settings::default();
+    fn apply_all_teams(&mut self) -> bool {
+        let mut combined = settings::Settings::default();
         let mut versions = collections::BTreeMap::new();
-        for (team, part) in &self.parts {
-            let Ok(body) = &part.body else { return false };
-            all.teams.insert(team.clone(), body.clone());
-            versions.insert(team.clone(), part.rank);
+        for (team, value) in &self.team_settings {
+            let Ok(decoded) = &value.decoded else {
+                return false;
+            };
+            combined.teams.insert(team.clone(), decoded.clone());
+            versions.insert(team.clone(), value.rank);
         }
-        if all.check().is_err() {
+        if combined.check().is_err() {
             return false;
         }
-        self.in_force = all;
+        self.in_force = combined;
         self.versions = versions;
-        self.complained.clear();
+        self.logged_inconsistent.clear();
         true
     }
 
     /// Puts in force each team's newest settings that are consistent with those in force. The
     /// places come first because the other teams' settings refer to them.
-    fn settle_by_team(&mut self) {
-        let mut teams: Vec<_> = self.parts.keys().cloned().collect();
+    fn apply_consistent_teams(&mut self) {
+        let mut teams: Vec<_> = self.team_settings.keys().cloned().collect();
         teams.sort_by_key(|team| team.as_str() != settings::PLACES_TEAM);
         let mut progress = true;
         while progress {
             progress = false;
             for team in &teams {
-                progress |= self.settle_team(team);
+                progress |= self.apply_team(team);
             }
         }
     }
 
-    fn settle_team(&mut self, team: &id::TeamId) -> bool {
-        let part = &self.parts[team];
-        if self.versions.get(team) == Some(&part.rank) {
+    fn apply_team(&mut self, team: &id::TeamId) -> bool {
+        let value = &self.team_settings[team];
+        if self.versions.get(team) == Some(&value.rank) {
             return false;
         }
-        let tried = part.body.clone().and_then(|body| {
-            let mut all = self.in_force.clone();
-            all.teams.insert(team.clone(), body);
-            all.check().map_err(|err| err.to_string())?;
-            Ok(all)
+        let result = value.decoded.clone().and_then(|decoded| {
+            let mut combined = self.in_force.clone();
+            combined.teams.insert(team.clone(), decoded);
+            combined.check().map_err(|err| err.to_string())?;
+            Ok(combined)
         });
-        match tried {
-            Ok(all) => {
-                self.in_force = all;
-                self.versions.insert(team.clone(), part.rank);
+        match result {
+            Ok(combined) => {
+                self.in_force = combined;
+                self.versions.insert(team.clone(), value.rank);
                 true
             }
             Err(why) => {
-                let rank = part.rank;
-                if self.complained.insert(team.clone(), rank) != Some(rank) {
+                let rank = value.rank;
+                if self.logged_inconsistent.insert(team.clone(), rank) != Some(rank) {
                     let team = team.clone();
                     self.notes.push(Note::NotInForce { team, why });
                 }
@@ -346,24 +362,24 @@
     }
 }
 
-fn rank(version: u64, signature: keys::Signature) -> Rank {
+fn rank_of(version: u64, signature: keys::Signature) -> Rank {
     let hash = hash(String::from(signature).as_bytes());
     Rank { version, hash }
 }
 
-fn not_higher(offered: Rank, held: Option<Rank>) -> Option<Taken> {
+fn outcome_unless_higher(offered: Rank, held: Option<Rank>) -> Option<OfferOutcome> {
     let held = held?;
     match offered.cmp(&held) {
         std::cmp::Ordering::Greater => None,
-        std::cmp::Ordering::Equal => Some(Taken::Known),
-        std::cmp::Ordering::Less => Some(Taken::Older {
+        std::cmp::Ordering::Equal => Some(OfferOutcome::Known),
+        std::cmp::Ordering::Less => Some(OfferOutcome::Older {
             offered: offered.version,
             held: held.version,
         }),
     }
 }
 
-fn hash_of(key: &str, rank: Rank) -> u64 {
+fn entry_hash(key: &str, rank: Rank) -> u64 {
     hash(format!("{key} {} {}", rank.version, rank.hash).as_bytes())
 }
 
--- a/src/coordination/budget.rs
+++ b/src/coordination/budget.rs
@@ -21,10 +21,10 @@
 use crate::decisions::policy;
 
 /// Calls a second by the whole fleet during recovery from an outage: half of the store's capacity.
-const FLEET_CALLS_PER_S: f64 = 1_000.0;
+const MAX_FLEET_CALLS_PER_S: f64 = 1_000.0;
 
 /// Calls that one process needs to catch up: two full reads, two watches, the list of VMs.
-const CALLS_TO_CATCH_UP: f64 = 5.0;
+const CATCH_UP_CALL_COUNT: f64 = 5.0;
 
 data! {
     /// The limits of one process's store calls.
@@ -60,11 +60,11 @@
 pub struct Budget {
     limits: Limits,
     tokens: f64,
-    filled: policy::Moment,
+    refilled: policy::Moment,
     failures: u32,
     not_before: policy::Moment,
-    waiting: u32,
-    fleet: usize,
+    in_flight: u32,
+    other_readers: usize,
     rng: rand_chacha::ChaCha8Rng,
 }
 
@@ -74,35 +74,35 @@
         Self {
             limits,
             tokens: limits.burst,
-            filled: policy::Moment::ZERO,
+            refilled: policy::Moment::ZERO,
             failures: 0,
             not_before: policy::Moment::ZERO,
-            waiting: 0,
-            fleet: 0,
+            in_flight: 0,
+            other_readers: 0,
             rng: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
     /// Takes a token for one call. False: the call must wait.
-    pub fn take(&mut self, now: policy::Moment) -> bool {
-        self.fill(now);
-        let probing = self.is_open() && self.waiting > 0;
-        if now < self.not_before || probing || self.tokens < 1.0 {
+    pub fn try_take(&mut self, now: policy::Moment) -> bool {
+        self.refill(now);
+        let probe_in_flight = self.is_open() && self.in_flight > 0;
+        if now < self.not_before || probe_in_flight || self.tokens < 1.0 {
             return false;
         }
         self.tokens -= 1.0;
-        self.waiting += 1;
+        self.in_flight += 1;
         true
     }
 
     /// Records the end of a permitted call. `answered`: the store answered, even with a refusal.
-    pub fn ended(&mut self, now: policy::Moment, answered: bool) {
-        self.waiting = self.waiting.saturating_sub(1);
+    pub fn call_ended(&mut self, now: policy::Moment, answered: bool) {
+        self.in_flight = self.in_flight.saturating_sub(1);
         if answered {
             if self.is_open() {
                 // Many processes detect the store's recovery at the same time.
                 self.tokens = self.tokens.min(1.0);
-                self.filled = now;
+                self.refilled = now;
             }
             self.failures = 0;
             self.not_before = self.not_before.min(now);
@@ -114,8 +114,8 @@
 
     /// Sets how many other processes may be reading the store on their own: 0 while a reader reads
     /// for the availability zone.
-    pub fn set_fleet(&mut self, processes: usize) {
-        self.fleet = processes;
+    pub fn set_other_readers(&mut self, processes: usize) {
+        self.other_readers = processes;
     }
 
     /// Whether the circuit is open: the store is presumed unreachable.
@@ -126,27 +126,27 @@
     fn backoff(&mut self) -> time::Duration {
         let doublings = self.failures.saturating_sub(1).min(16);
         let wait = self.limits.min_backoff * 2_u32.pow(doublings);
-        let longest = self.longest();
+        let longest_wait = self.longest_backoff();
         let wait = if self.is_open() {
-            wait.max(longest / 2).min(longest)
+            wait.max(longest_wait / 2).min(longest_wait)
         } else {
-            wait.min(longest)
+            wait.min(longest_wait)
         };
         // Half is random, so that processes that failed together do not retry together.
         wait / 2 + (wait / 2).mul_f64(self.rng.random())
     }
 
-    fn longest(&self) -> time::Duration {
+    fn longest_backoff(&self) -> time::Duration {
         #[expect(clippy::cast_precision_loss, reason = "fleets are far below 2^52")]
-        let fleet = self.fleet as f64;
-        let catch_up = fleet * CALLS_TO_CATCH_UP / FLEET_CALLS_PER_S;
-        self.limits.max_backoff + time::Duration::from_secs_f64(catch_up)
+        let other_readers = self.other_readers as f64;
+        let catch_up_s = other_readers * CATCH_UP_CALL_COUNT / MAX_FLEET_CALLS_PER_S;
+        self.limits.max_backoff + time::Duration::from_secs_f64(catch_up_s)
     }
 
-    fn fill(&mut self, now: policy::Moment) {
-        let passed = now.saturating_sub(self.filled).as_secs_f64();
+    fn refill(&mut self, now: policy::Moment) {
+        let passed = now.saturating_sub(self.refilled).as_secs_f64();
         self.tokens = (self.tokens + passed * self.limits.per_s).min(self.limits.burst);
-        self.filled = self.filled.max(now);
+        self.refilled = self.refilled.max(now);
     }
 }
 
@@ -163,8 +163,8 @@
         let mut budget = Budget::new(Limits::default(), 1);
         let mut taken = 0;
         for at in 0..600 {
-            if budget.take(ms(at * 100)) {
-                budget.ended(ms(at * 100), true);
+            if budget.try_take(ms(at * 100)) {
+                budget.call_ended(ms(at * 100), true);
                 taken += 1;
             }
         }
@@ -174,38 +174,41 @@
     /// The store is down for a minute while 4,400 processes without links to peers try to read.
     /// If their calls overloaded it again on its recovery, the outage would outlast its cause.
     #[test]
-    fn an_outage_ends_without_a_stampede() {
+    fn recovery_from_an_outage_does_not_overload_the_store() {
         let fleet = 4_400;
         let mut budgets: Vec<_> = (0..fleet)
             .map(|seed| {
                 let mut budget = Budget::new(Limits::default(), seed);
-                budget.set_fleet(4_400);
+                budget.set_other_readers(4_400);
                 budget
             })
             .collect();
         let mut needed = vec![5; budgets.len()];
-        let mut worst = 0;
-        let mut in_second = 0;
+        let mut max_calls_in_second = 0;
+        let mut calls_in_second = 0;
         let mut caught_up = 0;
         for at in 0..1_200 {
             let now = ms(at * 100);
             let up = at >= 600;
             if at % 10 == 0 {
-                in_second = 0;
+                calls_in_second = 0;
             }
             for (budget, needed) in budgets.iter_mut().zip(&mut needed) {
-                if *needed > 0 && budget.take(now) {
-                    budget.ended(now, up);
+                if *needed > 0 && budget.try_take(now) {
+                    budget.call_ended(now, up);
                     if up {
-                        in_second += 1;
+                        calls_in_second += 1;
                         *needed -= 1;
                         caught_up = at;
                     }
                 }
             }
-            worst = worst.max(in_second);
+            max_calls_in_second = max_calls_in_second.max(calls_in_second);
         }
-        assert!(worst <= 2_000, "{worst} calls in the worst second");
+        assert!(
+            max_calls_in_second <= 2_000,
+            "{max_calls_in_second} calls in the worst second"
+        );
         assert!(
             needed.iter().all(|n| *n == 0),
             "all caught up at {caught_up}"
@@ -217,16 +220,16 @@
     #[test]
     fn one_failure_costs_little_and_many_open_the_circuit() {
         let mut budget = Budget::new(Limits::default(), 1);
-        assert!(budget.take(ms(0)));
-        budget.ended(ms(0), false);
-        assert!(budget.take(ms(100)));
+        assert!(budget.try_take(ms(0)));
+        budget.call_ended(ms(0), false);
+        assert!(budget.try_take(ms(100)));
         for at in 0..3 {
-            budget.ended(ms(100 + at), false);
+            budget.call_ended(ms(100 + at), false);
         }
-        assert!(budget.is_open() && !budget.take(ms(500)));
-        assert!(budget.take(ms(2_200)));
-        assert!(!budget.take(ms(2_300)), "one call at a time");
-        budget.ended(ms(2_300), true);
+        assert!(budget.is_open() && !budget.try_take(ms(500)));
+        assert!(budget.try_take(ms(2_200)));
+        assert!(!budget.try_take(ms(2_300)), "one call at a time");
+        budget.call_ended(ms(2_300), true);
         assert!(!budget.is_open());
     }
 }
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -18,16 +18,16 @@
 
 /// Interval at which the reader reads the platform's list of VMs. A backend server that is leaving
 /// gets no new requests after at most this interval plus the lag of the list.
-const VMS_EVERY: time::Duration = time::Duration::from_secs(1);
+const VM_LIST_READ_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// How long a reader's calls may fail before it counts the outage as an accusation.
-const STORE_PATIENCE: time::Duration = time::Duration::from_secs(3);
+const MAX_STORE_OUTAGE: time::Duration = time::Duration::from_secs(3);
 
 /// Shortest interval between two requests of a process for the reader's list of VMs.
-const WANT_VMS_EVERY: time::Duration = time::Duration::from_secs(1);
+const MIN_VM_LIST_REQUEST_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// How long a process without a list of VMs waits for links before it connects to its seeds.
-const SEEDS_AFTER: time::Duration = time::Duration::from_secs(1);
+const SEED_FALLBACK_DELAY: time::Duration = time::Duration::from_secs(1);
 
 /// A node's identity and startup settings.
 #[derive(Clone, Debug)]
@@ -91,18 +91,18 @@
 #[derive(Debug)]
 pub struct Node<E = reader::Accused> {
     cfg: Config,
-    sync: settings_sync::Sync,
+    sync: settings_sync::SettingsSync,
     view: membership::View,
     election: E,
     budget: budget::Budget,
     reader: Option<id::VmId>,
-    next_vms: policy::Moment,
-    reading_vms: bool,
-    wanted_vms: Option<policy::Moment>,
+    next_vm_list_read: policy::Moment,
+    reading_vm_list: bool,
+    vm_list_requested: Option<policy::Moment>,
     store_up: bool,
-    store_lost: Option<policy::Moment>,
+    store_lost_since: Option<policy::Moment>,
     started: policy::Moment,
-    seeded: bool,
+    seeds_used: bool,
     linked: collections::BTreeSet<(id::VmId, id::Incarnation)>,
 }
 
@@ -110,25 +110,25 @@
     /// Creates the node of a process that has just started.
     pub fn new(cfg: Config, now: policy::Moment) -> Self {
         Self {
-            sync: settings_sync::Sync::new(cfg.roots.clone(), cfg.seed),
+            sync: settings_sync::SettingsSync::new(cfg.roots.clone(), cfg.seed),
             view: membership::View::new(cfg.vm.clone(), cfg.az.clone()),
             election: E::new(cfg.vm.clone(), cfg.incarnation, cfg.timing, now),
             budget: budget::Budget::new(cfg.limits, cfg.seed),
             reader: None,
-            next_vms: now,
-            reading_vms: false,
-            wanted_vms: None,
+            next_vm_list_read: now,
+            reading_vm_list: false,
+            vm_list_requested: None,
             store_up: false,
-            store_lost: None,
+            store_lost_since: None,
             started: now,
-            seeded: false,
+            seeds_used: false,
             linked: collections::BTreeSet::new(),
             cfg,
         }
     }
 
     /// The settings of this process.
-    pub fn sync(&self) -> &settings_sync::Sync {
+    pub fn sync(&self) -> &settings_sync::SettingsSync {
         &self.sync
     }
 
@@ -151,163 +151,176 @@
     pub fn step(&mut self, now: policy::Moment, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Listed(prefix, result) => {
-                self.ended(now, &result);
-                self.sync.listed(now, prefix, result, out);
+                self.store_call_ended(now, &result);
+                self.sync.full_read_ended(now, prefix, result, out);
             }
             Event::Watched(prefix, result) => {
-                self.ended(now, &result);
-                self.sync.watched(now, prefix, result, out);
+                self.store_call_ended(now, &result);
+                self.sync.watch_ended(now, prefix, result, out);
             }
             Event::Wrote(key, result) => {
-                self.ended(now, &result);
-                self.sync.wrote(&key, &result);
+                self.store_call_ended(now, &result);
+                self.sync.write_ended(&key, &result);
             }
-            Event::Vms(result) => self.vms(now, result, out),
-            Event::Message(from, message) => self.message(now, &from, message, out),
-            Event::Links(links) => self.links(now, &links, out),
+            Event::Vms(result) => self.vm_list_read(now, result, out),
+            Event::Message(from, message) => self.handle_message(now, &from, message, out),
+            Event::Links(links) => self.handle_links(now, &links, out),
             Event::Tick => self.tick(now, out),
-            Event::Stopping => self.leave(out),
+            Event::Stopping => self.announce_leaving(out),
         }
     }
 
     fn tick(&mut self, now: policy::Moment, out: &mut Vec<Action>) {
-        let mut sends = Vec::new();
-        self.watch_store(now);
-        self.election.tick(now, &mut sends);
-        self.emit(sends, out);
-        self.follow_reader(out);
-        let fleet = if self.view.is_alone() {
+        let mut outgoing = Vec::new();
+        self.check_store(now);
+        self.election.tick(now, &mut outgoing);
+        self.send_election_messages(outgoing, out);
+        self.update_reader(out);
+        let other_readers = if self.view.is_alone() {
             self.view.entries()
         } else {
             0
         };
-        self.budget.set_fleet(fleet);
+        self.budget.set_other_readers(other_readers);
         self.sync.tick(now, &mut self.budget, out);
-        if self.is_reader() && !self.reading_vms && now >= self.next_vms && self.budget.take(now) {
-            self.reading_vms = true;
+        if self.is_reader()
+            && !self.reading_vm_list
+            && now >= self.next_vm_list_read
+            && self.budget.try_take(now)
+        {
+            self.reading_vm_list = true;
             out.push(Action::ReadVms);
         }
-        self.use_seeds(now, out);
+        self.connect_to_seeds(now, out);
     }
 
-    fn message(
+    fn handle_message(
         &mut self,
         now: policy::Moment,
         from: &id::VmId,
         message: peer::Message,
         out: &mut Vec<Action>,
     ) {
-        let mut sends = Vec::new();
+        let mut outgoing = Vec::new();
         match &message {
             peer::Message::Alive(alive) => {
                 let before = self.election.reader().cloned();
-                let first = self.election.alive(now, from, alive, &mut sends);
+                let first = self.election.alive(now, from, alive, &mut outgoing);
                 self.relay(first, from, &message, out);
-                let leads = before.as_ref() == Some(&alive.vm);
-                if leads {
+                let from_reader = before.as_ref() == Some(&alive.vm);
+                if from_reader {
                     self.store_up = alive.store_up;
                 }
-                if leads || self.view.list_hash() == 0 {
-                    self.want_vms(now, from, alive.list, out);
+                if from_reader || self.view.list_hash() == 0 {
+                    self.request_vm_list(now, from, alive.list, out);
                 }
             }
             peer::Message::Accuse(accuse) => {
-                let first = self.election.accuse(now, accuse, &mut sends);
+                let first = self.election.accuse(now, accuse, &mut outgoing);
                 self.relay(first, from, &message, out);
             }
             peer::Message::Vms(list) => {
-                let leads = self.election.reader() == Some(&list.reader);
-                if (leads || self.view.list_hash() == 0) && self.view.listed(list.rows.clone()) {
+                let from_reader = self.election.reader() == Some(&list.reader);
+                if (from_reader || self.view.list_hash() == 0)
+                    && self.view.listed(list.rows.clone())
+                {
                     self.relay(true, from, &message, out);
-                    self.list_changed(out);
+                    self.vm_list_changed(out);
                 }
             }
-            peer::Message::WantVms => self.hand_vms(from, out),
+            peer::Message::WantVms => self.send_vm_list(from, out),
             peer::Message::Leaving(leaving) => {
                 if self.view.left(&leaving.vm, leaving.incarnation) {
                     self.relay(true, from, &message, out);
                     out.push(Action::Vms(self.view.vms()));
                 }
             }
-            _ => self.sync.message(now, from, &message, out),
+            _ => self.sync.handle_message(now, from, &message, out),
         }
-        self.emit(sends, out);
-        self.follow_reader(out);
+        self.send_election_messages(outgoing, out);
+        self.update_reader(out);
     }
 
-    fn links(&mut self, now: policy::Moment, links: &[peers::Linked], out: &mut Vec<Action>) {
+    fn handle_links(
+        &mut self,
+        now: policy::Moment,
+        links: &[peers::Linked],
+        out: &mut Vec<Action>,
+    ) {
         if self.view.linked(now, links) {
             out.push(Action::Vms(self.view.vms()));
         }
-        let starts = links.iter().map(|l| (l.vm.clone(), l.incarnation));
-        let before = std::mem::replace(&mut self.linked, starts.collect());
+        let processes = links.iter().map(|l| (l.vm.clone(), l.incarnation));
+        let before = std::mem::replace(&mut self.linked, processes.collect());
         for (vm, _) in self.linked.difference(&before) {
-            self.sync.greet(vm, out);
+            self.sync.send_digest(vm, out);
         }
         if let Some(link) = links.first().filter(|_| self.view.list_hash() == 0) {
-            self.want_vms(now, &link.vm, u64::MAX, out);
+            self.request_vm_list(now, &link.vm, u64::MAX, out);
         }
     }
 
-    fn vms(
+    fn vm_list_read(
         &mut self,
         now: policy::Moment,
         result: Result<Vec<store::Vm>, store::Error>,
         out: &mut Vec<Action>,
     ) {
-        self.ended(now, &result);
-        self.reading_vms = false;
-        self.next_vms = now + VMS_EVERY;
+        self.store_call_ended(now, &result);
+        self.reading_vm_list = false;
+        self.next_vm_list_read = now + VM_LIST_READ_INTERVAL;
         let Ok(rows) = result else { return };
         if self.view.listed(rows) {
-            let message = self.list_message();
+            let message = self.vm_list_message();
             out.push(Action::ToOwnAz {
                 except: None,
                 message,
             });
-            self.list_changed(out);
+            self.vm_list_changed(out);
         }
     }
 
     /// Records the end of a store call. Any answer, also a refusal, shows that the store is up.
-    fn ended<T>(&mut self, now: policy::Moment, result: &Result<T, store::Error>) {
+    fn store_call_ended<T>(&mut self, now: policy::Moment, result: &Result<T, store::Error>) {
         let failed = matches!(
             result,
             Err(store::Error::Unavailable(_) | store::Error::Unknown(_))
         );
-        self.budget.ended(now, !failed);
+        self.budget.call_ended(now, !failed);
         self.store_up = !failed;
     }
 
-    fn list_changed(&mut self, out: &mut Vec<Action>) {
+    fn vm_list_changed(&mut self, out: &mut Vec<Action>) {
         out.push(Action::Targets(self.view.targets()));
         out.push(Action::Vms(self.view.vms()));
     }
 
-    fn list_message(&self) -> peer::Message {
+    fn vm_list_message(&self) -> peer::Message {
         peer::Message::Vms(peer::VmList {
             reader: self.cfg.vm.clone(),
             rows: self.view.list().to_vec(),
         })
     }
 
-    fn want_vms(
+    fn request_vm_list(
         &mut self,
         now: policy::Moment,
         from: &id::VmId,
-        theirs: u64,
+        their_list_hash: u64,
         out: &mut Vec<Action>,
     ) {
-        let recent = self.wanted_vms.is_some_and(|at| now < at + WANT_VMS_EVERY);
-        if theirs != 0 && theirs != self.view.list_hash() && !recent {
-            self.wanted_vms = Some(now);
+        let recent = self
+            .vm_list_requested
+            .is_some_and(|at| now < at + MIN_VM_LIST_REQUEST_INTERVAL);
+        if their_list_hash != 0 && their_list_hash != self.view.list_hash() && !recent {
+            self.vm_list_requested = Some(now);
             out.push(Action::Send(from.clone(), peer::Message::WantVms));
         }
     }
 
     /// Sends this process's list of VMs. It carries the reader's name, since the receiver accepts
     /// only a list by its reader.
-    fn hand_vms(&self, to: &id::VmId, out: &mut Vec<Action>) {
+    fn send_vm_list(&self, to: &id::VmId, out: &mut Vec<Action>) {
         if self.view.list_hash() == 0 {
             return;
         }
@@ -317,36 +330,36 @@
         out.push(Action::Send(to.clone(), message));
     }
 
-    fn follow_reader(&mut self, out: &mut Vec<Action>) {
+    fn update_reader(&mut self, out: &mut Vec<Action>) {
         if self.reader.as_ref() == self.election.reader() {
             return;
         }
         self.reader = self.election.reader().cloned();
-        self.sync.set_reads(self.is_reader());
-        self.store_lost = None;
+        self.sync.set_reader(self.is_reader());
+        self.store_lost_since = None;
         out.extend(self.reader.clone().map(|vm| Action::Log(Note::Reader(vm))));
     }
 
     /// Counts a store outage against a reader that gets no answers, so that another VM takes over.
-    fn watch_store(&mut self, now: policy::Moment) {
+    fn check_store(&mut self, now: policy::Moment) {
         if !self.is_reader() || !self.budget.is_open() {
-            self.store_lost = None;
+            self.store_lost_since = None;
             return;
         }
-        let since = *self.store_lost.get_or_insert(now);
-        if now >= since + STORE_PATIENCE {
+        let since = *self.store_lost_since.get_or_insert(now);
+        if now >= since + MAX_STORE_OUTAGE {
             self.election.store_lost(now);
-            self.store_lost = None;
+            self.store_lost_since = None;
         }
     }
 
     /// Connects to the seeds: a process that starts during a store outage has no list of VMs.
-    fn use_seeds(&mut self, now: policy::Moment, out: &mut Vec<Action>) {
-        let waits = now < self.started + SEEDS_AFTER || self.view.list_hash() != 0;
-        if self.seeded || waits || self.cfg.seeds.is_empty() {
+    fn connect_to_seeds(&mut self, now: policy::Moment, out: &mut Vec<Action>) {
+        let not_due = now < self.started + SEED_FALLBACK_DELAY || self.view.list_hash() != 0;
+        if self.seeds_used || not_due || self.cfg.seeds.is_empty() {
             return;
         }
-        self.seeded = true;
+        self.seeds_used = true;
         let seeds = self.cfg.seeds.iter();
         out.push(Action::Targets(
             seeds
@@ -358,7 +371,7 @@
         ));
     }
 
-    fn leave(&mut self, out: &mut Vec<Action>) {
+    fn announce_leaving(&mut self, out: &mut Vec<Action>) {
         let message = peer::Message::Leaving(peer::Leaving {
             vm: self.cfg.vm.clone(),
             incarnation: self.cfg.incarnation,
@@ -382,9 +395,9 @@
         }
     }
 
-    fn emit(&self, sends: Vec<reader::Out>, out: &mut Vec<Action>) {
-        for send in sends {
-            match send {
+    fn send_election_messages(&self, outgoing: Vec<reader::Out>, out: &mut Vec<Action>) {
+        for election_message in outgoing {
+            match election_message {
                 reader::Out::All(mut message) => {
                     if let peer::Message::Alive(alive) = &mut message {
                         alive.list = self.view.list_hash();
--- a/src/coordination/settings_sync.rs
+++ b/src/coordination/settings_sync.rs
@@ -25,53 +25,53 @@
 use crate::protocol::peer;
 use crate::settings::keys;
 use action::{Action, Note, PREFIXES, Prefix};
-use book::Taken;
+use book::OfferOutcome;
 
 /// Interval at which a process sends its digest to its peers.
-const DIGEST_EVERY: time::Duration = time::Duration::from_secs(2);
+const DIGEST_INTERVAL: time::Duration = time::Duration::from_secs(2);
 
 /// Shortest interval between two key-by-key comparisons with one peer. It limits the traffic of
 /// peers that can never agree because one holds settings signed by a key revoked since.
-const COMPARE_EVERY: time::Duration = time::Duration::from_secs(1);
+const MIN_COMPARE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// Time to wait for a requested value before requesting it from another peer.
-const WANT_EVERY: time::Duration = time::Duration::from_secs(1);
+const REQUEST_RETRY_DELAY: time::Duration = time::Duration::from_secs(1);
 
 /// Shortest interval between full reads, which a reader makes in addition to its watch. If a store
 /// is restored and written to before the watch reconnects, its revisions pass that of the watch,
 /// which then misses the writes in between. The interval grows with the stored bytes, so that full
 /// reads cost at most [`FULL_READ_BYTES_PER_S`].
-const MIN_FULL_READ_EVERY: time::Duration = time::Duration::from_secs(3);
+const MIN_FULL_READ_INTERVAL: time::Duration = time::Duration::from_secs(3);
 
 /// Longest interval between two full reads.
-const MAX_FULL_READ_EVERY: time::Duration = time::Duration::from_secs(300);
+const MAX_FULL_READ_INTERVAL: time::Duration = time::Duration::from_secs(300);
 
 /// Bandwidth for full reads, out of the 10 KB/s that a reader may use for control traffic.
 const FULL_READ_BYTES_PER_S: f64 = 3_000.0;
 
 /// Longest random delay before a reader rewrites an outdated value in the store. The readers of
 /// all availability zones draw different delays, so that usually only the first one writes.
-const HEAL_WITHIN: time::Duration = time::Duration::from_secs(1);
+const MAX_REPAIR_DELAY: time::Duration = time::Duration::from_secs(1);
 
 /// Bytes of values after which the answer to one message ends. The next digest brings the rest.
 const MAX_ANSWER_BYTES: usize = 2 << 20;
 
 /// Keys listed in one message.
-const MAX_KEYS: usize = 10_000;
+const MAX_KEYS_PER_MESSAGE: usize = 10_000;
 
 /// Refusals remembered so that each is logged once.
-const MAX_REFUSALS: usize = 256;
+const MAX_LOGGED_REFUSALS: usize = 256;
 
 #[derive(Debug, Default)]
-struct Stream {
-    after: Option<store::Revision>,
+struct PrefixReads {
+    last_revision: Option<store::Revision>,
     watching: bool,
     listing: bool,
-    next_full: policy::Moment,
+    next_full_read: policy::Moment,
 }
 
 #[derive(Debug)]
-struct Heal {
+struct Repair {
     expect: store::Revision,
     due: policy::Moment,
     /// A read after `due` still returned the older value.
@@ -80,62 +80,62 @@
 
 /// Keeps the settings of one process in sync with the store and its peers.
 #[derive(Debug)]
-pub struct Sync {
-    book: book::Book,
-    reads: bool,
-    streams: collections::BTreeMap<Prefix, Stream>,
-    heals: collections::BTreeMap<String, Heal>,
+pub struct SettingsSync {
+    values: book::SignedValues,
+    is_reader: bool,
+    reads_by_prefix: collections::BTreeMap<Prefix, PrefixReads>,
+    repairs: collections::BTreeMap<String, Repair>,
     writing: bool,
-    compared: collections::BTreeMap<id::VmId, policy::Moment>,
-    wanted: collections::BTreeMap<String, policy::Moment>,
-    refusals: collections::BTreeSet<(String, String)>,
+    last_compared: collections::BTreeMap<id::VmId, policy::Moment>,
+    requested: collections::BTreeMap<String, policy::Moment>,
+    logged_refusals: collections::BTreeSet<(String, String)>,
     next_digest: policy::Moment,
     rng: rand_chacha::ChaCha8Rng,
 }
 
-impl Sync {
+impl SettingsSync {
     /// Creates an empty instance. `seed` seeds the jitter and must differ between processes.
     pub fn new(roots: Vec<keys::PublicKey>, seed: u64) -> Self {
         Self {
-            book: book::Book::new(roots),
-            reads: false,
-            streams: PREFIXES.map(|p| (p, Stream::default())).into(),
-            heals: collections::BTreeMap::new(),
+            values: book::SignedValues::new(roots),
+            is_reader: false,
+            reads_by_prefix: PREFIXES.map(|p| (p, PrefixReads::default())).into(),
+            repairs: collections::BTreeMap::new(),
             writing: false,
-            compared: collections::BTreeMap::new(),
-            wanted: collections::BTreeMap::new(),
-            refusals: collections::BTreeSet::new(),
+            last_compared: collections::BTreeMap::new(),
+            requested: collections::BTreeMap::new(),
+            logged_refusals: collections::BTreeSet::new(),
             next_digest: policy::Moment::ZERO,
             rng: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
     /// The signed values that this process holds.
-    pub fn book(&self) -> &book::Book {
-        &self.book
+    pub fn book(&self) -> &book::SignedValues {
+        &self.values
     }
 
     /// Starts or stops reading the store. Reading starts with a full read, since the revisions
     /// from an earlier read may predate a restore of the store.
-    pub fn set_reads(&mut self, reads: bool) {
-        if reads != self.reads {
-            self.reads = reads;
-            self.read_again();
-            self.heals.clear();
+    pub fn set_reader(&mut self, is_reader: bool) {
+        if is_reader != self.is_reader {
+            self.is_reader = is_reader;
+            self.restart_reads();
+            self.repairs.clear();
         }
     }
 
     /// Schedules full reads instead of continuing from the last revisions.
-    fn read_again(&mut self) {
-        for stream in self.streams.values_mut() {
-            stream.after = None;
-            stream.next_full = policy::Moment::ZERO;
+    fn restart_reads(&mut self) {
+        for prefix_reads in self.reads_by_prefix.values_mut() {
+            prefix_reads.last_revision = None;
+            prefix_reads.next_full_read = policy::Moment::ZERO;
         }
     }
 
     /// Sends the digest to a newly linked peer, so that it need not wait for the next interval.
-    pub fn greet(&self, peer: &id::VmId, out: &mut Vec<Action>) {
-        let message = peer::Message::Digest(self.book.digest());
+    pub fn send_digest(&self, peer: &id::VmId, out: &mut Vec<Action>) {
+        let message = peer::Message::Digest(self.values.digest());
         out.push(Action::Send(peer.clone(), message));
     }
 
@@ -147,86 +147,87 @@
         out: &mut Vec<Action>,
     ) {
         if now >= self.next_digest {
-            self.next_digest = now + DIGEST_EVERY;
-            let message = peer::Message::Digest(self.book.digest());
+            self.next_digest = now + DIGEST_INTERVAL;
+            let message = peer::Message::Digest(self.values.digest());
             out.push(Action::ToAll {
                 except: None,
                 message,
             });
         }
-        if self.reads {
-            self.read(now, budget, out);
-            self.heal(now, budget, out);
+        if self.is_reader {
+            self.start_reads(now, budget, out);
+            self.start_repair(now, budget, out);
         }
     }
 
     /// Handles the end of a full read.
-    pub fn listed(
+    pub fn full_read_ended(
         &mut self,
         now: policy::Moment,
         prefix: Prefix,
         result: Result<store::Snapshot, store::Error>,
         out: &mut Vec<Action>,
     ) {
-        let stream = self.streams.entry(prefix).or_default();
-        stream.listing = false;
+        let prefix_reads = self.reads_by_prefix.entry(prefix).or_default();
+        prefix_reads.listing = false;
         let Ok(snapshot) = result else { return };
-        if !stream.watching {
-            stream.after = Some(snapshot.revision);
+        if !prefix_reads.watching {
+            prefix_reads.last_revision = Some(snapshot.revision);
         }
-        stream.next_full =
-            now + full_read_every(&snapshot).mul_f64(0.75 + self.rng.random::<f64>() / 2.0);
+        prefix_reads.next_full_read =
+            now + full_read_interval(&snapshot).mul_f64(0.75 + self.rng.random::<f64>() / 2.0);
         let stored: collections::BTreeSet<_> =
             snapshot.entries.iter().map(|e| e.key.clone()).collect();
         for entry in &snapshot.entries {
-            self.offer(now, entry, out);
+            self.offer_stored(now, entry, out);
         }
-        for held in self.book.held() {
-            let here = held.key.starts_with(prefix.as_str());
-            if here && !stored.contains(&held.key) {
-                self.plan_heal(now, &held.key, store::Revision(0), 0, out);
+        for held in self.values.held() {
+            let in_prefix = held.key.starts_with(prefix.as_str());
+            if in_prefix && !stored.contains(&held.key) {
+                self.schedule_repair(now, &held.key, store::Revision(0), 0, out);
             }
         }
-        self.put_in_force(out);
+        self.update_in_force(out);
     }
 
     /// Handles the end of a watch.
-    pub fn watched(
+    pub fn watch_ended(
         &mut self,
         now: policy::Moment,
         prefix: Prefix,
         result: Result<store::Watch, store::Error>,
         out: &mut Vec<Action>,
     ) {
-        let stream = self.streams.entry(prefix).or_default();
-        stream.watching = false;
+        let prefix_reads = self.reads_by_prefix.entry(prefix).or_default();
+        prefix_reads.watching = false;
         match result {
-            Ok(store::Watch::Gap) => stream.next_full = now,
+            Ok(store::Watch::Gap) => prefix_reads.next_full_read = now,
             Ok(store::Watch::Events { revision, entries }) => {
-                stream.after = Some(revision);
+                prefix_reads.last_revision = Some(revision);
                 for entry in &entries {
-                    self.offer(now, entry, out);
+                    self.offer_stored(now, entry, out);
                 }
-                self.put_in_force(out);
+                self.update_in_force(out);
             }
             // The store may have been restored during an outage.
-            Err(_) => stream.next_full = now,
+            Err(_) => prefix_reads.next_full_read = now,
         }
     }
 
     /// Handles the end of a write. After an error a full read shows what the store holds.
-    pub fn wrote(&mut self, key: &str, result: &Result<store::Revision, store::Error>) {
+    pub fn write_ended(&mut self, key: &str, result: &Result<store::Revision, store::Error>) {
         self.writing = false;
-        self.heals.remove(key);
+        self.repairs.remove(key);
         if result.is_err()
-            && let Some(stream) = Prefix::of(key).and_then(|p| self.streams.get_mut(&p))
+            && let Some(prefix_reads) =
+                Prefix::of(key).and_then(|p| self.reads_by_prefix.get_mut(&p))
         {
-            stream.next_full = policy::Moment::ZERO;
+            prefix_reads.next_full_read = policy::Moment::ZERO;
         }
     }
 
     /// Handles a peer's message about settings. Ignores other messages.
-    pub fn message(
+    pub fn handle_message(
         &mut self,
         now: policy::Moment,
         from: &id::VmId,
@@ -235,73 +236,85 @@
     ) {
         match message {
             peer::Message::Signed(signed) => {
-                let taken = self.book.take(&signed.key, &signed.text);
-                self.pass_on(&signed.key, Some(from), taken, out);
-                self.put_in_force(out);
+                let outcome = self.values.offer(&signed.key, &signed.text);
+                self.forward(&signed.key, Some(from), outcome, out);
+                self.update_in_force(out);
             }
-            peer::Message::Digest(theirs) => self.compare(now, from, *theirs, out),
-            peer::Message::Held(theirs) => self.ask(now, from, theirs, out),
-            peer::Message::Want(keys) => self.hand_over(from, keys, out),
+            peer::Message::Digest(theirs) => self.compare_digest(now, from, *theirs, out),
+            peer::Message::Held(theirs) => self.request_newer(now, from, theirs, out),
+            peer::Message::Want(keys) => self.send_values(from, keys, out),
             _ => {}
         }
     }
 
-    fn read(&mut self, now: policy::Moment, budget: &mut budget::Budget, out: &mut Vec<Action>) {
-        for (prefix, stream) in &mut self.streams {
-            if stream.listing {
+    fn start_reads(
+        &mut self,
+        now: policy::Moment,
+        budget: &mut budget::Budget,
+        out: &mut Vec<Action>,
+    ) {
+        for (prefix, prefix_reads) in &mut self.reads_by_prefix {
+            if prefix_reads.listing {
                 continue;
             }
-            let due = stream.after.is_none() || now >= stream.next_full;
-            if due && budget.take(now) {
-                stream.listing = true;
+            let due = prefix_reads.last_revision.is_none() || now >= prefix_reads.next_full_read;
+            if due && budget.try_take(now) {
+                prefix_reads.listing = true;
                 out.push(Action::List(*prefix));
             }
-            if let Some(after) = stream.after.filter(|_| !due && !stream.watching)
-                && budget.take(now)
+            if let Some(revision) = prefix_reads
+                .last_revision
+                .filter(|_| !due && !prefix_reads.watching)
+                && budget.try_take(now)
             {
-                stream.watching = true;
-                out.push(Action::Watch(*prefix, after));
+                prefix_reads.watching = true;
+                out.push(Action::Watch(*prefix, revision));
             }
         }
     }
 
-    fn heal(&mut self, now: policy::Moment, budget: &mut budget::Budget, out: &mut Vec<Action>) {
+    fn start_repair(
+        &mut self,
+        now: policy::Moment,
+        budget: &mut budget::Budget,
+        out: &mut Vec<Action>,
+    ) {
         if self.writing {
             return;
         }
-        let due = self.heals.iter().find(|(_, heal)| heal.confirmed);
-        let Some((key, heal)) = due else { return };
-        let Some(value) = self.book.text(key) else {
+        let due = self.repairs.iter().find(|(_, repair)| repair.confirmed);
+        let Some((key, repair)) = due else { return };
+        let Some(value) = self.values.text(key) else {
             return;
         };
-        if budget.take(now) {
+        if budget.try_take(now) {
             self.writing = true;
             out.push(Action::Write {
                 key: key.clone(),
-                expect: heal.expect,
+                expect: repair.expect,
                 value,
             });
         }
     }
 
-    fn offer(&mut self, now: policy::Moment, entry: &store::Entry, out: &mut Vec<Action>) {
+    fn offer_stored(&mut self, now: policy::Moment, entry: &store::Entry, out: &mut Vec<Action>) {
         if entry.value.is_empty() {
             // Deletions are unsigned and are undone. A team is removed by applying empty settings.
-            self.plan_heal(now, &entry.key, store::Revision(0), 0, out);
+            self.schedule_repair(now, &entry.key, store::Revision(0), 0, out);
             return;
         }
         let Ok(text) = std::str::from_utf8(&entry.value) else {
             let why = "the value is not UTF-8; write it again with `bulrushwind apply`".to_owned();
-            self.refuse(&entry.key, why, out);
+            self.report_refusal(&entry.key, why, out);
             return;
         };
-        let taken = self.book.take(&entry.key, &text.into());
-        if let Taken::Older { offered, .. } = taken {
-            self.plan_heal(now, &entry.key, entry.revision, offered, out);
+        let outcome = self.values.offer(&entry.key, &text.into());
+        if let OfferOutcome::Older { offered, .. } = outcome {
+            self.schedule_repair(now, &entry.key, entry.revision, offered, out);
         } else {
-            self.heals.remove(&entry.key);
+            self.repairs.remove(&entry.key);
         }
-        self.pass_on(&entry.key, None, taken, out);
+        self.forward(&entry.key, None, outcome, out);
     }
 
     /// Schedules a write of the held value to a store that has an older value or none. Values that
@@ -309,7 +322,7 @@
     ///
     /// A restored store reuses revision numbers, so a write based on an old read could overwrite
     /// a different value of the same revision. The value is therefore read again before the write.
-    fn plan_heal(
+    fn schedule_repair(
         &mut self,
         now: policy::Moment,
         key: &str,
@@ -317,23 +330,23 @@
         stored: u64,
         out: &mut Vec<Action>,
     ) {
-        let Some(rank) = self.book.rank(key) else {
+        let Some(rank) = self.values.rank(key) else {
             return;
         };
-        if let Some(heal) = self.heals.get_mut(key) {
-            heal.expect = expect;
-            heal.confirmed = now >= heal.due;
+        if let Some(repair) = self.repairs.get_mut(key) {
+            repair.expect = expect;
+            repair.confirmed = now >= repair.due;
             return;
         }
-        let due = now + HEAL_WITHIN.mul_f64(self.rng.random());
-        let heal = Heal {
+        let due = now + MAX_REPAIR_DELAY.mul_f64(self.rng.random());
+        let repair = Repair {
             expect,
             due,
             confirmed: false,
         };
-        self.heals.insert(key.to_owned(), heal);
-        if let Some(stream) = Prefix::of(key).and_then(|p| self.streams.get_mut(&p)) {
-            stream.next_full = stream.next_full.min(due);
+        self.repairs.insert(key.to_owned(), repair);
+        if let Some(prefix_reads) = Prefix::of(key).and_then(|p| self.reads_by_prefix.get_mut(&p)) {
+            prefix_reads.next_full_read = prefix_reads.next_full_read.min(due);
         }
         out.push(Action::Log(Note::StoreBehind {
             key: key.to_owned(),
@@ -342,12 +355,18 @@
         }));
     }
 
-    fn pass_on(&mut self, key: &str, from: Option<&id::VmId>, taken: Taken, out: &mut Vec<Action>) {
-        match taken {
-            Taken::New(keys) => {
+    fn forward(
+        &mut self,
+        key: &str,
+        from: Option<&id::VmId>,
+        outcome: OfferOutcome,
+        out: &mut Vec<Action>,
+    ) {
+        match outcome {
+            OfferOutcome::Accepted(keys) => {
                 for key in keys {
-                    self.wanted.remove(&key);
-                    let Some(text) = self.book.text(&key) else {
+                    self.requested.remove(&key);
+                    let Some(text) = self.values.text(&key) else {
                         continue;
                     };
                     let message = peer::Message::Signed(peer::Signed { key, text });
@@ -355,75 +374,82 @@
                     out.push(Action::ToAll { except, message });
                 }
             }
-            Taken::Refused(why) => self.refuse(key, why, out),
-            Taken::Known | Taken::Older { .. } | Taken::Waiting => {}
+            OfferOutcome::Refused(why) => self.report_refusal(key, why, out),
+            OfferOutcome::Known | OfferOutcome::Older { .. } | OfferOutcome::Waiting => {}
         }
     }
 
-    fn refuse(&mut self, key: &str, why: String, out: &mut Vec<Action>) {
+    fn report_refusal(&mut self, key: &str, why: String, out: &mut Vec<Action>) {
         metrics::counter!(crate::metrics::SETTINGS_REFUSED).increment(1);
-        if self.refusals.len() >= MAX_REFUSALS {
-            self.refusals.clear();
+        if self.logged_refusals.len() >= MAX_LOGGED_REFUSALS {
+            self.logged_refusals.clear();
         }
-        if self.refusals.insert((key.to_owned(), why.clone())) {
+        if self.logged_refusals.insert((key.to_owned(), why.clone())) {
             let key = key.to_owned();
             out.push(Action::Log(Note::Refused { key, why }));
         }
     }
 
-    fn put_in_force(&mut self, out: &mut Vec<Action>) {
-        let settings = self.book.settle();
-        out.extend(self.book.notes().into_iter().map(Action::Log));
+    fn update_in_force(&mut self, out: &mut Vec<Action>) {
+        let settings = self.values.update_in_force();
+        out.extend(self.values.take_notes().into_iter().map(Action::Log));
         out.extend(settings.map(Action::InForce));
     }
 
-    fn compare(
+    fn compare_digest(
         &mut self,
         now: policy::Moment,
         from: &id::VmId,
         theirs: peer::Digest,
         out: &mut Vec<Action>,
     ) {
-        let recent = self.compared.get(from);
-        if theirs == self.book.digest() || recent.is_some_and(|at| now < *at + COMPARE_EVERY) {
+        let recent = self.last_compared.get(from);
+        if theirs == self.values.digest()
+            || recent.is_some_and(|at| now < *at + MIN_COMPARE_INTERVAL)
+        {
             return;
         }
-        self.compared.retain(|_, at| now < *at + COMPARE_EVERY);
-        self.compared.insert(from.clone(), now);
-        let mut held = self.book.held();
-        held.truncate(MAX_KEYS);
+        self.last_compared
+            .retain(|_, at| now < *at + MIN_COMPARE_INTERVAL);
+        self.last_compared.insert(from.clone(), now);
+        let mut held = self.values.held();
+        held.truncate(MAX_KEYS_PER_MESSAGE);
         out.push(Action::Send(from.clone(), peer::Message::Held(held)));
     }
 
-    fn ask(
+    fn request_newer(
         &mut self,
         now: policy::Moment,
         from: &id::VmId,
         theirs: &[peer::Held],
         out: &mut Vec<Action>,
     ) {
-        self.wanted.retain(|_, at| now < *at + WANT_EVERY);
-        let mut want = Vec::new();
-        for held in theirs.iter().take(MAX_KEYS) {
+        self.requested
+            .retain(|_, at| now < *at + REQUEST_RETRY_DELAY);
+        let mut missing = Vec::new();
+        for held in theirs.iter().take(MAX_KEYS_PER_MESSAGE) {
             let rank = book::Rank {
                 version: held.version,
                 hash: held.hash,
             };
-            let higher = self.book.rank(&held.key).is_none_or(|own| own < rank);
-            if higher && !self.wanted.contains_key(&held.key) {
-                self.wanted.insert(held.key.clone(), now);
-                want.push(held.key.clone());
+            let higher = self
+                .values
+                .rank(&held.key)
+                .is_none_or(|held_rank| held_rank < rank);
+            if higher && !self.requested.contains_key(&held.key) {
+                self.requested.insert(held.key.clone(), now);
+                missing.push(held.key.clone());
             }
         }
-        if !want.is_empty() {
-            out.push(Action::Send(from.clone(), peer::Message::Want(want)));
+        if !missing.is_empty() {
+            out.push(Action::Send(from.clone(), peer::Message::Want(missing)));
         }
     }
 
-    fn hand_over(&self, to: &id::VmId, keys: &[String], out: &mut Vec<Action>) {
+    fn send_values(&self, to: &id::VmId, keys: &[String], out: &mut Vec<Action>) {
         let mut bytes = 0;
-        for key in keys.iter().take(MAX_KEYS) {
-            let Some(text) = self.book.text(key) else {
+        for key in keys.iter().take(MAX_KEYS_PER_MESSAGE) {
+            let Some(text) = self.values.text(key) else {
                 continue;
             };
             bytes += text.len();
@@ -437,12 +463,12 @@
     }
 }
 
-fn full_read_every(snapshot: &store::Snapshot) -> time::Duration {
+fn full_read_interval(snapshot: &store::Snapshot) -> time::Duration {
     let bytes: usize = snapshot.entries.iter().map(|e| e.value.len()).sum();
     #[expect(
         clippy::cast_precision_loss,
         reason = "a store is far below 2^52 bytes"
     )]
     let seconds = bytes as f64 / FULL_READ_BYTES_PER_S;
-    time::Duration::from_secs_f64(seconds).clamp(MIN_FULL_READ_EVERY, MAX_FULL_READ_EVERY)
+    time::Duration::from_secs_f64(seconds).clamp(MIN_FULL_READ_INTERVAL, MAX_FULL_READ_INTERVAL)
 }
