--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -1,7 +1,7 @@
-//! Accepted settings reach every entry process and never go back, whatever fails.
+//! Accepted settings reach every entry process and never revert, whatever fails.
 //!
-//! Real nodes run over a network and a store in virtual time. [`nodes::Nodes::step`] itself
-//! checks after each step that no process's settings went back.
+//! Real nodes run with a simulated network and store in virtual time. [`nodes::Nodes::step`]
+//! checks after each step that no process's settings reverted.
 
 use std::time;
 
@@ -13,10 +13,10 @@
 /// A time of day, in milliseconds since 1970.
 const NOW_MS: u64 = 1_790_000_000_000;
 
-/// What the users ask for.
+/// Required time for a change to be in force everywhere.
 const SECONDS: time::Duration = time::Duration::from_secs(5);
 
-/// Enough for a broken link to be noticed, and for what follows from it.
+/// Long enough to detect a broken link and recover from it.
 const LONG: time::Duration = time::Duration::from_secs(30);
 
 fn start(azs: usize, per_az: usize, link: fabric::Link) -> nodes::Nodes {
@@ -29,7 +29,7 @@
     });
     let version = operator::publish(&all.store, "bays", "# first", NOW_MS).unwrap();
     all.run(SECONDS);
-    assert!(all.all_have("bays", version), "after the start");
+    assert!(all.all_have("bays", version), "first version in force");
     all
 }
 
@@ -50,8 +50,7 @@
     all.processes.iter().any(|p| p.notes.iter().any(what))
 }
 
-/// An operator applies a change while all is well. Members see it on every entry VM within
-/// seconds.
+/// An operator applies a change without faults. It must be in force on every entry VM within 5 s.
 #[test]
 fn an_accepted_change_is_in_force_everywhere_within_seconds() {
     let mut all = healthy();
@@ -61,8 +60,8 @@
     assert_eq!(readers, 3, "one for each availability zone");
 }
 
-/// The store takes the write and its reply gets lost. The operator reads back that the change was
-/// accepted, and it has to come into force although nobody saw the write succeed.
+/// The store accepts a write but the reply is lost. The operator finds the change by reading it
+/// back, and it must come into force although the writer got no confirmation.
 #[test]
 fn a_write_whose_reply_was_lost_is_in_force() {
     let mut all = healthy();
@@ -74,8 +73,8 @@
     reaches_all(&mut all, version, SECONDS);
 }
 
-/// Two operators plan on the same state and apply at the same moment. One is told of the
-/// conflict; had both been accepted, one's change would vanish without a word.
+/// Two operators plan on the same state and apply at the same time. One must get a conflict
+/// error; if both were accepted, one change would be lost silently.
 #[test]
 fn of_two_operators_who_race_one_is_told() {
     let mut all = healthy();
@@ -88,8 +87,8 @@
     reaches_all(&mut all, first, SECONDS);
 }
 
-/// An operator applies during an outage of the store. The change is refused, nothing changes
-/// anywhere, and the same change goes through and into force once the store is back.
+/// An operator applies during an outage of the store. The change is refused and nothing changes;
+/// the same change succeeds and comes into force once the store is up.
 #[test]
 fn an_apply_during_an_outage_changes_nothing_and_goes_through_afterwards() {
     let mut all = healthy();
@@ -109,8 +108,8 @@
     reaches_all(&mut all, version, SECONDS);
 }
 
-/// The store forgets its history while a reader is away. The watch has a gap: a reader that went
-/// on behind it would never see the change that was made meanwhile.
+/// The store drops its history while readers cannot reach it, so their watches have a gap. A
+/// reader that continued after the gap would miss the change made in between.
 #[test]
 fn a_gap_in_the_watch_is_read_over() {
     let mut all = healthy();
@@ -126,8 +125,8 @@
     reaches_all(&mut all, version, SECONDS);
 }
 
-/// Links lose, repeat, delay and reorder messages. An old message that comes late must not bring
-/// old settings back, and a lost one must not leave a VM behind.
+/// Links lose, duplicate, delay and reorder messages. A late message must not revert settings,
+/// and a lost one must not leave a VM on old settings.
 #[test]
 fn lost_late_and_repeated_messages_do_no_harm() {
     let link = fabric::Link {
@@ -150,8 +149,8 @@
     reaches_all(&mut all, version, LONG);
 }
 
-/// An availability zone loses its peers, or the store, or both, or hears only one way. What it
-/// can reach has to bring it the change, and when the cut heals it has to catch up by itself.
+/// An availability zone loses its peers, the store, or both, in one or both directions. It must
+/// get the change over any working path, and catch up by itself once the links are restored.
 #[test]
 fn a_cut_off_availability_zone_catches_up() {
     for (store_cut, peers_cut, one_way) in [
@@ -188,8 +187,8 @@
     }
 }
 
-/// The store is down and all entry VMs of an availability zone are replaced. They hold nothing;
-/// without their peers' word they could serve nobody until the store is back.
+/// The store is down and all entry VMs of an availability zone are replaced by empty ones. Without
+/// settings from their peers they could serve no caller until the store is up.
 #[test]
 fn an_availability_zone_that_starts_empty_during_an_outage_learns_from_peers() {
     let mut all = healthy();
@@ -212,8 +211,8 @@
     assert!(rows.eq([6, 6]), "the list of VMs came with it");
 }
 
-/// The store is put back to a backup. No VM goes back, the readers write what is in force to the
-/// store again, and an operator's next change builds on that.
+/// The store is restored from a backup. No VM reverts, the readers write the newer version to the
+/// store again, and an operator's next change builds on it.
 #[test]
 fn a_store_that_was_put_back_is_brought_up_again() {
     let mut all = healthy();
@@ -233,8 +232,8 @@
     reaches_all(&mut all, next, SECONDS);
 }
 
-/// The store is put back and an operator applies at once, before any reader saw it. The newer
-/// change was accepted, so it has to come into force and to stay.
+/// The store is restored and an operator applies before any reader detects it. The newer change
+/// was accepted, so it must come into force and stay.
 #[test]
 fn a_change_on_a_store_that_was_put_back_is_in_force() {
     let mut all = healthy();
@@ -248,8 +247,8 @@
     assert!(all.all_have("bays", next));
 }
 
-/// Reads come from a copy of the store that lags. Settings must not go back, and the writes that
-/// would mend the copy must not overwrite the newer truth.
+/// Reads come from a stale replica of the store. Settings must not revert, and the readers' repair
+/// writes must not overwrite the newer value.
 #[test]
 fn a_stale_read_changes_nothing() {
     let mut all = healthy();
@@ -264,8 +263,8 @@
     assert_eq!(stored, version);
 }
 
-/// The store is put back and an operator whose clock runs behind applies a change that gets the
-/// version of the lost one. All VMs must keep the same one of the two, and operators be told.
+/// The store is restored and an operator whose clock runs behind applies a change with the version
+/// of the lost one. All VMs must keep the same change of the two and log it.
 #[test]
 fn two_changes_of_one_version_end_in_one_everywhere() {
     let mut all = healthy();
@@ -294,8 +293,8 @@
     assert!(told(&all, told_of));
 }
 
-/// A team changes its key: the new one signs, the old one no more. A VM that starts later has to
-/// take what the old one signed while it could, and nothing that it signs now.
+/// A team rotates its key. A VM that starts later must accept settings that the old key signed
+/// before the rotation, and refuse those that it signs afterwards.
 #[test]
 fn a_key_is_rotated_and_the_old_one_signs_no_more() {
     let mut all = healthy();
@@ -316,8 +315,8 @@
     reaches_all(&mut all, next, SECONDS);
 }
 
-/// Somebody who can write to the store puts settings there that no key of the team signed, and a
-/// ring that no root key signed. No caller may be steered by them.
+/// Someone with write access to the store writes settings not signed by a key of the team, and a
+/// key ring not signed by a root key. Neither may come into force.
 #[test]
 fn what_no_known_key_signed_is_refused() {
     let mut all = healthy();
@@ -335,8 +334,8 @@
     assert!(told(&all, |n| matches!(n, action::Note::Refused { .. })));
 }
 
-/// A team's newest settings do not go with the others': its service names an availability zone
-/// that nobody declares. Its last good settings and all other teams' stay in force.
+/// A team's newest settings are inconsistent: a service names an undeclared availability zone. The
+/// team's last valid settings and those of all other teams stay in force.
 #[test]
 fn a_part_that_does_not_go_with_the_others_stays_out() {
     let mut all = healthy();
@@ -352,8 +351,8 @@
     reaches_all(&mut all, next, SECONDS);
 }
 
-/// A VM is paused for minutes and wakes with all its timers overdue. It has to notice by itself
-/// that its settings are old.
+/// A VM is paused for minutes and resumes with all its timers overdue. It must detect by itself
+/// that its settings are outdated.
 #[test]
 fn a_paused_process_catches_up() {
     let mut all = healthy();
@@ -375,8 +374,8 @@
     reaches_all(&mut all, version, SECONDS);
 }
 
-/// Forty-eight processes in four availability zones: not all are linked inside a zone, so what
-/// one learns has to be passed on by the others.
+/// Forty-eight processes in three availability zones of 16: not all processes of an availability
+/// zone are linked, so they must relay messages.
 #[test]
 fn a_larger_fleet_is_reached_without_links_between_all() {
     let mut all = start(3, 16, fabric::Link::default());
--- a/tests/agreement_random.rs
+++ b/tests/agreement_random.rs
@@ -1,10 +1,10 @@
-//! Random sequences of faults, changes and healing, played on real nodes in virtual time.
+//! Random sequences of faults, changes and repairs on real nodes in virtual time.
 //!
-//! Checked after each step, by [`nodes::Nodes`]: no process's settings go back while it runs.
-//! Checked at the end, when all faults are healed: within [`BOUND`] every process that runs has in
-//! force the highest version of each team that was accepted, and the store holds it too.
+//! [`nodes::Nodes`] checks after each step that no running process's settings revert. After the
+//! end of all faults, every running process must have the highest accepted version of each team
+//! in force within [`BOUND`], and the store must hold it too.
 //!
-//! The seed is fixed and the number of sequences small. A longer run by hand:
+//! The seed is fixed and the number of sequences small. To run more sequences:
 //! `BULRUSHWIND_SEQUENCES=10000 cargo test --release --test agreement_random`.
 
 use std::collections;
@@ -22,62 +22,62 @@
 const COUNT: usize = AZS * PER_AZ;
 const TEAMS: [&str; 2] = ["bays", "records"];
 
-/// Sequences that are played when nobody asks for more.
+/// Number of sequences by default.
 const SEQUENCES: u32 = 24;
 
-/// From the moment that all faults are healed: 10 s is the most that a link's dialler, a paused
-/// reader's replacement and one round of digests take together, and the users ask for 13 s.
+/// Time after the end of all faults. Redialling a link, replacing a paused reader and one round of
+/// digests take at most 10 s together; the requirement is 13 s.
 const BOUND: time::Duration = time::Duration::from_secs(10);
 
 /// A time of day, in milliseconds since 1970.
 const NOW_MS: u64 = 1_790_000_000_000;
 
-/// One thing that happens.
+/// An event of a sequence.
 #[derive(Clone, Copy, Debug)]
 enum Happening {
     /// An operator applies a change to a team.
     Apply(usize),
-    /// The same, and the reply to the write is lost.
+    /// An operator applies a change and the reply to the write is lost.
     ApplyReplyLost(usize),
-    /// Two operators apply on the same state.
+    /// Two operators apply based on the same state.
     Race(usize),
-    /// An operator applies with a clock that is hours behind.
+    /// An operator applies with a clock that is 2 h behind.
     ApplyBehind(usize),
     /// A team rotates its key.
     Rotate(usize),
-    /// The store answers nobody.
+    /// The store becomes unreachable.
     StoreDown,
-    /// The store answers again.
+    /// The store becomes reachable.
     StoreUp,
-    /// Each call to the store takes so many milliseconds.
+    /// Each call to the store takes this many milliseconds.
     StoreSlow(u64),
-    /// The store forgets its history.
+    /// The store drops its history.
     Forget,
-    /// Full reads show the state of now, from here on.
+    /// Full reads return the current state from now on.
     Stale,
     /// One availability zone loses the store.
     CutStore(usize),
-    /// One availability zone loses its peers, both ways or one.
+    /// One availability zone loses its links to others, in both directions or one.
     CutPeers(usize, bool),
-    /// One link of two processes is cut one way.
+    /// One link is cut in one direction.
     CutLink(usize, usize),
-    /// All links lose a part of the messages, repeat some and delay them.
+    /// All links lose, duplicate and delay messages.
     Lossy,
     /// A process is killed.
     Kill(usize),
-    /// A process that was killed starts anew.
+    /// A killed process starts again.
     Start(usize),
     /// All processes of an availability zone are replaced.
     Replace(usize),
-    /// A process stands still.
+    /// A process is paused.
     Pause(usize),
-    /// It goes on.
+    /// A paused process resumes.
     Resume(usize),
-    /// The store is put back to what it was when the play began.
+    /// The store is restored to its state at the start.
     Restore,
-    /// Links heal.
+    /// All links are restored.
     HealLinks,
-    /// So many milliseconds pass.
+    /// This many milliseconds pass.
     Wait(u64),
 }
 
@@ -150,8 +150,8 @@
         match happening {
             Happening::Apply(team) => self.apply(team, false, 0),
             Happening::ApplyReplyLost(team) => self.apply(team, true, 0),
-            // Behind the backup, a change on a store that was put back would get a version below
-            // the one in force: docs/design/settings.md says what operators do about that.
+            // On a restored store, a change dated before the backup would get a version below the
+            // one in force. docs/design/settings.md describes the operators' remedy.
             Happening::ApplyBehind(team) if !self.restored => self.apply(team, false, 7_200_000),
             Happening::ApplyBehind(team) => self.apply(team, false, 0),
             Happening::Race(team) => self.race(team),
@@ -186,8 +186,8 @@
             Happening::Pause(i) => self.all.processes[i].paused = true,
             Happening::Resume(i) => self.all.processes[i].paused = false,
             Happening::Restore => {
-                // The copies that lag are put back with it. docs/design/settings.md tells what a
-                // copy that is not could do.
+                // Stale replicas are restored with it. docs/design/settings.md describes the
+                // effect of a replica that is not restored.
                 self.all.stale = None;
                 self.all.store.restore(&self.backup);
                 self.restored = true;
@@ -215,8 +215,8 @@
         self.all.set_links(&everyone, &everyone, true, link);
     }
 
-    /// An operator cannot apply while the store is down or does not know the operator's key, as
-    /// after it was put back, and is told so.
+    /// Whether an apply fails with an error: the store is down, or lacks the operator's key after a
+    /// restore.
     fn is_told_no(&self, team: usize) -> bool {
         let at = keys::store_key(&TEAMS[team].into());
         let entry = self.all.store.get(&at).unwrap().unwrap();
@@ -256,7 +256,7 @@
         self.accept(team, one);
     }
 
-    /// The ring is written first and reaches all; what the old key signed before stays good.
+    /// Writes a ring with the new key. Settings that the old key signed before stay valid.
     fn rotate(&mut self, team: usize) {
         if self.all.down || self.restored {
             return;
@@ -276,14 +276,14 @@
         *accepted = version.max(*accepted);
     }
 
-    /// Each change has a time of its own.
+    /// A different wall-clock time for each change, in milliseconds since 1970.
     fn clock(&mut self) -> u64 {
         self.changes += 1;
         let passed = u64::try_from(self.all.now().as_millis()).unwrap();
         NOW_MS + 10_000_000 + passed * 1_000 + self.changes
     }
 
-    /// All faults end; processes that are down start.
+    /// Ends all faults and starts all processes that are down.
     fn heal(&mut self) {
         self.all.fabric.heal();
         self.all.down = false;
@@ -296,8 +296,8 @@
         }
     }
 
-    /// What has to come into force. Where the store was put back and all who knew better were
-    /// replaced, it is what anybody still holds.
+    /// The version that must come into force. After a restore it is the highest that any process or
+    /// the store still holds, since all processes that held a newer one may have been replaced.
     fn expected(&self, team: &'static str) -> u64 {
         let key = envelope::store_key(&team.into());
         if !self.restored {
@@ -320,7 +320,7 @@
         TEAMS.iter().zip(expected).all(|(team, version)| {
             let key = envelope::store_key(&(*team).into());
             let stored = operator::read(&all.store, &key).unwrap().1;
-            // A newer one was on its way to a process when the store was put back.
+            // A newer version may have been in flight to a process at the time of a restore.
             let may_be = stored == version || (restored && stored > version);
             may_be && all.all_have(team, stored)
         })
@@ -354,9 +354,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Faults come at any moment, together or twice, while operators go on applying changes.
-    /// Afterwards members must see what was accepted last, on every entry VM, and must never have
-    /// seen it go back.
+    /// Faults occur at any time, also together or repeatedly, while operators apply changes. At the
+    /// end every entry VM must use the last accepted settings, and no VM's may ever revert.
     #[test]
     fn what_was_accepted_is_in_force_after_any_faults(
         seed in any::<u64>(),
