--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Entry VMs as processes of their own: what operators apply reaches them all.
+//! Entry VMs as separate processes: settings that operators apply reach all of them.
 
 use std::path;
 use std::thread;
@@ -6,7 +6,7 @@
 
 use bulrushwind::standin::{deployment, operator};
 
-/// Far more than any machine needs.
+/// Far more time than any machine needs.
 const LIMIT: time::Duration = time::Duration::from_secs(90);
 
 fn start(dir: &tempfile::TempDir, series: u8) -> deployment::Deployment {
@@ -23,8 +23,8 @@
     }
 }
 
-/// An operator applies settings, and changes them. Callers are steered by them on every entry VM
-/// of all availability zones.
+/// An operator applies settings and then a change. Each must be in force on every entry VM of all
+/// availability zones.
 #[test]
 fn an_applied_change_reaches_every_entry_vm() {
     let dir = tempfile::tempdir().unwrap();
@@ -45,9 +45,9 @@
     });
 }
 
-/// The store is down, and all VMs of an availability zone are replaced by empty ones. They learn
-/// the settings from the others; without that their callers would be refused until the store is
-/// back. When it is, the next change reaches them as well.
+/// The store is down and all VMs of an availability zone are replaced by empty ones. They must get
+/// the settings from peers, or callers would be refused until the store is up. After that, the
+/// next change must reach them too.
 #[test]
 fn empty_vms_learn_the_settings_during_an_outage() {
     let dir = tempfile::tempdir().unwrap();
--- a/tests/reader.rs
+++ b/tests/reader.rs
@@ -1,4 +1,4 @@
-//! Picking the reader of an availability zone on faulty links, with fixed seeds.
+//! Election of an availability zone's reader on faulty links, with fixed seeds.
 
 use std::time;
 
@@ -12,18 +12,18 @@
     elections::play::<reader::Accused>(fault, 6, SPAN, 3)
 }
 
-/// The VM that reads for its availability zone loses its way to the store while its peers still
-/// hear it. A change that operators apply would not reach the availability zone.
+/// The reader can no longer reach the store but its heartbeats still arrive. If it kept the role,
+/// changes that operators apply would not reach the availability zone.
 #[test]
 fn a_reader_that_cannot_reach_the_store_is_replaced() {
     let report = accused(Fault::LowestWithoutStore);
     assert!(report.longest_s <= 5.0, "{report:?}");
     let lowest = elections::play::<reader::Lowest>(Fault::LowestWithoutStore, 6, SPAN, 3);
-    assert!(lowest.without > 0.9, "the other way is stuck: {lowest:?}");
+    assert!(lowest.without > 0.9, "the lowest name keeps the role: {lowest:?}");
 }
 
-/// A VM pauses, restarts, or is heard by half of its peers only. Settings would come late each
-/// time if the role moved each time.
+/// A VM pauses, restarts, loses messages or reaches only half of its peers. Settings would be
+/// delayed each time if the role moved each time.
 #[test]
 fn a_shaky_vm_does_not_keep_the_role() {
     for fault in [
@@ -38,8 +38,8 @@
     }
 }
 
-/// Readers are killed one after the other. Each time another one has to read within seconds, or a
-/// change that was accepted is not in force in time.
+/// Readers are killed one after the other. Another VM must take over within seconds each time, or
+/// an accepted change would come into force too late.
 #[test]
 fn a_killed_reader_is_replaced_within_seconds() {
     let report = accused(Fault::ReaderKilled);
