--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -7,16 +7,16 @@
 use bulrushwind::standin::{deployment, operator};
 
 /// Far more time than any machine needs.
-const LIMIT: time::Duration = time::Duration::from_secs(90);
+const WAIT_TIMEOUT: time::Duration = time::Duration::from_secs(90);
 
-fn start(dir: &tempfile::TempDir, series: u8) -> deployment::Deployment {
+fn deploy(dir: &tempfile::TempDir, series: u8) -> deployment::Deployment {
     let standin = path::Path::new(env!("CARGO_BIN_EXE_bulrushwind-standin"));
     let entry = path::Path::new(env!("CARGO_BIN_EXE_bulrushwind-entry"));
     deployment::Deployment::new(standin, entry, dir.path(), series, (3, 2)).unwrap()
 }
 
 fn wait_for<F: Fn() -> bool>(what: &str, holds: F) {
-    let until = time::Instant::now() + LIMIT;
+    let until = time::Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         assert!(time::Instant::now() < until, "never came true: {what}");
         thread::sleep(time::Duration::from_millis(20));
@@ -28,7 +28,7 @@
 #[test]
 fn an_applied_change_reaches_every_entry_vm() {
     let dir = tempfile::tempdir().unwrap();
-    let mut fleet = start(&dir, 0);
+    let mut fleet = deploy(&dir, 0);
     let platform = fleet.platform();
     let version = operator::publish(&platform, "bays", "# first", 0).unwrap();
     fleet.start_all().unwrap();
@@ -49,9 +49,9 @@
 /// the settings from peers, or callers would be refused until the store is up. After that, the
 /// next change must reach them too.
 #[test]
-fn empty_vms_learn_the_settings_during_an_outage() {
+fn empty_vms_get_the_settings_from_peers_during_an_outage() {
     let dir = tempfile::tempdir().unwrap();
-    let mut fleet = start(&dir, 1);
+    let mut fleet = deploy(&dir, 1);
     let platform = fleet.platform();
     let version = operator::publish(&platform, "bays", "# first", 0).unwrap();
     fleet.start_all().unwrap();
--- a/tests/reader.rs
+++ b/tests/reader.rs
@@ -6,33 +6,36 @@
 use bulrushwind::standin::elections;
 use elections::Fault;
 
-const SPAN: time::Duration = time::Duration::from_secs(300);
+const RUN_TIME: time::Duration = time::Duration::from_secs(300);
 
-fn accused(fault: Fault) -> elections::Report {
-    elections::play::<reader::Accused>(fault, 6, SPAN, 3)
+fn fewest_accusations(fault: Fault) -> elections::Report {
+    elections::play::<reader::Accused>(fault, 6, RUN_TIME, 3)
 }
 
 /// The reader can no longer reach the store but its heartbeats still arrive. If it kept the role,
 /// changes that operators apply would not reach the availability zone.
 #[test]
 fn a_reader_that_cannot_reach_the_store_is_replaced() {
-    let report = accused(Fault::LowestWithoutStore);
+    let report = fewest_accusations(Fault::LowestWithoutStore);
     assert!(report.longest_s <= 5.0, "{report:?}");
-    let lowest = elections::play::<reader::Lowest>(Fault::LowestWithoutStore, 6, SPAN, 3);
-    assert!(lowest.without > 0.9, "the lowest name keeps the role: {lowest:?}");
+    let lowest = elections::play::<reader::Lowest>(Fault::LowestWithoutStore, 6, RUN_TIME, 3);
+    assert!(
+        lowest.without > 0.9,
+        "the lowest name keeps the role: {lowest:?}"
+    );
 }
 
 /// A VM pauses, restarts, loses messages or reaches only half of its peers. Settings would be
 /// delayed each time if the role moved each time.
 #[test]
-fn a_shaky_vm_does_not_keep_the_role() {
+fn an_unreliable_vm_does_not_keep_the_role() {
     for fault in [
         Fault::LowestPauses,
         Fault::LowestRestarts,
         Fault::LowestHalfHeard,
         Fault::LowestLossy(0.6),
     ] {
-        let report = accused(fault);
+        let report = fewest_accusations(fault);
         assert!(report.without < 0.03, "{fault:?}: {report:?}");
         assert!(report.doubled < 0.01, "{fault:?}: {report:?}");
     }
@@ -42,6 +45,6 @@
 /// an accepted change would come into force too late.
 #[test]
 fn a_killed_reader_is_replaced_within_seconds() {
-    let report = accused(Fault::ReaderKilled);
+    let report = fewest_accusations(Fault::ReaderKilled);
     assert!(report.longest_s <= 3.5, "{report:?}");
 }
