--- a/src/coordination/book.rs
+++ b/src/coordination/book.rs
@@ -60,7 +60,7 @@
     rank: Rank,
     text: sync::Arc<str>,
     change: String,
-    decoded: T,
+    body: T,
 }
 
 /// The signed values that a process holds, and the settings in force.
@@ -200,12 +200,12 @@
             Err(err) => return OfferOutcome::Refused(err.to_string()),
         }
         self.note_tie(key, rank, envelope.change.as_str());
-        let decoded = settings::Team::parse(&format!("teams/{team}"), &envelope.text);
+        let body = settings::Team::parse(&format!("teams/{team}"), &envelope.text);
         let value = Value {
             rank,
             text: text.clone(),
             change: envelope.change.to_string(),
-            decoded: decoded.map_err(|err| err.to_string()),
+            body: body.map_err(|err| err.to_string()),
         };
         self.awaiting_ring.remove(team);
         let before = self
@@ -226,7 +226,7 @@
         if let Some(outcome) = outcome_unless_higher(rank, self.rank(key)) {
             return outcome;
         }
-        let decoded = match ring.verify(team, &self.roots, None) {
+        let body = match ring.verify(team, &self.roots, None) {
             Ok(trusted) => trusted,
             Err(err) => return OfferOutcome::Refused(err.to_string()),
         };
@@ -235,7 +235,7 @@
             rank,
             text: text.clone(),
             change: "key ring".to_owned(),
-            decoded,
+            body,
         };
         let before = self.rings.insert(team.clone(), value).map(|v| v.rank);
         self.update_digest(key, before, rank);
@@ -260,7 +260,7 @@
                 key: envelope.key.clone(),
             });
         };
-        envelope.verify(team, &ring.decoded)
+        envelope.verify(team, &ring.body)
     }
 
     fn wait_for_ring(&mut self, team: &id::TeamId, text: &sync::Arc<str>) -> OfferOutcome {
@@ -304,10 +304,10 @@
         let mut combined = settings::Settings::default();
         let mut versions = collections::BTreeMap::new();
         for (team, value) in &self.team_settings {
-            let Ok(decoded) = &value.decoded else {
+            let Ok(body) = &value.body else {
                 return false;
             };
-            combined.teams.insert(team.clone(), decoded.clone());
+            combined.teams.insert(team.clone(), body.clone());
             versions.insert(team.clone(), value.rank);
         }
         if combined.check().is_err() {
@@ -338,9 +338,9 @@
         if self.versions.get(team) == Some(&value.rank) {
             return false;
         }
-        let result = value.decoded.clone().and_then(|decoded| {
+        let result = value.body.clone().and_then(|body| {
             let mut combined = self.in_force.clone();
-            combined.teams.insert(team.clone(), decoded);
+            combined.teams.insert(team.clone(), body);
             combined.check().map_err(|err| err.to_string())?;
             Ok(combined)
         });
