--- a/src/coordination/book.rs
+++ b/src/coordination/book.rs
@@ -304,9 +304,7 @@
         let mut combined = settings::Settings::default();
         let mut versions = collections::BTreeMap::new();
         for (team, value) in &self.team_settings {
-            let Ok(body) = &value.body else {
-                return false;
-            };
+            let Ok(body) = &value.body else { return false };
             combined.teams.insert(team.clone(), body.clone());
             versions.insert(team.clone(), value.rank);
         }
