--- a/src/coordination/plan_writer.rs
+++ b/src/coordination/plan_writer.rs
@@ -11,8 +11,8 @@
 //! this node has: nodes ignore versions below the one they have.
 //!
 //! Only readers of settings contend, so that store calls grow with availability zones, not with
-//! nodes: a contender reads one key every [`Config::retry`], the writer reads one key every
-//! [`Config::every`] and renews its lease.
+//! nodes: a contender reads one key every [`Config::contend_interval`], the writer reads one key every
+//! [`Config::check_interval`] and renews its lease.
 
 use std::collections;
 use std::sync;
@@ -34,9 +34,9 @@
     /// Duration of the lease. Ten seconds without a writer delay the plan by one step at most.
     pub ttl: time::Duration,
     /// Interval at which the writer checks whether a new version is due.
-    pub every: time::Duration,
+    pub check_interval: time::Duration,
     /// Interval at which a contender checks whether there is a writer.
-    pub retry: time::Duration,
+    pub contend_interval: time::Duration,
     /// The parameters of the plan.
     pub plan: plan::Config,
 }
@@ -45,8 +45,8 @@
     fn default() -> Self {
         Self {
             ttl: time::Duration::from_secs(10),
-            every: time::Duration::from_secs(2),
-            retry: time::Duration::from_secs(5),
+            check_interval: time::Duration::from_secs(2),
+            contend_interval: time::Duration::from_secs(5),
             plan: plan::Config::default(),
         }
     }
@@ -116,7 +116,7 @@
         if self.lease.is_some_and(expired) {
             self.lease = None;
         }
-        self.next_check = now + self.cfg.retry;
+        self.next_check = now + self.cfg.contend_interval;
         let has_lease = match self.lease {
             Some(lease) => self.renew(now, lease)?,
             None => self.contend(now)?,
@@ -127,7 +127,7 @@
         if !has_lease {
             return Ok(Some(sync::Arc::new(plan)));
         }
-        self.next_check = now + self.cfg.every;
+        self.next_check = now + self.cfg.check_interval;
         let base = if plan.version >= inputs.known.version {
             plan
         } else {
