--- a/src/coordination/book.rs
+++ b/src/coordination/book.rs
@@ -26,7 +26,7 @@
 const MAX_TEAMS_AWAITING_RING: usize = 256;
 
 key! {
-    /// Orders the values of one key.
+    /// The rank of a value among all values of its key.
     pub struct Rank {
         /// The version that the value's author assigned.
         pub version: u64,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Holds a value if it is valid and of a higher rank than the held one.
+    /// Stores a value if it is valid and of a higher rank than the held one.
     pub fn offer(&mut self, key: &str, text: &sync::Arc<str>) -> OfferOutcome {
         if let Some(team) = key.strip_prefix(envelope::STORE_PREFIX) {
             return self.offer_settings(key, &team.into(), text);
--- a/src/coordination/grants.rs
+++ b/src/coordination/grants.rs
@@ -2,8 +2,8 @@
 //!
 //! A sender requests a grant from one entry VM of the receiving availability zone, which grants
 //! part of its own share. While there is demand, the sender renews grants before they expire. The
-//! receiver answers only requests that it grants, and admits only by its own record ([`Lenders`]).
-//! A lost, late or duplicate message costs at most one lifetime of a grant.
+//! receiver answers only requests that it grants, and admits requests only by its own record,
+//! [`Lenders`]. A lost, late or duplicate message costs at most one lifetime of a grant.
 
 use std::collections;
 use std::sync;
@@ -26,7 +26,7 @@
     by_service: Mutex<collections::BTreeMap<id::ServiceId, grants::Granter>>,
 }
 
-/// A request admitted under a grant. Dropping it releases the grant's slot.
+/// A request admitted under a grant. Dropping it marks the request as ended.
 #[derive(Debug)]
 pub struct Admitted {
     lenders: sync::Arc<Lenders>,
--- a/src/coordination/loads.rs
+++ b/src/coordination/loads.rs
@@ -298,14 +298,14 @@
     /// capacity that is already in use; a load relayed twice would circulate forever.
     #[test]
     fn an_older_load_is_ignored() {
-        let mut far = table("a1", "a");
-        far.set_own(S, work(1));
-        let (first, second) = (far.tell().unwrap(), far.tell().unwrap());
-        let mut near = table("b1", "b");
-        assert!(near.zone(S, &second));
-        assert!(!near.zone(S, &first));
-        assert!(!near.zone(S, &second));
-        let ages: Vec<_> = near.summaries(S * 4).iter().map(|s| s.age).collect();
+        let mut remote = table("a1", "a");
+        remote.set_own(S, work(1));
+        let (first, second) = (remote.tell().unwrap(), remote.tell().unwrap());
+        let mut local = table("b1", "b");
+        assert!(local.zone(S, &second));
+        assert!(!local.zone(S, &first));
+        assert!(!local.zone(S, &second));
+        let ages: Vec<_> = local.summaries(S * 4).iter().map(|s| s.age).collect();
         assert_eq!(ages, [S * 3]);
     }
 
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -1,4 +1,4 @@
-//! One entry process's part in agreement, without threads, sockets or a clock.
+//! Coordinates one entry process with its peers and the store, without threads, sockets or a clock.
 //!
 //! A [`Node`] combines the settings ([`super::settings_sync`]), the view of the VMs
 //! ([`super::membership`]), the election of the reader ([`super::reader`]) and the budget of store
@@ -87,7 +87,7 @@
     Stopping,
 }
 
-/// Coordinates one process with its peers and the store.
+/// The coordination state of one process.
 #[derive(Debug)]
 pub struct Node<E = reader::Accused> {
     cfg: Config,
--- a/src/coordination/plan_writer.rs
+++ b/src/coordination/plan_writer.rs
@@ -2,8 +2,8 @@
 //!
 //! The lease only avoids duplicate work; consistency comes from the compare-and-swap on the
 //! revision that a new version was computed from. The write of a process that was paused beyond
-//! its lease fails on the revision. Two processes that both assume to hold the lease write a single
-//! sequence of versions, and every node limits its own steps along that sequence
+//! its lease fails on the revision. If two processes both assume that they hold the lease, they
+//! write a single sequence of versions, and every node limits its own steps along that sequence
 //! ([`plan::AppliedPlan`]), so twice as many versions do not shift callers faster.
 //!
 //! While the store is down nothing is written and the last version stays in use. If the store was
@@ -11,8 +11,8 @@
 //! this node has: nodes ignore versions below the one they have.
 //!
 //! Only readers of settings contend, so that store calls grow with availability zones, not with
-//! nodes: a contender reads one key every [`Config::contend_interval`], the writer reads one key every
-//! [`Config::check_interval`] and renews its lease.
+//! nodes: a contender reads one key every [`Config::contend_interval`], the writer reads one key
+//! every [`Config::check_interval`] and renews its lease.
 
 use std::collections;
 use std::sync;
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     id: store::LeaseId,
-    // Time before the call that granted or renewed the lease.
+    // When the call that granted or renewed the lease was made.
     renewed: policy::Moment,
 }
 
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Whether this process assumes to hold the lease.
+    /// Whether this process assumes that it holds the lease.
     pub fn is_writer(&self) -> bool {
         self.lease.is_some()
     }
@@ -476,7 +476,7 @@
         let mut applied = plan::AppliedPlan::default();
         let mut seen = Vec::new();
         for s in 0..120 {
-            // The first process still assumes to hold the lease.
+            // The first process still assumes that it holds the lease.
             first.lease = Some(Lease {
                 renewed: S * s,
                 ..lease
--- a/src/coordination/reader.rs
+++ b/src/coordination/reader.rs
@@ -84,7 +84,7 @@
     /// Handles an accusation. True: it is the first copy, to be relayed.
     fn accuse(&mut self, now: policy::Moment, accuse: &peer::Accuse, out: &mut Vec<Out>) -> bool;
 
-    /// Handles this process's loss of the store.
+    /// Handles a lasting failure of this process's store calls.
     fn store_lost(&mut self, now: policy::Moment);
 
     /// The reader that this process has elected. None while it listens after its start.
@@ -488,7 +488,7 @@
     /// A reader gives up the role and stops sending heartbeats; its peers time out and accuse it.
     /// Counting that would move the role without a fault.
     #[test]
-    fn silence_after_giving_up_is_not_counted() {
+    fn missed_heartbeats_after_giving_up_are_not_counted() {
         let mut b: Accused = new_election("b");
         let mut out = Vec::new();
         b.tick(ms(2_000), &mut out);
--- a/src/coordination/settings_sync.rs
+++ b/src/coordination/settings_sync.rs
@@ -37,10 +37,10 @@
 /// Time to wait for a requested value before requesting it from another peer.
 const REQUEST_RETRY_DELAY: time::Duration = time::Duration::from_secs(1);
 
-/// Shortest interval between full reads, which a reader makes in addition to its watch. If a store
-/// is restored and written to before the watch reconnects, its revisions pass that of the watch,
-/// which then misses the writes in between. The interval grows with the stored bytes, so that full
-/// reads cost at most [`FULL_READ_BYTES_PER_S`].
+/// Shortest interval between full reads, which a reader makes in addition to its watch: if a store
+/// is restored and written to before the watch reconnects, its revisions pass the watch's revision
+/// and the watch misses the writes in between. The interval grows with the stored bytes, so that
+/// full reads cost at most [`FULL_READ_BYTES_PER_S`].
 const MIN_FULL_READ_INTERVAL: time::Duration = time::Duration::from_secs(3);
 
 /// Longest interval between two full reads.
