--- a/src/decisions/affinity.rs
+++ b/src/decisions/affinity.rs
@@ -1,72 +1,73 @@
-//! Which backend server gets a request for an object.
+//! Selects the backend server for a request, by the hash of the object that it asks for.
 //!
-//! Load pattern: backend servers that answer several times faster for an object that they handled
-//! lately, and keep only a few objects each. Spread over the least loaded, nearly every request
-//! meets a cold cache: work takes its full time, everything is late, and slots run out at a third
-//! of the load that a warm fleet carries. One notices it as latency near the cold time while no
-//! backend server is full.
+//! Load pattern: backend servers answer several times faster for objects that they handled
+//! recently, and cache only a few objects each. Least-loaded placement sends nearly every request
+//! to a cold cache: all answers are late, and slots run out at a third of the load that warm
+//! caches sustain. The symptom is latency near the cold service time while no backend server is
+//! full.
 //!
-//! So each object has an order of backend servers, by rendezvous hashing of its key: every entry
-//! VM finds the same one without a message, and a backend server that leaves moves only its own
-//! objects. The load stays bounded (consistent hashing with bounded loads, Mirrokni, Thorup and
-//! Zadimoghaddam, 2018), and where caches are full it does at the second of the order, not beyond:
-//! each further place that an object reaches pushes another out of a cache there. When zones are
-//! lost and all caches are cold, requests that wander to whichever backend server has room keep every
-//! cache cold, for as long as the load stays above what cold backend servers carry. Held to two
-//! places, each object is handled there once or twice and is warm; what does not fit is refused
-//! meanwhile.
+//! Rendezvous hashing of an object's key gives it a preference order of backend servers. All entry
+//! VMs compute the same order without messages, and when a backend server leaves, only its own
+//! objects move. Load is bounded (consistent hashing with bounded loads, Mirrokni, Thorup and
+//! Zadimoghaddam, 2018). Where caches are full, overflow goes to the second position and no
+//! further: each further replica evicts another object from a cache. After availability zones are
+//! lost and all caches are cold, placement on any backend server with room would keep every cache
+//! cold while the load exceeds the cold capacity. With two replicas, an object is warm after one
+//! or two requests; requests that do not fit are refused meanwhile.
 //!
-//! In a large fleet caches are not full: an object is asked for more than two backend servers can
-//! answer while others have none. One notices it as refusals while a third of the slots is at work.
-//! So an object may have up to [`PLACES`] in a large region, the further ones only at backend servers
-//! that have handled few objects, which lose none by it. Where an object was handled lately, a place costs
-//! little more than the first, so that its load is shared; where it was not, it costs cold work. What
-//! is not asked for is forgotten, and its further places with it.
+//! In a large fleet caches are not full: some objects get more requests than two backend servers
+//! can answer while other backend servers are idle. The symptom is refusals with a third of the
+//! slots busy. So an object may have up to [`PLACES`] replicas in a large region; those beyond the
+//! second go only to backend servers that handle few objects and therefore evict nothing. A
+//! replica that handled the object recently costs little more than the first, so they share its
+//! load; one that did not costs cold work. Objects that are no longer requested are forgotten,
+//! along with their replicas.
 
 use xxhash_rust::xxh3;
 
 use super::range;
 
-/// How many backend servers of its order an object may be handled at, at the most: enough for the one
-/// that is asked for most.
+/// The maximum number of backend servers that may handle one object: enough for the most requested
+/// object.
 pub const PLACES: usize = 6;
 
-/// How many it may be handled at in a small region.
+/// The number of backend servers that may handle one object in a small region.
 pub const HELD: usize = 2;
 
-/// An object may be handled at one of so many of a region's backend servers. In a small region each is
-/// first for many objects, and a further place, or a queue at the second, is at their cost.
+/// Backend servers of a region per replica of an object. In a small region each is first for many
+/// objects, and further replicas, or a queue at the second, would slow these down.
 const SHARE: usize = 8;
 
 /// Thresholds of placement by object.
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Whether objects have an order of backend servers at all.
+    /// Whether requests are placed by object rather than by least load.
     pub by_object: bool,
-    /// What the second of the order costs more than the first, in requests per slot of load. Work
-    /// on a cold object takes about three times the warm time, so it is worth waiting behind up
-    /// to two full sets of slots instead.
+    /// The extra cost of the second position over the first, in requests per slot. Work on a cold
+    /// object takes about three times the warm time, so waiting behind up to two full sets of slots
+    /// costs less.
     pub second: f64,
-    /// The load of the first of the order beyond which nothing is sent, in requests per slot.
-    /// What finds two and a half requests a slot ahead waits for one and a half times the work
-    /// and is late; refused, its caller is back when part of the queue has gone.
+    /// The load of the first position at which it accepts no more, in requests per slot. A request
+    /// behind 2.5 requests per slot would wait for 1.5 service times and be late; when refused
+    /// instead, its caller retries after part of the queue has drained.
     pub most: f64,
-    /// The load from which nothing is sent to a place where the object was not handled lately. Only
-    /// a free slot speaks for handling it cold once more; at two and a half requests a slot caches
-    /// stayed cold for ten seconds after two zones of six had been lost.
+    /// The load, in requests per slot, at which a replica that has not handled the object recently
+    /// accepts no more. Only a free slot justifies another cold run: with a bound of 2.5 requests
+    /// per slot, caches stayed cold for ten seconds after the loss of two availability zones of
+    /// six.
     pub spill: f64,
-    /// What a place of the order costs more than the first where the object was handled lately: one
-    /// request at three slots, so that it gets work before the first one queues.
+    /// The extra cost over the first position where the object was handled recently, in requests
+    /// per slot: one request at three slots, so such a replica gets work before the first queues.
     pub known: f64,
-    /// Below how many objects that this VM has sent there lately a backend server may be a place
-    /// beyond the second: half of a small cache, since two VMs send there.
+    /// A backend server may be a replica beyond the second while this VM has recently sent it fewer
+    /// objects than this: half of a small cache, since two VMs send to it.
     pub few: usize,
-    /// What such a place costs more than the first: so much that the first is full before objects are
-    /// handled cold elsewhere.
+    /// The extra cost of a replica beyond the second, in requests per slot: high enough that the
+    /// first fills up before an object is handled cold elsewhere.
     pub further: f64,
-    /// The part of [`Self::most`] for what leaves room for the more urgent: half a request a slot
-    /// stays free for these.
+    /// The factor on [`Self::most`] for low-priority requests: half a request per slot stays free
+    /// for more urgent ones.
     pub behind: f64,
 }
 
@@ -86,7 +87,7 @@
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Returns an error for the first threshold that is out of range.
     pub fn check(&self) -> Result<(), range::Error> {
         range::check("affinity.second", self.second, 0.0..=10.0)?;
         range::check("affinity.most", self.most, 0.1..=10.0)?;
@@ -97,67 +98,67 @@
     }
 }
 
-/// What is to be placed.
+/// A request to be placed.
 #[derive(Clone, Copy, Debug)]
 pub struct Want {
-    /// The hash of its object; `None`: it has none.
+    /// The hash of its object, if it has one.
     pub key: Option<u64>,
-    /// Decides among equally loaded ones where there is no object.
+    /// Breaks ties between equally loaded backend servers when there is no object.
     pub tie: u64,
-    /// Whether it leaves room for the more urgent.
+    /// Whether the request leaves room for more urgent ones.
     pub behind: bool,
-    /// How many backend servers the service has in the region that serves the request.
+    /// The number of the service's backend servers in the region that serves the request.
     pub among: usize,
 }
 
 /// A backend server that may get the request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// The hash of its name.
+    /// The hash of the backend server's name.
     pub hash: u64,
-    /// Its slots.
+    /// Its number of slots.
     pub slots: f64,
-    /// Requests that run or wait there, as far as known.
+    /// Requests known to run or wait there.
     pub load: f64,
-    /// It takes nothing more from this VM just now. It keeps its place in the order.
+    /// It accepts no more from this VM at the moment, but keeps its position in the order.
     pub full: bool,
-    /// Whether this VM has sent the object there lately.
+    /// Whether this VM has recently sent the object there.
     pub known: bool,
-    /// How many objects this VM has sent there lately.
+    /// The number of objects that this VM has recently sent there.
     pub objects: usize,
 }
 
 impl Candidate {
-    /// Its load in requests per slot; `None` where it takes nothing.
+    /// The load in requests per slot; `None` if the backend server is full.
     fn room(&self) -> Option<f64> {
         (!self.full).then(|| self.load / self.slots.max(1.0))
     }
 }
 
-/// The hash of a name or key, the same on every VM and in every version.
+/// Hashes a name or key; the result is the same on every VM and in every version.
 pub fn hash(bytes: &[u8]) -> u64 {
     xxh3::xxh3_64(bytes)
 }
 
-/// Two hashes made into one.
+/// Combines two hashes into one.
 pub fn mix(a: u64, b: u64) -> u64 {
     xxh3::xxh3_64_with_seed(&a.to_le_bytes(), b)
 }
 
-/// A hash as a number from 0 up to, but not including, 1.
+/// Maps a hash to a number in `[0, 1)`.
 pub fn unit(hash: u64) -> f64 {
     const BITS: u32 = 53;
     (hash >> (u64::BITS - BITS)) as f64 / (1_u64 << BITS) as f64
 }
 
-/// How high a backend server stands in an object's order. A weight of 2 stands first for twice as
-/// many objects as a weight of 1.
+/// The weighted rendezvous score of a backend server for an object. A backend server of weight 2
+/// scores highest for twice as many objects as one of weight 1.
 pub fn rank(key: u64, candidate: u64, weight: f64) -> f64 {
     let u = unit(mix(key, candidate)).max(f64::MIN_POSITIVE);
     -weight.max(f64::MIN_POSITIVE) / u.ln()
 }
 
-/// The backend server to send to, as an index into `candidates`; `None` where there is no room.
+/// Returns the index into `candidates` of the backend server to send to; `None` if none has room.
 pub fn pick(cfg: &Config, want: &Want, candidates: &[Candidate]) -> Option<usize> {
     let most = match want.behind {
         true => cfg.most * cfg.behind,
@@ -189,16 +190,16 @@
     costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, i)| i)
 }
 
-/// The loads from which nothing is sent, in requests per slot.
+/// The loads at which a position accepts no more, in requests per slot.
 struct Limits {
-    /// At the first place.
+    /// For the first position.
     first: f64,
-    /// At others where the object was handled lately.
+    /// For other positions where the object was handled recently.
     known: f64,
 }
 
-/// What sending to a place of the order costs, in requests per slot; `None` where nothing may be
-/// sent there.
+/// The cost of sending to a position of the order, in requests per slot; `None` if it accepts no
+/// more.
 fn cost(cfg: &Config, limits: &Limits, place: usize, candidate: &Candidate) -> Option<f64> {
     let load = candidate.room()?;
     if place == 0 {
@@ -216,7 +217,7 @@
     }
 }
 
-/// The first of an object's order that it may be handled at.
+/// The first [`PLACES`] candidates in an object's preference order, as indices.
 fn first(key: u64, candidates: &[Candidate]) -> Vec<usize> {
     let mut order: Vec<(f64, usize)> = Vec::with_capacity(PLACES + 1);
     for (i, candidate) in candidates.iter().enumerate() {
