--- a/src/decisions/cold.rs
+++ b/src/decisions/cold.rs
@@ -1,23 +1,23 @@
-//! How many requests a cold backend server gets.
+//! Limits the rate of requests to a cold backend server.
 //!
-//! Load pattern: backend servers that come back cold, one or a whole zone of them. They bear a
-//! few requests a second and crash well above that, and they look idle, so they would draw the
-//! most. One notices it as backend servers that crash again right after their start.
+//! Load pattern: one backend server, or all of an availability zone, returns cold. A cold backend
+//! server handles a few requests per second and crashes well above that, yet its low load attracts
+//! the most requests. The symptom is backend servers that crash again right after a start.
 //!
-//! The bound is a sum over all entry VMs, so a few owners share it: of the VMs that callers of its
-//! region are told, those that stand first in the backend server's own order. Each paces its part
-//! evenly. Nobody else sends. Two VMs that disagree for a moment on who is told at worst double the
-//! rate for that moment, which the margin above the rate bears.
+//! The limit covers all entry VMs together. Of the VMs advertised to the region's callers, only
+//! the owners, those that rank first in the backend server's rendezvous order, may send, each at
+//! an evenly paced part of the rate. Two VMs whose lists of advertised VMs differ can at worst
+//! double the rate for a moment; the margin above the rate covers that.
 
 use std::time;
 
 use super::{affinity, policy};
 
-/// VMs that share one cold backend server. One would leave it without work while that VM has
-/// no request for it; each more makes the doubling larger when VMs disagree.
+/// Owners of one cold backend server. A single owner sends nothing while it has no request for
+/// that backend server; each further owner raises the excess rate when VMs disagree on the owners.
 pub const OWNERS: usize = 1;
 
-/// Whether a VM is among the owners. `vms` are the hashes of the VMs that may be.
+/// Whether the VM `own` is an owner. `vms` holds the hashes of the eligible VMs.
 pub fn owns(backend: u64, own: u64, vms: &[u64]) -> bool {
     if !vms.contains(&own) {
         return false;
@@ -30,19 +30,20 @@
     ahead < OWNERS
 }
 
-/// The pace of one VM at one cold backend server.
+/// The pacing of one VM's requests to one cold backend server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pace {
     next: policy::Moment,
 }
 
 impl Pace {
-    /// Whether one may be sent now.
+    /// Whether a request may be sent now.
     pub fn ready(&self, now: policy::Moment) -> bool {
         now >= self.next
     }
 
-    /// One was sent; the backend server bears `rate` a second from all owners.
+    /// Records a sent request; the backend server sustains `rate` requests per second from all
+    /// owners.
     pub fn sent(&mut self, now: policy::Moment, rate: f64) {
         let own = (rate / OWNERS as f64).max(0.1);
         self.next = now + time::Duration::from_secs_f64(1.0 / own);
