--- a/src/decisions/declines.rs
+++ b/src/decisions/declines.rs
@@ -1,34 +1,34 @@
-//! Whether the backend servers of a service refuse though they have room.
+//! Detects a service whose backend servers refuse requests although they have free slots.
 //!
-//! Load pattern: a fault behind a service, so that all of its backend servers refuse a part of what
-//! they get, busy or idle. Taken for overload, each refusal rests a backend server and lowers its
-//! limit, and soon most requests find none that takes them. One notices it as refusals for want of
-//! room while slots stand free.
+//! Load pattern: a fault behind a service makes all its backend servers refuse part of their
+//! requests, whether busy or idle. If each refusal counts as overload, it pauses a backend server
+//! and lowers its limit, and soon most requests find none that accepts them. The symptom is
+//! refusals for lack of room while slots are free.
 //!
-//! A refusal that states free slots and an empty queue is not overload. Where one of many backend
-//! servers does that, resting it is right: others answer. Where most do, resting all of them only
-//! takes room away, and the next one is as likely to answer as any.
+//! A refusal that reports free slots and an empty queue is not overload. If one of many backend
+//! servers sends such refusals, pausing it is right, because others answer. If most do, pausing
+//! them only removes capacity, and the next one is as likely to answer as any other.
 
-/// What one send counts: the part is over about the last twenty.
+/// The weight of one send in the moving average, which covers about the last twenty sends.
 const NEW: f64 = 0.05;
 
-/// From which part of the sends on refusals with room are the service's and not single backend
-/// servers'. A third: operators replace that many at once at the most.
+/// The ratio of refusals despite room above which they are attributed to the service and not to
+/// single backend servers. A third: operators replace at most that many at once.
 const EVERYWHERE: f64 = 0.33;
 
-/// How many of a service's sends are refused though there is room.
+/// The ratio of a service's sends that are refused although there is room.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Declines {
     part: f64,
 }
 
 impl Declines {
-    /// A send was answered, or refused with room.
+    /// Records a send that was answered, or refused despite room.
     pub fn sent(&mut self, declined: bool) {
         self.part += (f64::from(u8::from(declined)) - self.part) * NEW;
     }
 
-    /// Whether most backend servers refuse with room.
+    /// Whether refusals despite room affect the service as a whole.
     pub fn are_everywhere(&self) -> bool {
         self.part > EVERYWHERE
     }
