--- a/src/decisions/ejection.rs
+++ b/src/decisions/ejection.rs
@@ -1,15 +1,15 @@
-//! Which backend servers get no work because they fail.
+//! Outlier ejection: stops sending requests to backend servers that fail.
 //!
-//! Load pattern: one backend server that fails fast, or is down. Without this it draws more work
-//! than the sound ones, since it is always idle, and answers all of it with failures. One notices
-//! it as one backend server with many runs, very short ones, and callers with errors.
+//! Load pattern: one backend server fails fast or is down. Without ejection it attracts more
+//! requests than the healthy ones, since it is always idle, and fails all of them. The symptom is
+//! one backend server with many very short runs, and callers that get errors.
 //!
-//! A backend server is out after a few failures in a row, or once half of its answers fail. After
-//! a while a probe asks how it is, and a few reads try it before it counts as sound. Each return
-//! to the same state doubles the wait. At most half of the backend servers are out as outliers:
-//! when all fail alike, the cause lies elsewhere, and taking them out would only overload the
-//! rest. One that refuses connections or breaks them is out whatever the others do, since nothing
-//! runs there.
+//! A backend server is ejected after a few failures in a row, or once half of its answers are
+//! failures. After the ejection time a probe checks it, and it must then answer a few reads on
+//! trial. Each repeated ejection doubles the ejection time. At most half of the backend servers are
+//! ejected as outliers: when all fail alike, the cause lies elsewhere, and ejecting them would only
+//! overload the rest. One that refuses or breaks connections is always ejected, since it runs
+//! nothing.
 
 use std::time;
 
@@ -19,21 +19,21 @@
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Failed answers or timeouts in a row. Three: with one answer in a hundred failing by chance
-    /// it happens once in a million.
+    /// Failed answers or timeouts in a row that eject. At three, and with one answer in a hundred
+    /// failing by chance, a false ejection happens once in a million.
     pub in_a_row: u32,
-    /// Broken or refused connections in a row. One may be an idle connection that was closed.
+    /// Broken or refused connections in a row that eject. One may be a closed idle connection.
     pub broken_in_a_row: u32,
-    /// The share of failures among the last [`Self::window`] answers.
+    /// The ratio of failures among the last [`Self::window`] answers above which it is ejected.
     pub share: f64,
-    /// Over how many answers that share is taken.
+    /// The number of answers that the failure ratio covers.
     pub window: f64,
-    /// The largest share of backend servers that may be out as outliers.
+    /// The maximum share of backend servers that may be ejected as outliers.
     pub max_out: f64,
-    /// How long the first time out lasts.
+    /// The first ejection time.
     #[serde(with = "range::seconds")]
     pub first: time::Duration,
-    /// How long a time out lasts at most.
+    /// The maximum ejection time.
     #[serde(with = "range::seconds")]
     pub longest: time::Duration,
     /// Answers in a row that end a trial.
@@ -56,7 +56,7 @@
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Returns an error for the first threshold that is out of range.
     pub fn check(&self) -> Result<(), range::Error> {
         range::check("ejection.in_a_row", f64::from(self.in_a_row), 1.0..=100.0)?;
         let broken = f64::from(self.broken_in_a_row);
@@ -71,23 +71,23 @@
     }
 }
 
-/// Whether a backend server gets work.
+/// Whether a backend server gets requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It does.
+    /// It gets requests.
     In,
-    /// It gets a few reads, one at a time, to see whether it is sound again.
+    /// It gets a few reads, one at a time, to check whether it has recovered.
     Trial,
-    /// It does not.
+    /// It gets no requests.
     Out {
-        /// When a probe may ask how it is.
+        /// When a probe may be sent.
         until: policy::Moment,
-        /// It takes no connections.
+        /// Whether it refuses or breaks connections.
         down: bool,
     },
 }
 
-/// The failures of one backend server.
+/// The failure record of one backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct Health {
     state: State,
@@ -112,12 +112,12 @@
 }
 
 impl Health {
-    /// Whether it gets work.
+    /// The current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// An answer came. Returns whether a trial ended well.
+    /// Records an answer. Returns whether it ended a trial.
     pub fn answered(&mut self, cfg: &Config) -> bool {
         self.failures -= self.failures / cfg.window;
         self.in_a_row = 0;
@@ -134,8 +134,8 @@
         true
     }
 
-    /// It failed at a request, or took too long. Returns whether it ought to be out as an
-    /// outlier.
+    /// Records a failed answer or a timeout. Returns whether the backend server should be ejected
+    /// as an outlier.
     pub fn failed(&mut self, cfg: &Config) -> bool {
         self.failures += (1.0 - self.failures) / cfg.window;
         self.in_a_row += 1;
@@ -147,7 +147,8 @@
         }
     }
 
-    /// It refused or broke a connection. Returns whether it ought to be out as down.
+    /// Records a refused or broken connection. Returns whether the backend server should be
+    /// ejected.
     pub fn broke(&mut self, cfg: &Config) -> bool {
         self.broken += 1;
         self.good = 0;
@@ -158,22 +159,22 @@
         }
     }
 
-    /// Takes it out.
+    /// Ejects the backend server; `down` says that it refuses or breaks connections.
     pub fn eject(&mut self, cfg: &Config, now: policy::Moment, down: bool) {
         let wait = cfg.first * 2_u32.saturating_pow(self.times.min(16));
         let until = now + wait.min(cfg.longest);
-        // What is down comes back when it comes back; waiting longer each time finds nothing out.
+        // The ejection time does not grow while it is down: a longer wait gives no information.
         self.times += u32::from(!down);
         self.good = 0;
         self.state = State::Out { until, down };
     }
 
-    /// Whether a probe may ask how it is.
+    /// Whether a probe may be sent now.
     pub fn due(&self, now: policy::Moment) -> bool {
         matches!(self.state, State::Out { until, .. } if until <= now)
     }
 
-    /// A probe came back. Returns whether it is on trial now.
+    /// Records the result of a probe. Returns whether a trial has begun.
     pub fn probed(&mut self, cfg: &Config, now: policy::Moment, answered: bool) -> bool {
         let State::Out { down, .. } = self.state else {
             return false;
@@ -191,8 +192,8 @@
     }
 }
 
-/// Whether one more of `members` may be out as an outlier, while `out` are out already for any
-/// cause.
+/// Whether one more of `members` may be ejected as an outlier, while `out` are ejected already for
+/// any cause.
 pub fn room(cfg: &Config, members: usize, out: usize) -> bool {
     (out + 1) as f64 <= members as f64 * cfg.max_out
 }
@@ -203,7 +204,8 @@
 
     const NOW: policy::Moment = policy::Moment::from_secs(1);
 
-    /// A backend server's disk is full: it fails each request in half a millisecond.
+    /// Guards against a backend server that fails each request within half a millisecond (disk
+    /// full).
     #[test]
     fn failures_in_a_row_put_it_out() {
         let (mut health, cfg) = (Health::default(), Config::default());
