--- a/src/decisions/hedge.rs
+++ b/src/decisions/hedge.rs
@@ -1,24 +1,24 @@
-//! When a read that has no answer is sent to another backend server as well.
+//! Decides when a read without an answer is also sent to a second backend server (hedging).
 //!
-//! Load pattern: now and then a backend server hangs, or its answer is lost on the way, and the
-//! caller would wait to its deadline. Sent twice too early, in a queue or on a cold object, a read
-//! costs two slots just when there is least room, and is no sooner. One notices the first as reads
-//! that end at their deadline while all backend servers are quick, the second as arrivals that grow
-//! with the queue.
+//! Load pattern: occasionally a backend server hangs or its answer is lost, and the caller would
+//! wait until its deadline. A hedge sent too early, while the read is queued or works on a cold
+//! object, uses two slots when fewest are free, and gives no earlier answer. The symptom of too
+//! little hedging is reads that run into their deadline while all backend servers are fast; that of
+//! too much is a request rate that grows with the queue.
 
 use std::time;
 
 use super::range;
 
-/// Thresholds of second sends of a read beside the first.
+/// Thresholds of hedging.
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// After how many times the usual time of an answer at the earliest. Work varies by a sixth and
-    /// queues by two or three times the work; beyond four times something is wrong.
+    /// The minimum delay of a hedge as a multiple of the typical answer time. Service time varies
+    /// by a sixth, and queueing adds two or three service times; beyond four, something is wrong.
     pub usual: f64,
-    /// After how many times the route's aim at the earliest. Work on a cold object takes 1.2 to 1.6
-    /// times the aim.
+    /// The minimum delay of a hedge as a multiple of the route's target latency. Work on a cold
+    /// object takes 1.2 to 1.6 times the target.
     pub aim: f64,
 }
 
@@ -32,13 +32,13 @@
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Returns an error for the first threshold that is out of range.
     pub fn check(&self) -> Result<(), range::Error> {
         range::check("hedge.usual", self.usual, 1.0..=1000.0)?;
         range::check("hedge.aim", self.aim, 0.1..=1000.0)
     }
 
-    /// After how long a read is sent elsewhere too, where answers usually take so long.
+    /// The delay before a read is hedged, given the typical answer time and the target latency.
     pub fn after(&self, usual: time::Duration, aim: time::Duration) -> time::Duration {
         usual.mul_f64(self.usual).max(aim.mul_f64(self.aim))
     }
