--- a/src/decisions/limit.rs
+++ b/src/decisions/limit.rs
@@ -1,19 +1,19 @@
-//! How many requests this VM keeps in flight at one backend server.
+//! Limits the requests that this VM keeps in flight at one backend server.
 //!
 //! Load pattern: saturation. Several entry VMs share a backend server, and each sees only its own
-//! requests. If each filled all slots, the rest would wait in the backend server's own queue,
-//! where the order is first come first served: a booking would wait behind reads, and a request
-//! that its caller has given up on would still run. One notices it as latency that grows at the
-//! backend server while the queue here is short.
+//! requests. If each filled all slots, the excess would wait in the backend server's queue, which
+//! is first come, first served: a booking would wait behind reads, and a request that its caller
+//! has abandoned would still run. The symptom is latency that grows at the backend server while
+//! the queue on this VM is short.
 //!
-//! So the limit never exceeds the slots, unless this VM alone has the requests of its region: with
-//! two VMs that leaves a queue of a few requests at a backend server, which keeps its slots busy
-//! between an answer and the next request. It sinks when the backend server sheds, and rises with each
-//! answer.
+//! So the limit never exceeds the slots, unless this VM alone serves its region: with two VMs,
+//! that leaves a queue of a few requests at a backend server, which keeps its slots busy between
+//! an answer and the next request. The limit falls when the backend server sheds and rises with
+//! each answer.
 //!
-//! A backend server that sheds also gets nothing for a moment, twice as long each time. One that
-//! sheds all it gets would otherwise look idle and cost each read a second attempt, until the
-//! budget for these is spent.
+//! A backend server that sheds also gets no requests for a backoff time that doubles with each
+//! shed in a row. Otherwise one that sheds everything would look idle and cost each read a second
+//! attempt, until the retry budget is spent.
 
 use std::time;
 
@@ -23,19 +23,19 @@
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// What one answer adds to the limit after it sank. Ten answers make up for one slot.
+    /// The amount by which one answer raises a lowered limit. Ten answers restore one slot.
     pub step: f64,
-    /// What is left of the limit when the backend server sheds.
+    /// The factor by which a shed lowers the limit.
     pub shed: f64,
-    /// How long a backend server that sheds gets nothing at first. About one request's time.
+    /// The first backoff time after a shed: about one request's service time.
     #[serde(with = "range::seconds")]
     pub rest: time::Duration,
-    /// Requests that one of several VMs may have in flight, for each slot.
+    /// Requests per slot that one of several VMs may have in flight.
     pub per_slot: f64,
-    /// The same where one VM has all requests of its region. Held to the slots, it would wait for an
-    /// answer to return while the backend server's queue is empty.
+    /// Requests per slot that a VM which alone serves its region may have in flight. With one per
+    /// slot, slots would idle while answers travel, since the backend server's queue is empty.
     pub per_slot_alone: f64,
-    /// How long it gets nothing at most, however often it sheds.
+    /// The maximum backoff time.
     #[serde(with = "range::seconds")]
     pub longest_rest: time::Duration,
 }
@@ -54,7 +54,7 @@
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Returns an error for the first threshold that is out of range.
     pub fn check(&self) -> Result<(), range::Error> {
         range::check("limit.step", self.step, 0.001..=1.0)?;
         range::check("limit.shed", self.shed, 0.1..=1.0)?;
@@ -66,7 +66,7 @@
     }
 }
 
-/// The limit at one backend server.
+/// The in-flight limit at one backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limit {
     value: f64,
@@ -76,7 +76,7 @@
 }
 
 impl Limit {
-    /// As many as there are slots.
+    /// Starts with a limit equal to the number of slots.
     pub fn new(slots: u32) -> Self {
         let slots = f64::from(slots.max(1));
         Self {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The limit now: at most the slots, and at least 1 unless it has just shed.
+    /// The current limit: from 1 to the number of slots, or 0 during a backoff.
     pub fn get(&self, now: policy::Moment) -> usize {
         match now < self.until {
             true => 0,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The limit now of one of several VMs, or of one that is `alone`.
+    /// The current limit of one of several VMs, or of a VM that is `alone` in its region.
     pub fn shared(&self, cfg: &Config, now: policy::Moment, alone: bool) -> usize {
         let per_slot = match alone {
             true => cfg.per_slot_alone,
@@ -107,13 +107,13 @@
         }
     }
 
-    /// An answer came.
+    /// Records an answer.
     pub fn answered(&mut self, cfg: &Config) {
         self.sheds = 0;
         self.set(self.value + cfg.step);
     }
 
-    /// The backend server refused a request.
+    /// Records that the backend server shed a request.
     pub fn shed(&mut self, cfg: &Config, now: policy::Moment) {
         self.set(self.value * cfg.shed);
         let rest = cfg.rest * 2_u32.pow(self.sheds.min(16));
@@ -142,8 +142,8 @@
         assert_eq!(limit.get(later), 4);
     }
 
-    /// Two VMs send to one backend server with three slots. If each filled them twice, what came
-    /// last would wait for three turns of work.
+    /// Two VMs send to one backend server with three slots. If each kept two requests per slot in
+    /// flight, the last request would wait for three service times.
     #[test]
     fn one_of_several_keeps_to_the_slots_and_one_alone_may_queue() {
         let (mut limit, cfg) = (Limit::new(3), Config::default());
