--- a/src/decisions/regions.rs
+++ b/src/decisions/regions.rs
@@ -1,15 +1,15 @@
-//! Which share of a region's requests other regions serve.
+//! Decides which share of a region's requests other regions serve.
 //!
-//! Load pattern: regions whose callers and backend servers do not match. A region with a third of
-//! the callers and a sixth of the slots is full while others stand half empty; sending only what
-//! overflows at the moment makes the place where an object is handled change all the time, so
-//! that nothing is warm, and large shifts land on caches that are cold. One notices it as one
-//! region that refuses while another idles.
+//! Load pattern: callers and backend servers are spread differently over regions. A region with a
+//! third of the callers and a sixth of the slots is full while others are half empty. If it
+//! forwarded only its current overflow, objects would move between regions all the time and never
+//! be warm, and large shifts would reach cold caches. The symptom is one region that refuses while
+//! another idles.
 //!
-//! So a steady share goes elsewhere. It begins at what the slots alone say, which every VM works
-//! out alike without a message, and follows the load slowly. Objects and not single requests
-//! move: those whose hash lies below the share. All services of a region together move no more
-//! than [`Config::step`] of its requests in each step, so that no shift passes the operators' cap.
+//! So a steady share goes elsewhere. It starts at a value computed from the slots alone, the same
+//! on every VM without messages, and follows the load slowly. Whole objects move and not single
+//! requests: those whose hash is below the share. All services of a region together move at most
+//! [`Config::step`] of its requests in each step, so that no shift exceeds the operators' cap.
 
 use std::time;
 
@@ -19,19 +19,19 @@
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// How many times its callers' share of the slots a region must have to serve them all by
-    /// itself. Below it some go elsewhere from the start. A region that has its share and no more is full
-    /// whenever its callers come in a wave; much above it, objects cross regions for nothing.
+    /// The ratio of a region's share of the slots to its share of the callers below which part of
+    /// its requests goes elsewhere from the start. At a ratio of 1 the region is full in every
+    /// wave of callers; with a value much above that, objects cross regions needlessly.
     pub spare: f64,
-    /// The load per slot above which more goes elsewhere: as much waits as runs. Objects that move
-    /// are cold where they arrive, so a queue that comes and goes is no reason.
+    /// The load per slot above which the share grows: one request waits for each that runs. Moved
+    /// objects arrive at cold caches, so a short queue must not move any.
     pub high: f64,
-    /// The load per slot below which less goes elsewhere.
+    /// The load per slot below which the share shrinks.
     pub low: f64,
-    /// The part of the region's requests that may move in one step, over all services: no more objects
-    /// than their new places can warm.
+    /// The maximum share of the region's requests that may move in one step, over all services: no
+    /// more objects than the receiving backend servers can warm.
     pub step: f64,
-    /// The length of a step.
+    /// The interval between steps.
     #[serde(with = "range::seconds")]
     pub every: time::Duration,
 }
@@ -49,7 +49,7 @@
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Returns an error for the first threshold that is out of range.
     pub fn check(&self) -> Result<(), range::Error> {
         range::check("regions.spare", self.spare, 0.1..=2.0)?;
         range::check("regions.high", self.high, 0.1..=5.0)?;
@@ -58,39 +58,39 @@
     }
 }
 
-/// Where a request may run, seen from its caller's region.
+/// Where a request may run, relative to its caller's region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// In that region or elsewhere.
+    /// In the caller's region or any other.
     Anywhere,
-    /// In that region only.
+    /// In the caller's region only.
     Here,
-    /// Elsewhere only.
+    /// In other regions only.
     Elsewhere,
 }
 
-/// What one step looks at for one service.
+/// The inputs of one step for one service.
 #[derive(Clone, Copy, Debug)]
 pub struct View {
-    /// Slots of the own region's usable backend servers.
+    /// Slots of the usable backend servers in this region.
     pub own_slots: f64,
     /// Slots of all usable backend servers.
     pub all_slots: f64,
-    /// The own region's share of all callers.
+    /// This region's share of all callers.
     pub callers: f64,
-    /// The load per slot of the own region's backend servers.
+    /// The load per slot of this region's backend servers.
     pub load: f64,
-    /// The share of the region's requests that are for this service.
+    /// This service's share of the region's requests.
     pub traffic: f64,
-    /// The part of all requests of all regions' callers that must run in the region.
+    /// The share of all regions' requests that must run in this region.
     pub homed_here: f64,
-    /// The part of them that must run in some region.
+    /// The share of all regions' requests that must run in one particular region.
     pub homed: f64,
 }
 
 impl View {
-    /// The share that the slots alone send elsewhere, of what may run anywhere. What must run in the
-    /// region has its slots first, wherever its callers are.
+    /// The share of the movable requests that goes elsewhere according to the slots alone. Requests
+    /// that must run in this region take precedence for its slots, wherever their callers are.
     pub fn by_slots(&self, cfg: &Config) -> f64 {
         if self.own_slots <= 0.0 {
             return 1.0;
@@ -101,32 +101,32 @@
     }
 }
 
-/// The share of one service's requests that go elsewhere.
+/// The share of one service's requests that goes elsewhere.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Share {
-    /// The share in force; `None` before the first step.
+    /// The current share; `None` before the first step.
     now: Option<f64>,
-    /// What the load adds to what the slots say.
+    /// The part added because of load.
     added: f64,
 }
 
 impl Share {
-    /// The share in force.
+    /// The current share, from 0 to 1.
     pub fn get(&self) -> f64 {
         self.now.unwrap_or(0.0)
     }
 
-    /// Whether an object's requests go elsewhere.
+    /// Whether requests for an object go elsewhere.
     pub fn moves(&self, key: u64) -> bool {
-        /// Makes this draw differ from the one that orders backend servers.
+        /// Keeps this hash independent of the one that ranks backend servers.
         const SALT: u64 = 0x7265_6769_6f6e;
         affinity::unit(affinity::mix(key, SALT)) < self.get()
     }
 
-    /// Moves a step towards what the view wants, by at most `allowed` of the service's requests.
-    /// Returns what it moved.
+    /// Moves the share towards its target for `view`, by at most `allowed` of the service's
+    /// requests. Returns the amount moved.
     pub fn step(&mut self, cfg: &Config, view: &View, allowed: f64) -> f64 {
-        /// What one step changes for the load: the whole share in ten seconds.
+        /// The maximum change per step because of load: from 0 to 1 in ten seconds.
         const ADD: f64 = 0.05;
         if view.load > cfg.high {
             self.added = (self.added + ADD).min(1.0);
@@ -144,8 +144,8 @@
     }
 }
 
-/// Lets the shares of all services take one step, with the cap over all of them: those that want
-/// to move share what may move by their part of the traffic.
+/// Moves the shares of all services by one step. The cap covers them together: each service may
+/// move up to what the preceding ones left of it, relative to its own traffic.
 pub fn step(cfg: &Config, views: &[View], shares: &mut [Share]) {
     let mut left = cfg.step;
     for (view, share) in views.iter().zip(shares) {
