--- a/src/decisions/split.rs
+++ b/src/decisions/split.rs
@@ -1,33 +1,33 @@
-//! Which service gets a request of a route that is split.
+//! Selects the service for each request of a route that is split by weight.
 //!
-//! Load pattern: a route that gives a tenth of its traffic to a new version of a service. Drawn
-//! at random, each object would be handled now by one part and now by the other, so the small
-//! part never has it warm; by object alone, a few busy objects make the shares wrong, which one
-//! notices as a part with twice or half its weight.
+//! Load pattern: a route sends a tenth of its traffic to a new version of a service. With a random
+//! choice, both parts would handle each object in turn, and the small part would never have it
+//! warm. With a choice by object alone, a few busy objects distort the shares; the symptom is a
+//! part with twice or half its weight.
 //!
-//! So the object decides, and the count corrects: a part that has had more than its share by a
-//! margin gives way to the one that lacks most.
+//! So the object selects the part, and counts correct the result: a part whose share exceeds its
+//! weight by a margin passes requests to the part that is furthest below its weight.
 
 use super::affinity;
 
-/// How far a part's share may pass its weight before others get its requests. Half of a tenth,
-/// the deviation that operators notice.
+/// The excess of a part's share over its weight above which other parts get its requests. About
+/// half of a tenth, the deviation that operators notice.
 const MARGIN: f64 = 0.04;
 
-/// What a count keeps with each request: shares are taken over about the last 400.
+/// The factor applied to counts with each request: shares cover about the last 400 requests.
 const KEEP: f64 = 1.0 - 1.0 / 400.0;
 
-/// Requests before shares count; before, each request is a large share by itself.
+/// Requests before shares are corrected; below this, single requests distort the shares.
 const FIRST: f64 = 20.0;
 
-/// The counts of one route's parts.
+/// The decaying request counts of one route's parts.
 #[derive(Clone, Debug, Default)]
 pub struct Split {
     counts: Vec<f64>,
 }
 
 impl Split {
-    /// The part that gets the next request, as an index into `weights`.
+    /// Returns the index into `weights` of the part that gets the next request.
     pub fn pick(&mut self, weights: &[f64], point: u64) -> usize {
         if self.counts.len() != weights.len() {
             self.counts = vec![0.0; weights.len()];
