--- a/src/decisions/warming.rs
+++ b/src/decisions/warming.rs
@@ -1,17 +1,17 @@
-//! How many objects are handled for the first time at a backend server at once.
+//! Limits the concurrent requests for objects that are new at a backend server.
 //!
-//! Load pattern: caches that are cold, at a start or after a loss, and every object asked for. Work
-//! on an object that a backend server does not have warm takes three times as long and is late
-//! whatever is done. When it takes all slots, what could be in time waits behind it and is late as
-//! well. One notices it as the first seconds, in which one request of seven is in time although
-//! half of them ask for an object that is already warm.
+//! Load pattern: caches are cold after a start or a loss, and all objects are requested. Work on
+//! an object that is not in a backend server's cache takes three times as long and is always late.
+//! If it takes all slots, requests for warm objects wait behind it and are late as well. The
+//! symptom is that only one request in seven is in time during the first seconds, although half of
+//! them ask for an object that is already warm.
 //!
-//! So this VM keeps only a part of each backend server's slots busy with objects that it has not
-//! sent there before; others of them are refused at once and are back when there is room. An
-//! object is warm from the moment at which work on it begins.
+//! So this VM fills only part of each backend server's slots with objects that it has not sent
+//! there before; it refuses others at once, and their callers retry when there is room. An object
+//! counts as warm from the start of the work on it.
 //!
-//! A VM that has just started knows of no object, though all may be warm. Whether objects that are
-//! new to it are cold shows in whether they are late: when most are in time, nothing is held back.
+//! A VM that has just started has sent no objects, though all may be warm. Late answers for new
+//! objects show that caches are cold; when most are in time, the limit does not apply.
 
 use std::collections;
 use std::time;
@@ -22,10 +22,10 @@
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// The part of a backend server's slots that may work on objects that are new there, one slot
-    /// at least.
+    /// The share of a backend server's slots that may work on objects that are new there; at least
+    /// one slot.
     pub part: f64,
-    /// The share of late answers for new objects below which these count as warm.
+    /// The ratio of late answers for new objects up to which these count as warm.
     pub late: f64,
 }
 
@@ -39,14 +39,14 @@
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Returns an error for the first threshold that is out of range.
     pub fn check(&self) -> Result<(), range::Error> {
         range::check("warming.part", self.part, 0.0..=100.0)?;
         range::check("warming.late", self.late, 0.0..=1.0)
     }
 }
 
-/// How often answers for objects that are new to this VM are late, for one service.
+/// The moving ratio of late answers for objects that are new to this VM, for one service.
 #[derive(Clone, Copy, Debug)]
 pub struct Late(f64);
 
@@ -57,9 +57,9 @@
 }
 
 impl Late {
-    /// An answer for a new object was late, or not.
+    /// Records whether an answer for a new object was late.
     pub fn answered(&mut self, late: bool) {
-        /// What one answer counts: six that are in time show that the caches are warm.
+        /// The weight of one answer: six in time show that caches are warm.
         const NEW: f64 = 0.2;
         self.0 += (f64::from(u8::from(late)) - self.0) * NEW;
     }
@@ -74,36 +74,36 @@
 #[derive(Clone, Debug, Default)]
 pub struct Warming {
     sent: collections::HashMap<u64, policy::Moment>,
-    /// When those were last forgotten that were not asked for.
+    /// When expired objects were last removed.
     swept: policy::Moment,
-    /// Requests at work whose objects were new.
+    /// In-flight requests whose objects were new.
     new: u32,
 }
 
 impl Warming {
-    /// Objects that are remembered. Backend servers keep a few dozen.
+    /// The maximum number of remembered objects. Backend servers cache a few dozen.
     const MOST: usize = 512;
 
-    /// How long an object is remembered that is not asked for.
+    /// How long an object is remembered after its last request.
     const KEPT: time::Duration = time::Duration::from_secs(60);
 
-    /// Whether a request may go to a backend server with so many slots now.
+    /// Whether a backend server with `slots` may get a request for the object `key` now.
     pub fn takes(&self, cfg: &Config, slots: f64, key: u64) -> bool {
         let most = (slots * cfg.part).round().max(1.0);
         self.sent.contains_key(&key) || f64::from(self.new) < most
     }
 
-    /// Whether an object was sent there lately.
+    /// Whether the object was sent there within the retention time.
     pub fn has(&self, now: policy::Moment, key: u64) -> bool {
         self.sent.get(&key).is_some_and(|at| now < *at + Self::KEPT)
     }
 
-    /// How many objects were sent there lately.
+    /// The number of objects remembered for this backend server.
     pub fn objects(&self) -> usize {
         self.sent.len()
     }
 
-    /// A request was sent. Returns whether its object is new there.
+    /// Records a sent request. Returns whether its object is new there.
     pub fn begun(&mut self, now: policy::Moment, key: u64) -> bool {
         if now >= self.swept + Self::KEPT || self.sent.len() >= Self::MOST {
             self.sent.retain(|_, at| now < *at + Self::KEPT);
@@ -117,7 +117,7 @@
         new
     }
 
-    /// A request whose object was new there has ended.
+    /// Records the end of a request whose object was new there.
     pub fn ended(&mut self) {
         self.new = self.new.saturating_sub(1);
     }
