--- a/src/decisions/orders.rs
+++ b/src/decisions/orders.rs
@@ -1,33 +1,33 @@
-//! The first places of each object's order of backend servers, kept from one request to the next.
+//! Caches the first positions of each object's preference order of backend servers.
 //!
-//! Load pattern: a service of hundreds or thousands of backend servers and some hundred objects, each
-//! asked for again and again. Ranking every backend server for every request costs 0.05 us each,
-//! 230 us a request at 5,000: a VM with a tenth of a core then answers 400 requests a second and no
-//! more. One notices it as processor time for a request that grows with the fleet.
+//! Load pattern: a service has thousands of backend servers and several hundred objects that are
+//! requested repeatedly. Ranking costs 0.05 us per backend server and request, 230 us per request
+//! at 5,000; a VM with a tenth of a core then answers at most 400 requests per second. The symptom
+//! is processor time per request that grows with the fleet.
 //!
-//! So the first [`DEPTH`] of each object that was asked for lately are kept. A backend server that
-//! comes is ranked once for each of them, one that goes is taken out, and nothing else is worked out
-//! anew: a placement costs the same at 12 backend servers and at 5,000 (`cargo bench --bench
-//! capacity`).
+//! So the first [`DEPTH`] positions of each recently requested object are cached. An added backend
+//! server is ranked once per cached order, a removed one is deleted from them, and nothing else
+//! is recomputed: a placement costs the same with 12 backend servers as with 5,000.
 
 use std::collections;
 
 use super::affinity;
 
-/// How many of an order are kept. Some of them may be leaving, cold, emptied or tried already, and
-/// two must remain. With a third of them out, in an emptied availability zone of three, fewer remain
-/// for 3 objects of 1,000; their requests rank all.
+/// The cached positions of an order. Some of these backend servers may be leaving, cold, drained
+/// or tried already, and two must remain. With a third of them unusable, in a drained availability
+/// zone of three, fewer remain for 3 objects of 1,000; requests for these rank all backend
+/// servers.
 pub const DEPTH: usize = 8;
 
-/// Fewer than these are worked out anew: an order of which too little remains would have every
-/// request rank all backend servers.
+/// Orders shorter than this are recomputed: with too few positions left, every request for the
+/// object would rank all backend servers.
 const LEAST: usize = 4;
 
-/// The most objects whose orders are kept, 1 MB. Beyond it all are forgotten and come back as
-/// they are asked for.
+/// The maximum number of cached orders, about 1 MB. Beyond it all are dropped and recomputed on
+/// request.
 const MOST: usize = 4096;
 
-/// One place of an order.
+/// One position of an order.
 #[derive(Clone, Debug)]
 struct Ranked<T> {
     rank: f64,
@@ -41,7 +41,7 @@
     weight: f64,
 }
 
-/// The orders of one service's backend servers.
+/// The preference orders over one service's backend servers.
 #[derive(Clone, Debug)]
 pub struct Orders<T> {
     members: Vec<Member<T>>,
@@ -58,12 +58,12 @@
 }
 
 impl<T: Clone + PartialEq> Orders<T> {
-    /// Takes in a backend server that is not there yet.
+    /// Adds a backend server that is not yet a member.
     pub fn add(&mut self, name: &T, hash: u64, weight: f64) {
         let all = self.members.len();
         for (key, order) in &mut self.by_key {
             let rank = affinity::rank(*key, hash, weight);
-            // Of an order that has lost some, nobody knows who comes next.
+            // In an order that has lost backend servers, the next position is unknown.
             let whole = order.len() == all;
             if whole || order.last().is_some_and(|last| rank > last.rank) {
                 insert(order, rank, name);
@@ -76,7 +76,7 @@
         });
     }
 
-    /// Takes one out, where it is there.
+    /// Removes a backend server, if it is a member.
     pub fn remove(&mut self, name: &T) {
         let Some(at) = self.members.iter().position(|m| m.name == *name) else {
             return;
@@ -89,18 +89,18 @@
         });
     }
 
-    /// How many there are.
+    /// The number of backend servers.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no backend servers.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// The first of an object's order, the first first: [`DEPTH`] of them, or somewhat fewer after
-    /// some have gone, or all.
+    /// The first positions of an object's order, highest rank first: [`DEPTH`] of them, somewhat
+    /// fewer after removals, or all backend servers if there are fewer.
     pub fn first(&mut self, key: u64) -> impl Iterator<Item = &T> {
         if self.by_key.len() >= MOST && !self.by_key.contains_key(&key) {
             self.by_key.clear();
@@ -110,7 +110,7 @@
         order.iter().map(|ranked| &ranked.name)
     }
 
-    /// A few of them, drawn by `tie`; all where there are no more.
+    /// A pseudo-random sample of `count` backend servers, drawn by `tie`; all if there are no more.
     pub fn some(&self, tie: u64, count: usize) -> impl Iterator<Item = &T> {
         let all = self.members.len();
         let drawn = move |n: usize| match all <= count {
@@ -130,8 +130,8 @@
     order
 }
 
-/// Puts one at its place. One that ranks behind all of a full order is left out, since those that
-/// are not kept rank behind them too.
+/// Inserts a backend server at its position. One that ranks behind all of a full order is dropped:
+/// uncached backend servers rank behind that order too.
 fn insert<T: Clone>(order: &mut Vec<Ranked<T>>, rank: f64, name: &T) {
     if order.len() >= DEPTH && order.last().is_some_and(|last| last.rank >= rank) {
         return;
