--- a/src/decisions/policy.rs
+++ b/src/decisions/policy.rs
@@ -1,66 +1,66 @@
-//! The boundary between the request path and the decisions of one service on one entry VM.
+//! The interface between the request path and the decisions for one service on one entry VM.
 //!
-//! The path tells a [`Policy`] what happened, with the time; the policy appends [`Action`]s for
-//! the path to carry out. A policy holds no request bodies and no sockets, only what it needs to
-//! decide. Exactly one [`Action::Settle`] follows each [`Policy::arrive`], at once or later.
+//! The request path reports timestamped events to a [`Policy`], which appends the [`Action`]s for
+//! the path to carry out. A policy holds no request bodies and no sockets, only the inputs of its
+//! decisions. Exactly one [`Action::Settle`] follows each [`Policy::arrive`], at once or later.
 
 use std::time;
 
 use super::{across, note, quarantine};
 use crate::id;
 
-/// A point in time: how long the process has run.
+/// A point in time, as the time since the process started.
 pub type Moment = time::Duration;
 
 key! {
-    /// One request, unique in its process.
+    /// The ID of a request, unique in its process.
     pub struct RequestId(pub u64);
 
-    /// Who asks: a hash of the caller's address or credentials.
+    /// Identifies a caller: a hash of its address or credentials.
     pub struct CallerId(pub u64);
 
-    /// What is asked: a hash of method, path and body. Equal for a request that is sent again.
+    /// Identifies a request's content: a hash of method, path and body. Equal for retries.
     pub struct Fingerprint(pub u64);
 }
 
 data! {
-    /// Where an attempt goes.
+    /// The destination of an attempt.
     #[derive(Eq, PartialOrd, Ord, Hash)]
     pub enum Place {
-        /// To a backend server of the own availability zone.
+        /// A backend server in this VM's availability zone.
         Backend(id::VmId),
-        /// To an entry VM of another availability zone.
+        /// An entry VM in another availability zone.
         Az(id::AzId),
     }
 
-    /// Where a request entered.
+    /// The source from which a request reached this VM.
     #[derive(Eq)]
     pub enum Origin {
-        /// A caller sent it to this VM.
+        /// A caller.
         Caller,
-        /// An entry VM of another availability zone sent it here.
+        /// An entry VM in another availability zone.
         Az(id::AzId),
     }
 
-    /// A request that asks to be served.
+    /// A request that has arrived.
     pub struct Arrival {
-        /// Its number.
+        /// The request's ID.
         pub id: RequestId,
-        /// Who asks.
+        /// Its caller.
         pub caller: CallerId,
-        /// What is asked.
+        /// The hash of its content.
         pub fingerprint: Fingerprint,
-        /// Where it entered.
+        /// The source that it came from.
         pub origin: Origin,
-        /// Whether it may run twice.
+        /// Whether it may run more than once.
         pub idempotent: bool,
-        /// What its answer counts.
+        /// The value of an answer relative to that of other requests.
         pub worth: u32,
-        /// How long a backend server usually works on it.
+        /// The typical service time at a backend server.
         pub typical: time::Duration,
         /// When its caller stops waiting.
         pub deadline: Moment,
-        /// The bytes of request and expected answer, which count against links.
+        /// The bytes of the request and the expected answer, which count against link capacity.
         pub bytes: u64,
     }
 
@@ -68,70 +68,70 @@
     #[derive(Copy, Eq, Hash)]
     #[serde(rename_all = "snake_case")]
     pub enum Refusal {
-        /// There is more work than slots, and other work counts more.
+        /// Demand exceeds the slots, and other requests have higher worth.
         Overload,
         /// It could not have been answered before its deadline.
         Deadline,
-        /// Its caller has more than its share in hand already.
+        /// Its caller already has more than its share of requests queued or in flight.
         CallerShare,
-        /// No backend server takes work.
+        /// No backend server accepts requests.
         NoBackend,
-        /// Requests like it crashed backend servers.
+        /// Requests with the same fingerprint crashed backend servers.
         Quarantined,
-        /// Every backend server that was tried refused it.
+        /// Every backend server that was tried shed it.
         Shed,
-        /// Its caller went away before it ran.
+        /// Its caller disconnected before it ran.
         CallerGone,
-        /// This VM is stopping.
+        /// This VM is shutting down.
         Stopping,
     }
 
-    /// How a request ended.
+    /// The final outcome of a request.
     #[derive(Copy, Eq)]
     pub enum Fate {
-        /// The answer that came in last goes to the caller.
+        /// The latest answer received goes to the caller.
         Answer,
-        /// It has not run and will not.
+        /// It has not run and will not run.
         NotRun {
-            /// Why.
+            /// The reason.
             why: Refusal,
-            /// When trying again makes sense.
+            /// The delay before a retry is useful.
             retry_after: time::Duration,
         },
-        /// It may have run; no answer came.
+        /// It may have run; no answer was received.
         Unknown {
-            /// When asking again makes sense.
+            /// The delay before a retry is useful.
             retry_after: time::Duration,
         },
     }
 
-    /// What the path has to do.
+    /// An instruction to the request path.
     #[derive(Eq)]
     pub enum Action {
         /// Send the request.
         Send {
             /// The request.
             req: RequestId,
-            /// Where to.
+            /// The destination.
             to: Place,
-            /// When to give the attempt up.
+            /// When the attempt times out.
             deadline: Moment,
         },
-        /// Stop an attempt whose answer nobody needs. It still ends with [`Ended::Cancelled`].
+        /// Cancel an attempt whose answer is not needed. It still ends with [`Ended::Cancelled`].
         Cancel {
             /// The request.
             req: RequestId,
-            /// Where it was sent.
+            /// The destination of the attempt.
             to: Place,
         },
-        /// Tell the caller.
+        /// Send the final outcome to the caller.
         Settle {
             /// The request.
             req: RequestId,
-            /// What to tell.
+            /// The outcome.
             fate: Fate,
         },
-        /// Ask a backend server how it is.
+        /// Probe a backend server for its state.
         Probe {
             /// The backend server.
             to: id::VmId,
@@ -141,30 +141,30 @@
     /// How an attempt ended.
     #[derive(Copy, Eq, Hash)]
     pub enum Ended {
-        /// A complete answer came.
+        /// A complete answer was received.
         Answered,
-        /// A complete answer came, and it says that the backend server failed at it.
+        /// A complete answer was received that reports a failure of the backend server.
         Failed,
-        /// The other side says that it did not run it.
+        /// The destination reported that it did not run the request.
         Shed,
-        /// No byte of it reached the other side.
+        /// No byte of the request reached the destination.
         NotSent,
-        /// It was sent, and the connection broke before the answer was complete.
+        /// The request was sent, and the connection broke before the answer was complete.
         Lost,
-        /// It was sent, and no complete answer came in time.
+        /// The request was sent, and no complete answer was received in time.
         TimedOut,
-        /// It was cancelled.
+        /// The attempt was cancelled.
         Cancelled,
     }
 
-    /// What a backend server says of itself. It lags, and it may mislead.
+    /// The state that a backend server reports. It may be stale or wrong.
     #[derive(Copy, Eq)]
     pub struct Report {
-        /// Requests that it works on.
+        /// Requests that it is running.
         pub in_flight: u32,
-        /// Requests that wait there.
+        /// Requests that wait in its queue.
         pub queued: u32,
-        /// It is about to go.
+        /// Whether it is shutting down.
         pub leaving: bool,
     }
 
@@ -172,19 +172,20 @@
     pub struct Backend {
         /// Its name.
         pub id: id::VmId,
-        /// Requests that it works on at a time.
+        /// Requests that it runs concurrently.
         pub slots: u32,
-        /// It is about to go: it gets no new work.
+        /// Whether it is shutting down and gets no new requests.
         pub leaving: bool,
     }
 }
 
-/// The decisions of one service on one entry VM.
+/// The decisions for one service on one entry VM.
 pub trait Policy: Send {
-    /// A request asks to be served.
+    /// Handles a new request.
     fn arrive(&mut self, now: Moment, req: Arrival, out: &mut Vec<Action>);
 
-    /// An attempt ended. `report` is what the other side said of itself with its answer.
+    /// Handles the end of an attempt. `report` is the state that the destination sent with its
+    /// answer.
     fn ended(
         &mut self,
         now: Moment,
@@ -195,16 +196,16 @@
         out: &mut Vec<Action>,
     );
 
-    /// The caller of a request went away.
+    /// Handles the disconnect of a request's caller.
     fn gone(&mut self, now: Moment, req: RequestId, out: &mut Vec<Action>);
 
-    /// Time passed. Called at least every 10 ms.
+    /// Handles the passage of time. Called at least every 10 ms.
     fn tick(&mut self, now: Moment, out: &mut Vec<Action>);
 
-    /// The backend servers that there are now.
+    /// Replaces the set of backend servers.
     fn set_backends(&mut self, now: Moment, backends: &[Backend], out: &mut Vec<Action>);
 
-    /// A backend server's report, or `None` where a probe brought none.
+    /// Handles a backend server's report; `None` if a probe got no answer.
     fn report(
         &mut self,
         now: Moment,
@@ -213,20 +214,20 @@
         out: &mut Vec<Action>,
     );
 
-    /// What may be sent to other availability zones, where the policy sends any.
+    /// The limits on sends to other availability zones, if the policy sends any.
     fn across(&mut self) -> Option<&mut across::Across> {
         None
     }
 
-    /// Requests that came to be banned since the last call, to be told to other VMs.
+    /// Request fingerprints quarantined since the last call, for other VMs.
     fn bans(&mut self, _now: Moment) -> Vec<quarantine::Entry> {
         Vec::new()
     }
 
-    /// Another VM tells of a banned request.
+    /// Adds a quarantine entry from another VM.
     fn ban(&mut self, _now: Moment, _entry: quarantine::Entry) {}
 
-    /// What was decided beside the actions since the last call, for the logs.
+    /// Decisions since the last call that are not actions, for the logs.
     fn notes(&mut self) -> Vec<note::Note> {
         Vec::new()
     }
