--- a/tests/declines.rs
+++ b/tests/declines.rs
@@ -1,4 +1,4 @@
-//! Backend servers that refuse a part of what they get though they have room, played in virtual time.
+//! Tests of backend servers that refuse part of their requests despite room, in virtual time.
 
 use std::time;
 
@@ -7,12 +7,12 @@
 
 const BACKENDS: usize = 86;
 const SLOTS: u32 = 6;
-/// Requests a second, and how long work on one takes.
+/// Requests per second, and the service time of one.
 const RATE: usize = 700;
 const WORK: time::Duration = time::Duration::from_millis(280);
 
-/// What callers get for ten seconds in which the first `faulty` backend servers refuse `part` of what
-/// they get: the share that is answered. Each request has two backend servers at which it may run.
+/// The share of requests answered in ten seconds while the first `faulty` backend servers refuse a
+/// share `part` of their requests. Each request may try two backend servers.
 fn answered(faulty: usize, part: f64, told_apart: bool) -> f64 {
     let cfg = limit::Config::default();
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(5);
@@ -45,21 +45,21 @@
     f64::from(served) / requests as f64
 }
 
-/// A fault behind a service has all of its backend servers refuse half of what they get, with most of
-/// their slots free. Taken for overload, callers are refused for want of room that is there.
+/// A fault behind a service makes all its backend servers refuse half of their requests, with most
+/// slots free. Counted as overload, callers would be refused for lack of room that exists.
 #[test]
 fn a_service_that_refuses_with_room_is_not_taken_for_a_full_one() {
     let (rested, told_apart) = (
         answered(BACKENDS, 0.55, false),
         answered(BACKENDS, 0.55, true),
     );
-    // Each of two sends is answered with 0.45.
+    // Each of two sends is answered with probability 0.45.
     let best = 1.0 - 0.55 * 0.55;
     assert!(told_apart > best - 0.05, "{told_apart} of {best}");
     assert!(rested < told_apart, "{rested}");
 }
 
-/// One of many backend servers refuses nearly all that it gets. It rests, since the others answer.
+/// One of many backend servers refuses nearly all requests. It backs off, since the others answer.
 #[test]
 fn a_single_one_that_refuses_with_room_rests() {
     let mut service = declines::Declines::default();
@@ -70,7 +70,7 @@
     assert_eq!(answered(1, 0.9, true), answered(1, 0.9, false));
 }
 
-/// The fault ends. Refusals for want of room count as such again soon.
+/// After the fault ends, refusals must soon count as overload again.
 #[test]
 fn it_is_over_after_some_answers() {
     let mut service = declines::Declines::default();
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,4 +1,4 @@
-//! The first places of objects' orders, kept while backend servers come and go.
+//! Tests of cached preference orders while backend servers come and go.
 
 use bulrushwind::decisions::{affinity, orders};
 use bulrushwind::id;
@@ -14,7 +14,7 @@
     f64::from(1 + n % 3)
 }
 
-/// The whole order of an object, worked out from nothing.
+/// An object's complete order, computed without the cache.
 fn whole(key: u64, members: &[u32]) -> Vec<u32> {
     let mut order = members.to_vec();
     let rank = |n: &u32| affinity::rank(key, hash(*n), weight(*n));
@@ -22,9 +22,9 @@
     order
 }
 
-/// A release replaces backend servers one after the other while callers go on asking. If an order
-/// that is kept differed from one that is worked out anew, VMs that started at different times would
-/// send the same object to different backend servers, and callers would meet cold caches.
+/// A release replaces backend servers one by one under load. If a cached order differed from a
+/// recomputed one, VMs that started at different times would send an object to different backend
+/// servers, and callers would reach cold caches.
 #[test]
 fn an_order_that_is_kept_is_the_one_worked_out_anew() {
     let mut rng = ChaCha8Rng::seed_from_u64(31);
@@ -76,8 +76,8 @@
     }
 }
 
-/// An operator gives a backend server more slots while requests are with it. Its place in the orders
-/// follows, and what is known of it stays: forgotten, more would be sent than it takes.
+/// An operator gives a backend server more slots while it has requests. Its rank must follow, and
+/// its in-flight count must stay: if reset, the VM would send more requests than it accepts.
 #[test]
 fn a_backend_server_with_other_slots_is_ranked_anew_and_keeps_what_is_known() {
     let name = |n: u32| id::VmId::from(format!("backend-{n}").as_str());
@@ -104,8 +104,8 @@
     assert_eq!(all.first(&service, backends::Side::Far, 1), [name(7)]);
 }
 
-/// A request may run in one of two other regions only. Its object's order there is that of the region
-/// itself; taken from both, nearly all of its first places would lie where it may not run.
+/// A request may run in only one of two other regions. Its object needs an order for that region
+/// alone: in a common order, nearly all first positions would be in the other region.
 #[test]
 fn each_other_region_has_an_order_of_its_own() {
     let mut all = backends::Backends::new(Some("own".into()));
@@ -124,7 +124,7 @@
         let lies_there = |vm| all.get(vm).unwrap().region.as_ref() == Some(&small);
         assert!(first.iter().all(lies_there));
     }
-    // One that goes leaves both orders, one whose slots change stays in both.
+    // A removed backend server leaves both orders; one with changed slots stays in both.
     all.remove(&name(1));
     all.put(&name(5), listed(6), Some(small.clone()));
     assert_eq!(all.count_on(&service, backends::Side::In(&small)), 19);
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -1,5 +1,5 @@
-//! How many places objects have, played in virtual time: two entry VMs, backend servers that are warm
-//! for few objects, and objects that are asked for more than one backend server can answer.
+//! Tests of the number of replicas per object, in virtual time: two entry VMs, backend servers with
+//! small caches, and objects that get more requests than one backend server can answer.
 
 use std::time;
 
@@ -13,20 +13,20 @@
 const WARM_S: f64 = 0.576;
 const AIM_S: f64 = 1.2;
 const OBJECTS: usize = 40;
-/// Requests that one VM may have in flight at a backend server.
+/// The in-flight limit of one VM at a backend server.
 const LIMIT: usize = 3;
 
 #[derive(Clone, Default)]
 struct Backend {
     cache: Vec<usize>,
-    /// When the requests that it has end, and which VM sent each.
+    /// The end of each request here, and the VM that sent it.
     ends: Vec<(f64, usize)>,
     gone: bool,
     used: bool,
 }
 
 impl Backend {
-    /// Takes a request, first come first served. Returns when it ends.
+    /// Runs a request in FIFO order. Returns when it ends.
     fn run(&mut self, now: f64, vm: usize, object: usize) -> f64 {
         let warm = self.cache.contains(&object);
         self.cache.retain(|o| *o != object);
@@ -47,7 +47,7 @@
     }
 }
 
-/// What callers got.
+/// The results of a run.
 #[derive(Debug, Default)]
 struct Got {
     asked: f64,
@@ -57,8 +57,8 @@
     idle: usize,
 }
 
-/// A region for half a minute, at three tenths of what its backend servers carry warm. Between 12 and
-/// 15 s callers ask 1.7 times as much, and from 20 s on a third of the backend servers is gone.
+/// Plays a region for 30 s at three tenths of its warm capacity. From 12 to 15 s the load is 1.7
+/// times as high, and after 20 s a third of the backend servers is gone.
 fn play(cfg: &affinity::Config, n: usize) -> Got {
     let per_s = 0.3 * (n * SLOTS) as f64 / WARM_S;
     let mut rng = ChaCha8Rng::seed_from_u64(11);
@@ -75,7 +75,7 @@
             backend.gone = now > 20.0 && i % 3 == 0;
         }
         let vm = rng.random_range(0..2);
-        // Some objects are asked for three times as often as others.
+        // Some objects are requested three times as often as others.
         let drawn: [usize; 2] = [rng.random_range(0..OBJECTS), rng.random_range(0..OBJECTS)];
         let object = drawn[0].min(drawn[1]);
         let key = affinity::hash(&object.to_le_bytes());
@@ -112,7 +112,7 @@
     got
 }
 
-/// Two places and no third, and the second only when the first is full.
+/// At most two replicas, and the second only when the first is full.
 fn two_places() -> affinity::Config {
     affinity::Config {
         few: 0,
@@ -121,9 +121,9 @@
     }
 }
 
-/// Forty objects are asked for, some more than two backend servers can answer, while most backend
-/// servers of a large fleet are never asked. Callers are refused and come back late although two
-/// thirds of the slots are free.
+/// Some of forty objects get more requests than two backend servers can answer, while most backend
+/// servers of a large fleet get none. With two replicas, callers are refused and retry late
+/// although two thirds of the slots are free.
 #[test]
 fn an_object_that_is_asked_for_much_gets_further_places_where_caches_have_room() {
     for n in [96, 258] {
@@ -140,8 +140,8 @@
     }
 }
 
-/// Twelve backend servers handle forty objects, so their caches are nearly full. A third place for
-/// one object would make another cold.
+/// Twelve backend servers handle forty objects, so their caches are nearly full. A third replica of
+/// one object would evict another.
 #[test]
 fn where_caches_are_full_objects_keep_to_two_places() {
     let (before, now) = (
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions of a gateway that routes by objects, played without a network.
+//! Tests of the gateway's routing decisions in virtual time, without a network.
 
 use std::collections;
 use std::time;
@@ -37,12 +37,12 @@
     }
 }
 
-/// Backend servers with three slots that keep a few objects and answer three times as fast for
+/// Backend servers with three slots that cache a few objects and answer three times faster for
 /// these.
 struct Fleet {
     backends: Vec<affinity::Candidate>,
     caches: Vec<Vec<u64>>,
-    /// When each request that a backend server has will end, in milliseconds.
+    /// The end of each request at a backend server, in milliseconds.
     ends: Vec<Vec<f64>>,
 }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// What the backend servers have at a moment.
+    /// The candidates with their load at the time `now`.
     fn look(&mut self, now: f64) -> &[affinity::Candidate] {
         for (backend, ends) in self.backends.iter_mut().zip(&mut self.ends) {
             ends.retain(|end| *end > now);
@@ -70,7 +70,7 @@
         &self.backends
     }
 
-    /// Runs a request at a backend server, first come first served. Returns whether it is in time.
+    /// Runs a request at a backend server in FIFO order. Returns whether it is in time.
     fn run(&mut self, now: f64, i: usize, object: u64) -> bool {
         let warm = self.caches[i].contains(&object);
         self.caches[i].retain(|o| *o != object);
@@ -90,8 +90,8 @@
     }
 }
 
-/// A load that fits only when objects are warm. Spread over the least loaded, callers get nearly
-/// nothing in time. Returns the share of requests that were in time.
+/// Plays a load that fits only if objects are warm; by least load, almost no answer is in time.
+/// Returns the share of requests that were in time.
 fn play_warm_objects(by_object: bool) -> f64 {
     const OBJECTS: u64 = 144;
     const PER_S: f64 = 82.0;
@@ -118,8 +118,8 @@
     in_time / sent
 }
 
-/// Each further place of an object's order costs one request a slot more, and all of them may be
-/// used: placement before it was held to two places.
+/// Placement without the limit of two positions: any position of an object's order may be used,
+/// and each further one costs one more request per slot.
 fn wander(key: u64, candidates: &[affinity::Candidate]) -> Option<usize> {
     let mut order: Vec<usize> = (0..candidates.len()).collect();
     let rank = |i: &usize| affinity::rank(key, candidates[*i].hash, candidates[*i].slots);
@@ -133,8 +133,8 @@
     costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, i)| i)
 }
 
-/// All caches are cold and twice the usual load comes for four seconds; then it is as usual again.
-/// Returns the share of the requests of the twelve seconds after that which were in time.
+/// Starts with cold caches and twice the usual load for four seconds, then the usual load. Returns
+/// the share of requests in time during the twelve seconds after the surge.
 fn play_thaw(pick: impl Fn(u64, &[affinity::Candidate]) -> Option<usize>) -> f64 {
     const OBJECTS: u64 = 110;
     const PER_S: f64 = 64.0;
@@ -156,14 +156,14 @@
     in_time / sent
 }
 
-/// Two zones of six are lost, callers press, and no cache holds what is asked for. Requests that
-/// go wherever there is room keep all caches cold: long after the surge callers wait for seconds.
+/// Two availability zones of six are lost during a surge, and all caches are cold. Requests placed
+/// wherever there is room keep all caches cold, and callers wait for seconds long after the surge.
 #[test]
 fn a_cold_fleet_under_a_surge_thaws() {
     let cfg = affinity::Config::default();
     let ours = play_thaw(|key, all| affinity::pick(&cfg, &want(Some(key)), all));
     let before = play_thaw(wander);
-    // Measured with this seed: 0.000 and 0.936.
+    // With this seed the shares are 0.000 and 0.936.
     assert!(before < 0.5, "wherever there is room: {before}");
     assert!(ours > 0.8, "at two places: {ours}");
 }
@@ -171,13 +171,13 @@
 #[test]
 fn by_object_callers_are_answered_in_time_that_least_loaded_leaves_late() {
     let (naive, ours) = (play_warm_objects(false), play_warm_objects(true));
-    // Measured with this seed: 0.000 by least load, 0.966 by object.
+    // With this seed the shares are 0.000 by least load and 0.966 by object.
     assert!(naive < 0.3, "least loaded: {naive}");
     assert!(ours > 0.9, "by object: {ours}");
 }
 
-/// A backend server leaves. If that moved the objects of the others too, all caches would be cold
-/// at once, and callers would notice each release as a slow half minute.
+/// Guards against cold caches on each release: a backend server that leaves must not move the
+/// objects of the others.
 #[test]
 fn a_backend_server_that_leaves_moves_only_its_own_objects() {
     let all = candidates(12);
@@ -193,8 +193,8 @@
     }
 }
 
-/// One object takes most of the load. Held to its backend server at any price, its callers would
-/// wait behind one another while the rest stands idle.
+/// One object gets most of the load. If only one backend server could handle it, its requests
+/// would queue there while the others are idle.
 #[test]
 fn a_busy_object_spills_to_the_second_of_its_order_and_no_farther_than_needed() {
     let cfg = affinity::Config::default();
@@ -206,14 +206,14 @@
     assert_ne!(first, second);
     all[first].load = 3.0;
     assert_eq!(affinity::pick(&cfg, &want(key), &all), Some(first));
-    // A cache elsewhere would lose another object, however idle it is.
+    // On any other backend server, even an idle one, it would evict another object.
     all[second].load = 3.0;
     all[first].load = 3.0 * 2.5;
     assert_eq!(affinity::pick(&cfg, &want(key), &all), None);
 }
 
-/// A backend server has just refused a request. If its objects moved to the third of their order
-/// for the moment that it rests, each refusal would make others cold.
+/// A backend server has just refused a request. If its objects moved to the third position for the
+/// backoff time, each refusal would evict other objects from a cache.
 #[test]
 fn one_that_is_full_keeps_its_place_in_the_order() {
     let cfg = affinity::Config::default();
@@ -226,15 +226,15 @@
     assert_eq!(affinity::pick(&cfg, &want(key), &all), None);
 }
 
-/// A service gets twice what it can answer, one request in five of it a booking. Refused alike, as
-/// many bookings are lost as reads.
+/// A service gets twice the load that it can answer, one request in five a booking. Without
+/// precedence, bookings would be refused as often as reads.
 #[test]
 fn bookings_find_room_where_reads_are_refused() {
     let cfg = affinity::Config::default();
     let mut rng = ChaCha8Rng::seed_from_u64(4);
     let mut precedence = precedence::Precedence::default();
     let mut fleet = Fleet::new(4);
-    // Asked and placed, of the reads and of the bookings.
+    // Requests asked and placed, for reads and for bookings.
     let mut counts = [[0.0; 2]; 2];
     for n in 0..4000 {
         let now = f64::from(n) * 8.0;
@@ -257,7 +257,7 @@
         count[1] += f64::from(u8::from(chosen.is_some()));
     }
     let [reads, bookings] = counts.map(|[asked, placed]| placed / asked);
-    // Measured with this seed: 0.365 of the reads and 0.926 of the bookings.
+    // With this seed 0.365 of the reads and 0.926 of the bookings are placed.
     assert!(bookings > 0.9 && reads < 0.7, "{bookings} {reads}");
 }
 
@@ -273,8 +273,8 @@
     }
 }
 
-/// A tenth of a route goes to a new version, and a few objects take most of the requests. By object
-/// alone the new version gets nothing or a third.
+/// A route gives a tenth to a new version, and a few objects get most of the requests. Split by
+/// object alone, the new version would get nothing or a third.
 #[test]
 fn a_split_keeps_its_shares_though_a_few_objects_are_busy() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
@@ -294,8 +294,8 @@
     }
 }
 
-/// Backend servers refuse half of what they get, at eight VMs at once. Callers would notice retries
-/// that fill the queues of those that still work.
+/// Backend servers refuse half of the requests from eight VMs. Retries beyond the budget would
+/// fill the queues of the backend servers that still work.
 #[test]
 fn second_sends_of_all_vms_stay_within_the_bound_in_any_window() {
     let bound = resend::Bound {
@@ -335,8 +335,8 @@
     }
 }
 
-/// A zone's backend servers come back cold. Each VM that sends its own few requests to one makes a
-/// sum that crashes it again.
+/// The backend servers of an availability zone return cold. If every VM sent a few requests to
+/// each, the sum would crash them again.
 #[test]
 fn a_cold_backend_server_gets_no_more_than_it_bears_from_all_vms_together() {
     let vms: Vec<u64> = (0..8).map(|n| affinity::hash(&[n])).collect();
@@ -370,8 +370,8 @@
     }
 }
 
-/// A large customer is at home in a small region, and callers all over ask for it there. If the region
-/// kept as many of its own callers as it has slots, all of them would be refused together.
+/// Requests of a large customer must run in a small region, and its callers are in all regions.
+/// If the region kept local callers for all of its slots, it would refuse both kinds.
 #[test]
 fn a_region_leaves_room_for_those_who_are_at_home_there() {
     let cfg = regions::Config::default();
@@ -380,7 +380,7 @@
         homed: 0.2,
         ..view(6.0, 0.5, 1.0)
     };
-    // Served here: those at home, and what stays of a third of those who are at home nowhere.
+    // Load of this region: requests that must run here, and the local share of the others.
     let load = |view: &regions::View| {
         let own = view.callers * (1.0 - view.homed) * (1.0 - view.by_slots(&cfg));
         (view.homed_here + own) / (view.own_slots / view.all_slots)
@@ -399,8 +399,8 @@
     assert_eq!(full.by_slots(&cfg), 1.0);
 }
 
-/// A region with a third of the callers and a sixth of the slots. Without a steady share its own
-/// callers are refused while others' slots stand idle.
+/// A region has a third of the callers and a sixth of the slots. Without a steady share elsewhere,
+/// it refuses its callers while other regions' slots are idle.
 #[test]
 fn a_small_region_sends_a_steady_share_elsewhere_and_a_large_one_none() {
     let cfg = regions::Config::default();
@@ -416,9 +416,9 @@
     assert_eq!(share[0].get(), 0.0);
 }
 
-/// Three regions have the same callers and 6, 12 and 18 slots. The smallest serves twice what its
-/// slots are worth if it keeps its callers, and the middle one has nothing to spare when its callers
-/// come in a wave; both refuse then while the largest stands half idle.
+/// Three regions have equal numbers of callers and 6, 12 and 18 slots. If each served its own
+/// callers, the smallest would get twice the load of its slots and the middle one would have no
+/// reserve for waves; both would refuse while the largest is half idle.
 #[test]
 fn regions_of_three_sizes_end_up_about_equally_loaded() {
     let (cfg, slots) = (regions::Config::default(), [6.0, 12.0, 18.0]);
@@ -442,8 +442,8 @@
     assert!(most.unwrap() / least.unwrap() < 1.3, "{loads:?}");
 }
 
-/// Half of a region's backend servers leave, as when a zone is emptied. If its callers moved at
-/// once, more than operators allow would land on caches elsewhere that are cold.
+/// Half of a region's backend servers leave, as in the drain of an availability zone. If all their
+/// callers moved at once, a shift above the operators' cap would hit cold caches elsewhere.
 #[test]
 fn shares_of_all_services_move_no_more_than_the_cap_in_two_seconds() {
     let cfg = regions::Config::default();
@@ -493,9 +493,9 @@
     }
 }
 
-/// A region has a few large VMs and many small ones. Spread over all of them, callers meet VMs that
-/// know no backend server's load and dial anew for nearly each request. Both told VMs in one zone
-/// would leave callers alone when that zone is lost.
+/// A region has a few large VMs and many small ones. If callers spread over all of them, they reach
+/// VMs without load information that open a connection for nearly each request. If both advertised
+/// VMs were in one availability zone, its loss would leave callers without any.
 #[test]
 fn callers_are_told_the_largest_of_their_region_in_different_zones() {
     let (a, b, far) = ("a".into(), "b".into(), "far".into());
@@ -515,9 +515,9 @@
     assert!(nearby::told(nearby::LEAST, std::iter::empty::<nearby::Entry<'_, u64>>()).is_empty());
 }
 
-/// Callers come in numbers that two VMs cannot carry, and leave again. Told no others, they would
-/// meet VMs that answer late while the rest of the region stands idle; told all from then on, they
-/// would be late for the other reason.
+/// More callers arrive than two VMs can serve, and leave again. With no further VMs advertised,
+/// answers would be late while the rest of the region is idle; with all of them advertised for
+/// good, answers would be late because load is spread too thinly.
 #[test]
 fn more_entry_vms_are_told_while_these_are_busy_and_fewer_after() {
     let capacity = nearby::Capacity {
@@ -551,8 +551,8 @@
     assert_eq!(calm[39].0, nearby::LEAST);
 }
 
-/// Plays one backend server with three slots and cold caches, asked for twelve objects at random.
-/// Returns the share of requests that are answered in time, a refused one coming back once.
+/// Plays one backend server with three slots and cold caches, and random requests for twelve
+/// objects. Returns the share of requests in time; a refused request is retried once.
 fn play_first_seconds(cfg: &warming::Config) -> f64 {
     const AIM_S: f64 = 0.5;
     let mut rng = ChaCha8Rng::seed_from_u64(5);
@@ -594,9 +594,9 @@
     f64::from(in_time) / all as f64
 }
 
-/// All caches are cold and every object is asked for. When the first requests for all of them are
-/// taken, they hold all slots, and users who ask for what is warm by then wait behind work that is
-/// late anyway.
+/// All caches are cold and every object is requested. If the first requests for all objects were
+/// admitted, they would hold all slots, and requests for objects that are warm by then would wait
+/// behind work that is late anyway.
 #[test]
 fn what_is_warm_gets_through_while_the_rest_is_warmed() {
     let held = play_first_seconds(&warming::Config::default());
@@ -607,8 +607,8 @@
     assert!(held > free + 0.05, "{held} {free}");
 }
 
-/// An entry VM starts anew before caches that are warm. If it took every object for a cold one
-/// because it has not sent it yet, it would refuse requests that are answered in time.
+/// An entry VM restarts while caches are warm. If it took every object for cold because it has not
+/// sent it yet, it would refuse requests that could be answered in time.
 #[test]
 fn a_vm_that_knows_nothing_learns_that_caches_are_warm() {
     let cfg = warming::Config::default();
@@ -622,8 +622,8 @@
     assert!(here.takes(&cfg, 3.0, 3));
 }
 
-/// A burst is refused. Told one and the same time, all would come back as the next burst; told a
-/// time beyond what they have left, they would not come back at all.
+/// A burst is refused. With equal retry delays, all callers would return as the next burst; with
+/// delays beyond their remaining time, they would not return at all.
 #[test]
 fn refused_callers_come_back_spread_and_in_time() {
     let left = secs(2.0);
@@ -634,8 +634,8 @@
     assert!(comeback::after(secs(0.0), left, 0.0) > time::Duration::ZERO);
 }
 
-/// One request crashes each backend server that runs it, and its caller sends it again through
-/// other entry VMs. Counted by each VM alone, it takes down twice as many as there are VMs.
+/// A request crashes each backend server that runs it, and its caller retries through other entry
+/// VMs. If each VM counted alone, it would crash twice as many backend servers as there are VMs.
 #[test]
 fn a_request_in_flight_at_three_crashes_is_refused_by_all_and_innocent_ones_are_not() {
     let mut vms = vec![crashes::Crashes::default(); 8];
@@ -661,8 +661,8 @@
     );
 }
 
-/// Answers are lost on the way while their backend servers are sound. Taken for crashes, the most
-/// frequent requests would be refused.
+/// Answers are lost on the network while their backend servers are healthy. If each counted as a
+/// crash, the most frequent requests would be quarantined.
 #[test]
 fn a_broken_connection_alone_is_no_crash() {
     let mut crashes = crashes::Crashes::default();
@@ -680,7 +680,7 @@
         .collect()
 }
 
-/// The store was away for longer than its leases last, and comes back with an empty list. Callers
+/// The store was unavailable for longer than its leases last and returns an empty list. Callers
 /// would be refused until all backend servers have registered again.
 #[test]
 fn what_a_returning_store_lost_as_a_whole_is_kept_until_it_can_have_come_back() {
@@ -698,8 +698,8 @@
     assert!(!listing.lost(secs(11.1), &all[0]));
 }
 
-/// This VM alone was cut off, and one backend server left meanwhile. Kept for seconds after the
-/// return, it would still get requests when it ends, and cut them.
+/// Only this VM was disconnected, and one backend server left meanwhile. If its entry were kept for
+/// seconds after the reconnect, requests would be sent to it and cut when it ends.
 #[test]
 fn the_few_that_are_missing_after_a_cut_are_gone_at_once() {
     let mut listing = listing::Listing::default();
@@ -729,7 +729,7 @@
     }
 }
 
-/// Entry VMs that follow one another in a circle hear nothing and believe it to be calm.
+/// Guards against entry VMs that follow one another in a cycle and get no updates.
 #[test]
 fn each_follows_only_one_that_stands_before_it() {
     let all: Vec<mirror::Place> = (0..12)
@@ -751,8 +751,8 @@
     );
 }
 
-/// VMs of several sizes stand in one region, and the first by name has the narrowest link. What it
-/// passes on to all others is late.
+/// VMs of several sizes share a region, and the first by hash has the narrowest link. If it were
+/// the leader, updates to all others would be late.
 #[test]
 fn those_with_wide_links_are_followed() {
     let mut all: Vec<mirror::Place> = (0..6).map(|n| place(n, "a")).collect();
@@ -764,7 +764,7 @@
     assert!(order.ask(secs(1.0), &all[4], &all).is_empty());
 }
 
-/// The first of the order is cut off from the store. All who wait for it have old routes.
+/// The first VM of the order is disconnected from the store. Its followers would keep stale routes.
 #[test]
 fn one_that_cannot_be_followed_is_left_alone_for_a_while() {
     let all: Vec<mirror::Place> = (0..3).map(|n| place(n, "a")).collect();
@@ -778,7 +778,7 @@
     assert!(unique.contains(&0));
 }
 
-/// Guards against a leader that feeds all of a large zone, and against a tree that grows deep.
+/// Guards against a leader that serves all of a large availability zone, and against a deep tree.
 #[test]
 fn nobody_feeds_more_than_its_link_carries() {
     for vms in [16, 110, 220, 1_000] {
@@ -805,8 +805,8 @@
     }
 }
 
-/// Guards against followers that hear the whole list again when their leader dies, and against one
-/// that comes back and never hears of a removal.
+/// Guards against a full snapshot to every follower when their leader dies, and against a follower
+/// that reconnects and misses a removal.
 #[test]
 fn one_that_comes_back_hears_what_it_lacks() {
     let mut leader = mirror::Records::default();
@@ -838,7 +838,7 @@
     );
 }
 
-/// Guards against memory that grows with each backend server that was ever there.
+/// Guards against memory that grows with every backend server that ever registered.
 #[test]
 fn removals_are_forgotten_in_time() {
     let mut leader = mirror::Records::default();
