--- a/src/decisions/affinity.rs
+++ b/src/decisions/affinity.rs
@@ -17,11 +17,11 @@
 //!
 //! In a large fleet caches are not full: some objects get more requests than two backend servers
 //! can answer while other backend servers are idle. The symptom is refusals with a third of the
-//! slots busy. So an object may have up to [`PLACES`] replicas in a large region; those beyond the
-//! second go only to backend servers that handle few objects and therefore evict nothing. A
-//! replica that handled the object recently costs little more than the first, so they share its
-//! load; one that did not costs cold work. Objects that are no longer requested are forgotten,
-//! along with their replicas.
+//! slots busy. So an object may have up to [`MAX_REPLICAS`] replicas in a large region; those
+//! beyond the second go only to backend servers that handle few objects and therefore evict
+//! nothing. A replica that handled the object recently costs little more than the first, so they
+//! share its load; one that did not costs cold work. Objects that are no longer requested are
+//! forgotten, along with their replicas.
 
 use xxhash_rust::xxh3;
 
@@ -29,14 +29,14 @@
 
 /// The maximum number of backend servers that may handle one object: enough for the most requested
 /// object.
-pub const PLACES: usize = 6;
+pub const MAX_REPLICAS: usize = 6;
 
 /// The number of backend servers that may handle one object in a small region.
 pub const HELD: usize = 2;
 
 /// Backend servers of a region per replica of an object. In a small region each is first for many
 /// objects, and further replicas, or a queue at the second, would slow these down.
-const SHARE: usize = 8;
+const BACKENDS_PER_REPLICA: usize = 8;
 
 /// Thresholds of placement by object.
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
@@ -47,7 +47,8 @@
     /// The extra cost of the second position over the first, in requests per slot. Work on a cold
     /// object takes about three times the warm time, so waiting behind up to two full sets of slots
     /// costs less.
-    pub second: f64,
+    #[serde(rename = "second")]
+    pub second_cost: f64,
     /// The load of the first position at which it accepts no more, in requests per slot. A request
     /// behind 2.5 requests per slot would wait for 1.5 service times and be late; when refused
     /// instead, its caller retries after part of the queue has drained.
@@ -56,32 +57,37 @@
     /// accepts no more. Only a free slot justifies another cold run: with a bound of 2.5 requests
     /// per slot, caches stayed cold for ten seconds after the loss of two availability zones of
     /// six.
-    pub spill: f64,
+    #[serde(rename = "spill")]
+    pub max_cold_load: f64,
     /// The extra cost over the first position where the object was handled recently, in requests
     /// per slot: one request at three slots, so such a replica gets work before the first queues.
-    pub known: f64,
+    #[serde(rename = "known")]
+    pub recent_cost: f64,
     /// A backend server may be a replica beyond the second while this VM has recently sent it fewer
     /// objects than this: half of a small cache, since two VMs send to it.
-    pub few: usize,
+    #[serde(rename = "few")]
+    pub max_objects: usize,
     /// The extra cost of a replica beyond the second, in requests per slot: high enough that the
     /// first fills up before an object is handled cold elsewhere.
-    pub further: f64,
+    #[serde(rename = "further")]
+    pub further_cost: f64,
     /// The factor on [`Self::most`] for low-priority requests: half a request per slot stays free
     /// for more urgent ones.
-    pub behind: f64,
+    #[serde(rename = "behind")]
+    pub low_priority_factor: f64,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
             by_object: true,
-            second: 2.0,
+            second_cost: 2.0,
             most: 2.5,
-            spill: 1.0,
-            known: 0.34,
-            few: 4,
-            further: 2.0,
-            behind: 0.8,
+            max_cold_load: 1.0,
+            recent_cost: 0.34,
+            max_objects: 4,
+            further_cost: 2.0,
+            low_priority_factor: 0.8,
         }
     }
 }
@@ -89,12 +95,12 @@
 impl Config {
     /// Returns an error for the first threshold that is out of range.
     pub fn check(&self) -> Result<(), range::Error> {
-        range::check("affinity.second", self.second, 0.0..=10.0)?;
+        range::check("affinity.second", self.second_cost, 0.0..=10.0)?;
         range::check("affinity.most", self.most, 0.1..=10.0)?;
-        range::check("affinity.spill", self.spill, 0.0..=10.0)?;
-        range::check("affinity.known", self.known, 0.0..=10.0)?;
-        range::check("affinity.further", self.further, 0.0..=10.0)?;
-        range::check("affinity.behind", self.behind, 0.1..=1.0)
+        range::check("affinity.spill", self.max_cold_load, 0.0..=10.0)?;
+        range::check("affinity.known", self.recent_cost, 0.0..=10.0)?;
+        range::check("affinity.further", self.further_cost, 0.0..=10.0)?;
+        range::check("affinity.behind", self.low_priority_factor, 0.1..=1.0)
     }
 }
 
@@ -130,7 +136,7 @@
 
 impl Candidate {
     /// The load in requests per slot; `None` if the backend server is full.
-    fn room(&self) -> Option<f64> {
+    fn load_per_slot(&self) -> Option<f64> {
         (!self.full).then(|| self.load / self.slots.max(1.0))
     }
 }
@@ -160,80 +166,84 @@
 
 /// Returns the index into `candidates` of the backend server to send to; `None` if none has room.
 pub fn pick(cfg: &Config, want: &Want, candidates: &[Candidate]) -> Option<usize> {
-    let most = match want.behind {
-        true => cfg.most * cfg.behind,
+    let max_load = match want.behind {
+        true => cfg.most * cfg.low_priority_factor,
         false => cfg.most,
     };
     match want.key.filter(|_| cfg.by_object) {
-        Some(key) => by_object(cfg, key, most, want.among, candidates),
-        None => least_loaded(want.tie, most, candidates),
+        Some(key) => pick_by_object(cfg, key, max_load, want.among, candidates),
+        None => least_loaded(want.tie, max_load, candidates),
     }
 }
 
-fn by_object(
+fn pick_by_object(
     cfg: &Config,
     key: u64,
-    most: f64,
+    max_load: f64,
     among: usize,
     candidates: &[Candidate],
 ) -> Option<usize> {
-    let places = (among / SHARE).clamp(HELD, PLACES);
-    let limits = Limits {
-        first: most,
-        known: if places > HELD { most } else { cfg.spill },
+    let replicas = (among / BACKENDS_PER_REPLICA).clamp(HELD, MAX_REPLICAS);
+    let limits = LoadLimits {
+        first: max_load,
+        recent: if replicas > HELD {
+            max_load
+        } else {
+            cfg.max_cold_load
+        },
     };
-    let costs = first(key, candidates)
+    let costs = preferred(key, candidates)
         .into_iter()
-        .take(places)
+        .take(replicas)
         .enumerate()
-        .filter_map(|(place, i)| Some((cost(cfg, &limits, place, &candidates[i])?, i)));
+        .filter_map(|(position, i)| Some((cost(cfg, &limits, position, &candidates[i])?, i)));
     costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, i)| i)
 }
 
 /// The loads at which a position accepts no more, in requests per slot.
-struct Limits {
+struct LoadLimits {
     /// For the first position.
     first: f64,
     /// For other positions where the object was handled recently.
-    known: f64,
+    recent: f64,
 }
 
 /// The cost of sending to a position of the order, in requests per slot; `None` if it accepts no
 /// more.
-fn cost(cfg: &Config, limits: &Limits, place: usize, candidate: &Candidate) -> Option<f64> {
-    let load = candidate.room()?;
-    if place == 0 {
+fn cost(cfg: &Config, limits: &LoadLimits, position: usize, candidate: &Candidate) -> Option<f64> {
+    let load = candidate.load_per_slot()?;
+    if position == 0 {
         return (load < limits.first).then_some(load);
     }
     if candidate.known {
-        return (load < limits.known).then_some(load + cfg.known);
+        return (load < limits.recent).then_some(load + cfg.recent_cost);
     }
-    if load >= cfg.spill {
+    if load >= cfg.max_cold_load {
         return None;
     }
-    match place < HELD {
-        true => Some(load + cfg.second),
-        false => (candidate.objects < cfg.few).then_some(load + cfg.further),
+    match position < HELD {
+        true => Some(load + cfg.second_cost),
+        false => (candidate.objects < cfg.max_objects).then_some(load + cfg.further_cost),
     }
 }
 
-/// The first [`PLACES`] candidates in an object's preference order, as indices.
-fn first(key: u64, candidates: &[Candidate]) -> Vec<usize> {
-    let mut order: Vec<(f64, usize)> = Vec::with_capacity(PLACES + 1);
+/// The first [`MAX_REPLICAS`] candidates in an object's preference order, as indices.
+fn preferred(key: u64, candidates: &[Candidate]) -> Vec<usize> {
+    let mut order: Vec<(f64, usize)> = Vec::with_capacity(MAX_REPLICAS + 1);
     for (i, candidate) in candidates.iter().enumerate() {
         let rank = rank(key, candidate.hash, candidate.slots);
         let at = order.partition_point(|(before, _)| *before >= rank);
-        if at < PLACES {
+        if at < MAX_REPLICAS {
             order.insert(at, (rank, i));
-            order.truncate(PLACES);
+            order.truncate(MAX_REPLICAS);
         }
     }
     order.into_iter().map(|(_, i)| i).collect()
 }
 
-fn least_loaded(tie: u64, most: f64, candidates: &[Candidate]) -> Option<usize> {
+fn least_loaded(tie: u64, max_load: f64, candidates: &[Candidate]) -> Option<usize> {
     let with_room = candidates.iter().enumerate().filter_map(|(i, c)| {
-        let load = c.room().filter(|load| *load < most)?;
+        let load = c.load_per_slot().filter(|load| *load < max_load)?;
         Some((load, -rank(tie, c.hash, c.slots), i))
     });
     let least = with_room.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1)))?;
--- a/src/decisions/cold.rs
+++ b/src/decisions/cold.rs
@@ -17,35 +17,35 @@
 /// that backend server; each further owner raises the excess rate when VMs disagree on the owners.
 pub const OWNERS: usize = 1;
 
-/// Whether the VM `own` is an owner. `vms` holds the hashes of the eligible VMs.
-pub fn owns(backend: u64, own: u64, vms: &[u64]) -> bool {
-    if !vms.contains(&own) {
+/// Whether the VM `this_vm` is an owner. `vms` holds the hashes of the eligible VMs.
+pub fn owns(backend: u64, this_vm: u64, vms: &[u64]) -> bool {
+    if !vms.contains(&this_vm) {
         return false;
     }
-    let mine = affinity::rank(backend, own, 1.0);
-    let ahead = vms
+    let own_score = affinity::rank(backend, this_vm, 1.0);
+    let higher_ranked = vms
         .iter()
-        .filter(|vm| **vm != own && affinity::rank(backend, **vm, 1.0) > mine)
+        .filter(|vm| **vm != this_vm && affinity::rank(backend, **vm, 1.0) > own_score)
         .count();
-    ahead < OWNERS
+    higher_ranked < OWNERS
 }
 
 /// The pacing of one VM's requests to one cold backend server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pace {
-    next: policy::Moment,
+    next_send: policy::Moment,
 }
 
 impl Pace {
     /// Whether a request may be sent now.
     pub fn ready(&self, now: policy::Moment) -> bool {
-        now >= self.next
+        now >= self.next_send
     }
 
     /// Records a sent request; the backend server sustains `rate` requests per second from all
     /// owners.
     pub fn sent(&mut self, now: policy::Moment, rate: f64) {
-        let own = (rate / OWNERS as f64).max(0.1);
-        self.next = now + time::Duration::from_secs_f64(1.0 / own);
+        let own_rate = (rate / OWNERS as f64).max(0.1);
+        self.next_send = now + time::Duration::from_secs_f64(1.0 / own_rate);
     }
 }
--- a/src/decisions/declines.rs
+++ b/src/decisions/declines.rs
@@ -10,26 +10,26 @@
 //! them only removes capacity, and the next one is as likely to answer as any other.
 
 /// The weight of one send in the moving average, which covers about the last twenty sends.
-const NEW: f64 = 0.05;
+const SAMPLE_WEIGHT: f64 = 0.05;
 
 /// The ratio of refusals despite room above which they are attributed to the service and not to
 /// single backend servers. A third: operators replace at most that many at once.
-const EVERYWHERE: f64 = 0.33;
+const SERVICE_WIDE_RATIO: f64 = 0.33;
 
 /// The ratio of a service's sends that are refused although there is room.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Declines {
-    part: f64,
+    ratio: f64,
 }
 
 impl Declines {
     /// Records a send that was answered, or refused despite room.
     pub fn sent(&mut self, declined: bool) {
-        self.part += (f64::from(u8::from(declined)) - self.part) * NEW;
+        self.ratio += (f64::from(u8::from(declined)) - self.ratio) * SAMPLE_WEIGHT;
     }
 
     /// Whether refusals despite room affect the service as a whole.
     pub fn are_everywhere(&self) -> bool {
-        self.part > EVERYWHERE
+        self.ratio > SERVICE_WIDE_RATIO
     }
 }
--- a/src/decisions/ejection.rs
+++ b/src/decisions/ejection.rs
@@ -29,13 +29,16 @@
     /// The number of answers that the failure ratio covers.
     pub window: f64,
     /// The maximum share of backend servers that may be ejected as outliers.
-    pub max_out: f64,
+    #[serde(rename = "max_out")]
+    pub max_ejected_share: f64,
     /// The first ejection time.
     #[serde(with = "range::seconds")]
-    pub first: time::Duration,
+    #[serde(rename = "first")]
+    pub min_ejection_time: time::Duration,
     /// The maximum ejection time.
     #[serde(with = "range::seconds")]
-    pub longest: time::Duration,
+    #[serde(rename = "longest")]
+    pub max_ejection_time: time::Duration,
     /// Answers in a row that end a trial.
     pub trial: u32,
 }
@@ -47,9 +50,9 @@
             broken_in_a_row: 2,
             share: 0.5,
             window: 20.0,
-            max_out: 0.5,
-            first: time::Duration::from_millis(500),
-            longest: time::Duration::from_secs(20),
+            max_ejected_share: 0.5,
+            min_ejection_time: time::Duration::from_millis(500),
+            max_ejection_time: time::Duration::from_secs(20),
             trial: 5,
         }
     }
@@ -63,9 +66,13 @@
         range::check("ejection.broken_in_a_row", broken, 1.0..=100.0)?;
         range::check("ejection.share", self.share, 0.05..=1.0)?;
         range::check("ejection.window", self.window, 2.0..=10_000.0)?;
-        range::check("ejection.max_out", self.max_out, 0.0..=0.9)?;
-        range::check("ejection.first", self.first.as_secs_f64(), 0.05..=60.0)?;
-        let longest = self.longest.as_secs_f64();
+        range::check("ejection.max_out", self.max_ejected_share, 0.0..=0.9)?;
+        range::check(
+            "ejection.first",
+            self.min_ejection_time.as_secs_f64(),
+            0.05..=60.0,
+        )?;
+        let longest = self.max_ejection_time.as_secs_f64();
         range::check("ejection.longest", longest, 0.05..=600.0)?;
         range::check("ejection.trial", f64::from(self.trial), 1.0..=1_000.0)
     }
@@ -91,22 +98,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Health {
     state: State,
-    failures: f64,
-    in_a_row: u32,
-    broken: u32,
-    good: u32,
-    times: u32,
+    failure_ratio: f64,
+    failures_in_a_row: u32,
+    breaks_in_a_row: u32,
+    answers_in_a_row: u32,
+    ejections: u32,
 }
 
 impl Default for Health {
     fn default() -> Self {
         Self {
             state: State::In,
-            failures: 0.0,
-            in_a_row: 0,
-            broken: 0,
-            good: 0,
-            times: 0,
+            failure_ratio: 0.0,
+            failures_in_a_row: 0,
+            breaks_in_a_row: 0,
+            answers_in_a_row: 0,
+            ejections: 0,
         }
     }
 }
@@ -119,29 +126,29 @@
 
     /// Records an answer. Returns whether it ended a trial.
     pub fn answered(&mut self, cfg: &Config) -> bool {
-        self.failures -= self.failures / cfg.window;
-        self.in_a_row = 0;
-        self.broken = 0;
-        self.good += 1;
-        if self.good >= cfg.window as u32 {
-            self.times = 0;
+        self.failure_ratio -= self.failure_ratio / cfg.window;
+        self.failures_in_a_row = 0;
+        self.breaks_in_a_row = 0;
+        self.answers_in_a_row += 1;
+        if self.answers_in_a_row >= cfg.window as u32 {
+            self.ejections = 0;
         }
-        if self.state != State::Trial || self.good < cfg.trial {
+        if self.state != State::Trial || self.answers_in_a_row < cfg.trial {
             return false;
         }
         self.state = State::In;
-        self.failures = 0.0;
+        self.failure_ratio = 0.0;
         true
     }
 
     /// Records a failed answer or a timeout. Returns whether the backend server should be ejected
     /// as an outlier.
     pub fn failed(&mut self, cfg: &Config) -> bool {
-        self.failures += (1.0 - self.failures) / cfg.window;
-        self.in_a_row += 1;
-        self.good = 0;
+        self.failure_ratio += (1.0 - self.failure_ratio) / cfg.window;
+        self.failures_in_a_row += 1;
+        self.answers_in_a_row = 0;
         match self.state {
-            State::In => self.in_a_row >= cfg.in_a_row || self.failures > cfg.share,
+            State::In => self.failures_in_a_row >= cfg.in_a_row || self.failure_ratio > cfg.share,
             State::Trial => true,
             State::Out { .. } => false,
         }
@@ -150,10 +157,10 @@
     /// Records a refused or broken connection. Returns whether the backend server should be
     /// ejected.
     pub fn broke(&mut self, cfg: &Config) -> bool {
-        self.broken += 1;
-        self.good = 0;
+        self.breaks_in_a_row += 1;
+        self.answers_in_a_row = 0;
         match self.state {
-            State::In => self.broken >= cfg.broken_in_a_row,
+            State::In => self.breaks_in_a_row >= cfg.broken_in_a_row,
             State::Trial => true,
             State::Out { .. } => false,
         }
@@ -161,11 +168,11 @@
 
     /// Ejects the backend server; `down` says that it refuses or breaks connections.
     pub fn eject(&mut self, cfg: &Config, now: policy::Moment, down: bool) {
-        let wait = cfg.first * 2_u32.saturating_pow(self.times.min(16));
-        let until = now + wait.min(cfg.longest);
+        let ejection_time = cfg.min_ejection_time * 2_u32.saturating_pow(self.ejections.min(16));
+        let until = now + ejection_time.min(cfg.max_ejection_time);
         // The ejection time does not grow while it is down: a longer wait gives no information.
-        self.times += u32::from(!down);
-        self.good = 0;
+        self.ejections += u32::from(!down);
+        self.answers_in_a_row = 0;
         self.state = State::Out { until, down };
     }
 
@@ -180,13 +187,13 @@
             return false;
         };
         if !answered {
-            let until = now + cfg.first;
+            let until = now + cfg.min_ejection_time;
             self.state = State::Out { until, down };
             return false;
         }
-        self.in_a_row = 0;
-        self.broken = 0;
-        self.good = 0;
+        self.failures_in_a_row = 0;
+        self.breaks_in_a_row = 0;
+        self.answers_in_a_row = 0;
         self.state = State::Trial;
         true
     }
@@ -195,7 +202,7 @@
 /// Whether one more of `members` may be ejected as an outlier, while `out` are ejected already for
 /// any cause.
 pub fn room(cfg: &Config, members: usize, out: usize) -> bool {
-    (out + 1) as f64 <= members as f64 * cfg.max_out
+    (out + 1) as f64 <= members as f64 * cfg.max_ejected_share
 }
 
 #[cfg(test)]
@@ -207,13 +214,13 @@
     /// Guards against a backend server that fails each request within half a millisecond (disk
     /// full).
     #[test]
-    fn failures_in_a_row_put_it_out() {
+    fn failures_in_a_row_eject() {
         let (mut health, cfg) = (Health::default(), Config::default());
         assert!(!health.failed(&cfg) && !health.failed(&cfg) && health.failed(&cfg));
     }
 
     #[test]
-    fn a_failure_now_and_then_does_not() {
+    fn occasional_failures_do_not_eject() {
         let (mut health, cfg) = (Health::default(), Config::default());
         for _ in 0..1_000 {
             assert!(!health.failed(&cfg));
@@ -223,18 +230,18 @@
     }
 
     #[test]
-    fn each_time_out_is_longer_until_it_is_sound_for_long() {
+    fn ejection_times_double() {
         let (mut health, cfg) = (Health::default(), Config::default());
-        let mut waits = Vec::new();
+        let mut ejection_times = Vec::new();
         for _ in 0..3 {
             health.eject(&cfg, NOW, false);
             let State::Out { until, .. } = health.state() else {
-                panic!("it is not out");
+                panic!("the backend server is not ejected");
             };
-            waits.push((until - NOW).as_millis());
+            ejection_times.push((until - NOW).as_millis());
             assert!(health.due(until) && health.probed(&cfg, until, true));
         }
-        assert_eq!(waits, [500, 1_000, 2_000]);
+        assert_eq!(ejection_times, [500, 1_000, 2_000]);
     }
 
     #[test]
@@ -247,7 +254,7 @@
     }
 
     #[test]
-    fn half_of_them_stay() {
+    fn at_most_half_are_ejected_as_outliers() {
         let cfg = Config::default();
         assert!(room(&cfg, 2, 0) && !room(&cfg, 2, 1) && !room(&cfg, 1, 0));
     }
--- a/src/decisions/hedge.rs
+++ b/src/decisions/hedge.rs
@@ -16,17 +16,19 @@
 pub struct Config {
     /// The minimum delay of a hedge as a multiple of the typical answer time. Service time varies
     /// by a sixth, and queueing adds two or three service times; beyond four, something is wrong.
-    pub usual: f64,
+    #[serde(rename = "usual")]
+    pub typical_multiple: f64,
     /// The minimum delay of a hedge as a multiple of the route's target latency. Work on a cold
     /// object takes 1.2 to 1.6 times the target.
-    pub aim: f64,
+    #[serde(rename = "aim")]
+    pub target_multiple: f64,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            usual: 4.0,
-            aim: 1.5,
+            typical_multiple: 4.0,
+            target_multiple: 1.5,
         }
     }
 }
@@ -34,12 +36,14 @@
 impl Config {
     /// Returns an error for the first threshold that is out of range.
     pub fn check(&self) -> Result<(), range::Error> {
-        range::check("hedge.usual", self.usual, 1.0..=1000.0)?;
-        range::check("hedge.aim", self.aim, 0.1..=1000.0)
+        range::check("hedge.usual", self.typical_multiple, 1.0..=1000.0)?;
+        range::check("hedge.aim", self.target_multiple, 0.1..=1000.0)
     }
 
     /// The delay before a read is hedged, given the typical answer time and the target latency.
-    pub fn after(&self, usual: time::Duration, aim: time::Duration) -> time::Duration {
-        usual.mul_f64(self.usual).max(aim.mul_f64(self.aim))
+    pub fn after(&self, typical: time::Duration, target: time::Duration) -> time::Duration {
+        typical
+            .mul_f64(self.typical_multiple)
+            .max(target.mul_f64(self.target_multiple))
     }
 }
--- a/src/decisions/limit.rs
+++ b/src/decisions/limit.rs
@@ -24,12 +24,15 @@
 #[serde(deny_unknown_fields)]
 pub struct Config {
     /// The amount by which one answer raises a lowered limit. Ten answers restore one slot.
-    pub step: f64,
+    #[serde(rename = "step")]
+    pub recovery_step: f64,
     /// The factor by which a shed lowers the limit.
-    pub shed: f64,
+    #[serde(rename = "shed")]
+    pub shed_factor: f64,
     /// The first backoff time after a shed: about one request's service time.
     #[serde(with = "range::seconds")]
-    pub rest: time::Duration,
+    #[serde(rename = "rest")]
+    pub min_backoff: time::Duration,
     /// Requests per slot that one of several VMs may have in flight.
     pub per_slot: f64,
     /// Requests per slot that a VM which alone serves its region may have in flight. With one per
@@ -37,18 +40,19 @@
     pub per_slot_alone: f64,
     /// The maximum backoff time.
     #[serde(with = "range::seconds")]
-    pub longest_rest: time::Duration,
+    #[serde(rename = "longest_rest")]
+    pub max_backoff: time::Duration,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            step: 0.1,
-            shed: 0.7,
+            recovery_step: 0.1,
+            shed_factor: 0.7,
             per_slot: 1.0,
             per_slot_alone: 2.0,
-            rest: time::Duration::from_millis(10),
-            longest_rest: time::Duration::from_secs(1),
+            min_backoff: time::Duration::from_millis(10),
+            max_backoff: time::Duration::from_secs(1),
         }
     }
 }
@@ -56,12 +60,12 @@
 impl Config {
     /// Returns an error for the first threshold that is out of range.
     pub fn check(&self) -> Result<(), range::Error> {
-        range::check("limit.step", self.step, 0.001..=1.0)?;
-        range::check("limit.shed", self.shed, 0.1..=1.0)?;
+        range::check("limit.step", self.recovery_step, 0.001..=1.0)?;
+        range::check("limit.shed", self.shed_factor, 0.1..=1.0)?;
         range::check("limit.per_slot", self.per_slot, 0.1..=10.0)?;
         range::check("limit.per_slot_alone", self.per_slot_alone, 0.1..=10.0)?;
-        range::check("limit.rest", self.rest.as_secs_f64(), 0.0..=1.0)?;
-        let longest = self.longest_rest.as_secs_f64();
+        range::check("limit.rest", self.min_backoff.as_secs_f64(), 0.0..=1.0)?;
+        let longest = self.max_backoff.as_secs_f64();
         range::check("limit.longest_rest", longest, 0.0..=60.0)
     }
 }
@@ -71,8 +75,8 @@
 pub struct Limit {
     value: f64,
     slots: f64,
-    sheds: u32,
-    until: policy::Moment,
+    consecutive_sheds: u32,
+    backoff_until: policy::Moment,
 }
 
 impl Limit {
@@ -82,14 +86,14 @@
         Self {
             value: slots,
             slots,
-            sheds: 0,
-            until: policy::Moment::ZERO,
+            consecutive_sheds: 0,
+            backoff_until: policy::Moment::ZERO,
         }
     }
 
     /// The current limit: from 1 to the number of slots, or 0 during a backoff.
     pub fn get(&self, now: policy::Moment) -> usize {
-        match now < self.until {
+        match now < self.backoff_until {
             true => 0,
             false => self.value.round() as usize,
         }
@@ -101,7 +105,7 @@
             true => cfg.per_slot_alone,
             false => cfg.per_slot,
         };
-        match now < self.until {
+        match now < self.backoff_until {
             true => 0,
             false => (self.value * per_slot).round().max(1.0) as usize,
         }
@@ -109,16 +113,16 @@
 
     /// Records an answer.
     pub fn answered(&mut self, cfg: &Config) {
-        self.sheds = 0;
-        self.set(self.value + cfg.step);
+        self.consecutive_sheds = 0;
+        self.set(self.value + cfg.recovery_step);
     }
 
     /// Records that the backend server shed a request.
     pub fn shed(&mut self, cfg: &Config, now: policy::Moment) {
-        self.set(self.value * cfg.shed);
-        let rest = cfg.rest * 2_u32.pow(self.sheds.min(16));
-        self.until = now + rest.min(cfg.longest_rest);
-        self.sheds += 1;
+        self.set(self.value * cfg.shed_factor);
+        let backoff = cfg.min_backoff * 2_u32.pow(self.consecutive_sheds.min(16));
+        self.backoff_until = now + backoff.min(cfg.max_backoff);
+        self.consecutive_sheds += 1;
     }
 
     fn set(&mut self, value: f64) {
@@ -133,10 +137,10 @@
     const NOW: policy::Moment = policy::Moment::from_secs(1);
 
     #[test]
-    fn it_sinks_when_the_backend_server_sheds_and_rises_after() {
+    fn the_limit_falls_on_sheds_and_rises_with_answers() {
         let (mut limit, cfg) = (Limit::new(4), Config::default());
         (0..10).for_each(|_| limit.shed(&cfg, NOW));
-        let later = NOW + cfg.longest_rest;
+        let later = NOW + cfg.max_backoff;
         assert_eq!(limit.get(later), 1);
         (0..100).for_each(|_| limit.answered(&cfg));
         assert_eq!(limit.get(later), 4);
@@ -145,25 +149,25 @@
     /// Two VMs send to one backend server with three slots. If each kept two requests per slot in
     /// flight, the last request would wait for three service times.
     #[test]
-    fn one_of_several_keeps_to_the_slots_and_one_alone_may_queue() {
+    fn only_a_vm_alone_in_its_region_exceeds_the_slots() {
         let (mut limit, cfg) = (Limit::new(3), Config::default());
         assert_eq!(limit.shared(&cfg, NOW, false), 3);
         assert_eq!(limit.shared(&cfg, NOW, true), 6);
         limit.shed(&cfg, NOW);
         assert_eq!(limit.shared(&cfg, NOW, true), 0);
-        assert_eq!(limit.shared(&cfg, NOW + cfg.rest, false), 2);
+        assert_eq!(limit.shared(&cfg, NOW + cfg.min_backoff, false), 2);
     }
 
     #[test]
-    fn a_refusal_takes_effect_at_once() {
+    fn a_shed_starts_a_growing_backoff_at_once() {
         let (mut limit, cfg) = (Limit::new(3), Config::default());
         limit.shed(&cfg, NOW);
         assert_eq!(limit.get(NOW), 0);
-        assert_eq!(limit.get(NOW + cfg.rest), 2);
+        assert_eq!(limit.get(NOW + cfg.min_backoff), 2);
         limit.shed(&cfg, NOW);
-        assert_eq!(limit.get(NOW + cfg.rest), 0);
+        assert_eq!(limit.get(NOW + cfg.min_backoff), 0);
         limit.answered(&cfg);
         limit.shed(&cfg, NOW);
-        assert_eq!(limit.get(NOW + cfg.rest), 1);
+        assert_eq!(limit.get(NOW + cfg.min_backoff), 1);
     }
 }
--- a/src/decisions/orders.rs
+++ b/src/decisions/orders.rs
@@ -5,9 +5,9 @@
 //! at 5,000; a VM with a tenth of a core then answers at most 400 requests per second. The symptom
 //! is processor time per request that grows with the fleet.
 //!
-//! So the first [`DEPTH`] positions of each recently requested object are cached. An added backend
-//! server is ranked once per cached order, a removed one is deleted from them, and nothing else
-//! is recomputed: a placement costs the same with 12 backend servers as with 5,000.
+//! So the first [`ORDER_DEPTH`] positions of each recently requested object are cached. An added
+//! backend server is ranked once per cached order, a removed one is deleted from them, and nothing
+//! else is recomputed: a placement costs the same with 12 backend servers as with 5,000.
 
 use std::collections;
 
@@ -17,15 +17,15 @@
 /// or tried already, and two must remain. With a third of them unusable, in a drained availability
 /// zone of three, fewer remain for 3 objects of 1,000; requests for these rank all backend
 /// servers.
-pub const DEPTH: usize = 8;
+pub const ORDER_DEPTH: usize = 8;
 
 /// Orders shorter than this are recomputed: with too few positions left, every request for the
 /// object would rank all backend servers.
-const LEAST: usize = 4;
+const MIN_ORDER_DEPTH: usize = 4;
 
 /// The maximum number of cached orders, about 1 MB. Beyond it all are dropped and recomputed on
 /// request.
-const MOST: usize = 4096;
+const MAX_ORDERS: usize = 4096;
 
 /// One position of an order.
 #[derive(Clone, Debug)]
@@ -64,8 +64,8 @@
         for (key, order) in &mut self.by_key {
             let rank = affinity::rank(*key, hash, weight);
             // In an order that has lost backend servers, the next position is unknown.
-            let whole = order.len() == all;
-            if whole || order.last().is_some_and(|last| rank > last.rank) {
+            let complete = order.len() == all;
+            if complete || order.last().is_some_and(|last| rank > last.rank) {
                 insert(order, rank, name);
             }
         }
@@ -85,7 +85,7 @@
         let all = self.members.len();
         self.by_key.retain(|_, order| {
             order.retain(|ranked| ranked.name != *name);
-            order.len() >= LEAST.min(all)
+            order.len() >= MIN_ORDER_DEPTH.min(all)
         });
     }
 
@@ -99,10 +99,10 @@
         self.members.is_empty()
     }
 
-    /// The first positions of an object's order, highest rank first: [`DEPTH`] of them, somewhat
-    /// fewer after removals, or all backend servers if there are fewer.
+    /// The first positions of an object's order, highest rank first: [`ORDER_DEPTH`] of them,
+    /// somewhat fewer after removals, or all backend servers if there are fewer.
     pub fn first(&mut self, key: u64) -> impl Iterator<Item = &T> {
-        if self.by_key.len() >= MOST && !self.by_key.contains_key(&key) {
+        if self.by_key.len() >= MAX_ORDERS && !self.by_key.contains_key(&key) {
             self.by_key.clear();
         }
         let members = &self.members;
@@ -113,16 +113,16 @@
     /// A pseudo-random sample of `count` backend servers, drawn by `tie`; all if there are no more.
     pub fn some(&self, tie: u64, count: usize) -> impl Iterator<Item = &T> {
         let all = self.members.len();
-        let drawn = move |n: usize| match all <= count {
+        let index_of = move |n: usize| match all <= count {
             true => n,
             false => (affinity::mix(tie, n as u64) % all as u64) as usize,
         };
-        (0..count.min(all)).map(move |n| &self.members[drawn(n)].name)
+        (0..count.min(all)).map(move |n| &self.members[index_of(n)].name)
     }
 }
 
 fn rank<T: Clone>(key: u64, members: &[Member<T>]) -> Vec<Ranked<T>> {
-    let mut order = Vec::with_capacity(DEPTH + 1);
+    let mut order = Vec::with_capacity(ORDER_DEPTH + 1);
     for member in members {
         let rank = affinity::rank(key, member.hash, member.weight);
         insert(&mut order, rank, &member.name);
@@ -133,11 +133,11 @@
 /// Inserts a backend server at its position. One that ranks behind all of a full order is dropped:
 /// uncached backend servers rank behind that order too.
 fn insert<T: Clone>(order: &mut Vec<Ranked<T>>, rank: f64, name: &T) {
-    if order.len() >= DEPTH && order.last().is_some_and(|last| last.rank >= rank) {
+    if order.len() >= ORDER_DEPTH && order.last().is_some_and(|last| last.rank >= rank) {
         return;
     }
     let at = order.partition_point(|ranked| ranked.rank >= rank);
     let name = name.clone();
     order.insert(at, Ranked { rank, name });
-    order.truncate(DEPTH);
+    order.truncate(ORDER_DEPTH);
 }
--- a/src/decisions/regions.rs
+++ b/src/decisions/regions.rs
@@ -9,7 +9,7 @@
 //! So a steady share goes elsewhere. It starts at a value computed from the slots alone, the same
 //! on every VM without messages, and follows the load slowly. Whole objects move and not single
 //! requests: those whose hash is below the share. All services of a region together move at most
-//! [`Config::step`] of its requests in each step, so that no shift exceeds the operators' cap.
+//! [`Config::max_step`] of its requests in each step, so that no shift exceeds the operators' cap.
 
 use std::time;
 
@@ -22,15 +22,19 @@
     /// The ratio of a region's share of the slots to its share of the callers below which part of
     /// its requests goes elsewhere from the start. At a ratio of 1 the region is full in every
     /// wave of callers; with a value much above that, objects cross regions needlessly.
-    pub spare: f64,
+    #[serde(rename = "spare")]
+    pub slot_surplus: f64,
     /// The load per slot above which the share grows: one request waits for each that runs. Moved
     /// objects arrive at cold caches, so a short queue must not move any.
-    pub high: f64,
+    #[serde(rename = "high")]
+    pub high_load: f64,
     /// The load per slot below which the share shrinks.
-    pub low: f64,
+    #[serde(rename = "low")]
+    pub low_load: f64,
     /// The maximum share of the region's requests that may move in one step, over all services: no
     /// more objects than the receiving backend servers can warm.
-    pub step: f64,
+    #[serde(rename = "step")]
+    pub max_step: f64,
     /// The interval between steps.
     #[serde(with = "range::seconds")]
     pub every: time::Duration,
@@ -39,10 +43,10 @@
 impl Default for Config {
     fn default() -> Self {
         Self {
-            spare: 1.1,
-            high: 2.0,
-            low: 0.45,
-            step: 0.005,
+            slot_surplus: 1.1,
+            high_load: 2.0,
+            low_load: 0.45,
+            max_step: 0.005,
             every: time::Duration::from_millis(500),
         }
     }
@@ -51,10 +55,10 @@
 impl Config {
     /// Returns an error for the first threshold that is out of range.
     pub fn check(&self) -> Result<(), range::Error> {
-        range::check("regions.spare", self.spare, 0.1..=2.0)?;
-        range::check("regions.high", self.high, 0.1..=5.0)?;
-        range::check("regions.low", self.low, 0.0..=5.0)?;
-        range::check("regions.step", self.step, 0.0..=1.0)
+        range::check("regions.spare", self.slot_surplus, 0.1..=2.0)?;
+        range::check("regions.high", self.high_load, 0.1..=5.0)?;
+        range::check("regions.low", self.low_load, 0.0..=5.0)?;
+        range::check("regions.step", self.max_step, 0.0..=1.0)
     }
 }
 
@@ -95,7 +99,7 @@
         if self.own_slots <= 0.0 {
             return 1.0;
         }
-        let room = self.own_slots / self.all_slots.max(1.0) / cfg.spare - self.homed_here;
+        let room = self.own_slots / self.all_slots.max(1.0) / cfg.slot_surplus - self.homed_here;
         let movable = self.callers.max(0.01) * (1.0 - self.homed).max(0.01);
         (1.0 - room / movable).clamp(0.0, 1.0)
     }
@@ -105,15 +109,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Share {
     /// The current share; `None` before the first step.
-    now: Option<f64>,
+    current: Option<f64>,
     /// The part added because of load.
-    added: f64,
+    load_adjustment: f64,
 }
 
 impl Share {
     /// The current share, from 0 to 1.
     pub fn get(&self) -> f64 {
-        self.now.unwrap_or(0.0)
+        self.current.unwrap_or(0.0)
     }
 
     /// Whether requests for an object go elsewhere.
@@ -127,19 +131,19 @@
     /// requests. Returns the amount moved.
     pub fn step(&mut self, cfg: &Config, view: &View, allowed: f64) -> f64 {
         /// The maximum change per step because of load: from 0 to 1 in ten seconds.
-        const ADD: f64 = 0.05;
-        if view.load > cfg.high {
-            self.added = (self.added + ADD).min(1.0);
-        } else if view.load < cfg.low {
-            self.added = (self.added - ADD / 4.0).max(0.0);
+        const LOAD_ADJUSTMENT_STEP: f64 = 0.05;
+        if view.load > cfg.high_load {
+            self.load_adjustment = (self.load_adjustment + LOAD_ADJUSTMENT_STEP).min(1.0);
+        } else if view.load < cfg.low_load {
+            self.load_adjustment = (self.load_adjustment - LOAD_ADJUSTMENT_STEP / 4.0).max(0.0);
         }
-        let wanted = (view.by_slots(cfg) + self.added).min(1.0);
-        let Some(now) = self.now else {
-            self.now = Some(wanted);
+        let target = (view.by_slots(cfg) + self.load_adjustment).min(1.0);
+        let Some(current) = self.current else {
+            self.current = Some(target);
             return 0.0;
         };
-        let change = (wanted - now).clamp(-allowed, allowed);
-        self.now = Some(now + change);
+        let change = (target - current).clamp(-allowed, allowed);
+        self.current = Some(current + change);
         change.abs()
     }
 }
@@ -147,10 +151,10 @@
 /// Moves the shares of all services by one step. The cap covers them together: each service may
 /// move up to what the preceding ones left of it, relative to its own traffic.
 pub fn step(cfg: &Config, views: &[View], shares: &mut [Share]) {
-    let mut left = cfg.step;
+    let mut remaining = cfg.max_step;
     for (view, share) in views.iter().zip(shares) {
         let traffic = view.traffic.max(0.01);
-        let moved = share.step(cfg, view, left / traffic);
-        left = (left - moved * traffic).max(0.0);
+        let moved = share.step(cfg, view, remaining / traffic);
+        remaining = (remaining - moved * traffic).max(0.0);
     }
 }
--- a/src/decisions/split.rs
+++ b/src/decisions/split.rs
@@ -12,13 +12,13 @@
 
 /// The excess of a part's share over its weight above which other parts get its requests. About
 /// half of a tenth, the deviation that operators notice.
-const MARGIN: f64 = 0.04;
+const MAX_SHARE_EXCESS: f64 = 0.04;
 
 /// The factor applied to counts with each request: shares cover about the last 400 requests.
-const KEEP: f64 = 1.0 - 1.0 / 400.0;
+const COUNT_DECAY: f64 = 1.0 - 1.0 / 400.0;
 
 /// Requests before shares are corrected; below this, single requests distort the shares.
-const FIRST: f64 = 20.0;
+const MIN_REQUESTS: f64 = 20.0;
 
 /// The decaying request counts of one route's parts.
 #[derive(Clone, Debug, Default)]
@@ -33,27 +33,27 @@
             self.counts = vec![0.0; weights.len()];
         }
         let sum: f64 = weights.iter().sum::<f64>().max(f64::MIN_POSITIVE);
-        let wanted = part_at(weights, affinity::unit(point) * sum);
-        let chosen = self.correct(weights, sum, wanted);
-        self.counts.iter_mut().for_each(|n| *n *= KEEP);
+        let preferred = part_at(weights, affinity::unit(point) * sum);
+        let chosen = self.corrected(weights, sum, preferred);
+        self.counts.iter_mut().for_each(|n| *n *= COUNT_DECAY);
         if let Some(n) = self.counts.get_mut(chosen) {
             *n += 1.0;
         }
         chosen
     }
 
-    fn correct(&self, weights: &[f64], sum: f64, wanted: usize) -> usize {
+    fn corrected(&self, weights: &[f64], sum: f64, preferred: usize) -> usize {
         let total: f64 = self.counts.iter().sum();
-        if total < FIRST {
-            return wanted;
+        if total < MIN_REQUESTS {
+            return preferred;
         }
-        let over = |i: usize| self.counts[i] / total - weights[i] / sum;
-        if over(wanted) <= MARGIN {
-            return wanted;
+        let excess = |i: usize| self.counts[i] / total - weights[i] / sum;
+        if excess(preferred) <= MAX_SHARE_EXCESS {
+            return preferred;
         }
         (0..weights.len())
-            .min_by(|a, b| over(*a).total_cmp(&over(*b)))
-            .unwrap_or(wanted)
+            .min_by(|a, b| excess(*a).total_cmp(&excess(*b)))
+            .unwrap_or(preferred)
     }
 }
 
--- a/src/decisions/warming.rs
+++ b/src/decisions/warming.rs
@@ -24,16 +24,18 @@
 pub struct Config {
     /// The share of a backend server's slots that may work on objects that are new there; at least
     /// one slot.
-    pub part: f64,
+    #[serde(rename = "part")]
+    pub max_new_share: f64,
     /// The ratio of late answers for new objects up to which these count as warm.
-    pub late: f64,
+    #[serde(rename = "late")]
+    pub max_late_ratio: f64,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            part: 0.67,
-            late: 0.3,
+            max_new_share: 0.67,
+            max_late_ratio: 0.3,
         }
     }
 }
@@ -41,8 +43,8 @@
 impl Config {
     /// Returns an error for the first threshold that is out of range.
     pub fn check(&self) -> Result<(), range::Error> {
-        range::check("warming.part", self.part, 0.0..=100.0)?;
-        range::check("warming.late", self.late, 0.0..=1.0)
+        range::check("warming.part", self.max_new_share, 0.0..=100.0)?;
+        range::check("warming.late", self.max_late_ratio, 0.0..=1.0)
     }
 }
 
@@ -60,65 +62,67 @@
     /// Records whether an answer for a new object was late.
     pub fn answered(&mut self, late: bool) {
         /// The weight of one answer: six in time show that caches are warm.
-        const NEW: f64 = 0.2;
-        self.0 += (f64::from(u8::from(late)) - self.0) * NEW;
+        const ANSWER_WEIGHT: f64 = 0.2;
+        self.0 += (f64::from(u8::from(late)) - self.0) * ANSWER_WEIGHT;
     }
 
     /// Whether objects that are new to this VM count as cold.
     pub fn are_cold(&self, cfg: &Config) -> bool {
-        self.0 > cfg.late
+        self.0 > cfg.max_late_ratio
     }
 }
 
 /// The objects that this VM has sent to one backend server.
 #[derive(Clone, Debug, Default)]
 pub struct Warming {
-    sent: collections::HashMap<u64, policy::Moment>,
+    last_sent: collections::HashMap<u64, policy::Moment>,
     /// When expired objects were last removed.
-    swept: policy::Moment,
+    last_sweep: policy::Moment,
     /// In-flight requests whose objects were new.
-    new: u32,
+    new_in_flight: u32,
 }
 
 impl Warming {
     /// The maximum number of remembered objects. Backend servers cache a few dozen.
-    const MOST: usize = 512;
+    const MAX_OBJECTS: usize = 512;
 
     /// How long an object is remembered after its last request.
-    const KEPT: time::Duration = time::Duration::from_secs(60);
+    const RETENTION: time::Duration = time::Duration::from_secs(60);
 
     /// Whether a backend server with `slots` may get a request for the object `key` now.
     pub fn takes(&self, cfg: &Config, slots: f64, key: u64) -> bool {
-        let most = (slots * cfg.part).round().max(1.0);
-        self.sent.contains_key(&key) || f64::from(self.new) < most
+        let max_new = (slots * cfg.max_new_share).round().max(1.0);
+        self.last_sent.contains_key(&key) || f64::from(self.new_in_flight) < max_new
     }
 
     /// Whether the object was sent there within the retention time.
     pub fn has(&self, now: policy::Moment, key: u64) -> bool {
-        self.sent.get(&key).is_some_and(|at| now < *at + Self::KEPT)
+        self.last_sent
+            .get(&key)
+            .is_some_and(|at| now < *at + Self::RETENTION)
     }
 
     /// The number of objects remembered for this backend server.
     pub fn objects(&self) -> usize {
-        self.sent.len()
+        self.last_sent.len()
     }
 
     /// Records a sent request. Returns whether its object is new there.
     pub fn begun(&mut self, now: policy::Moment, key: u64) -> bool {
-        if now >= self.swept + Self::KEPT || self.sent.len() >= Self::MOST {
-            self.sent.retain(|_, at| now < *at + Self::KEPT);
-            self.swept = now;
+        if now >= self.last_sweep + Self::RETENTION || self.last_sent.len() >= Self::MAX_OBJECTS {
+            self.last_sent.retain(|_, at| now < *at + Self::RETENTION);
+            self.last_sweep = now;
         }
-        if self.sent.len() >= Self::MOST {
-            self.sent.clear();
+        if self.last_sent.len() >= Self::MAX_OBJECTS {
+            self.last_sent.clear();
         }
-        let new = self.sent.insert(key, now).is_none();
-        self.new += u32::from(new);
+        let new = self.last_sent.insert(key, now).is_none();
+        self.new_in_flight += u32::from(new);
         new
     }
 
     /// Records the end of a request whose object was new there.
     pub fn ended(&mut self) {
-        self.new = self.new.saturating_sub(1);
+        self.new_in_flight = self.new_in_flight.saturating_sub(1);
     }
 }
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -115,8 +115,8 @@
 /// At most two replicas, and the second only when the first is full.
 fn two_places() -> affinity::Config {
     affinity::Config {
-        few: 0,
-        known: 2.0,
+        max_objects: 0,
+        recent_cost: 2.0,
         ..affinity::Config::default()
     }
 }
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -387,7 +387,7 @@
     };
     for view in [homed, view(6.0, 0.5, 1.0)] {
         assert!(
-            (load(&view) - 1.0 / cfg.spare).abs() < 1e-9,
+            (load(&view) - 1.0 / cfg.slot_surplus).abs() < 1e-9,
             "{}",
             load(&view)
         );
@@ -601,7 +601,7 @@
 fn what_is_warm_gets_through_while_the_rest_is_warmed() {
     let held = play_first_seconds(&warming::Config::default());
     let free = play_first_seconds(&warming::Config {
-        part: 100.0,
+        max_new_share: 100.0,
         ..warming::Config::default()
     });
     assert!(held > free + 0.05, "{held} {free}");
