--- a/tests/declines.rs
+++ b/tests/declines.rs
@@ -13,7 +13,7 @@
 
 /// The share of requests answered in ten seconds while the first `faulty` backend servers refuse a
 /// share `part` of their requests. Each request may try two backend servers.
-fn answered(faulty: usize, part: f64, told_apart: bool) -> f64 {
+fn answered(faulty: usize, part: f64, detected: bool) -> f64 {
     let cfg = limit::Config::default();
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(5);
     let mut limits = vec![limit::Limit::new(SLOTS); BACKENDS];
@@ -37,7 +37,7 @@
                 served += 1;
                 break;
             }
-            if !told_apart || !service.are_everywhere() {
+            if !detected || !service.are_everywhere() {
                 limits[at].shed(&cfg, now);
             }
         }
@@ -48,20 +48,20 @@
 /// A fault behind a service makes all its backend servers refuse half of their requests, with most
 /// slots free. Counted as overload, callers would be refused for lack of room that exists.
 #[test]
-fn a_service_that_refuses_with_room_is_not_taken_for_a_full_one() {
-    let (rested, told_apart) = (
+fn service_wide_refusals_do_not_count_as_overload() {
+    let (undetected, detected) = (
         answered(BACKENDS, 0.55, false),
         answered(BACKENDS, 0.55, true),
     );
     // Each of two sends is answered with probability 0.45.
     let best = 1.0 - 0.55 * 0.55;
-    assert!(told_apart > best - 0.05, "{told_apart} of {best}");
-    assert!(rested < told_apart, "{rested}");
+    assert!(detected > best - 0.05, "{detected} of {best}");
+    assert!(undetected < detected, "{undetected}");
 }
 
 /// One of many backend servers refuses nearly all requests. It backs off, since the others answer.
 #[test]
-fn a_single_one_that_refuses_with_room_rests() {
+fn a_single_refusing_backend_server_backs_off() {
     let mut service = declines::Declines::default();
     for n in 0..1000 {
         service.sent(n % BACKENDS == 0);
@@ -72,7 +72,7 @@
 
 /// After the fault ends, refusals must soon count as overload again.
 #[test]
-fn it_is_over_after_some_answers() {
+fn service_wide_refusals_end_after_some_answers() {
     let mut service = declines::Declines::default();
     (0..100).for_each(|_| service.sent(true));
     assert!(service.are_everywhere());
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -15,7 +15,7 @@
 }
 
 /// An object's complete order, computed without the cache.
-fn whole(key: u64, members: &[u32]) -> Vec<u32> {
+fn complete_order(key: u64, members: &[u32]) -> Vec<u32> {
     let mut order = members.to_vec();
     let rank = |n: &u32| affinity::rank(key, hash(*n), weight(*n));
     order.sort_by(|a, b| rank(b).total_cmp(&rank(a)));
@@ -26,41 +26,45 @@
 /// recomputed one, VMs that started at different times would send an object to different backend
 /// servers, and callers would reach cold caches.
 #[test]
-fn an_order_that_is_kept_is_the_one_worked_out_anew() {
+fn a_cached_order_equals_a_recomputed_one() {
     let mut rng = ChaCha8Rng::seed_from_u64(31);
     for round in 0..20_u32 {
-        let mut kept = orders::Orders::default();
+        let mut cached = orders::Orders::default();
         let mut members: Vec<u32> = Vec::new();
         for step in 0..400_u32 {
             let comes = members.len() < 3 || rng.random_range(0..100) < 51;
             if comes {
                 let n = round * 1000 + step;
-                kept.add(&n, hash(n), weight(n));
+                cached.add(&n, hash(n), weight(n));
                 members.push(n);
             } else {
                 let gone = members.swap_remove(rng.random_range(0..members.len()));
-                kept.remove(&gone);
+                cached.remove(&gone);
             }
             let key = hash(rng.random_range(0..12));
-            let first: Vec<u32> = kept.first(key).copied().collect();
+            let first: Vec<u32> = cached.first(key).copied().collect();
             assert!(first.len() >= members.len().min(4), "step {step}");
-            assert_eq!(first, whole(key, &members)[..first.len()], "step {step}");
+            assert_eq!(
+                first,
+                complete_order(key, &members)[..first.len()],
+                "step {step}"
+            );
         }
     }
 }
 
 #[test]
-fn some_are_drawn_from_all() {
-    let mut kept = orders::Orders::default();
-    (0..50_u32).for_each(|n| kept.add(&n, hash(n), 1.0));
+fn samples_cover_all_backend_servers() {
+    let mut cached = orders::Orders::default();
+    (0..50_u32).for_each(|n| cached.add(&n, hash(n), 1.0));
     let mut seen = std::collections::BTreeSet::new();
     for tie in 0..200 {
-        let drawn: Vec<u32> = kept.some(tie, 16).copied().collect();
+        let drawn: Vec<u32> = cached.some(tie, 16).copied().collect();
         assert_eq!(drawn.len(), 16);
         seen.extend(drawn);
     }
     assert_eq!(seen.len(), 50);
-    let all: Vec<u32> = kept.some(7, 64).copied().collect();
+    let all: Vec<u32> = cached.some(7, 64).copied().collect();
     assert_eq!(all.len(), 50);
 }
 
@@ -79,35 +83,35 @@
 /// An operator gives a backend server more slots while it has requests. Its rank must follow, and
 /// its in-flight count must stay: if reset, the VM would send more requests than it accepts.
 #[test]
-fn a_backend_server_with_other_slots_is_ranked_anew_and_keeps_what_is_known() {
+fn changed_slots_change_the_rank_and_keep_the_state() {
     let name = |n: u32| id::VmId::from(format!("backend-{n}").as_str());
     let mut all = backends::Backends::new(Some("region".into()));
     for n in 0..20 {
         all.put(&name(n), listed(3), Some("region".into()));
     }
     let service = "archive".into();
-    let firsts = |all: &mut backends::Backends| {
+    let count_first = |all: &mut backends::Backends| {
         let first = |key| all.first(&service, backends::Side::Near, hash(key))[0].clone();
         (0..300)
             .map(first)
             .filter(|first| *first == name(7))
             .count()
     };
-    let before = firsts(&mut all);
+    let before = count_first(&mut all);
     all.get_mut(&name(7)).unwrap().in_flight = 2;
     assert!(!all.put(&name(7), listed(30), Some("region".into())));
     assert_eq!(all.get(&name(7)).unwrap().in_flight, 2);
-    let after = firsts(&mut all);
+    let after = count_first(&mut all);
     assert!(after > before * 3, "{before} {after}");
     all.put(&name(7), listed(30), Some("other".into()));
-    assert_eq!(firsts(&mut all), 0);
+    assert_eq!(count_first(&mut all), 0);
     assert_eq!(all.first(&service, backends::Side::Far, 1), [name(7)]);
 }
 
 /// A request may run in only one of two other regions. Its object needs an order for that region
 /// alone: in a common order, nearly all first positions would be in the other region.
 #[test]
-fn each_other_region_has_an_order_of_its_own() {
+fn each_other_region_has_its_own_order() {
     let mut all = backends::Backends::new(Some("own".into()));
     let service = id::ServiceId::from("archive");
     let name = |n: usize| id::VmId::from(format!("backend-{n}").as_str());
@@ -129,9 +133,9 @@
     all.put(&name(5), listed(6), Some(small.clone()));
     assert_eq!(all.count_on(&service, backends::Side::In(&small)), 19);
     assert_eq!(all.count_on(&service, backends::Side::Far), 59);
-    let nowhere = id::RegionId::from("nowhere");
+    let unknown = id::RegionId::from("nowhere");
     assert!(
-        all.first(&service, backends::Side::In(&nowhere), 1)
+        all.first(&service, backends::Side::In(&unknown), 1)
             .is_empty()
     );
 }
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -11,7 +11,7 @@
 const CACHE: usize = 8;
 const COLD_S: f64 = 2.3;
 const WARM_S: f64 = 0.576;
-const AIM_S: f64 = 1.2;
+const TARGET_S: f64 = 1.2;
 const OBJECTS: usize = 40;
 /// The in-flight limit of one VM at a backend server.
 const LIMIT: usize = 3;
@@ -49,8 +49,8 @@
 
 /// The results of a run.
 #[derive(Debug, Default)]
-struct Got {
-    asked: f64,
+struct Results {
+    requests: f64,
     in_time: f64,
     refused: f64,
     /// Backend servers that never got a request.
@@ -59,13 +59,13 @@
 
 /// Plays a region for 30 s at three tenths of its warm capacity. From 12 to 15 s the load is 1.7
 /// times as high, and after 20 s a third of the backend servers is gone.
-fn play(cfg: &affinity::Config, n: usize) -> Got {
+fn play(cfg: &affinity::Config, n: usize) -> Results {
     let per_s = 0.3 * (n * SLOTS) as f64 / WARM_S;
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     let mut backends = vec![Backend::default(); n];
     let hashes: Vec<u64> = (0..n).map(|i| affinity::hash(&i.to_le_bytes())).collect();
     let mut known = vec![vec![warming::Warming::default(); n]; 2];
-    let mut got = Got::default();
+    let mut results = Results::default();
     let mut now = 0.0;
     while now < 30.0 {
         let burst = (12.0..15.0).contains(&now);
@@ -98,22 +98,22 @@
             behind: false,
             among: n,
         };
-        got.asked += 1.0;
+        results.requests += 1.0;
         let Some(at) = affinity::pick(cfg, &want, &candidates) else {
-            got.refused += 1.0;
+            results.refused += 1.0;
             continue;
         };
         let chosen = alive[at];
         known[vm][chosen].begun(moment, key);
         let end = backends[chosen].run(now, vm, object);
-        got.in_time += f64::from(u8::from(end - now <= AIM_S));
+        results.in_time += f64::from(u8::from(end - now <= TARGET_S));
     }
-    got.idle = backends.iter().filter(|b| !b.used).count();
-    got
+    results.idle = backends.iter().filter(|b| !b.used).count();
+    results
 }
 
 /// At most two replicas, and the second only when the first is full.
-fn two_places() -> affinity::Config {
+fn two_replicas() -> affinity::Config {
     affinity::Config {
         max_objects: 0,
         recent_cost: 2.0,
@@ -125,15 +125,15 @@
 /// servers of a large fleet get none. With two replicas, callers are refused and retry late
 /// although two thirds of the slots are free.
 #[test]
-fn an_object_that_is_asked_for_much_gets_further_places_where_caches_have_room() {
+fn a_busy_object_gets_further_replicas_where_caches_have_room() {
     for n in [96, 258] {
         let (before, now) = (
-            play(&two_places(), n),
+            play(&two_replicas(), n),
             play(&affinity::Config::default(), n),
         );
         println!("{n}: {before:?} {now:?}");
-        let refused = |got: &Got| got.refused / got.asked;
-        let in_time = |got: &Got| got.in_time / got.asked;
+        let refused = |results: &Results| results.refused / results.requests;
+        let in_time = |results: &Results| results.in_time / results.requests;
         assert!(refused(&now) < refused(&before) / 2.0, "{n}");
         assert!(in_time(&now) > 0.9, "{n}");
         assert!(now.idle < before.idle, "{n}");
@@ -143,11 +143,11 @@
 /// Twelve backend servers handle forty objects, so their caches are nearly full. A third replica of
 /// one object would evict another.
 #[test]
-fn where_caches_are_full_objects_keep_to_two_places() {
+fn objects_keep_to_two_replicas_where_caches_are_full() {
     let (before, now) = (
-        play(&two_places(), 12),
+        play(&two_replicas(), 12),
         play(&affinity::Config::default(), 12),
     );
     println!("12: {before:?} {now:?}");
-    assert!(now.in_time / now.asked > before.in_time / before.asked - 0.01);
+    assert!(now.in_time / now.requests > before.in_time / before.requests - 0.01);
 }
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -23,7 +23,7 @@
             load: 0.0,
             full: false,
             known: false,
-            objects: Fleet::KEPT,
+            objects: Fleet::CACHED_OBJECTS,
         })
         .collect()
 }
@@ -48,10 +48,10 @@
 
 impl Fleet {
     const SLOTS: usize = 3;
-    const KEPT: usize = 25;
+    const CACHED_OBJECTS: usize = 25;
     const COLD_MS: f64 = 640.0;
     const WARM_MS: f64 = 192.0;
-    const AIM_MS: f64 = 400.0;
+    const TARGET_MS: f64 = 400.0;
 
     fn new(n: usize) -> Self {
         Self {
@@ -62,7 +62,7 @@
     }
 
     /// The candidates with their load at the time `now`.
-    fn look(&mut self, now: f64) -> &[affinity::Candidate] {
+    fn candidates_at(&mut self, now: f64) -> &[affinity::Candidate] {
         for (backend, ends) in self.backends.iter_mut().zip(&mut self.ends) {
             ends.retain(|end| *end > now);
             backend.load = ends.len() as f64;
@@ -75,7 +75,7 @@
         let warm = self.caches[i].contains(&object);
         self.caches[i].retain(|o| *o != object);
         self.caches[i].push(object);
-        if self.caches[i].len() > Self::KEPT {
+        if self.caches[i].len() > Self::CACHED_OBJECTS {
             self.caches[i].remove(0);
         }
         let mut busy = self.ends[i].clone();
@@ -86,7 +86,7 @@
         };
         let end = begin + if warm { Self::WARM_MS } else { Self::COLD_MS };
         self.ends[i].push(end);
-        end - now <= Self::AIM_MS
+        end - now <= Self::TARGET_MS
     }
 }
 
@@ -109,7 +109,7 @@
             among: 12,
         };
         sent += 1.0;
-        if let Some(i) = affinity::pick(&cfg, &want, fleet.look(now))
+        if let Some(i) = affinity::pick(&cfg, &want, fleet.candidates_at(now))
             && fleet.run(now, i, object)
         {
             in_time += 1.0;
@@ -120,7 +120,7 @@
 
 /// Placement without the limit of two positions: any position of an object's order may be used,
 /// and each further one costs one more request per slot.
-fn wander(key: u64, candidates: &[affinity::Candidate]) -> Option<usize> {
+fn place_anywhere(key: u64, candidates: &[affinity::Candidate]) -> Option<usize> {
     let mut order: Vec<usize> = (0..candidates.len()).collect();
     let rank = |i: &usize| affinity::rank(key, candidates[*i].hash, candidates[*i].slots);
     order.sort_by(|a, b| rank(b).total_cmp(&rank(a)));
@@ -135,7 +135,7 @@
 
 /// Starts with cold caches and twice the usual load for four seconds, then the usual load. Returns
 /// the share of requests in time during the twelve seconds after the surge.
-fn play_thaw(pick: impl Fn(u64, &[affinity::Candidate]) -> Option<usize>) -> f64 {
+fn play_after_surge(pick: impl Fn(u64, &[affinity::Candidate]) -> Option<usize>) -> f64 {
     const OBJECTS: u64 = 110;
     const PER_S: f64 = 64.0;
     let mut rng = ChaCha8Rng::seed_from_u64(8);
@@ -146,7 +146,7 @@
         now += 1000.0 / PER_S / if surge { 2.0 } else { 1.0 };
         let object = rng.random_range(0..OBJECTS);
         let key = affinity::hash(&object.to_le_bytes());
-        let chosen = pick(key, fleet.look(now));
+        let chosen = pick(key, fleet.candidates_at(now));
         let good = chosen.is_some_and(|i| fleet.run(now, i, object));
         if !surge {
             sent += 1.0;
@@ -159,17 +159,17 @@
 /// Two availability zones of six are lost during a surge, and all caches are cold. Requests placed
 /// wherever there is room keep all caches cold, and callers wait for seconds long after the surge.
 #[test]
-fn a_cold_fleet_under_a_surge_thaws() {
+fn a_cold_fleet_warms_up_after_a_surge() {
     let cfg = affinity::Config::default();
-    let ours = play_thaw(|key, all| affinity::pick(&cfg, &want(Some(key)), all));
-    let before = play_thaw(wander);
+    let ours = play_after_surge(|key, all| affinity::pick(&cfg, &want(Some(key)), all));
+    let before = play_after_surge(place_anywhere);
     // With this seed the shares are 0.000 and 0.936.
     assert!(before < 0.5, "wherever there is room: {before}");
     assert!(ours > 0.8, "at two places: {ours}");
 }
 
 #[test]
-fn by_object_callers_are_answered_in_time_that_least_loaded_leaves_late() {
+fn placement_by_object_answers_in_time_where_least_load_does_not() {
     let (naive, ours) = (play_warm_objects(false), play_warm_objects(true));
     // With this seed the shares are 0.000 by least load and 0.966 by object.
     assert!(naive < 0.3, "least loaded: {naive}");
@@ -196,7 +196,7 @@
 /// One object gets most of the load. If only one backend server could handle it, its requests
 /// would queue there while the others are idle.
 #[test]
-fn a_busy_object_spills_to_the_second_of_its_order_and_no_farther_than_needed() {
+fn a_busy_object_overflows_to_the_second_position_only() {
     let cfg = affinity::Config::default();
     let mut all = candidates(4);
     let key = Some(affinity::hash(b"busy"));
@@ -215,7 +215,7 @@
 /// A backend server has just refused a request. If its objects moved to the third position for the
 /// backoff time, each refusal would evict other objects from a cache.
 #[test]
-fn one_that_is_full_keeps_its_place_in_the_order() {
+fn a_full_backend_server_keeps_its_position() {
     let cfg = affinity::Config::default();
     let mut all = candidates(6);
     let key = Some(affinity::hash(b"object"));
@@ -246,7 +246,7 @@
             behind: read && precedence.yields(secs(now / 1000.0)),
             among: 4,
         };
-        let chosen = affinity::pick(&cfg, &want, fleet.look(now));
+        let chosen = affinity::pick(&cfg, &want, fleet.candidates_at(now));
         if let Some(i) = chosen {
             fleet.run(now, i, object);
         } else if !read {
@@ -321,7 +321,7 @@
     }
     assert!(
         second.len() > 2000,
-        "the budget is of use: {}",
+        "the budget allows retries: {}",
         second.len()
     );
     let inside = |times: &[time::Duration], from: time::Duration| {
@@ -338,7 +338,7 @@
 /// The backend servers of an availability zone return cold. If every VM sent a few requests to
 /// each, the sum would crash them again.
 #[test]
-fn a_cold_backend_server_gets_no_more_than_it_bears_from_all_vms_together() {
+fn a_cold_backend_server_gets_at_most_its_rate_from_all_vms_together() {
     let vms: Vec<u64> = (0..8).map(|n| affinity::hash(&[n])).collect();
     let rate = 2.9;
     for backend in 0..20_u64 {
@@ -373,7 +373,7 @@
 /// Requests of a large customer must run in a small region, and its callers are in all regions.
 /// If the region kept local callers for all of its slots, it would refuse both kinds.
 #[test]
-fn a_region_leaves_room_for_those_who_are_at_home_there() {
+fn a_region_reserves_slots_for_requests_that_must_run_there() {
     let cfg = regions::Config::default();
     let homed = regions::View {
         homed_here: 0.1,
@@ -478,7 +478,7 @@
     }
     assert!(
         last > 0.5,
-        "in the end the callers are served elsewhere: {last}"
+        "other regions serve most callers in the end: {last}"
     );
 }
 
@@ -497,7 +497,7 @@
 /// VMs without load information that open a connection for nearly each request. If both advertised
 /// VMs were in one availability zone, its loss would leave callers without any.
 #[test]
-fn callers_are_told_the_largest_of_their_region_in_different_zones() {
+fn the_largest_vms_of_a_region_in_different_zones_are_advertised() {
     let (a, b, far) = ("a".into(), "b".into(), "far".into());
     let small = (10..30).map(|n| entry(true, if n % 2 == 0 { &a } else { &b }, 250, n));
     let large = [
@@ -519,7 +519,7 @@
 /// answers would be late while the rest of the region is idle; with all of them advertised for
 /// good, answers would be late because load is spread too thinly.
 #[test]
-fn more_entry_vms_are_told_while_these_are_busy_and_fewer_after() {
+fn more_entry_vms_are_advertised_while_others_are_busy() {
     let capacity = nearby::Capacity {
         cores: 0.5,
         link_mbps: 200.0,
@@ -546,15 +546,19 @@
     let crowded: Vec<(usize, f64)> = (0..40).map(|_| step(12_000.0)).collect();
     let (told, used) = crowded[39];
     assert!(used <= 0.5 && told <= 14, "{crowded:?}");
-    assert_eq!(crowded[20..], [(told, used); 20], "it comes to rest");
+    assert_eq!(
+        crowded[20..],
+        [(told, used); 20],
+        "the number of VMs stabilizes"
+    );
     let calm: Vec<(usize, f64)> = (0..40).map(|_| step(500.0)).collect();
     assert_eq!(calm[39].0, nearby::LEAST);
 }
 
 /// Plays one backend server with three slots and cold caches, and random requests for twelve
 /// objects. Returns the share of requests in time; a refused request is retried once.
-fn play_first_seconds(cfg: &warming::Config) -> f64 {
-    const AIM_S: f64 = 0.5;
+fn play_cold_start(cfg: &warming::Config) -> f64 {
+    const TARGET_S: f64 = 0.5;
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let (mut in_time, mut all) = (0, 0);
     for _ in 0..40 {
@@ -587,8 +591,8 @@
             free.sort_by(f64::total_cmp);
             let end = free[0].max(at) + work;
             free[0] = end;
-            ends.push((end, new, end - at > AIM_S));
-            in_time += u32::from(end - asked <= AIM_S);
+            ends.push((end, new, end - at > TARGET_S));
+            in_time += u32::from(end - asked <= TARGET_S);
         }
     }
     f64::from(in_time) / all as f64
@@ -598,9 +602,9 @@
 /// admitted, they would hold all slots, and requests for objects that are warm by then would wait
 /// behind work that is late anyway.
 #[test]
-fn what_is_warm_gets_through_while_the_rest_is_warmed() {
-    let held = play_first_seconds(&warming::Config::default());
-    let free = play_first_seconds(&warming::Config {
+fn warm_objects_are_served_while_others_warm_up() {
+    let held = play_cold_start(&warming::Config::default());
+    let free = play_cold_start(&warming::Config {
         max_new_share: 100.0,
         ..warming::Config::default()
     });
@@ -610,12 +614,15 @@
 /// An entry VM restarts while caches are warm. If it took every object for cold because it has not
 /// sent it yet, it would refuse requests that could be answered in time.
 #[test]
-fn a_vm_that_knows_nothing_learns_that_caches_are_warm() {
+fn a_restarted_vm_detects_warm_caches() {
     let cfg = warming::Config::default();
     let (mut here, mut late) = (warming::Warming::default(), warming::Late::default());
     assert!(here.begun(secs(0.0), 1) && here.begun(secs(0.0), 2));
     assert!(late.are_cold(&cfg) && !here.takes(&cfg, 3.0, 3));
-    assert!(here.takes(&cfg, 3.0, 1), "what it sent there is warm");
+    assert!(
+        here.takes(&cfg, 3.0, 1),
+        "an object that was sent there counts as warm"
+    );
     (0..6).for_each(|_| late.answered(false));
     assert!(!late.are_cold(&cfg));
     here.ended();
@@ -625,7 +632,7 @@
 /// A burst is refused. With equal retry delays, all callers would return as the next burst; with
 /// delays beyond their remaining time, they would not return at all.
 #[test]
-fn refused_callers_come_back_spread_and_in_time() {
+fn retry_delays_are_spread_and_within_the_deadline() {
     let left = secs(2.0);
     let at = |jitter| comeback::after(secs(0.4), left, jitter);
     assert!(at(0.9) - at(0.1) > secs(0.2));
@@ -637,7 +644,7 @@
 /// A request crashes each backend server that runs it, and its caller retries through other entry
 /// VMs. If each VM counted alone, it would crash twice as many backend servers as there are VMs.
 #[test]
-fn a_request_in_flight_at_three_crashes_is_refused_by_all_and_innocent_ones_are_not() {
+fn a_request_in_flight_at_three_crashes_is_banned_by_all_vms() {
     let mut vms = vec![crashes::Crashes::default(); 8];
     let bad = 7;
     for n in 0..3_u64 {
@@ -657,7 +664,7 @@
     assert!(vms[0].forget(bad, "i-0"));
     assert!(
         !vms[0].is_banned(bad),
-        "after a while it may be tried again"
+        "the request may run after its ban is lifted"
     );
 }
 
@@ -683,7 +690,7 @@
 /// The store was unavailable for longer than its leases last and returns an empty list. Callers
 /// would be refused until all backend servers have registered again.
 #[test]
-fn what_a_returning_store_lost_as_a_whole_is_kept_until_it_can_have_come_back() {
+fn entries_lost_by_a_returning_store_are_kept_until_they_can_register_again() {
     let mut listing = listing::Listing::default();
     listing.heard(secs(1.0));
     listing.failed();
@@ -701,7 +708,7 @@
 /// Only this VM was disconnected, and one backend server left meanwhile. If its entry were kept for
 /// seconds after the reconnect, requests would be sent to it and cut when it ends.
 #[test]
-fn the_few_that_are_missing_after_a_cut_are_gone_at_once() {
+fn few_entries_missing_after_a_disconnect_are_removed_at_once() {
     let mut listing = listing::Listing::default();
     listing.heard(secs(1.0));
     listing.failed();
@@ -712,7 +719,7 @@
 }
 
 #[test]
-fn a_calm_list_is_taken_at_its_word() {
+fn removals_apply_at_once_while_the_store_is_reachable() {
     let mut listing = listing::Listing::default();
     listing.heard(secs(1.0));
     listing.heard(secs(1.5));
@@ -731,7 +738,7 @@
 
 /// Guards against entry VMs that follow one another in a cycle and get no updates.
 #[test]
-fn each_follows_only_one_that_stands_before_it() {
+fn each_vm_follows_only_earlier_ones() {
     let all: Vec<mirror::Place> = (0..12)
         .map(|n| place(n, ["a", "b", "c"][n as usize % 3]))
         .collect();
@@ -754,7 +761,7 @@
 /// VMs of several sizes share a region, and the first by hash has the narrowest link. If it were
 /// the leader, updates to all others would be late.
 #[test]
-fn those_with_wide_links_are_followed() {
+fn vms_with_wide_links_become_leaders() {
     let mut all: Vec<mirror::Place> = (0..6).map(|n| place(n, "a")).collect();
     all[0].link_mbps = 10;
     all[4].link_mbps = 200;
@@ -766,7 +773,7 @@
 
 /// The first VM of the order is disconnected from the store. Its followers would keep stale routes.
 #[test]
-fn one_that_cannot_be_followed_is_left_alone_for_a_while() {
+fn an_unusable_leader_is_avoided_for_a_while() {
     let all: Vec<mirror::Place> = (0..3).map(|n| place(n, "a")).collect();
     let mut order = mirror::Order::default();
     order.avoid(secs(1.0), &all[0].vm, mirror::AVOID);
@@ -780,21 +787,21 @@
 
 /// Guards against a leader that serves all of a large availability zone, and against a deep tree.
 #[test]
-fn nobody_feeds_more_than_its_link_carries() {
+fn no_leader_exceeds_its_link() {
     for vms in [16, 110, 220, 1_000] {
         let mut all: Vec<mirror::Place> = (0..vms).map(|n| place(n, "a")).collect();
         for vm in &mut all {
             vm.link_mbps = if vm.hash % 40 == 0 { 200 } else { 20 };
         }
-        let mut fed: collections::BTreeMap<u64, u32> = collections::BTreeMap::new();
+        let mut followers: collections::BTreeMap<u64, u32> = collections::BTreeMap::new();
         for own in &all {
             let asked = mirror::Order::default().ask(secs(1.0), own, &all);
             if let Some(leader) = asked.first() {
-                *fed.entry(leader.hash).or_default() += 1;
+                *followers.entry(leader.hash).or_default() += 1;
             }
             assert!(mirror::Order::depth(own, &all) <= 3);
         }
-        assert!(fed.values().all(|n| *n <= 40), "{vms}: {fed:?}");
+        assert!(followers.values().all(|n| *n <= 40), "{vms}: {followers:?}");
     }
 }
 
@@ -808,9 +815,9 @@
 /// Guards against a full snapshot to every follower when their leader dies, and against a follower
 /// that reconnects and misses a removal.
 #[test]
-fn one_that_comes_back_hears_what_it_lacks() {
+fn a_returning_follower_gets_a_delta() {
     let mut leader = mirror::Records::default();
-    assert!(leader.delta_since(7).is_none(), "nothing is known yet");
+    assert!(leader.delta_since(7).is_none(), "there is no snapshot yet");
     for key in ["a", "b", "c"] {
         leader.put(&record(key, Some("1")), 10);
     }
@@ -824,7 +831,7 @@
         |records, revision| Some(protocol::mirror::Message::Changes { records, revision });
     assert!(
         leader.delta_since(9).is_none(),
-        "what was removed before is not known"
+        "earlier removals are not recorded"
     );
     let all = vec![record("b", Some("2")), record("c", None)];
     assert_eq!(leader.delta_since(10), changes(all, 16));
@@ -840,7 +847,7 @@
 
 /// Guards against memory that grows with every backend server that ever registered.
 #[test]
-fn removals_are_forgotten_in_time() {
+fn old_removals_are_dropped() {
     let mut leader = mirror::Records::default();
     leader.put(&record("a", Some("1")), 1);
     leader.complete(1);
