--- a/src/decisions/affinity.rs
+++ b/src/decisions/affinity.rs
@@ -55,8 +55,7 @@
     pub most: f64,
     /// The load, in requests per slot, at which a replica that has not handled the object recently
     /// accepts no more. Only a free slot justifies another cold run: with a bound of 2.5 requests
-    /// per slot, caches stayed cold for ten seconds after the loss of two availability zones of
-    /// six.
+    /// per slot, caches stay cold for ten seconds after two availability zones of six are lost.
     #[serde(rename = "spill")]
     pub max_cold_load: f64,
     /// The extra cost over the first position where the object was handled recently, in requests
--- a/src/decisions/cold.rs
+++ b/src/decisions/cold.rs
@@ -42,8 +42,7 @@
         now >= self.next_send
     }
 
-    /// Records a sent request; the backend server sustains `rate` requests per second from all
-    /// owners.
+    /// Records a sent request, where all owners together may send `rate` requests per second.
     pub fn sent(&mut self, now: policy::Moment, rate: f64) {
         let own_rate = (rate / OWNERS as f64).max(0.1);
         self.next_send = now + time::Duration::from_secs_f64(1.0 / own_rate);
--- a/src/decisions/ejection.rs
+++ b/src/decisions/ejection.rs
@@ -141,8 +141,7 @@
         true
     }
 
-    /// Records a failed answer or a timeout. Returns whether the backend server should be ejected
-    /// as an outlier.
+    /// Records a failed answer or a timeout. Returns whether to eject it as an outlier.
     pub fn failed(&mut self, cfg: &Config) -> bool {
         self.failure_ratio += (1.0 - self.failure_ratio) / cfg.window;
         self.failures_in_a_row += 1;
@@ -154,8 +153,7 @@
         }
     }
 
-    /// Records a refused or broken connection. Returns whether the backend server should be
-    /// ejected.
+    /// Records a refused or broken connection. Returns whether to eject it as down.
     pub fn broke(&mut self, cfg: &Config) -> bool {
         self.breaks_in_a_row += 1;
         self.answers_in_a_row = 0;
@@ -211,8 +209,7 @@
 
     const NOW: policy::Moment = policy::Moment::from_secs(1);
 
-    /// Guards against a backend server that fails each request within half a millisecond (disk
-    /// full).
+    /// A backend server whose disk is full fails each request within half a millisecond.
     #[test]
     fn failures_in_a_row_eject() {
         let (mut health, cfg) = (Health::default(), Config::default());
--- a/src/decisions/limit.rs
+++ b/src/decisions/limit.rs
@@ -6,8 +6,8 @@
 //! has abandoned would still run. The symptom is latency that grows at the backend server while
 //! the queue on this VM is short.
 //!
-//! So the limit never exceeds the slots, unless this VM alone serves its region: with two VMs,
-//! that leaves a queue of a few requests at a backend server, which keeps its slots busy between
+//! So the limit never exceeds the slots, unless this VM alone serves its region. Two VMs together
+//! still cause a queue of a few requests at a backend server, which keeps its slots busy between
 //! an answer and the next request. The limit falls when the backend server sheds and rises with
 //! each answer.
 //!
--- a/src/decisions/regions.rs
+++ b/src/decisions/regions.rs
@@ -21,7 +21,7 @@
 pub struct Config {
     /// The ratio of a region's share of the slots to its share of the callers below which part of
     /// its requests goes elsewhere from the start. At a ratio of 1 the region is full in every
-    /// wave of callers; with a value much above that, objects cross regions needlessly.
+    /// traffic peak; with a value much above that, objects cross regions needlessly.
     #[serde(rename = "spare")]
     pub slot_surplus: f64,
     /// The load per slot above which the share grows: one request waits for each that runs. Moved
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -418,7 +418,7 @@
 
 /// Three regions have equal numbers of callers and 6, 12 and 18 slots. If each served its own
 /// callers, the smallest would get twice the load of its slots and the middle one would have no
-/// reserve for waves; both would refuse while the largest is half idle.
+/// reserve for peaks; both would refuse while the largest is half idle.
 #[test]
 fn regions_of_three_sizes_end_up_about_equally_loaded() {
     let (cfg, slots) = (regions::Config::default(), [6.0, 12.0, 18.0]);
