--- a/src/decisions/affinity.rs
+++ b/src/decisions/affinity.rs
@@ -20,7 +20,7 @@
 //! slots busy. So an object may have up to [`MAX_REPLICAS`] replicas in a large region; those
 //! beyond the second go only to backend servers that handle few objects and therefore evict
 //! nothing. A replica that handled the object recently costs little more than the first, so they
-//! share its load; one that did not costs cold work. Objects that are no longer requested are
+//! share its load; one that did not must handle it cold. Objects that are no longer requested are
 //! forgotten, along with their replicas.
 
 use xxhash_rust::xxh3;
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -57,7 +57,7 @@
     idle: usize,
 }
 
-/// Plays a region for 30 s at three tenths of its warm capacity. From 12 to 15 s the load is 1.7
+/// Simulates a region for 30 s at three tenths of its warm capacity. From 12 to 15 s the load is 1.7
 /// times as high, and after 20 s a third of the backend servers is gone.
 fn play(cfg: &affinity::Config, n: usize) -> Results {
     let per_s = 0.3 * (n * SLOTS) as f64 / WARM_S;
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// Plays a load that fits only if objects are warm; by least load, almost no answer is in time.
+/// Simulates a load that fits only if objects are warm; by least load, almost no answer is in time.
 /// Returns the share of requests that were in time.
 fn play_warm_objects(by_object: bool) -> f64 {
     const OBJECTS: u64 = 144;
@@ -555,7 +555,7 @@
     assert_eq!(calm[39].0, nearby::LEAST);
 }
 
-/// Plays one backend server with three slots and cold caches, and random requests for twelve
+/// Simulates one backend server with three slots and cold caches, and random requests for twelve
 /// objects. Returns the share of requests in time; a refused request is retried once.
 fn play_cold_start(cfg: &warming::Config) -> f64 {
     const TARGET_S: f64 = 0.5;
