--- a/src/decisions/upkeep.rs
+++ b/src/decisions/upkeep.rs
@@ -1,4 +1,5 @@
-//! What time alone brings: requests that have become hopeless, hedges, probes, expiry.
+//! Periodic work: reports load, refuses queued requests that cannot meet their deadline, sends
+//! hedges and probes, and removes expired quarantine entries.
 
 use std::time;
 
@@ -7,15 +8,15 @@
 use crate::id;
 use policy::{Action, Moment, Refusal};
 
-/// How often the queue is searched for requests that cannot be answered in time any more. An
-/// answer that is 20 ms late to tell a caller so is soon enough, and the search costs little.
-const SWEEP: time::Duration = time::Duration::from_millis(20);
+/// How often the queue is searched for requests that cannot meet their deadline. A refusal that is
+/// 20 ms late is soon enough, and the search costs little.
+const SWEEP_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 impl Dispatch {
     pub(super) fn upkeep(&mut self, now: Moment, out: &mut Vec<Action>) {
-        self.tell_load(now);
-        if now >= self.swept + SWEEP {
-            self.swept = now;
+        self.report_load(now);
+        if now >= self.last_sweep + SWEEP_INTERVAL {
+            self.last_sweep = now;
             self.sweep(now, out);
             self.quarantine.tick(now);
         }
@@ -23,31 +24,31 @@
         self.probe(now, out);
     }
 
-    fn tell_load(&mut self, now: Moment) {
+    fn report_load(&mut self, now: Moment) {
         self.across.tick(now);
         let (mut slots, mut in_flight) = (0, 0);
         for member in &self.members {
-            if !member.sound(&self.cfg.members, now) {
+            if !member.healthy(&self.cfg.members, now) {
                 continue;
             }
-            let report = member.trust.believed(&self.cfg.trust, now);
+            let report = member.reports.valid_report(&self.cfg.trust, now);
             let reported = report.map_or(0, |r| r.in_flight + r.queued);
             slots += member.slots;
-            in_flight += reported.max(member.out.len() as u32);
+            in_flight += reported.max(member.in_flight.len() as u32);
         }
         let queued = self.queue.len() as u32;
         self.across.own_load(now, slots, in_flight, queued);
     }
 
-    /// Tells callers at once whose requests cannot be answered in time any more.
+    /// Refuses queued requests that cannot meet their deadline.
     fn sweep(&mut self, now: Moment, out: &mut Vec<Action>) {
         if self.queue.is_empty() {
             return;
         }
         let view = self.view(now);
-        let (rate, pace) = (view.rate(), view.best_pace());
-        let hopeless = self.queue.sweep(&self.cfg.queue, now, rate, pace);
-        for item in hopeless {
+        let (rate, slowdown) = (view.service_rate(), view.best_slowdown());
+        let late = self.queue.sweep(&self.cfg.queue, now, rate, slowdown);
+        for item in late {
             self.give_up(now, item.id, Refusal::Overload, out);
         }
     }
@@ -55,38 +56,41 @@
     fn probe(&mut self, now: Moment, out: &mut Vec<Action>) {
         let cfg = &self.cfg;
         for member in &mut self.members {
-            if member.watch.lost(&cfg.probe, now) {
+            if member.probe_state.timed_out(&cfg.probe, now) {
                 member.health.probed(&cfg.ejection, now, false);
             }
         }
-        if self.probed.is_some_and(|at| now < at + cfg.probe.gap) {
+        if self
+            .last_probe
+            .is_some_and(|at| now < at + cfg.probe.min_interval)
+        {
             return;
         }
         let Some(i) = self.next_probe(now) else {
             return;
         };
-        self.probed = Some(now);
+        self.last_probe = Some(now);
         let member = &mut self.members[i];
-        member.watch.sent(now);
+        member.probe_state.record_sent(now);
         out.push(Action::Probe {
             to: member.id.clone(),
         });
     }
 
-    /// A backend server that is out and whose time is up, or a slow one that gets no work.
+    /// The next server to probe: an ejected one whose ejection time is over, or an idle slow one.
     fn next_probe(&self, now: Moment) -> Option<usize> {
         let view = self.view(now);
         self.members.iter().position(|member| {
-            let idle_slow = view.slow(member) && member.out.is_empty();
+            let idle_slow = view.is_slow(member) && member.in_flight.is_empty();
             let wanted = match member.health.state() {
                 ejection::State::Out { .. } => member.health.due(now),
                 ejection::State::In | ejection::State::Trial => idle_slow,
             };
-            wanted && member.watch.ready(&self.cfg.probe, now)
+            wanted && member.probe_state.may_probe(&self.cfg.probe, now)
         })
     }
 
-    pub(super) fn probe_back(
+    pub(super) fn record_probe(
         &mut self,
         now: Moment,
         from: &id::VmId,
@@ -96,13 +100,13 @@
         let Some(member) = self.members.iter_mut().find(|m| m.id == *from) else {
             return;
         };
-        let pace = member.watch.back(&cfg.probe, now);
+        let slowdown = member.probe_state.record_answer(&cfg.probe, now);
         if let Some(report) = report {
-            member.report(&cfg.trust, now, report);
+            member.record_report(&cfg.trust, now, report);
         }
-        if let (Some(pace), Some(_)) = (pace, report) {
-            // Two halves: one lucky probe does not make a slow backend server a sound one.
-            member.pace = (member.pace + pace) / 2.0;
+        if let (Some(slowdown), Some(_)) = (slowdown, report) {
+            // Averaged, so that one fast probe does not clear a slow backend server.
+            member.slowdown = (member.slowdown + slowdown) / 2.0;
         }
         if member.health.probed(&cfg.ejection, now, report.is_some()) {
             member.ramp = ramp::Ramp::cold(&cfg.ramp);
