--- a/src/decisions/quota.rs
+++ b/src/decisions/quota.rs
@@ -1,23 +1,15 @@
-//! How many requests of a customer all entry VMs let in together.
+//! Enforces each customer's quota as one bound over all entry VMs.
 //!
-//! Load pattern: one customer sends many times what it may, through several entry VMs at once. Let in,
-//! it takes the slots that others pay for, and one notices it as refusals and late answers of
-//! customers who ask no more than usual. Held to an equal part of its quota by each VM, it is refused
-//! although it keeps to its quota, since few of the VMs have all of its callers.
+//! Load pattern: one customer sends a multiple of its quota through several entry VMs at once.
+//! Admitted, it would take slots that other customers pay for, and their requests are refused or
+//! late. An equal part of the quota per VM refuses customers that keep to their quota, because their
+//! callers use only a few of the VMs.
 //!
-//! The bound holds for the fleet: in any window no more than [`Bound::most`] run. Each VM counts what
-//! it lets in and tells the others ([`Ledger::news`]). What is left of a customer's quota when all
-//! that is told is taken off is shared by how much each VM was asked for it lately, and each VM takes
-//! no more than its share until the next news. So the sum keeps the bound although news take a
-//! while, and nobody is refused while there is room.
-//!
-//! Some VMs are not heard: cut off, killed, just started. One that falls silent is taken to go on with
-//! the share that it had, and does: the VMs on both sides of a cut keep the bound together without a
-//! word. One that was expected and never spoke is taken to be asked as much as this VM is. What a VM let
-//! in before it was killed, the others remember. Where all were killed nobody does; but each says
-//! beforehand, where it outlives its process, which customers have nearly used their quotas
-//! ([`Ledger::near_limits`]), and for these the window before the start counts as used at an even pace.
-//! For all customers it would refuse many who keep to their quotas, just when their callers ask again.
+//! The fleet admits at most [`Bound::most`] requests of a customer in any window. Each VM reports
+//! what it admits to its peers ([`Ledger::news`]). The remaining quota is split by recent demand, and
+//! each VM admits at most its share until the next reports, so the total keeps the bound despite
+//! propagation delay, and nothing is refused while quota remains. The rules for peers that are
+//! partitioned, new or killed are stated at the functions that apply them.
 
 use std::collections;
 use std::marker;
@@ -25,14 +17,14 @@
 
 use super::{policy, window};
 
-/// The bound on the requests of a customer.
+/// Fleet-wide bound on the admitted requests of one customer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
-    /// The window in which it holds.
+    /// Length of the sliding window.
     pub window: time::Duration,
-    /// What may run beyond the quota, as a part of it.
+    /// Requests admitted above the quota, as a share of the quota.
     pub over: f64,
-    /// What may run beyond that.
+    /// Fixed number of requests admitted on top of that.
     pub slack: f64,
 }
 
@@ -46,28 +38,29 @@
     }
 }
 
-/// What a customer may have run.
+/// Quota of one customer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests beyond that at once.
+    /// Additional requests at one moment.
     pub burst: f64,
 }
 
 impl Bound {
-    /// What a customer that keeps to its limit asks for in one window.
+    /// Number of requests per window that a customer within its limit sends at most.
     pub fn allowed(&self, limit: &Limit) -> f64 {
         limit.rate * self.window.as_secs_f64() + limit.burst
     }
 
-    /// What may run in one window at the most.
+    /// Maximum number of requests that the fleet admits in one window.
     pub fn most(&self, limit: &Limit) -> f64 {
         self.allowed(limit) * (1.0 + self.over) + self.slack
     }
 
-    /// At how many the VMs aim. What is left covers what was let in and is not told yet: in a surge a
-    /// part of all, and for a small limit the single requests of many VMs.
+    /// Target for the admitted requests per window. The margin below the bound covers requests that
+    /// are admitted but not yet reported: a share of the bound in a surge, and single requests on
+    /// many VMs for a small limit.
     fn target(&self, limit: &Limit) -> f64 {
         const UNTOLD: f64 = 0.09;
         const SINGLE: f64 = 0.5;
@@ -77,76 +70,75 @@
     }
 }
 
-/// A customer or an entry VM, by the hash of its name.
+/// Hash of the name of a customer or an entry VM.
 pub type Name = u64;
 
-/// When a process started, in milliseconds of the time of day.
+/// Wall-clock start time of a process, in milliseconds.
 pub type Start = u64;
 
-/// One that started so much earlier was not killed together with this one.
+/// VMs whose start times differ by more than this were not killed together.
 const TOGETHER_MS: Start = 2000;
 
-/// After how long without a word a VM counts as silent. Each speaks twice a second at least, and one
-/// message may be lost.
+/// Time without a report after which a peer counts as silent. Each VM reports at least twice per
+/// second, and one message may be lost.
 pub const SILENT: time::Duration = time::Duration::from_millis(1300);
 
-/// After how long a VM that no longer serves is taken not to let anything in.
+/// Time without a report after which a VM that no longer serves is assumed to admit nothing.
 pub const GONE: time::Duration = time::Duration::from_secs(10);
 
-/// From when on news of a VM are late. In a surge each speaks every tenth of a second.
+/// Age from which a report is late. During a surge, each VM reports every 100 ms.
 const LATE: time::Duration = time::Duration::from_millis(250);
 
-/// The part of what all aim at that is used while some are silent.
+/// Ratio by which the target is lowered while peers are silent.
 const IN_A_CUT: f64 = 0.9;
 
-/// How long news are under way, at the most as a rule.
+/// Usual upper bound on the propagation delay of a report.
 const WAY: time::Duration = time::Duration::from_millis(100);
 
-/// How long a VM goes on with what it worked out from the last news.
+/// How long a VM uses a computed cap before it computes the next one.
 const PLAN: time::Duration = time::Duration::from_millis(100);
 
-/// Over how many steps of the window demand is taken: one second of five.
+/// Number of window steps over which demand is measured: one second of a window of five.
 const LATELY: usize = 4;
 
-/// How long a VM is down at the least before it starts again: its process ends, starts and reads what
-/// is in force.
+/// Minimum downtime of a restart: the process exits, starts and reads the current settings.
 const DOWN: time::Duration = time::Duration::from_millis(500);
 
-/// What a VM tells of one customer.
+/// Usage of one customer as reported by one VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Told {
-    /// What it let in, in the window that ended then.
+    /// Requests admitted in the window that ends with the report.
     pub used: f64,
-    /// What it let in since it spoke before, a second.
+    /// Requests admitted per second since the previous report.
     pub pace: f64,
-    /// How often it was asked lately.
+    /// Recent requests, whether admitted or refused.
     pub asked: f64,
 }
 
-/// What is known of one VM and customer.
+/// Last report of one peer on one customer.
 #[derive(Clone, Copy, Debug)]
 struct Row {
     told: Told,
-    /// Its part of all that was asked for, when it was heard last.
+    /// The peer's share of the fleet's demand at the last report.
     share: f64,
-    /// How many times as often as this VM it was asked then.
+    /// The peer's demand divided by this VM's demand at the last report.
     ratio: f64,
 }
 
-/// What is known of one other VM.
+/// State of one peer.
 #[derive(Clone, Debug)]
 struct Other {
     heard: policy::Moment,
-    /// Which start of it this is; a later one is larger.
+    /// Identifies the process; a later process of the same VM has a larger value.
     start: Start,
     rows: collections::HashMap<Name, Row>,
-    /// What it let in before it started again, and when it was heard last before that.
+    /// Usage of the peer's previous process, and the end of that usage.
     before: collections::HashMap<Name, f64>,
     before_at: policy::Moment,
 }
 
 impl Other {
-    /// What it let in before it started again and the window has not left behind, at an even pace.
+    /// Usage of the previous process that still lies in the window, assuming an even rate.
     fn before(&self, now: policy::Moment, customer: Name, window: time::Duration) -> f64 {
         let age = now.saturating_sub(self.before_at).as_secs_f64();
         let left = (1.0 - age / window.as_secs_f64()).max(0.0);
@@ -154,68 +146,68 @@
     }
 }
 
-/// How a customer stands on this VM.
+/// A customer's quota and usage as known to this VM.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Standing {
-    /// At how many all VMs aim.
+    /// Fleet-wide target for the admitted requests per window.
     pub target: f64,
-    /// What this VM let in, in the window that ends now.
+    /// Requests that this VM admitted in the current window.
     pub own: f64,
-    /// What the others let in, as far as known.
+    /// Requests that peers admitted in the window, as reported or estimated.
     pub others: f64,
-    /// This VM's part of all that is asked for.
+    /// This VM's share of the fleet's demand.
     pub share: f64,
-    /// How many VMs let requests in, this one included.
+    /// Number of VMs that admit requests, including this one.
     pub speakers: usize,
-    /// How many VMs there are.
+    /// Number of entry VMs.
     pub vms: usize,
 }
 
 impl Standing {
-    /// What is left.
+    /// Requests that the fleet may still admit.
     fn room(&self) -> f64 {
         self.target - self.own - self.others
     }
 
-    /// Whether so much is left that not even a surge uses it up before all know of it.
+    /// Whether the remaining quota outlasts the propagation delay of reports even in a surge.
     fn is_roomy(&self) -> bool {
         const PART: f64 = 0.2;
         self.room() >= self.target * PART
     }
 }
 
-/// How VMs share what a customer may have run.
+/// Policy that splits a customer's quota among VMs.
 pub trait Sharing {
-    /// Whether it goes by what the VMs tell one another.
+    /// Whether the policy depends on reports of peers.
     const TOLD: bool = true;
 
-    /// How many this VM lets in, in the window that ends now.
+    /// Number of requests that this VM may admit in the current window.
     fn cap(standing: &Standing) -> f64;
 }
 
-/// By what each was asked for lately: what is left now, and what this VM has already.
+/// Splits the remaining quota by recent demand, on top of what the VM has already admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct ByDemand;
 
 impl Sharing for ByDemand {
     fn cap(s: &Standing) -> f64 {
-        /// What of the room is let in between two plans. What the others take of it at the same time
-        /// shows two or three plans later.
+        /// Share of the remaining quota admitted per cap. Peers' concurrent admissions become known
+        /// only two or three caps later.
         const AT_ONCE: f64 = 0.4;
-        /// After how many plans that shows.
+        /// Number of caps until the peers' concurrent admissions are known.
         const PLANS: f64 = 2.0;
         let room = s.room();
         if room <= 0.0 {
             return s.own + room * s.share;
         }
-        // One that was not asked lately takes what all could take until it shows, in whole requests:
-        // callers of a small customer come as they like.
+        // A VM without recent demand may use its equal part of what the fleet can admit until reports
+        // arrive, in whole requests: requests of small customers arrive irregularly.
         let least = (room / PLANS / s.speakers as f64).floor();
         s.own + f64::max(room * s.share * AT_ONCE, least)
     }
 }
 
-/// Everything that is left, on each VM that knows of it.
+/// Gives each VM the whole remaining quota that it knows of.
 #[derive(Clone, Copy, Debug)]
 pub struct UntilFull;
 
@@ -225,7 +217,7 @@
     }
 }
 
-/// The same part for each VM, whatever it is asked for. Needs no news.
+/// Gives each VM the same part of the quota regardless of demand. Needs no reports.
 #[derive(Clone, Copy, Debug)]
 pub struct Evenly;
 
@@ -237,20 +229,20 @@
     }
 }
 
-/// One customer on this VM.
+/// Counters of one customer on this VM.
 #[derive(Clone, Debug)]
 struct Account {
     limit: Limit,
     used: window::Counts,
     asked: window::Counts,
-    /// How many may be let in until the next plan, and from when that is.
+    /// Number of requests that may be admitted until the next cap, and when the cap was computed.
     cap: f64,
     planned: Option<policy::Moment>,
-    /// Whether it had nearly used its quota when that was asked last.
+    /// Whether the customer was near its limit at the last check.
     near: bool,
-    /// What the others were told last.
+    /// Last report sent to peers.
     told: Told,
-    /// When it was last looked at for news, and what was let in since then.
+    /// When the admission rate was last read, and requests admitted since then.
     looked: policy::Moment,
     since: f64,
 }
@@ -270,18 +262,18 @@
         }
     }
 
-    /// A request is let in.
+    /// Counts an admitted request.
     fn let_in(&mut self, now: policy::Moment) {
         self.used.add(now, 1.0);
         self.since += 1.0;
     }
 
-    /// How fast requests are let in, a second, as far as that is more than chance, since this was
-    /// asked before.
+    /// Requests admitted per second since the previous call, without those that chance alone
+    /// explains. Resets the measurement.
     fn pace(&mut self, now: policy::Moment) -> f64 {
-        /// In a shorter time no pace shows.
+        /// Minimum span in seconds; a shorter one gives no meaningful rate.
         const SHORT: f64 = 0.05;
-        /// So many requests may come close together by chance.
+        /// Number of requests that may arrive close together by chance.
         const CHANCE: f64 = 2.0;
         let span = now.saturating_sub(self.looked).as_secs_f64();
         let since = std::mem::take(&mut self.since);
@@ -290,8 +282,8 @@
     }
 }
 
-/// What this VM let in of a customer just now, in a surge. One whose news are late may have been cut off
-/// as the surge began, and lets in as much more as this VM does.
+/// Recent admissions of this VM during a surge. A peer whose reports are late may have been
+/// partitioned when the surge began, so its admissions are assumed to rise as on this VM.
 #[derive(Debug)]
 struct Surge {
     used: window::Counts,
@@ -306,12 +298,11 @@
         }
     }
 
-    /// What another VM has let in by now if it goes on as this one does; nothing where this one has no
-    /// surge.
+    /// Estimated usage of a peer if its admissions rise as on this VM; 0 if this VM has no surge.
     fn expected(&mut self, row: &Row, age: time::Duration, window: time::Duration) -> f64 {
-        /// How many times the usual a surge is.
+        /// Ratio of recent to average admissions above which there is a surge.
         const TIMES: f64 = 1.5;
-        /// How many times as much as this VM another may let in.
+        /// Maximum ratio of a peer's estimated admissions to those of this VM.
         const MOST: f64 = 2.0;
         let part = (age.as_secs_f64() / window.as_secs_f64()).min(1.0);
         let steps = (part * window::STEPS as f64).ceil();
@@ -324,39 +315,40 @@
     }
 }
 
-/// Why a request is not let in.
+/// Why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refused {
-    /// When there is room again for those that were refused, at the pace at which it comes.
+    /// Time until the recently refused requests would find quota, at the rate at which it is freed.
     pub after: time::Duration,
-    /// How the customer stands here.
+    /// The customer's quota and usage on this VM.
     pub standing: Standing,
-    /// How long ago the VM was heard that has been silent for longest; `None`: there is no other.
+    /// Largest age of a peer's last report; `None` if there are no peers.
     pub heard: Option<time::Duration>,
 }
 
-/// What this VM lets in of each customer, and what it knows of the others.
+/// Usage of all customers on this VM, and the reports of its peers.
 #[derive(Clone, Debug)]
 pub struct Ledger<S> {
     bound: Bound,
     started: policy::Moment,
     start: Start,
-    /// Customers that had nearly used their quotas when this VM started.
+    /// Customers that were near their limit when this VM started.
     inherited: collections::HashSet<Name>,
     accounts: collections::HashMap<Name, Account>,
     others: collections::HashMap<Name, Other>,
     /// Other VMs to which callers are sent.
     expected: Vec<Name>,
-    /// Other VMs to which callers are sent when these are busy.
+    /// Other VMs to which callers are sent if the expected ones are busy.
     next: Vec<Name>,
-    /// Whether there is a VM that has not heard yet what this one lets in.
+    /// Whether a peer still lacks a report of all customers from this VM.
     owes_whole: bool,
     vms: usize,
     sharing: marker::PhantomData<S>,
 }
 
 impl<S: Sharing> Ledger<S> {
-    /// Knows nothing yet, on a VM that started at `started`, which is `start` of the time of day.
+    /// Creates an empty ledger. `started` is the process start on the monotonic clock, `start` the
+    /// same moment in wall-clock time.
     pub fn new(bound: Bound, started: policy::Moment, start: Start) -> Self {
         Self {
             bound,
@@ -373,8 +365,8 @@
         }
     }
 
-    /// The other VMs to which callers are sent, those to which they are sent when these are busy, and
-    /// how many VMs there are in all.
+    /// Sets the VMs to which callers are sent, those to which they are sent if these are busy, and
+    /// the number of entry VMs.
     pub fn expect(&mut self, expected: Vec<Name>, next: Vec<Name>, vms: usize) {
         let mut all = expected.iter().chain(&next);
         self.owes_whole |= all.any(|vm| !self.expected.contains(vm) && !self.next.contains(vm));
@@ -383,14 +375,15 @@
         self.vms = vms;
     }
 
-    /// Whether everything is to be told now, since another VM has heard nothing yet: one that callers
-    /// are sent to in a surge would else take for its own what the others have let in already.
+    /// Returns and clears whether a report of all customers is due because a peer has none yet.
+    /// Without it, a VM to which callers are sent during a surge would admit again what its peers
+    /// have already used.
     pub fn owes_whole(&mut self) -> bool {
         std::mem::take(&mut self.owes_whole)
     }
 
-    /// Whether a request of a customer is let in; then it counts. `tie` lies between 0 and 1 and
-    /// decides where the share is a part of a request.
+    /// Admits and counts a request, or refuses it. `tie` lies between 0 and 1 and rounds a fractional
+    /// cap up or down.
     pub fn ask(
         &mut self,
         now: policy::Moment,
@@ -402,7 +395,7 @@
         self.take(now, customer, limit, tie)
     }
 
-    /// The same for one more send of a request that was let in.
+    /// Admits a further send of an admitted request; it adds no demand.
     pub fn take(
         &mut self,
         now: policy::Moment,
@@ -434,7 +427,7 @@
         })
     }
 
-    /// Works out how many of a customer's requests may be let in until the next news.
+    /// Computes how many requests of a customer may be admitted until the next cap.
     fn plan(&mut self, now: policy::Moment, customer: Name, limit: Limit, tie: f64) {
         let standing = self.standing(now, customer, limit);
         let cap = S::cap(&standing);
@@ -443,20 +436,20 @@
         account.planned = Some(now);
     }
 
-    /// Whether any customer asked for anything lately.
+    /// Whether any customer has recent requests.
     pub fn is_active(&self) -> bool {
         !self.accounts.is_empty()
     }
 
-    /// Whether another VM has to know what this one lets in: callers are sent there or will be when
-    /// others are busy, or it lets requests in itself.
+    /// Whether a peer needs this VM's reports: callers are sent there, will be sent there if others
+    /// are busy, or the peer has itself reported recently.
     pub fn concerns(&self, now: policy::Moment, vm: Name) -> bool {
         let speaks = |other: &Other| now.saturating_sub(other.heard) <= SILENT;
         let sent = self.expected.contains(&vm) || self.next.contains(&vm);
         sent || self.others.get(&vm).is_some_and(speaks)
     }
 
-    /// What was let in at `then` did not run after all.
+    /// Uncounts a request that was admitted at `then` but never ran.
     pub fn give_back(&mut self, now: policy::Moment, customer: Name, then: policy::Moment) {
         if let Some(account) = self.accounts.get_mut(&customer) {
             account.used.take_back(now, then);
@@ -476,7 +469,7 @@
         account
     }
 
-    /// How a customer stands here.
+    /// Computes a customer's quota and usage on this VM.
     fn standing(&mut self, now: policy::Moment, customer: Name, limit: Limit) -> Standing {
         let account = self.account(customer, limit);
         let used = account.used.sum(now);
@@ -484,12 +477,13 @@
         let mut surge = Surge::of(account, now);
         let mut target = self.bound.target(&limit);
         if self.has_silent(now, customer) {
-            // What the sides of a cut know of one another differs by the messages that were under way.
+            // The two sides of a partition differ in what they know of each other by the messages in
+            // transit.
             target *= IN_A_CUT;
         }
         let strangers = self.strangers();
         let alone = self.is_alone(now);
-        // What was asked for by all that are heard, and by those that were never heard.
+        // Demand on all reporting peers, plus an estimate for those that have never reported.
         let mut asked = lately * (1 + strangers) as f64;
         let mut others = 0.0;
         let mut remembered = 0.0;
@@ -529,8 +523,10 @@
         }
     }
 
-    /// What VMs may have let in that were killed together with this one, in the window that ends now:
-    /// what the limit allows beyond what the others remember.
+    /// Upper bound on the requests in the current window that were admitted by VMs killed together
+    /// with this one: the limit minus what the surviving peers report, used at an even rate. Applies
+    /// only to customers near their limit before the restart; for all customers it would refuse many
+    /// that keep to their quota, just when their callers retry.
     fn forgotten(
         &self,
         now: policy::Moment,
@@ -546,10 +542,12 @@
         (self.bound.allowed(limit) - remembered).max(0.0) * left.max(0.0)
     }
 
-    /// Customers that have nearly used their quotas, for VMs that start later.
+    /// Returns the customers near their limit. Stored outside the process, they bound the usage that
+    /// nobody remembers after all VMs were killed.
     pub fn near_limits(&mut self, now: policy::Moment) -> Vec<Name> {
-        /// From which part of what all aim at, and down to which one that was near stays so. One that
-        /// used less can hardly use up what is left and all of it again within a window.
+        /// Share of the target from which a customer is near its limit, and the lower share down to
+        /// which it stays so. A customer below that can hardly use up the remaining quota and a full
+        /// quota again within one window.
         const NEAR: f64 = 0.9;
         const STAYS: f64 = 0.7;
         let known: Vec<(Name, Limit, bool)> = self
@@ -571,40 +569,42 @@
         near
     }
 
-    /// Customers that had nearly used their quotas, as VMs said that may have been killed since. Only
-    /// what is learnt within a window of the start counts.
+    /// Restores the customers near their limit, as stored by VMs that may have been killed since.
+    /// Ignored later than one window after the start.
     pub fn inherit(&mut self, now: policy::Moment, near: &[Name]) {
         if now.saturating_sub(self.started) < self.bound.window {
             self.inherited.extend(near);
         }
     }
 
-    /// How many VMs let requests in, as far as known.
+    /// Number of VMs known or expected to admit requests.
     fn speakers(&self) -> usize {
         1 + self.strangers() + self.others.len()
     }
 
-    /// Whether a VM that let in requests of a customer is silent.
+    /// Whether a peer that has reported usage of the customer is silent.
     fn has_silent(&self, now: policy::Moment, customer: Name) -> bool {
         let is_silent = |other: &Other| now.saturating_sub(other.heard) > SILENT;
         let mut silent = self.others.values().filter(|other| is_silent(other));
         silent.any(|other| other.rows.contains_key(&customer))
     }
 
-    /// How many of the expected VMs were never heard.
+    /// Number of expected peers that have never reported. Each is assumed to have this VM's demand
+    /// and usage.
     fn strangers(&self) -> usize {
         let unheard = |vm: &&Name| !self.others.contains_key(vm);
         self.expected.iter().filter(unheard).count()
     }
 
-    /// Whether others were heard once and all have long been silent: by now their callers may have
-    /// gone elsewhere, and so may this VM's.
+    /// Whether all known peers have long been silent. Their callers, and this VM's, may have moved to
+    /// other VMs by then.
     fn is_alone(&self, now: policy::Moment) -> bool {
         let long = |other: &Other| now.saturating_sub(other.heard) > GONE;
         !self.others.is_empty() && self.others.values().all(long)
     }
 
-    /// When those that were refused lately will have had room, at the pace at which it comes here.
+    /// Time until the recently refused requests would have found quota, at the rate at which it is
+    /// freed here.
     fn room_after(
         &mut self,
         now: policy::Moment,
@@ -621,8 +621,8 @@
         time::Duration::from_secs_f64((refused / pace).min(window))
     }
 
-    /// Another VM spoke. `rows` replace what it told of these customers before; where `whole`, it lets
-    /// in nothing of any other.
+    /// Applies a peer's report. `rows` replace its earlier usage of these customers; if `whole`, its
+    /// usage of all other customers is zero.
     pub fn heard(
         &mut self,
         now: policy::Moment,
@@ -678,9 +678,8 @@
         }
     }
 
-    /// How often a customer's requests were asked for at all VMs, as all of them know it: what this VM
-    /// has told the others and not what it knows itself. When some fall silent, both sides of a cut
-    /// go by the shares that follow from it.
+    /// Fleet-wide demand of a customer as all VMs know it: it includes this VM's last reported
+    /// demand, not its current one. During a partition, both sides use the shares computed from it.
     fn asked_of_all(&self, now: policy::Moment, customer: Name) -> f64 {
         let own = self
             .accounts
@@ -694,7 +693,7 @@
         own.unwrap_or_default() + others.sum::<f64>()
     }
 
-    /// Forgets VMs that have long been silent and no longer serve.
+    /// Removes peers that have long been silent and no longer serve, and unused accounts.
     pub fn forget(&mut self, now: policy::Moment, serves: impl Fn(Name) -> bool) {
         self.others
             .retain(|vm, other| now.saturating_sub(other.heard) <= GONE || serves(*vm));
@@ -704,8 +703,9 @@
         });
     }
 
-    /// What the others do not know yet, the customers nearest to their limits first: where `whole`
-    /// all that was let in, else what differs from what was told by more than a part of what is left.
+    /// Returns the reports due, customers closest to their limit first, at most `most`: with `whole`,
+    /// all usage; otherwise usage that differs from the last report by more than a part of the
+    /// remaining quota.
     pub fn news(&mut self, now: policy::Moment, whole: bool, most: usize) -> Vec<(Name, Told)> {
         let customers: Vec<(Name, Limit)> = self
             .accounts
@@ -735,11 +735,11 @@
         limit: Limit,
         whole: bool,
     ) -> Option<(f64, Name, Told)> {
-        /// The part of what is left of a quota that may be let in by all without being told.
+        /// Share of the remaining quota that all VMs together may admit unreported.
         const UNTOLD: f64 = 0.25;
-        /// So many are not worth a message, unless many VMs keep them to themselves.
+        /// Number of requests not worth a message, unless many VMs leave as many unreported.
         const FEW: f64 = 1.5;
-        /// The part of the slack that all may keep to themselves.
+        /// Share of the slack that all VMs together may leave unreported.
         const KEPT: f64 = 0.5;
         let standing = self.standing(now, name, limit);
         let account = self.accounts.get_mut(&name)?;
@@ -755,7 +755,7 @@
         let off = (told.used - account.told.used).abs();
         let due = match whole {
             true => told.used > 0.0 || told.asked > 0.0,
-            // Others go on with the pace that they were told until they hear of another.
+            // Peers extrapolate with the last reported rate until they receive another one.
             false => off > f64::max(left * UNTOLD / speakers, few) || account.told.pace > 0.0,
         };
         due.then_some((taken, name, told))
@@ -763,7 +763,7 @@
 }
 
 impl Bound {
-    /// Whether an account says something that a new one would not.
+    /// Whether the account's cap was computed within the last window.
     fn is_recent(&self, account: &Account, now: policy::Moment) -> bool {
         account
             .planned
@@ -772,7 +772,9 @@
 }
 
 impl Row {
-    /// What the VM may let in by its share, where it is silent, else what it let in.
+    /// Usage of the peer: as reported or, if it is silent, its full share if that is larger. A silent
+    /// peer may go on with its share, so both sides of a partition keep the bound without
+    /// communication.
     fn used(&self, silent: bool, target: f64) -> f64 {
         match silent {
             true => self.told.used.max(self.share * target),
@@ -780,7 +782,7 @@
         }
     }
 
-    /// What the VM has let in by now, as it went on after it was heard.
+    /// Estimated current usage of the peer, extrapolated at its last reported rate.
     fn expected(&self, age: time::Duration, window: time::Duration) -> f64 {
         let leaves = self.told.used / window.as_secs_f64();
         let grows = (self.told.pace - leaves).max(0.0);
