--- a/src/decisions/departures.rs
+++ b/src/decisions/departures.rs
@@ -1,37 +1,38 @@
-//! How fast requests that must run in another region may grow among those of a region's callers.
+//! Limits how fast the share of requests that must run in another region may grow.
 //!
-//! Load pattern: a large customer whose home is another region suddenly asks several times its usual.
-//! All of it must run at home, so within a second a good part of what callers here ask for runs
-//! elsewhere: the shift that operators have capped, since links and caches there do not stand it. One
-//! notices it as a home region that is late for everybody.
+//! Load pattern: a large customer whose home is another region suddenly sends several times its usual
+//! load. Within a second, a large share of this region's requests runs in the home region. Links and
+//! caches there cannot take such a shift, which is why operators cap it; the symptom is high latency
+//! for all callers of the home region.
 //!
-//! So the share of such requests rises by no more than a part of the cap from one span to the next;
-//! what is beyond it is refused at once and comes back, and the share follows within some spans.
+//! The share therefore grows by at most a part of the cap per span. Requests beyond it are refused at
+//! once and retried by their callers, and the share reaches the demand within some spans.
 
 use std::time;
 
 use super::{policy, window};
 
-/// The span between whose shares operators cap the change.
+/// Time span to which the operators' cap on the change of the share applies.
 const SPAN: time::Duration = time::Duration::from_secs(2);
 
-/// The steps of a window of two spans that make up one.
+/// Window steps per span; the window holds two spans.
 const HALF: usize = window::STEPS / 2;
 
-/// The steps of the last part of a span.
+/// Window steps of the last part of a span.
 const RECENT: usize = HALF / 4;
 
-/// The part of the cap that is used. The rest is left to objects that move meanwhile, and to VMs that
-/// see another part of the region's callers.
+/// Share of the cap that is used. The rest covers objects that move meanwhile, and VMs that receive a
+/// different mix of the region's callers.
 const USED: f64 = 0.67;
 
-/// So many may leave in a span whatever their share: of few requests one is a large share.
+/// Requests per span that may leave regardless of the share: of few requests, one is already a large
+/// share.
 const FEW: f64 = 3.0;
 
-/// From how many requests on a span tells a share.
+/// Minimum number of requests in a span for its share to be meaningful.
 const ENOUGH: f64 = 20.0;
 
-/// Requests of callers of one region, and those of them that must run elsewhere.
+/// Recent requests of one region's callers, and those of them that run in another region.
 #[derive(Clone, Debug)]
 pub struct Departures {
     all: window::Counts,
@@ -48,15 +49,15 @@
 }
 
 impl Departures {
-    /// A request is let in.
+    /// Counts an admitted request.
     pub fn count(&mut self, now: policy::Moment, leaves: bool) {
         self.all.add(now, 1.0);
         self.leaving.add(now, f64::from(u8::from(leaves)));
     }
 
-    /// A request that was let in at `then` has run nowhere. Counted all the same, requests that their full
-    /// home refuses would stand for a share that never ran there, and all of it could run at once as
-    /// soon as there is room.
+    /// Uncounts a request that was admitted at `then` but never ran. Otherwise requests refused by a
+    /// full home region would count towards a share that never ran there, and all of it could run at
+    /// once as soon as there is room.
     pub fn take_back(&mut self, now: policy::Moment, then: policy::Moment, leaves: bool) {
         self.all.take_back(now, then);
         if leaves {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Whether one more may leave, with operators' cap on the share that changes in a span.
+    /// Whether one more request may leave. `cap` is the maximum change of the share per span.
     pub fn may_leave(&mut self, now: policy::Moment, cap: f64) -> bool {
         let (all, leaving) = (self.all.last(now, HALF), self.leaving.last(now, HALF));
         let before = self.all.sum(now) - all;
@@ -75,7 +76,8 @@
         let most = share + cap * USED;
         let (recent, leaving_now) = (self.all.last(now, RECENT), self.leaving.last(now, RECENT));
         let few = FEW * RECENT as f64 / HALF as f64;
-        // What others have stopped asking for must not count for those that go on.
+        // Requests of customers that have stopped must not make room for others, hence the second
+        // limit.
         leaving + 1.0 <= most * (all + 1.0) + FEW
             && leaving_now + 1.0 <= (most * (recent + 1.0) + few).max(1.0)
     }
