--- a/src/decisions/window.rs
+++ b/src/decisions/window.rs
@@ -1,17 +1,17 @@
-//! Counts over a window that slides in steps.
+//! Counts over a sliding window that advances in steps.
 
 use std::time;
 
 use super::policy;
 
-/// How finely a window slides.
+/// Number of steps in a window.
 pub const STEPS: usize = 20;
 
-/// One step more is kept than the window has: the current one has only begun, and what came early in
-/// the oldest still lies inside.
+/// One step more than the window has: the current step is incomplete, and part of the oldest still
+/// lies inside the window.
 const KEPT: usize = STEPS + 1;
 
-/// How often something happened in a window.
+/// Number of events in a sliding window.
 #[derive(Clone, Debug)]
 pub struct Counts {
     counts: [f32; KEPT],
@@ -20,7 +20,7 @@
 }
 
 impl Counts {
-    /// None yet, in a window of this length.
+    /// Creates an empty counter for a window of the given length.
     pub fn new(window: time::Duration) -> Self {
         Self {
             counts: [0.0; KEPT],
@@ -37,7 +37,7 @@
         (step % KEPT as u64) as usize
     }
 
-    /// Empties the steps that the window has left behind.
+    /// Clears the steps that have left the window.
     fn slide(&mut self, now: policy::Moment) {
         let step = self.step_of(now);
         let passed = step.saturating_sub(self.step).min(KEPT as u64);
@@ -47,14 +47,13 @@
         self.step = self.step.max(step);
     }
 
-    /// Counts `n` more now.
+    /// Adds `n` events at `now`.
     pub fn add(&mut self, now: policy::Moment, n: f64) {
         self.slide(now);
         self.counts[Self::slot(self.step)] += n as f32;
     }
 
-    /// Takes one back that was counted at `then`. One that the window has left behind no longer
-    /// counts.
+    /// Uncounts one event that was counted at `then`. Has no effect if the window has moved past it.
     pub fn take_back(&mut self, now: policy::Moment, then: policy::Moment) {
         self.slide(now);
         let step = self.step_of(then);
@@ -64,13 +63,13 @@
         }
     }
 
-    /// The count of the window that ends now, and of up to one step before it.
+    /// Number of events in the window that ends now, plus up to one step before it.
     pub fn sum(&mut self, now: policy::Moment) -> f64 {
         self.slide(now);
         self.counts.iter().map(|n| f64::from(*n)).sum()
     }
 
-    /// The count of the last so many steps.
+    /// Number of events in the last `steps` steps.
     pub fn last(&mut self, now: policy::Moment, steps: usize) -> f64 {
         self.slide(now);
         (0..steps.min(KEPT) as u64)
