--- a/src/decisions/crashes.rs
+++ b/src/decisions/crashes.rs
@@ -1,33 +1,33 @@
-//! Requests that crash the backend servers that run them, counted over all entry VMs.
+//! Detects requests that crash backend servers, across all entry VMs.
 //!
-//! Load pattern: now and then one request crashes each backend server that begins to run it, and
-//! its caller sends it again, through any entry VM. A count on each VM by itself comes too late:
-//! with eight VMs sixteen backend servers are gone before all of them know. One notices it as
-//! backend servers that crash one after the other, each a few milliseconds after the same request.
+//! Load pattern: a request crashes each backend server that begins to run it, and its caller retries
+//! it through any entry VM. Counted separately on each of eight VMs, it would crash sixteen backend
+//! servers before all VMs refuse it. The symptom is crashes that each follow the same request by
+//! milliseconds.
 //!
-//! A broken connection alone says little: answers get lost on the way too. So a request counts only
-//! where its backend server then takes no connection, or is known to have started again. What was in
-//! flight at a crash is told to all, and what was in flight at [`BANNED`] different crashes is
-//! refused: innocent requests are in flight at one, seldom at two. A backend server that starts
-//! again under its name crashes anew, so runs are counted and not names.
+//! Answers also get lost in the network, so a broken connection counts only if the backend server
+//! then refuses connections or has restarted. Requests in flight at a crash are reported to all VMs,
+//! and one in flight at [`BANNED`] crashes is refused; innocent requests are in flight at one, seldom
+//! at two. A backend server may restart under the same name and crash again, so crashes are counted
+//! per run of its process.
 
 use std::collections;
 use std::time;
 
 use super::policy;
 
-/// Crashes after which a request is refused everywhere.
+/// Number of crashes after which a request is refused on all VMs.
 pub const BANNED: usize = 3;
 
-/// How long after a connection broke a refused one shows that its backend server crashed. A
-/// restart takes seconds, and other requests for it come within a part of one.
+/// Time after a broken connection within which a refused connection proves a crash. A restart takes
+/// seconds, and further requests for the backend server arrive within a fraction of a second.
 const CONFIRMED: time::Duration = time::Duration::from_millis(1500);
 
-/// How long after a connection broke a new start of its backend server shows that the run before
-/// crashed: the start takes some seconds, and the list tells of it up to two later.
+/// Time after a broken connection within which a restart proves that the previous run crashed: the
+/// restart takes some seconds, and the list of backend servers shows it up to 2 s later.
 const STARTED: time::Duration = time::Duration::from_secs(8);
 
-/// Requests that are remembered until it shows whether their backend server crashed.
+/// Maximum number of broken requests kept until a crash is confirmed or ruled out.
 const REMEMBERED: usize = 256;
 
 #[derive(Clone, Debug)]
@@ -37,7 +37,7 @@
     run: String,
 }
 
-/// What is known of crashes.
+/// Crashes of backend servers and the requests in flight at each.
 #[derive(Clone, Debug, Default)]
 pub struct Crashes {
     lost: collections::VecDeque<Lost>,
@@ -45,7 +45,7 @@
 }
 
 impl Crashes {
-    /// A request's connection broke at a run of a backend server.
+    /// Records that a request's connection to a run of a backend server broke.
     pub fn lost(&mut self, now: policy::Moment, fingerprint: u64, run: &str) {
         if self.lost.len() >= REMEMBERED {
             self.lost.pop_front();
@@ -57,14 +57,14 @@
         });
     }
 
-    /// A backend server takes no connection. Returns the requests that were in flight when it
-    /// crashed, to be told to all.
+    /// Records that a backend server refused a connection. Returns the requests that were in flight
+    /// when it crashed, for the report to all VMs.
     pub fn refused(&mut self, now: policy::Moment, run: &str) -> Vec<u64> {
         self.over(now, run, CONFIRMED)
     }
 
-    /// A backend server has started again, so that this run of it is over. Returns the requests
-    /// that were in flight when it crashed, to be told to all.
+    /// Records that a backend server has restarted and that this run of it has ended. Returns the
+    /// requests that were in flight when it crashed, for the report to all VMs.
     pub fn started_again(&mut self, now: policy::Moment, run: &str) -> Vec<u64> {
         self.over(now, run, STARTED)
     }
@@ -82,14 +82,13 @@
             .collect()
     }
 
-    /// A request was in flight at a crash of a backend server, here or elsewhere. Returns whether
-    /// that is news.
+    /// Adds a crash, seen here or on another VM, to a request's record. Returns whether it is new.
     pub fn learn(&mut self, fingerprint: u64, run: &str) -> bool {
         let crashes = self.by_request.entry(fingerprint).or_default();
         crashes.insert(run.to_owned())
     }
 
-    /// A crash is so long ago that it no longer counts. Returns whether it had counted.
+    /// Removes an expired crash from a request's record. Returns whether the record held it.
     pub fn forget(&mut self, fingerprint: u64, run: &str) -> bool {
         let Some(crashes) = self.by_request.get_mut(&fingerprint) else {
             return false;
