--- a/src/decisions/quarantine.rs
+++ b/src/decisions/quarantine.rs
@@ -1,15 +1,14 @@
-//! Requests that crash backend servers.
+//! Isolates and bans requests that crash backend servers.
 //!
-//! Load pattern: now and then one request crashes each backend server that runs it, and its
-//! caller sends it again. Without this, retries carry it from one backend server to the next
-//! until none is left. One notices it as backend servers that die one after the other, each a few
-//! milliseconds after a certain request.
+//! Load pattern: a request crashes each backend server that runs it, and its caller retries it.
+//! Without quarantine, retries carry it from one backend server to the next until none is left. The
+//! symptom is crashes that each follow a certain request by milliseconds.
 //!
-//! A crash says only what was in flight, so each of these fingerprints becomes a suspect. A
-//! suspect is tried alone: on a backend server with nothing else of this VM in flight, and only
-//! while another one is up. An answer clears it. A second crash bans it for
-//! [`Config::ban`], here and, as an [`Entry`], on the VMs that are told. Two crashes and not one,
-//! because the first names a handful of innocent requests too.
+//! Any request in flight at a crash may have caused it, so the fingerprint of each becomes a suspect.
+//! A suspect is tried alone: on a backend server with no other request of this VM in flight, and only
+//! while another backend server is up. An answer clears it. A second crash bans it for
+//! [`Config::ban`] on this VM and on the VMs that receive the [`Entry`]. One crash is not enough,
+//! because it makes some innocent requests suspects too.
 
 use std::collections;
 use std::time;
@@ -21,14 +20,14 @@
 pub struct Config {
     /// How long a fingerprint stays a suspect without another crash.
     pub suspect: time::Duration,
-    /// How long a fingerprint is banned: longer than callers keep asking, short enough that a
-    /// repaired service is not held back for long.
+    /// How long a fingerprint is banned: longer than callers retry, but short enough that a repaired
+    /// service is not held back for long.
     pub ban: time::Duration,
-    /// Fingerprints that are kept. The oldest suspects go first.
+    /// Maximum number of fingerprints kept. The oldest suspects are removed first.
     pub most: usize,
-    /// Suspects that may wait to be tried.
+    /// Maximum number of suspects that wait for a trial.
     pub waiting: usize,
-    /// Connections of one backend server that break within this time are one crash.
+    /// Broken connections to one backend server within this time count as one crash.
     pub one_crash: time::Duration,
 }
 
@@ -58,26 +57,26 @@
 }
 
 data! {
-    /// A ban, as VMs tell it to one another.
+    /// A ban, as sent to other VMs.
     #[derive(Copy, Eq)]
     pub struct Entry {
-        /// What is banned.
+        /// The banned fingerprint.
         pub fingerprint: policy::Fingerprint,
-        /// How much longer. A time span, because VMs share no clock.
+        /// Remaining time of the ban. A duration, because VMs share no clock.
         pub left: time::Duration,
     }
 }
 
-/// What is known of a fingerprint.
+/// State of a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Nothing.
+    /// Neither suspect nor banned.
     Clear,
-    /// It was in flight at a crash.
+    /// In flight at one crash.
     Suspect,
-    /// It was in flight at two.
+    /// In flight at two crashes.
     Banned {
-        /// How much longer it is refused.
+        /// Remaining time of the ban.
         left: time::Duration,
     },
 }
@@ -96,7 +95,7 @@
 }
 
 impl Quarantine {
-    /// What is known of a fingerprint.
+    /// State of a fingerprint at `now`.
     pub fn state(&self, now: policy::Moment, fingerprint: policy::Fingerprint) -> State {
         match self.records.get(&fingerprint) {
             Some(record) if record.until <= now => State::Clear,
@@ -108,7 +107,7 @@
         }
     }
 
-    /// A backend server crashed with this in flight.
+    /// Records that a backend server crashed with this request in flight.
     pub fn crashed(&mut self, cfg: &Config, now: policy::Moment, fingerprint: policy::Fingerprint) {
         if self.records.len() >= cfg.most {
             self.make_room(now);
@@ -128,7 +127,7 @@
         }
     }
 
-    /// It was answered: what crashed the backend server was something else.
+    /// Clears a suspect that was answered: another request caused the crash.
     pub fn answered(&mut self, fingerprint: policy::Fingerprint) {
         if self.records.is_empty() {
             return;
@@ -142,7 +141,7 @@
         }
     }
 
-    /// The bans that came up here since the last call, to be told to other VMs.
+    /// Returns the bans that originated here since the last call, to be sent to other VMs.
     pub fn export(&mut self, now: policy::Moment) -> Vec<Entry> {
         let fresh = std::mem::take(&mut self.fresh);
         let entry = |fingerprint| match self.state(now, fingerprint) {
@@ -152,7 +151,7 @@
         fresh.into_iter().filter_map(entry).collect()
     }
 
-    /// Another VM tells of a ban. It is not told on from here.
+    /// Applies a ban from another VM. It is not forwarded.
     pub fn import(&mut self, cfg: &Config, now: policy::Moment, entry: Entry) {
         if self.records.len() >= cfg.most {
             self.make_room(now);
@@ -166,7 +165,7 @@
         record.until = record.until.max(until);
     }
 
-    /// Drops what has expired.
+    /// Removes expired records.
     pub fn tick(&mut self, now: policy::Moment) {
         self.records.retain(|_, record| record.until > now);
     }
@@ -194,8 +193,8 @@
         policy::Moment::from_secs(secs)
     }
 
-    /// A request crashes a backend server while an innocent one is in flight. The innocent one is
-    /// answered when tried alone; the other crashes a second one and is refused from then on.
+    /// A request crashes a backend server while an innocent one is in flight. Tried alone, the
+    /// innocent one is answered; the other crashes a second backend server and is banned.
     #[test]
     fn two_crashes_ban_and_an_answer_clears() {
         let (mut quarantine, cfg) = (Quarantine::default(), Config::default());
