--- a/src/decisions/nearby.rs
+++ b/src/decisions/nearby.rs
@@ -1,58 +1,57 @@
-//! Which entry VMs a caller is told to use.
+//! Selects the entry VMs whose addresses a caller receives.
 //!
-//! Load pattern: callers all over, more entry VMs in their region than their requests need, and
-//! VMs of several sizes. Spread over all of them, each VM sees a small part of what a backend
-//! server does: it believes that one with ten requests is idle, and dials anew for many requests,
-//! which costs a round trip (0.11 s between regions). One notices it as answers that come late
-//! while other backend servers are idle, and as worth that falls when VMs are added.
+//! Load pattern: a region with more entry VMs than its requests need, of several sizes. If callers
+//! spread over all of them, each VM sees a small part of a backend server's load: it takes one with
+//! ten requests for idle, and opens a new connection for many requests, which costs a round trip
+//! (0.11 s between regions). The symptoms are late answers while other backend servers are idle, and
+//! less goodput when VMs are added.
 //!
-//! So callers are told a few VMs of their region, those that carry most, from different
-//! availability zones. Two: when one of them or its zone is lost, the other still answers until
-//! the first one's lease has ended. Each says when it is busy, and one more is told for each that
-//! is; all VMs work out the same list from what all have said, without a further message. Where
-//! the region has none, any others are told. A zone's own VMs have no precedence: the zones of a
-//! region lie a millisecond apart.
+//! Callers therefore receive few VMs of their region, those with the largest capacity, from different
+//! zones. VMs in the caller's own zone are not preferred: the zones of a region are a millisecond
+//! apart. Each VM publishes whether it is busy, and each busy VM in the list adds one more; all VMs
+//! compute the same list from this without further messages. A region without VMs gets those of any
+//! region.
 
 use std::cmp;
 use std::collections;
 
 use crate::id;
 
-/// How many are told that are not busy.
+/// Default number of VMs in the list that are not busy. Two, because after the loss of a VM or its
+/// zone the other one still answers until the lease of the lost one has expired.
 pub const LEAST: usize = 2;
 
-/// The most that one answer names. More would only make answers longer.
+/// Maximum number of VMs in one list. More would only make answers longer.
 pub const MOST: usize = 64;
 
-/// From which part of a VM's processor or link on it is busy. Half: callers come in clumps, and
-/// those of a VM that was lost come on top.
+/// Utilization of processor or link above which a VM becomes busy. Half, because callers arrive in
+/// bursts and those of a lost VM are added.
 const BUSY: f64 = 0.5;
 
-/// Below which part it is no longer busy: when the callers of one busy VM are shared with another,
-/// each has a half of [`BUSY`], and that must not end it.
+/// Utilization at or below which a busy VM stops being busy. When the load of one busy VM is shared
+/// with a second one, each has half of [`BUSY`] and must stay busy.
 const IDLE: f64 = 0.2;
 
-/// Processor time for one request, in seconds of a whole core, with room for answers longer than the
-/// usual.
+/// Processor time per request, in seconds of one core, with a reserve for large answers.
 const REQUEST_S: f64 = 0.000_2;
 
-/// A usual answer, in bytes.
+/// Typical size of an answer.
 const ANSWER: f64 = 5_000.0;
 
-/// What a VM can carry.
+/// Capacity of a VM.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Capacity {
-    /// Cores, or a part of one; 0: not known.
+    /// Number of cores, possibly fractional; 0 if unknown.
     pub cores: f64,
-    /// The bandwidth of its link, in Mbit/s; 0: not known.
+    /// Link bandwidth in Mbit/s; 0 if unknown.
     pub link_mbps: f64,
 }
 
 impl Capacity {
-    /// Bytes a second of a link of 1 Mbit/s.
+    /// Bytes per second of a link of 1 Mbit/s.
     const MBPS: f64 = 1e6 / 8.0;
 
-    /// Usual requests a second, as far as known; 0: nothing is known.
+    /// Typical requests per second that the VM can serve; 0 if its capacity is unknown.
     pub fn requests(&self) -> u32 {
         let by_cores = self.cores / REQUEST_S;
         let by_link = self.link_mbps * Self::MBPS / ANSWER;
@@ -60,7 +59,7 @@
         known.reduce(f64::min).unwrap_or_default() as u32
     }
 
-    /// The part of it that is in use, of processor or link the larger.
+    /// Utilization of processor or link, whichever is larger.
     pub fn used(&self, requests_a_second: f64, bytes_a_second: f64) -> f64 {
         let part = |used: f64, of: f64| if of > 0.0 { used / of } else { 0.0 };
         let processor = part(requests_a_second * REQUEST_S, self.cores);
@@ -68,17 +67,17 @@
     }
 }
 
-/// Whether a VM is busy, by the part of its capacity that is in use.
+/// Whether a VM is busy, with hysteresis on its utilization.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Busy(bool);
 
 impl Busy {
-    /// Whether it is.
+    /// Returns whether the VM is busy.
     pub fn get(self) -> bool {
         self.0
     }
 
-    /// Takes in what is used now. Returns whether that changed anything.
+    /// Updates the state from the current utilization. Returns whether the state has changed.
     pub fn step(&mut self, used: f64) -> bool {
         let limit = if self.0 { IDLE } else { BUSY };
         let busy = used > limit;
@@ -86,24 +85,24 @@
     }
 }
 
-/// An entry VM that may be told.
+/// An entry VM that may be in a caller's list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry<'a, T> {
-    /// Whether it lies in the caller's region.
+    /// Whether it is in the caller's region.
     pub near: bool,
     /// Its availability zone.
     pub az: &'a id::AzId,
-    /// The usual requests a second that it can carry.
+    /// Typical requests per second that it can serve.
     pub requests: u32,
-    /// Whether it says that it is busy.
+    /// Whether it reports that it is busy.
     pub busy: bool,
-    /// The hash of its name, which puts those with equal capacity into one order on all VMs.
+    /// Hash of its name; orders VMs of equal capacity the same way on all VMs.
     pub hash: u64,
-    /// What the caller is told.
+    /// The value that the selection returns for this VM.
     pub told: T,
 }
 
-/// The entry VMs that a caller is told, `least` of which are not busy, as far as there are so many.
+/// Selects the entry VMs for a caller so that `least` of them are not busy, if there are enough.
 pub fn told<'a, T>(least: usize, all: impl Iterator<Item = Entry<'a, T>>) -> Vec<T> {
     let mut rest = least;
     let enough = |entry: &Entry<'_, T>| {
@@ -119,8 +118,8 @@
         .collect()
 }
 
-/// Those of the region, or all where it has none: first the best of each zone, then the second
-/// best, and so on.
+/// Orders the VMs of the region, or all VMs if it has none: first the largest of each zone, then the
+/// second largest of each, and so on.
 fn in_order<'a, T>(all: impl Iterator<Item = Entry<'a, T>>) -> Vec<Entry<'a, T>> {
     let mut all: Vec<Entry<'a, T>> = all.collect();
     if all.iter().any(|entry| entry.near) {
