--- a/src/decisions/rest.rs
+++ b/src/decisions/rest.rs
@@ -1,52 +1,51 @@
-//! How long a connection to a backend server may rest before a request is sent on it again.
+//! Limits how long an idle connection to a backend server may be reused.
 //!
 //! Load pattern: hundreds of backend servers, each of which gets a request from one VM every few
-//! seconds. Where connections are given up sooner, every third request dials anew, which costs a round
-//! trip: 0.11 s to another region, half of what is left of an aim of 0.4 s. Where they are used too late,
-//! the backend server has closed or forgotten them, and the request is lost or sent twice. One notices
-//! the first as answers of another region that are late by a tenth of a second, the second as requests
-//! that break in the moment at which they are sent.
+//! seconds. If idle connections are closed too early, every third request opens a new one, and
+//! answers from other regions are late by a round trip: 0.11 s, half of what remains of a latency
+//! objective of 0.4 s. If they are reused too late, the backend server has closed or dropped them,
+//! and the request fails when it is sent, and is lost or sent twice.
 //!
-//! So a connection rests as long as the backend server says that it keeps it, less a margin. Where those
-//! that rested break at once much more often than those that were just dialled, none rests longer
-//! than a quarter of what the last had rested, at any backend server, since they forget alike; each that
-//! works after more than half of the limit raises it again. Breaks alone say nothing: backend servers
-//! that lose their answers break both alike, and dialling anew made it worse.
+//! A connection is therefore reused up to the idle timeout that the backend server states, less a
+//! margin. If reused connections break at once much more often than new ones, the limit drops for all
+//! backend servers, because they tend to drop connections alike. Breaks alone don't lower it: backend
+//! servers that lose answers break new and reused connections alike, and opening more connections
+//! makes that worse.
 
 use std::time;
 
-/// How long one rests whose backend server does not say.
+/// Idle limit for a backend server that states no idle timeout.
 const UNSTATED: time::Duration = time::Duration::from_secs(4);
 
-/// How long before the stated end a connection is no longer used: the way there at most.
+/// Margin before the stated timeout, for the longest time that a request takes to the backend server.
 const MARGIN: time::Duration = time::Duration::from_millis(500);
 
-/// The longest rest, and so the limit while none has broken.
+/// Maximum idle limit, in force until a connection breaks.
 const LONGEST: time::Duration = time::Duration::from_millis(9500);
 
-/// The limit sinks no further: a request right after another has its connection still open.
+/// Minimum idle limit: a connection is still open for a request that follows directly.
 const SHORTEST: time::Duration = time::Duration::from_millis(50);
 
-/// Within how many round trips of a send, and some time for a busy machine, a connection breaks that
-/// was closed or forgotten while it rested.
+/// Time within which a send on a closed or dropped connection fails: this many round trips, plus an
+/// allowance for a busy machine.
 const ROUND_TRIPS: f64 = 1.5;
 const BUSY: time::Duration = time::Duration::from_millis(10);
 
-/// What one send counts in the shares that break: they are taken over about the last 20.
+/// Weight of one send in the moving averages, which cover about the last 20 sends.
 const NEW: f64 = 0.05;
 
-/// By how much the share that breaks after a rest must pass that of the others. Where half of the
-/// backend servers lose 0.05 of their answers, 2,000 sends never bring them that far apart.
+/// Excess of the break share of reused connections over that of new ones at which the limit drops. If
+/// half of the backend servers lose 0.05 of their answers, 2,000 sends never reach this excess.
 const MORE: f64 = 0.3;
 
-/// What one use after a long rest adds to the limit. It doubles after ten.
+/// Factor by which a successful reuse after a long idle time raises the limit. Ten of them double it.
 const RAISE: f64 = 1.07;
 
-/// The limit that this VM has learnt.
+/// Adaptive idle limit of this VM.
 #[derive(Clone, Copy, Debug)]
 pub struct Rest {
     limit: time::Duration,
-    /// The share of sends that break at once, on connections that rested and on new ones.
+    /// Shares of sends that break at once, on reused and on new connections.
     rested_break: f64,
     new_break: f64,
 }
@@ -61,7 +60,7 @@
     }
 }
 
-/// Whether a connection broke as one does that was closed or forgotten before the send.
+/// Whether a break so soon after the send means that the connection was closed or dropped before it.
 pub fn at_once(after: time::Duration, round_trip: time::Duration) -> bool {
     after <= round_trip.mul_f64(ROUND_TRIPS) + BUSY
 }
@@ -71,18 +70,19 @@
 }
 
 impl Rest {
-    /// How long a connection may rest whose backend server states this.
+    /// Idle limit for a connection to a backend server that states this idle timeout.
     pub fn limit(&self, stated: Option<time::Duration>) -> time::Duration {
         let allowed = stated.map_or(UNSTATED, |stated| stated.saturating_sub(MARGIN));
         allowed.min(self.limit)
     }
 
-    /// A request was sent on a new connection, which broke at once or did not.
+    /// Records a send on a new connection, and whether it broke at once.
     pub fn dialled(&mut self, broke: bool) {
         count(&mut self.new_break, broke);
     }
 
-    /// A request was sent on a connection that had rested so long and did not break at once.
+    /// Records a send on a connection that was idle for `rested` and did not break at once. After
+    /// more than half of the limit, this raises the limit.
     pub fn held(&mut self, rested: time::Duration) {
         count(&mut self.rested_break, false);
         if rested > self.limit / 2 {
@@ -90,8 +90,8 @@
         }
     }
 
-    /// A connection that had rested so long broke at once. Returns whether connections rest less
-    /// from now on.
+    /// Records that a connection that was idle for `rested` broke at once. Returns whether the limit
+    /// has dropped, which is to a quarter of `rested` at most.
     pub fn broke(&mut self, rested: time::Duration) -> bool {
         count(&mut self.rested_break, true);
         let more = self.rested_break > self.new_break + MORE;
