--- a/src/decisions/resend.rs
+++ b/src/decisions/resend.rs
@@ -1,30 +1,30 @@
-//! How many second sends all entry VMs make together.
+//! Bounds how many requests all entry VMs together send a second time.
 //!
-//! Load pattern: backend servers that fail or refuse, under load. Each VM that retries by its own
-//! rule adds to the load just when there is least room, and a fleet of them multiplies it. One
-//! notices it as arrivals at a service that are a multiple of its callers' requests.
+//! Load pattern: backend servers that fail or refuse under load. Retries that each VM limits only for
+//! itself add load when capacity is lowest, multiplied by the number of VMs. The symptom is that a
+//! service receives a multiple of its callers' requests.
 //!
-//! The bound holds for the fleet: a share of the requests of a sliding window, and a fixed extra.
-//! The share each VM takes from its own requests; of the extra it takes its part by the number of
-//! VMs. So the sum keeps the bound without a message. What one VM leaves unused is lost to the
-//! others, which is the price.
+//! The bound holds for the fleet: a share of the requests in a sliding window, plus a fixed extra.
+//! Each VM applies the share to its own requests and divides the extra by the number of VMs, so the
+//! total keeps the bound without messages. The cost is that budget unused on one VM is not available
+//! to the others.
 
 use std::collections;
 use std::time;
 
 use super::policy;
 
-/// The bound on second sends.
+/// Fleet-wide bound on second sends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
-    /// Second sends for each request.
+    /// Second sends per request.
     pub share: f64,
-    /// Second sends beyond that share, over all VMs in a window.
+    /// Additional second sends of all VMs together per window.
     pub extra: f64,
-    /// The window.
+    /// Length of the window.
     pub window: time::Duration,
-    /// What of the bound is used. The rest covers VMs that have just come or gone, which others
-    /// count differently for a few seconds, and requests on their way at the window's edge.
+    /// Share of the bound that is used. The rest covers VMs that have just joined or left, which
+    /// others miscount for a few seconds, and requests in transit at the edge of the window.
     pub used: f64,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// How finely the window slides: in this many steps.
+/// Number of steps in which the window advances.
 const STEPS: u32 = 20;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -49,7 +49,7 @@
     second: f64,
 }
 
-/// One service's requests and second sends on this VM.
+/// Requests and second sends of one service on this VM.
 #[derive(Clone, Debug, Default)]
 pub struct Resends {
     counts: collections::VecDeque<Count>,
@@ -74,12 +74,12 @@
         &mut self.counts[last]
     }
 
-    /// A caller's request came.
+    /// Counts a request of a caller.
     pub fn request(&mut self, bound: &Bound, now: policy::Moment) {
         self.count(bound, now).requests += 1.0;
     }
 
-    /// Takes one second send, if the bound leaves one. `vms` take part in the extra.
+    /// Counts a second send and returns `true` if the bound allows one. `vms` share the extra.
     pub fn take(&mut self, bound: &Bound, now: policy::Moment, vms: usize) -> bool {
         self.count(bound, now);
         let requests: f64 = self.counts.iter().map(|c| c.requests).sum();
