--- a/src/decisions/comeback.rs
+++ b/src/decisions/comeback.rs
@@ -1,21 +1,21 @@
-//! When a refused caller is asked to come back.
+//! Computes the retry delay given to a refused caller.
 //!
-//! Load pattern: a burst larger than what can be served. All who are refused at once and told the
-//! same time come back at once, as the next burst. One notices it as refusals in waves.
+//! Load pattern: a burst larger than the capacity. Callers that are refused together with the same
+//! delay retry together, as the next burst. The symptom is refusals in waves.
 //!
-//! So the time is what the queue will take by then, spread by half to both sides, and no later
-//! than a third of what the caller has left, since beyond that callers do not wait for us.
+//! The delay is therefore the expected time to drain the queue, spread by half in both directions,
+//! and at most a third of the caller's remaining time, because callers do not wait longer than that.
 
 use std::time;
 
-/// The least time to come back after. Below it, coming back is the same as waiting.
+/// Minimum delay before the spread. A shorter one is no better than queueing the request.
 const LEAST: time::Duration = time::Duration::from_millis(80);
 
-/// The part of the caller's time left that it is asked to wait at most.
+/// Maximum delay as a share of the caller's remaining time.
 const PART: f64 = 0.3;
 
-/// The time to come back after. `backlog` is how long what waits will take, `jitter` lies between
-/// 0 and 1.
+/// Returns the retry delay. `backlog` is the expected time to drain the queue, `left` the caller's
+/// remaining time, and `jitter` lies between 0 and 1.
 pub fn after(backlog: time::Duration, left: time::Duration, jitter: f64) -> time::Duration {
     let spread = backlog.max(LEAST).mul_f64(0.5 + jitter);
     spread.min(left.mul_f64(PART))
