--- a/src/decisions/precedence.rs
+++ b/src/decisions/precedence.rs
@@ -1,33 +1,34 @@
-//! When less urgent requests leave room for the more urgent ones of their service.
+//! Decides when less urgent requests leave capacity to more urgent ones of the same service.
 //!
-//! Load pattern: a service in overload, with many reads and a few bookings. Refused at the same
-//! load, bookings are refused as often as reads, which one notices as payments that fail while
-//! lists of photos still come. Keeping a part of each backend server free for bookings at all
-//! times refuses reads for nothing whenever there are none.
+//! Load pattern: an overloaded service with many reads and a few bookings. Refused at the same load,
+//! bookings fail as often as reads: payments are lost while photo lists are still served. Reserving a
+//! part of each backend server for bookings at all times would refuse reads needlessly whenever there
+//! are none.
 //!
-//! So room is left only while it is wanted: for [`HOLD`] after a more urgent request found none.
+//! Capacity is therefore reserved only on demand: for [`HOLD`] after a more urgent request was
+//! refused.
 
 use std::time;
 
 use super::policy;
 
-/// For how long the less urgent leave room after a more urgent request was refused. A caller
-/// that was refused comes back within a part of a second, and an overload lasts for some.
+/// Duration of the reservation after the refusal of a more urgent request. A refused caller retries
+/// within a fraction of a second, and an overload lasts for some seconds.
 pub const HOLD: time::Duration = time::Duration::from_secs(1);
 
-/// What one service's requests leave to one another.
+/// Reservation state of one service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Precedence {
     until: policy::Moment,
 }
 
 impl Precedence {
-    /// One of the most urgent requests found no room.
+    /// Records that one of the most urgent requests found no capacity.
     pub fn refused(&mut self, now: policy::Moment) {
         self.until = now + HOLD;
     }
 
-    /// Whether the less urgent leave room just now.
+    /// Whether less urgent requests leave capacity at `now`.
     pub fn yields(&self, now: policy::Moment) -> bool {
         now < self.until
     }
