--- a/src/decisions/range.rs
+++ b/src/decisions/range.rs
@@ -1,22 +1,22 @@
-//! Checked ranges of thresholds.
+//! Range checks of thresholds.
 
 use std::ops;
 
-/// A threshold that lies outside its range.
+/// A threshold outside its range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{name} is {value}; write a value from {least} to {most}")]
 pub struct Error {
-    /// The name of the threshold.
+    /// Name of the threshold.
     pub name: &'static str,
     /// Its value.
     pub value: f64,
-    /// The least value that makes sense.
+    /// Smallest valid value.
     pub least: f64,
-    /// The largest value that makes sense.
+    /// Largest valid value.
     pub most: f64,
 }
 
-/// Checks one threshold.
+/// Checks that a threshold lies in its range. NaN is outside every range.
 pub fn check(name: &'static str, value: f64, range: ops::RangeInclusive<f64>) -> Result<(), Error> {
     if range.contains(&value) {
         return Ok(());
@@ -29,18 +29,18 @@
     })
 }
 
-/// Durations as seconds, in settings.
+/// Serialization of durations as seconds, for settings.
 pub mod seconds {
     use std::time;
 
     use serde::{Deserialize, Deserializer, Serializer, de};
 
-    /// Writes a duration.
+    /// Serializes a duration in seconds.
     pub fn serialize<S: Serializer>(value: &time::Duration, to: S) -> Result<S::Ok, S::Error> {
         to.serialize_f64(value.as_secs_f64())
     }
 
-    /// Reads a duration.
+    /// Deserializes a duration from seconds.
     pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<time::Duration, D::Error> {
         let seconds = f64::deserialize(from)?;
         time::Duration::try_from_secs_f64(seconds).map_err(de::Error::custom)
