--- a/src/decisions/note.rs
+++ b/src/decisions/note.rs
@@ -1,56 +1,56 @@
-//! What a policy decided about backend servers and requests beside its actions, for operators.
+//! Events of a policy that its actions don't show, for the log.
 //!
-//! An ejection or a quarantine shows in no action: the backend server just gets no more work. An
-//! operator who asks why has to find it in the logs.
+//! No action shows an ejection or a quarantine: the backend server just gets no more requests.
+//! Operators find the reason in the log.
 
 use super::policy;
 use crate::id;
 
 data! {
-    /// Something that operators may ask about.
+    /// An event of interest to operators.
     #[derive(Eq)]
     #[serde(rename_all = "snake_case", tag = "note")]
     pub enum Note {
-        /// A backend server gets no work for a while.
+        /// A backend server was ejected and gets no requests for a while.
         Ejected {
             /// The backend server.
             vm: id::VmId,
-            /// It cannot be reached, as opposed to answering badly.
+            /// Whether it is unreachable, as opposed to answering badly.
             down: bool,
         },
-        /// An ejected backend server gets work again.
+        /// An ejected backend server gets requests again.
         Restored {
             /// The backend server.
             vm: id::VmId,
         },
-        /// A connection broke with this in flight.
+        /// A connection broke with this request in flight.
         Suspected {
             /// The backend server.
             vm: id::VmId,
-            /// What was in flight.
+            /// The request in flight.
             fingerprint: policy::Fingerprint,
-            /// It was in flight at two crashes, and is refused from now on.
+            /// Whether it was in flight at two crashes and is refused from now on.
             banned: bool,
         },
     }
 }
 
-/// Notes that nobody collected yet; beyond so many they are dropped.
+/// Maximum number of uncollected events; further ones are dropped.
 const MOST: usize = 256;
 
-/// Notes since they were last taken.
+/// Events since the last call of [`Notes::take`].
 #[derive(Clone, Debug, Default)]
 pub struct Notes(Vec<Note>);
 
 impl Notes {
-    /// Adds one.
+    /// Adds an event, or drops it if the list is full.
     pub fn push(&mut self, note: Note) {
         if self.0.len() < MOST {
             self.0.push(note);
         }
     }
 
-    /// Takes all.
+    /// Returns all events and clears the list.
     pub fn take(&mut self) -> Vec<Note> {
         std::mem::take(&mut self.0)
     }
