--- a/src/decisions/quota.rs
+++ b/src/decisions/quota.rs
@@ -347,8 +347,8 @@
 }
 
 impl<S: Sharing> Ledger<S> {
-    /// Creates an empty ledger. `started` is the process start on the monotonic clock, `start` the
-    /// same moment in wall-clock time.
+    /// Creates an empty ledger. `started` is the process start on the monotonic clock, `start` in
+    /// wall-clock time.
     pub fn new(bound: Bound, started: policy::Moment, start: Start) -> Self {
         Self {
             bound,
@@ -477,8 +477,8 @@
         let mut surge = Surge::of(account, now);
         let mut target = self.bound.target(&limit);
         if self.has_silent(now, customer) {
-            // The two sides of a partition differ in what they know of each other by the messages in
-            // transit.
+            // Messages in transit make the two sides of a partition differ in what they know of each
+            // other.
             target *= IN_A_CUT;
         }
         let strangers = self.strangers();
@@ -589,8 +589,8 @@
         silent.any(|other| other.rows.contains_key(&customer))
     }
 
-    /// Number of expected peers that have never reported. Each is assumed to have this VM's demand
-    /// and usage.
+    /// Number of expected peers without any report. Each is assumed to have this VM's demand and
+    /// usage.
     fn strangers(&self) -> usize {
         let unheard = |vm: &&Name| !self.others.contains_key(vm);
         self.expected.iter().filter(unheard).count()
@@ -604,7 +604,7 @@
     }
 
     /// Time until the recently refused requests would have found quota, at the rate at which it is
-    /// freed here.
+    /// freed.
     fn room_after(
         &mut self,
         now: policy::Moment,
@@ -773,8 +773,7 @@
 
 impl Row {
     /// Usage of the peer: as reported or, if it is silent, its full share if that is larger. A silent
-    /// peer may go on with its share, so both sides of a partition keep the bound without
-    /// communication.
+    /// peer may go on with its share, so both sides of a partition keep the bound without messages.
     fn used(&self, silent: bool, target: f64) -> f64 {
         match silent {
             true => self.told.used.max(self.share * target),
