--- a/tests/quota/bound.rs
+++ b/tests/quota/bound.rs
@@ -1,4 +1,4 @@
-//! Surges, cuts, restarts and falling limits: the bound holds, and who keeps to it is let in.
+//! Tests of the quota bound, and of admission within it, in surges, partitions and restarts.
 
 use bulrushwind::decisions::quota::{self, ByDemand, Evenly, Sharing, UntilFull};
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Checks that no window holds more than the bound for a limit.
+/// Checks that no window from `from_ms` on holds more than the bound.
 fn keeps(outcome: &Outcome, limit: &quota::Limit, from_ms: u64, what: &str) {
     let bound = quota::Bound::default();
     let (most, busiest) = (bound.most(limit), outcome.busiest(&bound, from_ms));
@@ -37,14 +37,13 @@
     );
 }
 
-/// VMs, and those of them to which callers are sent.
+/// Number of VMs, and number of VMs that callers use.
 const FLEETS: [(usize, usize); 5] = [(2, 2), (10, 6), (84, 8), (84, 20), (300, 40)];
 
-/// The same for the table, which is played for a reader only.
+/// Fleets of the comparison table.
 const TABLE: [(usize, usize); 3] = [(10, 6), (84, 8), (300, 40)];
 
-/// A customer that keeps to its limit asks at whichever VM its callers were told. Refused there, it
-/// gets less than it pays for.
+/// Guards against refusing a customer within its limit because its callers use only a few VMs.
 #[test]
 fn who_keeps_to_the_limit_is_let_in() {
     for (vms, carriers) in FLEETS {
@@ -65,8 +64,8 @@
     }
 }
 
-/// Guards against what is let in before anybody has heard of the others: all callers come at once
-/// after a rest, as when traffic starts.
+/// Guards against admissions before the first reports arrive: all callers start at once, as at the
+/// start of traffic.
 #[test]
 fn a_surge_from_rest_keeps_the_bound() {
     for (vms, carriers) in [(2, 2), (75, 6), (84, 20)] {
@@ -87,8 +86,8 @@
     }
 }
 
-/// Guards against VMs that callers are sent to in a surge and that know nothing of what the others let
-/// in: each would take what is left for its own.
+/// Guards against VMs that get callers only during a surge and know nothing of the others'
+/// admissions: each would admit all that remains.
 #[test]
 fn callers_that_are_sent_to_more_vms_keep_the_bound() {
     let steps: [&[usize]; 4] = [&[7], &[8, 9], &[12], &[12, 24]];
@@ -116,8 +115,7 @@
     }
 }
 
-/// One customer suddenly asks several times its limit, everywhere at once. What is let in beyond the
-/// limit takes others' slots.
+/// Guards against a sudden surge on all VMs: requests above the limit take other customers' slots.
 #[test]
 fn a_surge_keeps_the_bound() {
     for (vms, carriers) in FLEETS {
@@ -137,7 +135,7 @@
                 );
                 let late = |all: &[u64]| all.iter().filter(|at| **at >= 10_000).count() as f64;
                 let let_in = late(&outcome.admitted);
-                // Ten seconds in which the limit allows this many.
+                // Number of requests that the limit allows in ten seconds.
                 let fair = f64::min(limit.rate * 10.0, let_in + late(&outcome.refused));
                 assert!(
                     let_in >= 0.9 * fair,
@@ -148,8 +146,8 @@
     }
 }
 
-/// Half of the VMs are cut from the others while a customer sends far too much on both sides. If each
-/// side took the other for idle, twice the limit would run.
+/// Guards against VMs on both sides of a partition that take the other side for idle: twice the limit
+/// would run.
 #[test]
 fn both_sides_of_a_cut_keep_the_bound_together() {
     for load in [0.6, 4.0] {
@@ -174,8 +172,8 @@
     }
 }
 
-/// Guards against both sides of a cut that began with a surge: what each knows of the other is older than
-/// the surge.
+/// Guards against a partition right after a surge began: both sides' reports are older than the
+/// surge.
 #[test]
 fn a_cut_right_after_a_surge_began_keeps_the_bound() {
     for limit in [LARGE, SMALL] {
@@ -200,8 +198,8 @@
     }
 }
 
-/// The VMs of one side of a cut lose their callers to the other side. These are within the limit and
-/// have their room, but for the part that the silent VMs may still be taking.
+/// Guards against refusals when the callers of isolated VMs move to the other side. They are within
+/// the limit, and only the part that the silent VMs may still use is missing.
 #[test]
 fn callers_that_leave_a_side_that_is_cut_off_are_let_in_elsewhere() {
     let events = [(5_000, Event::Cut(2)), (5_000, Event::Move(2))];
@@ -217,8 +215,8 @@
     );
 }
 
-/// All VMs are killed at once while a customer is at its limit, and start anew within a second. What
-/// ran before still counts, and nobody remembers it.
+/// All VMs are killed at once while a customer is at its limit, and restart within a second. Guards
+/// against forgetting the requests admitted before.
 #[test]
 fn a_restart_of_all_keeps_the_bound() {
     for load in [0.6, 1.0, 7.5] {
@@ -241,8 +239,8 @@
     }
 }
 
-/// Callers of a customer at its limit go from some VMs to others, as after a restart of those. The
-/// VMs that have them now must neither refuse them nor let the window run over.
+/// Callers of a customer at its limit move to other VMs, as after a restart. Guards against refusals
+/// there, and against exceeding the bound.
 #[test]
 fn callers_that_move_take_their_share_along() {
     for (load, refused) in [(0.6, 0.01), (5.0, 1.0)] {
@@ -261,8 +259,8 @@
     }
 }
 
-/// An operator lowers a limit to a tenth while the customer goes on. One window later no more than the
-/// new limit may run.
+/// An operator lowers a limit to a tenth. Guards against admitting more than the new limit one window
+/// later.
 #[test]
 fn a_limit_that_falls_binds_one_window_later() {
     let events = [(8_000, Event::Limit(0.1))];
@@ -280,7 +278,7 @@
     }
 }
 
-/// What each way lets in, for a reader of the design page: `cargo test --test quota -- --ignored --nocapture ways`.
+/// Prints a comparison of the policies: `cargo test --test quota -- --ignored --nocapture ways`.
 #[test]
 #[ignore = "prints a table and checks nothing"]
 fn ways_of_sharing_side_by_side() {
--- a/tests/quota/main.rs
+++ b/tests/quota/main.rs
@@ -1,4 +1,4 @@
-//! The bound on a customer's requests over all entry VMs, played in virtual time.
+//! Tests of the quota bound over all entry VMs, in virtual time.
 
 mod bound;
 mod model;
--- a/tests/quota/model.rs
+++ b/tests/quota/model.rs
@@ -1,4 +1,4 @@
-//! Entry VMs in virtual time that let in one customer's requests and tell one another.
+//! Simulation of entry VMs that admit one customer's requests and exchange usage reports.
 
 use std::collections;
 use std::time;
@@ -6,69 +6,69 @@
 use bulrushwind::decisions::quota::{self, Ledger, Sharing};
 use rand::{RngExt, SeedableRng};
 
-/// The customer.
+/// The customer of all requests.
 pub(crate) const CUSTOMER: quota::Name = 7;
 
-/// How often a VM looks whether there are news, and how often it speaks at the least.
+/// How often a VM checks for due reports, and how often it sends one at least.
 const TICK_MS: u64 = 100;
 const SPEAK_MS: u64 = 500;
 const WHOLE_MS: u64 = 2000;
 
-/// How often it looks while no customer asks.
+/// How often it checks while no customer sends requests.
 const IDLE_MS: u64 = 500;
 
-/// How long VMs are down that are killed.
+/// Downtime of a restart.
 const DOWN_MS: u64 = 1000;
 
-/// How long a message is under way.
+/// Propagation delay of a message.
 const WAY_MS: u64 = 60;
 
-/// What happens while a day is played.
+/// An event during a run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Event {
-    /// The customer asks so many times its limit.
+    /// The customer's load changes to this multiple of its limit.
     Load(f64),
-    /// VMs below this number hear nothing of the others, nor are heard by them.
+    /// VMs below this number and the others no longer receive each other's messages.
     Cut(usize),
-    /// All hear one another again.
+    /// The partition ends.
     Heal,
-    /// All VMs are killed and start again a second later, knowing nothing.
+    /// All VMs are killed and restart a second later without their state.
     RestartAll,
-    /// Callers come to VMs from this number on only.
+    /// Callers use only the VMs from this number on.
     Move(usize),
-    /// The limit falls to this part, or rises.
+    /// The limit changes to this share of the original one.
     Limit(f64),
-    /// Callers are sent to so many VMs from now on.
+    /// The number of VMs that callers use changes.
     Carriers(usize),
 }
 
-/// One day.
+/// Parameters of a run.
 pub(crate) struct Day<'a> {
-    /// VMs, and how many of them callers are sent to.
+    /// Number of VMs, and number of VMs that callers use.
     pub(crate) vms: usize,
     pub(crate) carriers: usize,
     pub(crate) limit: quota::Limit,
     pub(crate) load: f64,
-    /// What happens when, in milliseconds.
+    /// Events with their times in milliseconds.
     pub(crate) events: &'a [(u64, Event)],
     pub(crate) length_ms: u64,
-    /// Messages that are lost.
+    /// Share of messages that are lost.
     pub(crate) lost: f64,
     pub(crate) seed: u64,
 }
 
-/// What came of it.
+/// Result of a run.
 #[derive(Debug, Default)]
 pub(crate) struct Outcome {
-    /// When requests were let in, in milliseconds.
+    /// Times at which requests were admitted, in milliseconds.
     pub(crate) admitted: Vec<u64>,
-    /// When requests were refused.
+    /// Times at which requests were refused.
     pub(crate) refused: Vec<u64>,
     pub(crate) messages: usize,
 }
 
 impl Outcome {
-    /// The most that were let in within any window that begins at or after `from_ms`.
+    /// Maximum number of requests admitted in any window that begins at or after `from_ms`.
     pub(crate) fn busiest(&self, bound: &quota::Bound, from_ms: u64) -> usize {
         let width = bound.window.as_millis() as u64;
         let all: Vec<u64> = self
@@ -88,8 +88,7 @@
         most
     }
 
-    /// The share of the requests that was refused although the customer kept to its limit in the
-    /// window before.
+    /// Share of requests refused although the customer kept to its limit in the window before.
     pub(crate) fn wrongly_refused(&self, bound: &quota::Bound, limit: &quota::Limit) -> f64 {
         let width = bound.window.as_millis() as u64;
         let mut asked: Vec<u64> = [&self.admitted[..], &self.refused[..]].concat();
@@ -102,7 +101,7 @@
         self.refused.iter().filter(within).count() as f64 / asked.len().max(1) as f64
     }
 
-    /// The share of the requests from a moment on that was refused.
+    /// Share of requests refused from `from_ms` on.
     pub(crate) fn refused_from(&self, from_ms: u64) -> f64 {
         let count = |all: &[u64]| all.iter().filter(|at| **at >= from_ms).count() as f64;
         let (refused, admitted) = (count(&self.refused), count(&self.admitted));
@@ -138,17 +137,17 @@
 }
 
 fn moment(ms: u64) -> time::Duration {
-    // VMs have been up for long before the day begins.
+    // VMs started long before the run.
     time::Duration::from_millis(ms + 60_000)
 }
 
-/// The others of the first so many.
+/// The first `among` VMs without `vm`.
 fn others(among: usize, vm: usize) -> Vec<quota::Name> {
     let others = (0..among).filter(|other| *other != vm);
     others.map(|other| other as quota::Name).collect()
 }
 
-/// Callers are sent to the first so many VMs, and as many are next in line.
+/// Callers use the first `carriers` VMs, and as many more are on standby.
 fn expect<S: Sharing>(ledger: &mut Ledger<S>, carriers: usize, vm: usize, vms: usize) {
     let next = others(carriers * 2, vm);
     ledger.expect(others(carriers, vm), next, vms);
@@ -257,7 +256,7 @@
     }
 }
 
-/// Plays a day.
+/// Runs the simulation.
 pub(crate) fn play<S: Sharing>(day: &Day<'_>) -> Outcome {
     let ledger = |vm: usize| {
         let mut ledger = Ledger::<S>::new(quota::Bound::default(), time::Duration::ZERO, 0);
@@ -272,7 +271,7 @@
     let mut play = Play {
         day,
         carriers: day.carriers,
-        // No two look at the same moment.
+        // Staggers the checks of the VMs.
         looks: (0..carriers as u64).map(|vm| vm * 37 % IDLE_MS).collect(),
         ledgers: (0..carriers).map(ledger).collect(),
         spoke: vec![0; carriers],
--- a/tests/quota/small.rs
+++ b/tests/quota/small.rs
@@ -1,8 +1,8 @@
-//! All interleavings of a few steps of two VMs, through the real code.
+//! Exhaustive test of all sequences of a few steps of two VMs.
 //!
-//! A customer that used its whole limit begins to ask several times as much, and in each second one
-//! thing happens: they hear one another, one hears the other and not the reverse, neither hears, one
-//! starts again. Every sequence of six such seconds with at most one restart is played.
+//! A customer at its limit begins to send several times as much. In each second one step is played:
+//! both VMs receive reports, only one does, neither does, or one restarts. At most one step is a
+//! restart.
 
 use std::time;
 
@@ -17,12 +17,12 @@
 
 const SECONDS: u32 = 6;
 
-/// Requests each tenth of a second that the limit allows for long, and far more.
+/// Requests per 100 ms that the limit allows permanently, and far more.
 const WITHIN: usize = 7;
 const BEYOND: usize = 40;
 
-/// A VM that is killed again before a window has passed has forgotten twice what it let in, and its
-/// share of the limit no longer bounds that.
+/// Maximum number of restarts. A VM that is killed twice within a window has twice forgotten its
+/// admissions, and its share of the limit no longer bounds them.
 const RESTARTS: usize = 1;
 
 #[derive(Clone, Copy, Debug)]
@@ -63,10 +63,10 @@
         self.ledgers[1 - from].heard(now, from as u64, start, rows, true);
     }
 
-    /// One second: the step every tenth of it, and so many requests each tenth.
+    /// Plays one second: the step and `requests` requests in each tenth of it.
     fn second(&mut self, begin: time::Duration, step: Step, requests: usize) {
         if let Step::Restart = step {
-            // It is down for this second.
+            // The VM is down for this second.
             let near = self.ledgers[0].near_limits(begin);
             let up = begin + time::Duration::from_secs(1);
             self.ledgers[0] = ledger(0, up);
@@ -103,7 +103,7 @@
     }
 }
 
-/// The steps of a sequence, by its number.
+/// The steps of sequence number `n`.
 fn steps(mut n: usize) -> Vec<Step> {
     let mut steps = Vec::new();
     for _ in 0..SECONDS {
@@ -113,10 +113,10 @@
     steps
 }
 
-/// Plays a sequence of steps. Returns its busiest window.
+/// Plays a sequence of steps. Returns the request count of its busiest window.
 fn play<S: Sharing>(steps: &[Step]) -> usize {
     let mut pair = Pair::<S>::new();
-    // Both have been up and have talked for long before, and the customer kept to its limit.
+    // Before, both have exchanged reports for long, and the customer kept to its limit.
     for second in 50..60 {
         pair.second(time::Duration::from_secs(second), Step::Talk, WITHIN);
     }
@@ -126,7 +126,7 @@
     pair.busiest()
 }
 
-/// The first sequence that breaks the bound, and its busiest window.
+/// The first sequence that exceeds the bound, and its busiest window.
 fn broken<S: Sharing>() -> Option<(usize, Vec<Step>)> {
     let most = quota::Bound::default().most(&LIMIT);
     let restarts = |steps: &[Step]| steps.iter().filter(|s| matches!(s, Step::Restart)).count();
@@ -137,14 +137,13 @@
         .find(|(busiest, _)| *busiest as f64 > most)
 }
 
-/// Talks, cuts, cuts of one direction and restarts come in any order while a customer sends far too
-/// much. Whatever the order, no more runs than operators allow.
+/// Guards against an order of reports, partitions and restarts in which far too many requests run.
 #[test]
 fn no_order_of_cuts_and_restarts_breaks_the_bound() {
     assert!(broken::<ByDemand>().is_none(), "{:?}", broken::<ByDemand>());
 }
 
-/// A way of sharing that leaves out what the others let in.
+/// A faulty policy that ignores the requests admitted by other VMs.
 struct Deaf;
 
 impl Sharing for Deaf {
@@ -153,13 +152,14 @@
     }
 }
 
-/// The check must see a fault: a VM that counts only its own requests lets the double in.
+/// Checks that the search finds a fault: a VM that counts only its own requests admits twice the
+/// limit.
 #[test]
 fn a_way_that_leaves_others_out_is_found() {
     assert!(broken::<Deaf>().is_some());
 }
 
-/// So does one that lets everything in that is left on each VM.
+/// Checks that the search finds a policy that gives each VM the whole remaining quota.
 #[test]
 fn a_way_that_gives_all_that_is_left_to_each_is_found() {
     assert!(broken::<UntilFull>().is_some());
