--- a/tests/rest.rs
+++ b/tests/rest.rs
@@ -1,4 +1,4 @@
-//! How long connections rest, played in virtual time.
+//! Tests of the idle limit of connections, in virtual time.
 
 use std::time;
 
@@ -10,15 +10,15 @@
     time::Duration::from_secs_f64(s)
 }
 
-/// What became of requests to one backend server.
+/// Outcome of the requests to one backend server.
 #[derive(Debug, Default)]
 struct Sent {
     dialled: usize,
     broke: usize,
 }
 
-/// A request each 0.2 to 9 s, to backend servers that state ten seconds and forget connections after
-/// `kept`.
+/// Sends a request every 0.2 to 9 s to backend servers that state an idle timeout of 10 s and drop
+/// idle connections after `kept` seconds.
 fn play(kept: f64) -> Sent {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let mut rest = rest::Rest::default();
@@ -37,26 +37,26 @@
     sent
 }
 
-/// Each of many backend servers gets a request every few seconds. Given up after four, most connections
-/// are dialled anew, and callers of another region wait for a further round trip.
+/// Guards against closing idle connections too early: each of many backend servers gets a request
+/// every few seconds, and a new connection costs callers of another region one more round trip.
 #[test]
 fn connections_rest_as_long_as_backend_servers_say() {
     let sent = play(10.0);
     assert_eq!((sent.dialled, sent.broke), (0, 0));
 }
 
-/// Backend servers forget connections after a third of a second without a word. Requests sent on these
-/// break one after the other, and bookings among them end with their fate unknown.
+/// Backend servers drop connections after 0.3 s of idleness. Guards against requests that break one
+/// after the other on these; bookings among them end with unknown outcome.
 #[test]
 fn where_connections_are_forgotten_they_soon_rest_less() {
     let sent = play(0.3);
-    // Of rests up to four seconds 420 of 1,000 would break.
+    // With a fixed idle limit of 4 s, 420 of 1,000 would break.
     assert!(sent.broke <= 20, "{sent:?}");
 }
 
-/// Backend servers lose one answer of twenty and reset the connection, whether it is new or rested. Taken
-/// for a sign that connections are forgotten, all are dialled anew, and callers of another region are
-/// late by a round trip as long as the trouble lasts.
+/// Backend servers lose one answer of twenty and reset the connection, whether new or reused. Guards
+/// against taking this for dropped idle connections: a new connection per request would cost callers
+/// of another region a round trip.
 #[test]
 fn answers_that_are_lost_on_any_connection_are_no_reason_to_dial_anew() {
     let mut rng = ChaCha8Rng::seed_from_u64(10);
@@ -74,7 +74,7 @@
     assert_eq!(rest.limit(Some(secs(10.0))), secs(9.5));
 }
 
-/// A backend server crashes while it works on a request that came on a rested connection.
+/// Guards against taking a crash during a request for a dropped idle connection.
 #[test]
 fn a_connection_that_breaks_at_work_was_not_forgotten() {
     assert!(rest::at_once(secs(0.112), secs(0.11)));
