--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -1,4 +1,4 @@
-//! A customer at home in another region that suddenly asks for much, played in virtual time.
+//! Tests of the limit on requests that run in another region, in virtual time.
 
 use std::time;
 
@@ -6,8 +6,8 @@
 
 const CAP: f64 = 0.15;
 
-/// Plays requests of two kinds, so many a second of each by time; returns the share of those that ran
-/// elsewhere in each two seconds, and how many of them were refused.
+/// Plays two kinds of requests at the rates that `rates` returns for each millisecond. Returns the
+/// share of those that ran elsewhere in each span of 2 s, and how many of them were refused.
 fn shares(seconds: u64, rates: impl Fn(u64) -> (u64, u64)) -> (Vec<f64>, u64) {
     let mut departures = departures::Departures::default();
     let mut spans = vec![(0_u64, 0_u64); (seconds / 2) as usize];
@@ -42,8 +42,8 @@
         .fold(0.0, f64::max)
 }
 
-/// The customer asks eight times its usual from one second to the next. All of it let through at once,
-/// four tenths of the region's requests would run elsewhere two seconds later.
+/// A customer sends eight times its usual load from one second to the next. Guards against admitting
+/// all of it at once: 0.4 of the region's requests would run elsewhere 2 s later.
 #[test]
 fn a_surge_of_a_customer_from_elsewhere_shifts_in_steps() {
     let (shares, refused) = shares(20, |ms| (300, if ms < 6000 { 30 } else { 240 }));
@@ -54,7 +54,7 @@
     assert!((last - 240.0 / 540.0).abs() < 0.02, "{last}");
 }
 
-/// A customer that asks as ever is never refused for it, in a large region and in a small one.
+/// Guards against refusing a customer with steady load, in a large region and in a small one.
 #[test]
 fn a_steady_share_leaves_freely() {
     for (here, elsewhere) in [(300, 60), (20, 5), (5, 2)] {
@@ -63,8 +63,8 @@
     }
 }
 
-/// Guards against a customer whose full home refuses it: when the callers beside it leave and its home has
-/// room, what was refused must not run there all at once.
+/// Guards against counting requests that a full home region refuses: once other callers leave and the
+/// home region has room, they would all run there at once.
 #[test]
 fn what_was_refused_elsewhere_does_not_stand_for_a_share() {
     let mut departures = departures::Departures::default();
@@ -79,7 +79,7 @@
         }
         if due(100) && departures.may_leave(now, CAP) {
             departures.count(now, true);
-            // While its home is full, one of twenty runs there.
+            // While the home region is full, one of twenty requests runs there.
             match full && ms % 200 != 9 {
                 true => departures.take_back(now, now, true),
                 false => ran.push((ms, true)),
