--- a/src/decisions/quota.rs
+++ b/src/decisions/quota.rs
@@ -5,11 +5,11 @@
 //! late. An equal part of the quota per VM refuses customers that keep to their quota, because their
 //! callers use only a few of the VMs.
 //!
-//! The fleet admits at most [`Bound::most`] requests of a customer in any window. Each VM reports
-//! what it admits to its peers ([`Ledger::news`]). The remaining quota is split by recent demand, and
-//! each VM admits at most its share until the next reports, so the total keeps the bound despite
-//! propagation delay, and nothing is refused while quota remains. The rules for peers that are
-//! partitioned, new or killed are stated at the functions that apply them.
+//! The fleet admits at most [`Bound::max_admitted`] requests of a customer in any window. Each VM
+//! reports what it admits to its peers ([`Ledger::news`]). The remaining quota is split by recent
+//! demand, and each VM admits at most its share until the next reports, so the total keeps the bound
+//! despite propagation delay, and nothing is refused while quota remains. The rules for peers that
+//! are partitioned, new or killed are stated at the functions that apply them.
 
 use std::collections;
 use std::marker;
@@ -54,7 +54,7 @@
     }
 
     /// Maximum number of requests that the fleet admits in one window.
-    pub fn most(&self, limit: &Limit) -> f64 {
+    pub fn max_admitted(&self, limit: &Limit) -> f64 {
         self.allowed(limit) * (1.0 + self.over) + self.slack
     }
 
@@ -62,11 +62,14 @@
     /// are admitted but not yet reported: a share of the bound in a surge, and single requests on
     /// many VMs for a small limit.
     fn target(&self, limit: &Limit) -> f64 {
-        const UNTOLD: f64 = 0.09;
-        const SINGLE: f64 = 0.5;
-        let most = self.most(limit);
-        let left = f64::max(most * UNTOLD, self.slack * SINGLE);
-        (most - left).max(self.allowed(limit).min(most))
+        const SURGE_MARGIN_RATIO: f64 = 0.09;
+        const SLACK_MARGIN_RATIO: f64 = 0.5;
+        let max_admitted = self.max_admitted(limit);
+        let margin = f64::max(
+            max_admitted * SURGE_MARGIN_RATIO,
+            self.slack * SLACK_MARGIN_RATIO,
+        );
+        (max_admitted - margin).max(self.allowed(limit).min(max_admitted))
     }
 }
 
@@ -74,35 +77,35 @@
 pub type Name = u64;
 
 /// Wall-clock start time of a process, in milliseconds.
-pub type Start = u64;
+pub type StartMs = u64;
 
 /// VMs whose start times differ by more than this were not killed together.
-const TOGETHER_MS: Start = 2000;
+const JOINT_RESTART_SPREAD_MS: StartMs = 2000;
 
 /// Time without a report after which a peer counts as silent. Each VM reports at least twice per
 /// second, and one message may be lost.
-pub const SILENT: time::Duration = time::Duration::from_millis(1300);
+pub const SILENCE_TIMEOUT: time::Duration = time::Duration::from_millis(1300);
 
 /// Time without a report after which a VM that no longer serves is assumed to admit nothing.
-pub const GONE: time::Duration = time::Duration::from_secs(10);
+pub const DEPARTED_PEER_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 /// Age from which a report is late. During a surge, each VM reports every 100 ms.
-const LATE: time::Duration = time::Duration::from_millis(250);
+const REPORT_LATE_AFTER: time::Duration = time::Duration::from_millis(250);
 
 /// Ratio by which the target is lowered while peers are silent.
-const IN_A_CUT: f64 = 0.9;
+const PARTITION_TARGET_RATIO: f64 = 0.9;
 
 /// Usual upper bound on the propagation delay of a report.
-const WAY: time::Duration = time::Duration::from_millis(100);
+const REPORT_PROPAGATION_DELAY: time::Duration = time::Duration::from_millis(100);
 
 /// How long a VM uses a computed cap before it computes the next one.
-const PLAN: time::Duration = time::Duration::from_millis(100);
+const CAP_LIFETIME: time::Duration = time::Duration::from_millis(100);
 
 /// Number of window steps over which demand is measured: one second of a window of five.
-const LATELY: usize = 4;
+const DEMAND_WINDOW_STEPS: usize = 4;
 
 /// Minimum downtime of a restart: the process exits, starts and reads the current settings.
-const DOWN: time::Duration = time::Duration::from_millis(500);
+const RESTART_MIN_DOWNTIME: time::Duration = time::Duration::from_millis(500);
 
 /// Usage of one customer as reported by one VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -117,8 +120,8 @@
 
 /// Last report of one peer on one customer.
 #[derive(Clone, Copy, Debug)]
-struct Row {
-    told: Told,
+struct PeerUsage {
+    report: Told,
     /// The peer's share of the fleet's demand at the last report.
     share: f64,
     /// The peer's demand divided by this VM's demand at the last report.
@@ -127,62 +130,64 @@
 
 /// State of one peer.
 #[derive(Clone, Debug)]
-struct Other {
-    heard: policy::Moment,
+struct Peer {
+    reported_at: policy::Moment,
     /// Identifies the process; a later process of the same VM has a larger value.
-    start: Start,
-    rows: collections::HashMap<Name, Row>,
+    start_ms: StartMs,
+    rows: collections::HashMap<Name, PeerUsage>,
     /// Usage of the peer's previous process, and the end of that usage.
-    before: collections::HashMap<Name, f64>,
-    before_at: policy::Moment,
+    previous_usage: collections::HashMap<Name, f64>,
+    previous_end: policy::Moment,
 }
 
-impl Other {
+impl Peer {
     /// Usage of the previous process that still lies in the window, assuming an even rate.
-    fn before(&self, now: policy::Moment, customer: Name, window: time::Duration) -> f64 {
-        let age = now.saturating_sub(self.before_at).as_secs_f64();
+    fn previous_used(&self, now: policy::Moment, customer: Name, window: time::Duration) -> f64 {
+        let age = now.saturating_sub(self.previous_end).as_secs_f64();
         let left = (1.0 - age / window.as_secs_f64()).max(0.0);
-        self.before.get(&customer).map_or(0.0, |used| used * left)
+        self.previous_usage
+            .get(&customer)
+            .map_or(0.0, |used| used * left)
     }
 }
 
 /// A customer's quota and usage as known to this VM.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct QuotaState {
     /// Fleet-wide target for the admitted requests per window.
     pub target: f64,
     /// Requests that this VM admitted in the current window.
-    pub own: f64,
+    pub own_used: f64,
     /// Requests that peers admitted in the window, as reported or estimated.
-    pub others: f64,
+    pub peers_used: f64,
     /// This VM's share of the fleet's demand.
     pub share: f64,
     /// Number of VMs that admit requests, including this one.
-    pub speakers: usize,
+    pub admitting_vms: usize,
     /// Number of entry VMs.
-    pub vms: usize,
+    pub vm_count: usize,
 }
 
-impl Standing {
+impl QuotaState {
     /// Requests that the fleet may still admit.
-    fn room(&self) -> f64 {
-        self.target - self.own - self.others
+    fn remaining(&self) -> f64 {
+        self.target - self.own_used - self.peers_used
     }
 
     /// Whether the remaining quota outlasts the propagation delay of reports even in a surge.
-    fn is_roomy(&self) -> bool {
-        const PART: f64 = 0.2;
-        self.room() >= self.target * PART
+    fn is_ample(&self) -> bool {
+        const AMPLE_SHARE: f64 = 0.2;
+        self.remaining() >= self.target * AMPLE_SHARE
     }
 }
 
 /// Policy that splits a customer's quota among VMs.
 pub trait Sharing {
     /// Whether the policy depends on reports of peers.
-    const TOLD: bool = true;
+    const USES_REPORTS: bool = true;
 
     /// Number of requests that this VM may admit in the current window.
-    fn cap(standing: &Standing) -> f64;
+    fn cap(state: &QuotaState) -> f64;
 }
 
 /// Splits the remaining quota by recent demand, on top of what the VM has already admitted.
@@ -190,20 +195,20 @@
 pub struct ByDemand;
 
 impl Sharing for ByDemand {
-    fn cap(s: &Standing) -> f64 {
+    fn cap(s: &QuotaState) -> f64 {
         /// Share of the remaining quota admitted per cap. Peers' concurrent admissions become known
         /// only two or three caps later.
-        const AT_ONCE: f64 = 0.4;
+        const MAX_SHARE_PER_CAP: f64 = 0.4;
         /// Number of caps until the peers' concurrent admissions are known.
-        const PLANS: f64 = 2.0;
-        let room = s.room();
-        if room <= 0.0 {
-            return s.own + room * s.share;
+        const REPORT_DELAY_CAPS: f64 = 2.0;
+        let remaining = s.remaining();
+        if remaining <= 0.0 {
+            return s.own_used + remaining * s.share;
         }
         // A VM without recent demand may use its equal part of what the fleet can admit until reports
         // arrive, in whole requests: requests of small customers arrive irregularly.
-        let least = (room / PLANS / s.speakers as f64).floor();
-        s.own + f64::max(room * s.share * AT_ONCE, least)
+        let equal_part = (remaining / REPORT_DELAY_CAPS / s.admitting_vms as f64).floor();
+        s.own_used + f64::max(remaining * s.share * MAX_SHARE_PER_CAP, equal_part)
     }
 }
 
@@ -212,8 +217,8 @@
 pub struct UntilFull;
 
 impl Sharing for UntilFull {
-    fn cap(s: &Standing) -> f64 {
-        s.target - s.others
+    fn cap(s: &QuotaState) -> f64 {
+        s.target - s.peers_used
     }
 }
 
@@ -222,10 +227,10 @@
 pub struct Evenly;
 
 impl Sharing for Evenly {
-    const TOLD: bool = false;
+    const USES_REPORTS: bool = false;
 
-    fn cap(s: &Standing) -> f64 {
-        s.target / s.vms.max(1) as f64
+    fn cap(s: &QuotaState) -> f64 {
+        s.target / s.vm_count.max(1) as f64
     }
 }
 
@@ -237,14 +242,14 @@
     asked: window::Counts,
     /// Number of requests that may be admitted until the next cap, and when the cap was computed.
     cap: f64,
-    planned: Option<policy::Moment>,
+    cap_set_at: Option<policy::Moment>,
     /// Whether the customer was near its limit at the last check.
-    near: bool,
+    near_limit: bool,
     /// Last report sent to peers.
-    told: Told,
+    report: Told,
     /// When the admission rate was last read, and requests admitted since then.
-    looked: policy::Moment,
-    since: f64,
+    rate_read_at: policy::Moment,
+    admitted_since: f64,
 }
 
 impl Account {
@@ -254,31 +259,31 @@
             used: window::Counts::new(bound.window),
             asked: window::Counts::new(bound.window),
             cap: 0.0,
-            planned: None,
-            near: false,
-            told: Told::default(),
-            looked: policy::Moment::ZERO,
-            since: 0.0,
+            cap_set_at: None,
+            near_limit: false,
+            report: Told::default(),
+            rate_read_at: policy::Moment::ZERO,
+            admitted_since: 0.0,
         }
     }
 
     /// Counts an admitted request.
-    fn let_in(&mut self, now: policy::Moment) {
+    fn count_admitted(&mut self, now: policy::Moment) {
         self.used.add(now, 1.0);
-        self.since += 1.0;
+        self.admitted_since += 1.0;
     }
 
     /// Requests admitted per second since the previous call, without those that chance alone
     /// explains. Resets the measurement.
     fn pace(&mut self, now: policy::Moment) -> f64 {
         /// Minimum span in seconds; a shorter one gives no meaningful rate.
-        const SHORT: f64 = 0.05;
+        const MIN_RATE_SPAN_S: f64 = 0.05;
         /// Number of requests that may arrive close together by chance.
-        const CHANCE: f64 = 2.0;
-        let span = now.saturating_sub(self.looked).as_secs_f64();
-        let since = std::mem::take(&mut self.since);
-        self.looked = now;
-        (since - CHANCE).max(0.0) / span.max(SHORT)
+        const CHANCE_REQUEST_COUNT: f64 = 2.0;
+        let span = now.saturating_sub(self.rate_read_at).as_secs_f64();
+        let admitted_since = std::mem::take(&mut self.admitted_since);
+        self.rate_read_at = now;
+        (admitted_since - CHANCE_REQUEST_COUNT).max(0.0) / span.max(MIN_RATE_SPAN_S)
     }
 }
 
@@ -299,19 +304,24 @@
     }
 
     /// Estimated usage of a peer if its admissions rise as on this VM; 0 if this VM has no surge.
-    fn expected(&mut self, row: &Row, age: time::Duration, window: time::Duration) -> f64 {
+    fn estimated_used(
+        &mut self,
+        row: &PeerUsage,
+        age: time::Duration,
+        window: time::Duration,
+    ) -> f64 {
         /// Ratio of recent to average admissions above which there is a surge.
-        const TIMES: f64 = 1.5;
+        const SURGE_RATIO: f64 = 1.5;
         /// Maximum ratio of a peer's estimated admissions to those of this VM.
-        const MOST: f64 = 2.0;
+        const MAX_DEMAND_RATIO: f64 = 2.0;
         let part = (age.as_secs_f64() / window.as_secs_f64()).min(1.0);
         let steps = (part * window::STEPS as f64).ceil();
         let recent = self.used.last(self.now, steps as usize);
         let usual = self.used.sum(self.now) * steps / window::STEPS as f64;
-        if recent <= usual * TIMES {
+        if recent <= usual * SURGE_RATIO {
             return 0.0;
         }
-        row.told.used * (1.0 - part) + recent * row.ratio.min(MOST)
+        row.report.used * (1.0 - part) + recent * row.ratio.min(MAX_DEMAND_RATIO)
     }
 }
 
@@ -321,7 +331,7 @@
     /// Time until the recently refused requests would find quota, at the rate at which it is freed.
     pub after: time::Duration,
     /// The customer's quota and usage on this VM.
-    pub standing: Standing,
+    pub state: QuotaState,
     /// Largest age of a peer's last report; `None` if there are no peers.
     pub heard: Option<time::Duration>,
 }
@@ -330,49 +340,50 @@
 #[derive(Clone, Debug)]
 pub struct Ledger<S> {
     bound: Bound,
-    started: policy::Moment,
-    start: Start,
+    started_at: policy::Moment,
+    start_ms: StartMs,
     /// Customers that were near their limit when this VM started.
-    inherited: collections::HashSet<Name>,
+    restored_near_limits: collections::HashSet<Name>,
     accounts: collections::HashMap<Name, Account>,
-    others: collections::HashMap<Name, Other>,
+    peers: collections::HashMap<Name, Peer>,
     /// Other VMs to which callers are sent.
-    expected: Vec<Name>,
+    expected_peers: Vec<Name>,
     /// Other VMs to which callers are sent if the expected ones are busy.
-    next: Vec<Name>,
+    standby_peers: Vec<Name>,
     /// Whether a peer still lacks a report of all customers from this VM.
     owes_whole: bool,
-    vms: usize,
+    vm_count: usize,
     sharing: marker::PhantomData<S>,
 }
 
 impl<S: Sharing> Ledger<S> {
-    /// Creates an empty ledger. `started` is the process start on the monotonic clock, `start` in
-    /// wall-clock time.
-    pub fn new(bound: Bound, started: policy::Moment, start: Start) -> Self {
+    /// Creates an empty ledger. `started_at` is the process start on the monotonic clock, `start_ms`
+    /// in wall-clock time.
+    pub fn new(bound: Bound, started_at: policy::Moment, start_ms: StartMs) -> Self {
         Self {
             bound,
-            started,
-            start,
-            inherited: collections::HashSet::new(),
+            started_at,
+            start_ms,
+            restored_near_limits: collections::HashSet::new(),
             accounts: collections::HashMap::new(),
-            others: collections::HashMap::new(),
-            expected: Vec::new(),
-            next: Vec::new(),
+            peers: collections::HashMap::new(),
+            expected_peers: Vec::new(),
+            standby_peers: Vec::new(),
             owes_whole: false,
-            vms: 1,
+            vm_count: 1,
             sharing: marker::PhantomData,
         }
     }
 
     /// Sets the VMs to which callers are sent, those to which they are sent if these are busy, and
     /// the number of entry VMs.
-    pub fn expect(&mut self, expected: Vec<Name>, next: Vec<Name>, vms: usize) {
-        let mut all = expected.iter().chain(&next);
-        self.owes_whole |= all.any(|vm| !self.expected.contains(vm) && !self.next.contains(vm));
-        self.expected = expected;
-        self.next = next;
-        self.vms = vms;
+    pub fn expect(&mut self, expected_peers: Vec<Name>, standby_peers: Vec<Name>, vm_count: usize) {
+        let mut all = expected_peers.iter().chain(&standby_peers);
+        self.owes_whole |=
+            all.any(|vm| !self.expected_peers.contains(vm) && !self.standby_peers.contains(vm));
+        self.expected_peers = expected_peers;
+        self.standby_peers = standby_peers;
+        self.vm_count = vm_count;
     }
 
     /// Returns and clears whether a report of all customers is due because a peer has none yet.
@@ -404,36 +415,36 @@
         tie: f64,
     ) -> Result<(), Refused> {
         let account = self.account(customer, limit);
-        if account.planned.is_none_or(|at| now >= at + PLAN) {
+        if account.cap_set_at.is_none_or(|at| now >= at + CAP_LIFETIME) {
             self.plan(now, customer, limit, tie);
         }
         let account = self.account(customer, limit);
-        let own = account.used.sum(now);
-        if own + 1.0 <= account.cap {
-            account.let_in(now);
+        let used = account.used.sum(now);
+        if used + 1.0 <= account.cap {
+            account.count_admitted(now);
             return Ok(());
         }
-        let standing = self.standing(now, customer, limit);
-        if S::TOLD && standing.is_roomy() {
-            self.account(customer, limit).let_in(now);
+        let state = self.state(now, customer, limit);
+        if S::USES_REPORTS && state.is_ample() {
+            self.account(customer, limit).count_admitted(now);
             return Ok(());
         }
-        let after = self.room_after(now, customer, &standing);
-        let heard = self.others.values().map(|other| other.heard).min();
+        let after = self.retry_delay(now, customer, &state);
+        let heard = self.peers.values().map(|peer| peer.reported_at).min();
         Err(Refused {
             after,
-            standing,
+            state,
             heard: heard.map(|at| now.saturating_sub(at)),
         })
     }
 
     /// Computes how many requests of a customer may be admitted until the next cap.
     fn plan(&mut self, now: policy::Moment, customer: Name, limit: Limit, tie: f64) {
-        let standing = self.standing(now, customer, limit);
-        let cap = S::cap(&standing);
+        let state = self.state(now, customer, limit);
+        let cap = S::cap(&state);
         let account = self.account(customer, limit);
         account.cap = cap.floor() + f64::from(u8::from(cap - cap.floor() > tie));
-        account.planned = Some(now);
+        account.cap_set_at = Some(now);
     }
 
     /// Whether any customer has recent requests.
@@ -444,15 +455,15 @@
     /// Whether a peer needs this VM's reports: callers are sent there, will be sent there if others
     /// are busy, or the peer has itself reported recently.
     pub fn concerns(&self, now: policy::Moment, vm: Name) -> bool {
-        let speaks = |other: &Other| now.saturating_sub(other.heard) <= SILENT;
-        let sent = self.expected.contains(&vm) || self.next.contains(&vm);
-        sent || self.others.get(&vm).is_some_and(speaks)
+        let reports = |peer: &Peer| now.saturating_sub(peer.reported_at) <= SILENCE_TIMEOUT;
+        let gets_callers = self.expected_peers.contains(&vm) || self.standby_peers.contains(&vm);
+        gets_callers || self.peers.get(&vm).is_some_and(reports)
     }
 
-    /// Uncounts a request that was admitted at `then` but never ran.
-    pub fn give_back(&mut self, now: policy::Moment, customer: Name, then: policy::Moment) {
+    /// Uncounts a request that was admitted at `admitted_at` but never ran.
+    pub fn give_back(&mut self, now: policy::Moment, customer: Name, admitted_at: policy::Moment) {
         if let Some(account) = self.accounts.get_mut(&customer) {
-            account.used.take_back(now, then);
+            account.used.take_back(now, admitted_at);
         }
     }
 
@@ -464,62 +475,62 @@
             .or_insert_with(|| Account::new(bound, limit));
         if account.limit != limit {
             account.limit = limit;
-            account.planned = None;
+            account.cap_set_at = None;
         }
         account
     }
 
     /// Computes a customer's quota and usage on this VM.
-    fn standing(&mut self, now: policy::Moment, customer: Name, limit: Limit) -> Standing {
+    fn state(&mut self, now: policy::Moment, customer: Name, limit: Limit) -> QuotaState {
         let account = self.account(customer, limit);
         let used = account.used.sum(now);
-        let lately = account.asked.last(now, LATELY);
+        let own_demand = account.asked.last(now, DEMAND_WINDOW_STEPS);
         let mut surge = Surge::of(account, now);
         let mut target = self.bound.target(&limit);
-        if self.has_silent(now, customer) {
+        if self.has_silent_peer(now, customer) {
             // Messages in transit make the two sides of a partition differ in what they know of each
             // other.
-            target *= IN_A_CUT;
+            target *= PARTITION_TARGET_RATIO;
         }
-        let strangers = self.strangers();
-        let alone = self.is_alone(now);
+        let unseen_peers = self.unseen_peers();
+        let isolated = self.is_isolated(now);
         // Demand on all reporting peers, plus an estimate for those that have never reported.
-        let mut asked = lately * (1 + strangers) as f64;
-        let mut others = 0.0;
-        let mut remembered = 0.0;
-        for other in self.others.values() {
-            others += other.before(now, customer, self.bound.window);
-            let Some(row) = other.rows.get(&customer) else {
+        let mut asked = own_demand * (1 + unseen_peers) as f64;
+        let mut peers_used = 0.0;
+        let mut reported_used = 0.0;
+        for peer in self.peers.values() {
+            peers_used += peer.previous_used(now, customer, self.bound.window);
+            let Some(row) = peer.rows.get(&customer) else {
                 continue;
             };
-            let age = now.saturating_sub(other.heard);
-            if age > SILENT {
-                others += row.used(true, target);
+            let age = now.saturating_sub(peer.reported_at);
+            if age > SILENCE_TIMEOUT {
+                peers_used += row.used(true, target);
                 continue;
             }
-            asked += row.told.asked;
-            let expected = row.expected(age, self.bound.window);
-            others += match age > LATE {
-                true => expected.max(surge.expected(row, age, self.bound.window)),
-                false => expected,
+            asked += row.report.asked;
+            let extrapolated = row.extrapolated_used(age, self.bound.window);
+            peers_used += match age > REPORT_LATE_AFTER {
+                true => extrapolated.max(surge.estimated_used(row, age, self.bound.window)),
+                false => extrapolated,
             };
-            if other.start + TOGETHER_MS < self.start {
-                remembered += row.told.used;
+            if peer.start_ms + JOINT_RESTART_SPREAD_MS < self.start_ms {
+                reported_used += row.report.used;
             }
         }
-        let forgotten = self.forgotten(now, customer, &limit, remembered);
-        let share = match (alone, asked > 0.0) {
-            (true, _) => 1.0 / self.vms.max(1) as f64,
-            (false, true) => (lately / asked).min(1.0),
-            (false, false) => 1.0 / self.speakers() as f64,
+        let lost_usage = self.lost_usage(now, customer, &limit, reported_used);
+        let share = match (isolated, asked > 0.0) {
+            (true, _) => 1.0 / self.vm_count.max(1) as f64,
+            (false, true) => (own_demand / asked).min(1.0),
+            (false, false) => 1.0 / self.admitting_vms() as f64,
         };
-        Standing {
+        QuotaState {
             target,
-            own: used,
-            others: others + used * strangers as f64 + forgotten,
+            own_used: used,
+            peers_used: peers_used + used * unseen_peers as f64 + lost_usage,
             share,
-            speakers: self.speakers(),
-            vms: self.vms,
+            admitting_vms: self.admitting_vms(),
+            vm_count: self.vm_count,
         }
     }
 
@@ -527,19 +538,19 @@
     /// with this one: the limit minus what the surviving peers report, used at an even rate. Applies
     /// only to customers near their limit before the restart; for all customers it would refuse many
     /// that keep to their quota, just when their callers retry.
-    fn forgotten(
+    fn lost_usage(
         &self,
         now: policy::Moment,
         customer: Name,
         limit: &Limit,
-        remembered: f64,
+        reported_used: f64,
     ) -> f64 {
-        if !self.inherited.contains(&customer) {
+        if !self.restored_near_limits.contains(&customer) {
             return 0.0;
         }
-        let up = (now.saturating_sub(self.started) + DOWN).as_secs_f64();
-        let left = 1.0 - up / self.bound.window.as_secs_f64();
-        (self.bound.allowed(limit) - remembered).max(0.0) * left.max(0.0)
+        let uptime = (now.saturating_sub(self.started_at) + RESTART_MIN_DOWNTIME).as_secs_f64();
+        let left = 1.0 - uptime / self.bound.window.as_secs_f64();
+        (self.bound.allowed(limit) - reported_used).max(0.0) * left.max(0.0)
     }
 
     /// Returns the customers near their limit. Stored outside the process, they bound the usage that
@@ -548,20 +559,25 @@
         /// Share of the target from which a customer is near its limit, and the lower share down to
         /// which it stays so. A customer below that can hardly use up the remaining quota and a full
         /// quota again within one window.
-        const NEAR: f64 = 0.9;
-        const STAYS: f64 = 0.7;
-        let known: Vec<(Name, Limit, bool)> = self
+        const NEAR_LIMIT_SHARE: f64 = 0.9;
+        const NEAR_LIMIT_EXIT_SHARE: f64 = 0.7;
+        let customers: Vec<(Name, Limit, bool)> = self
             .accounts
             .iter()
-            .map(|(name, account)| (*name, account.limit, account.near))
+            .map(|(name, account)| (*name, account.limit, account.near_limit))
             .collect();
         let mut near = Vec::new();
-        for (name, limit, was) in known {
-            let standing = self.standing(now, name, limit);
-            let part = 1.0 - standing.room() / standing.target;
-            let is = part >= if was { STAYS } else { NEAR };
-            self.account(name, limit).near = is;
-            if is {
+        for (name, limit, was_near) in customers {
+            let state = self.state(now, name, limit);
+            let used_share = 1.0 - state.remaining() / state.target;
+            let is_near = used_share
+                >= if was_near {
+                    NEAR_LIMIT_EXIT_SHARE
+                } else {
+                    NEAR_LIMIT_SHARE
+                };
+            self.account(name, limit).near_limit = is_near;
+            if is_near {
                 near.push(name);
             }
         }
@@ -572,52 +588,53 @@
     /// Restores the customers near their limit, as stored by VMs that may have been killed since.
     /// Ignored later than one window after the start.
     pub fn inherit(&mut self, now: policy::Moment, near: &[Name]) {
-        if now.saturating_sub(self.started) < self.bound.window {
-            self.inherited.extend(near);
+        if now.saturating_sub(self.started_at) < self.bound.window {
+            self.restored_near_limits.extend(near);
         }
     }
 
     /// Number of VMs known or expected to admit requests.
-    fn speakers(&self) -> usize {
-        1 + self.strangers() + self.others.len()
+    fn admitting_vms(&self) -> usize {
+        1 + self.unseen_peers() + self.peers.len()
     }
 
     /// Whether a peer that has reported usage of the customer is silent.
-    fn has_silent(&self, now: policy::Moment, customer: Name) -> bool {
-        let is_silent = |other: &Other| now.saturating_sub(other.heard) > SILENT;
-        let mut silent = self.others.values().filter(|other| is_silent(other));
-        silent.any(|other| other.rows.contains_key(&customer))
+    fn has_silent_peer(&self, now: policy::Moment, customer: Name) -> bool {
+        let is_silent = |peer: &Peer| now.saturating_sub(peer.reported_at) > SILENCE_TIMEOUT;
+        let mut silent = self.peers.values().filter(|peer| is_silent(peer));
+        silent.any(|peer| peer.rows.contains_key(&customer))
     }
 
     /// Number of expected peers without any report. Each is assumed to have this VM's demand and
     /// usage.
-    fn strangers(&self) -> usize {
-        let unheard = |vm: &&Name| !self.others.contains_key(vm);
-        self.expected.iter().filter(unheard).count()
+    fn unseen_peers(&self) -> usize {
+        let unseen = |vm: &&Name| !self.peers.contains_key(vm);
+        self.expected_peers.iter().filter(unseen).count()
     }
 
     /// Whether all known peers have long been silent. Their callers, and this VM's, may have moved to
     /// other VMs by then.
-    fn is_alone(&self, now: policy::Moment) -> bool {
-        let long = |other: &Other| now.saturating_sub(other.heard) > GONE;
-        !self.others.is_empty() && self.others.values().all(long)
+    fn is_isolated(&self, now: policy::Moment) -> bool {
+        let long_silent =
+            |peer: &Peer| now.saturating_sub(peer.reported_at) > DEPARTED_PEER_TIMEOUT;
+        !self.peers.is_empty() && self.peers.values().all(long_silent)
     }
 
     /// Time until the recently refused requests would have found quota, at the rate at which it is
     /// freed.
-    fn room_after(
+    fn retry_delay(
         &mut self,
         now: policy::Moment,
         customer: Name,
-        standing: &Standing,
+        state: &QuotaState,
     ) -> time::Duration {
         let Some(account) = self.accounts.get_mut(&customer) else {
             return time::Duration::ZERO;
         };
         let window = self.bound.window.as_secs_f64();
-        let pace = (standing.target * standing.share / window).max(0.1);
-        let asked = account.asked.last(now, LATELY);
-        let refused = (asked - account.used.last(now, LATELY)).max(1.0);
+        let pace = (state.target * state.share / window).max(0.1);
+        let asked = account.asked.last(now, DEMAND_WINDOW_STEPS);
+        let refused = (asked - account.used.last(now, DEMAND_WINDOW_STEPS)).max(1.0);
         time::Duration::from_secs_f64((refused / pace).min(window))
     }
 
@@ -627,52 +644,54 @@
         &mut self,
         now: policy::Moment,
         vm: Name,
-        start: Start,
+        start_ms: StartMs,
         rows: impl IntoIterator<Item = (Name, Told)>,
         whole: bool,
     ) {
-        let other = self.others.entry(vm).or_insert_with(|| Other {
-            heard: now,
-            start,
+        let peer = self.peers.entry(vm).or_insert_with(|| Peer {
+            reported_at: now,
+            start_ms,
             rows: collections::HashMap::new(),
-            before: collections::HashMap::new(),
-            before_at: now,
+            previous_usage: collections::HashMap::new(),
+            previous_end: now,
         });
-        if other.start != start {
-            let silent = now.saturating_sub(other.heard) > SILENT;
+        if peer.start_ms != start_ms {
+            let silent = now.saturating_sub(peer.reported_at) > SILENCE_TIMEOUT;
             let limit_of = |customer: &Name| self.accounts.get(customer).map(|a| a.limit);
-            let used = |(customer, row): (&Name, &Row)| {
+            let used = |(customer, row): (&Name, &PeerUsage)| {
                 let target = limit_of(customer).map_or(0.0, |limit| self.bound.target(&limit));
                 (*customer, row.used(silent, target))
             };
-            other.before = other.rows.iter().map(used).collect();
-            other.before_at = if silent { now } else { other.heard };
-            other.rows.clear();
-            other.start = start;
+            peer.previous_usage = peer.rows.iter().map(used).collect();
+            peer.previous_end = if silent { now } else { peer.reported_at };
+            peer.rows.clear();
+            peer.start_ms = start_ms;
             self.owes_whole = true;
         }
-        other.heard = now;
+        peer.reported_at = now;
         if whole {
-            other.rows.clear();
+            peer.rows.clear();
         }
         let rows: Vec<(Name, Told)> = rows.into_iter().collect();
         let accounts = &self.accounts;
-        let ratio = |customer: Name, told: &Told| {
-            let own = accounts.get(&customer).map_or(0.0, |own| own.told.asked);
-            told.asked / own.max(1.0)
+        let ratio = |customer: Name, report: &Told| {
+            let own_demand = accounts
+                .get(&customer)
+                .map_or(0.0, |account| account.report.asked);
+            report.asked / own_demand.max(1.0)
         };
-        for (customer, told) in &rows {
-            let row = Row {
-                told: *told,
+        for (customer, report) in &rows {
+            let row = PeerUsage {
+                report: *report,
                 share: 0.0,
-                ratio: ratio(*customer, told),
+                ratio: ratio(*customer, report),
             };
-            other.rows.insert(*customer, row);
+            peer.rows.insert(*customer, row);
         }
-        for (customer, told) in rows {
-            let share = told.asked / self.asked_of_all(now, customer).max(1.0);
-            let other = self.others.get_mut(&vm);
-            if let Some(row) = other.and_then(|other| other.rows.get_mut(&customer)) {
+        for (customer, report) in rows {
+            let share = report.asked / self.fleet_demand(now, customer).max(1.0);
+            let peer = self.peers.get_mut(&vm);
+            if let Some(row) = peer.and_then(|peer| peer.rows.get_mut(&customer)) {
                 row.share = share;
             }
         }
@@ -680,55 +699,56 @@
 
     /// Fleet-wide demand of a customer as all VMs know it: it includes this VM's last reported
     /// demand, not its current one. During a partition, both sides use the shares computed from it.
-    fn asked_of_all(&self, now: policy::Moment, customer: Name) -> f64 {
-        let own = self
+    fn fleet_demand(&self, now: policy::Moment, customer: Name) -> f64 {
+        let own_demand = self
             .accounts
             .get(&customer)
-            .map(|account| account.told.asked);
-        let others = self
-            .others
+            .map(|account| account.report.asked);
+        let peers = self
+            .peers
             .values()
-            .filter(|other| now.saturating_sub(other.heard) <= SILENT)
-            .filter_map(|other| Some(other.rows.get(&customer)?.told.asked));
-        own.unwrap_or_default() + others.sum::<f64>()
+            .filter(|peer| now.saturating_sub(peer.reported_at) <= SILENCE_TIMEOUT)
+            .filter_map(|peer| Some(peer.rows.get(&customer)?.report.asked));
+        own_demand.unwrap_or_default() + peers.sum::<f64>()
     }
 
     /// Removes peers that have long been silent and no longer serve, and unused accounts.
     pub fn forget(&mut self, now: policy::Moment, serves: impl Fn(Name) -> bool) {
-        self.others
-            .retain(|vm, other| now.saturating_sub(other.heard) <= GONE || serves(*vm));
+        self.peers.retain(|vm, peer| {
+            now.saturating_sub(peer.reported_at) <= DEPARTED_PEER_TIMEOUT || serves(*vm)
+        });
         let bound = self.bound;
         self.accounts.retain(|_, account| {
             account.asked.sum(now) + account.used.sum(now) > 0.0 || bound.is_recent(account, now)
         });
     }
 
-    /// Returns the reports due, customers closest to their limit first, at most `most`: with `whole`,
-    /// all usage; otherwise usage that differs from the last report by more than a part of the
-    /// remaining quota.
-    pub fn news(&mut self, now: policy::Moment, whole: bool, most: usize) -> Vec<(Name, Told)> {
+    /// Returns the reports due, customers closest to their limit first, at most `max_rows`: with
+    /// `whole`, all usage; otherwise usage that differs from the last report by more than a part of
+    /// the remaining quota.
+    pub fn news(&mut self, now: policy::Moment, whole: bool, max_rows: usize) -> Vec<(Name, Told)> {
         let customers: Vec<(Name, Limit)> = self
             .accounts
             .iter()
             .map(|(name, account)| (*name, account.limit))
             .collect();
-        let mut news: Vec<(f64, Name, Told)> = customers
+        let mut due: Vec<(f64, Name, Told)> = customers
             .into_iter()
-            .filter_map(|(name, limit)| self.news_of(now, name, limit, whole))
+            .filter_map(|(name, limit)| self.due_report(now, name, limit, whole))
             .collect();
-        news.sort_by(|a, b| b.0.total_cmp(&a.0));
-        news.truncate(most);
-        for (_, name, told) in &news {
+        due.sort_by(|a, b| b.0.total_cmp(&a.0));
+        due.truncate(max_rows);
+        for (_, name, report) in &due {
             if let Some(account) = self.accounts.get_mut(name) {
-                account.told = *told;
+                account.report = *report;
             }
         }
-        news.into_iter()
-            .map(|(_, name, told)| (name, told))
+        due.into_iter()
+            .map(|(_, name, report)| (name, report))
             .collect()
     }
 
-    fn news_of(
+    fn due_report(
         &mut self,
         now: policy::Moment,
         name: Name,
@@ -736,29 +756,33 @@
         whole: bool,
     ) -> Option<(f64, Name, Told)> {
         /// Share of the remaining quota that all VMs together may admit unreported.
-        const UNTOLD: f64 = 0.25;
+        const MAX_UNREPORTED_SHARE: f64 = 0.25;
         /// Number of requests not worth a message, unless many VMs leave as many unreported.
-        const FEW: f64 = 1.5;
+        const MAX_UNREPORTED_COUNT: f64 = 1.5;
         /// Share of the slack that all VMs together may leave unreported.
-        const KEPT: f64 = 0.5;
-        let standing = self.standing(now, name, limit);
+        const MAX_UNREPORTED_SLACK_SHARE: f64 = 0.5;
+        let state = self.state(now, name, limit);
         let account = self.accounts.get_mut(&name)?;
-        let told = Told {
-            used: standing.own,
+        let report = Told {
+            used: state.own_used,
             pace: account.pace(now),
-            asked: account.asked.last(now, LATELY),
+            asked: account.asked.last(now, DEMAND_WINDOW_STEPS),
         };
-        let taken = (standing.own + standing.others) / standing.target.max(1.0);
-        let left = (standing.target * (1.0 - taken)).max(0.0);
-        let speakers = (self.others.len() + 1) as f64;
-        let few = (self.bound.slack * KEPT / speakers).min(FEW);
-        let off = (told.used - account.told.used).abs();
-        let due = match whole {
-            true => told.used > 0.0 || told.asked > 0.0,
+        let used_share = (state.own_used + state.peers_used) / state.target.max(1.0);
+        let remaining = (state.target * (1.0 - used_share)).max(0.0);
+        let admitting_vms = (self.peers.len() + 1) as f64;
+        let tolerated = (self.bound.slack * MAX_UNREPORTED_SLACK_SHARE / admitting_vms)
+            .min(MAX_UNREPORTED_COUNT);
+        let difference = (report.used - account.report.used).abs();
+        let is_due = match whole {
+            true => report.used > 0.0 || report.asked > 0.0,
             // Peers extrapolate with the last reported rate until they receive another one.
-            false => off > f64::max(left * UNTOLD / speakers, few) || account.told.pace > 0.0,
+            false => {
+                difference > f64::max(remaining * MAX_UNREPORTED_SHARE / admitting_vms, tolerated)
+                    || account.report.pace > 0.0
+            }
         };
-        due.then_some((taken, name, told))
+        is_due.then_some((used_share, name, report))
     }
 }
 
@@ -766,25 +790,25 @@
     /// Whether the account's cap was computed within the last window.
     fn is_recent(&self, account: &Account, now: policy::Moment) -> bool {
         account
-            .planned
+            .cap_set_at
             .is_some_and(|at| now.saturating_sub(at) < self.window)
     }
 }
 
-impl Row {
+impl PeerUsage {
     /// Usage of the peer: as reported or, if it is silent, its full share if that is larger. A silent
     /// peer may go on with its share, so both sides of a partition keep the bound without messages.
     fn used(&self, silent: bool, target: f64) -> f64 {
         match silent {
-            true => self.told.used.max(self.share * target),
-            false => self.told.used,
+            true => self.report.used.max(self.share * target),
+            false => self.report.used,
         }
     }
 
     /// Estimated current usage of the peer, extrapolated at its last reported rate.
-    fn expected(&self, age: time::Duration, window: time::Duration) -> f64 {
-        let leaves = self.told.used / window.as_secs_f64();
-        let grows = (self.told.pace - leaves).max(0.0);
-        self.told.used + grows * (age + WAY).as_secs_f64()
+    fn extrapolated_used(&self, age: time::Duration, window: time::Duration) -> f64 {
+        let leaves = self.report.used / window.as_secs_f64();
+        let grows = (self.report.pace - leaves).max(0.0);
+        self.report.used + grows * (age + REPORT_PROPAGATION_DELAY).as_secs_f64()
     }
 }
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -125,11 +125,11 @@
             counter!(known::LOG_SUPPRESSED, "event" => "beyond quota").increment(1);
             return;
         };
-        let standing = &refused.standing;
+        let standing = &refused.state;
         slog::info!(self.log, "beyond quota"; "request" => %String::from_utf8_lossy(&facts.id),
             "customer" => facts.customer_name(), "route" => &facts.route.name,
-            "aim" => standing.target, "own" => standing.own, "others" => standing.others,
-            "share" => standing.share, "speakers" => standing.speakers,
+            "aim" => standing.target, "own" => standing.own_used, "others" => standing.peers_used,
+            "share" => standing.share, "speakers" => standing.admitting_vms,
             "heard_ms" => refused.heard.map(ms), "after_ms" => ms(refused.after),
             "version" => facts.table.version, "left_out" => left_out);
     }
--- a/tests/quota/model.rs
+++ b/tests/quota/model.rs
@@ -10,18 +10,18 @@
 pub(crate) const CUSTOMER: quota::Name = 7;
 
 /// How often a VM checks for due reports, and how often it sends one at least.
-const TICK_MS: u64 = 100;
-const SPEAK_MS: u64 = 500;
-const WHOLE_MS: u64 = 2000;
+const CHECK_INTERVAL_MS: u64 = 100;
+const REPORT_INTERVAL_MS: u64 = 500;
+const FULL_REPORT_INTERVAL_MS: u64 = 2000;
 
 /// How often it checks while no customer sends requests.
-const IDLE_MS: u64 = 500;
+const IDLE_CHECK_INTERVAL_MS: u64 = 500;
 
 /// Downtime of a restart.
-const DOWN_MS: u64 = 1000;
+const DOWNTIME_MS: u64 = 1000;
 
 /// Propagation delay of a message.
-const WAY_MS: u64 = 60;
+const PROPAGATION_DELAY_MS: u64 = 60;
 
 /// An event during a run.
 #[derive(Clone, Copy, Debug)]
@@ -29,24 +29,24 @@
     /// The customer's load changes to this multiple of its limit.
     Load(f64),
     /// VMs below this number and the others no longer receive each other's messages.
-    Cut(usize),
+    Partition(usize),
     /// The partition ends.
     Heal,
     /// All VMs are killed and restart a second later without their state.
     RestartAll,
     /// Callers use only the VMs from this number on.
-    Move(usize),
+    MoveCallers(usize),
     /// The limit changes to this share of the original one.
     Limit(f64),
     /// The number of VMs that callers use changes.
-    Carriers(usize),
+    ActiveVms(usize),
 }
 
 /// Parameters of a run.
-pub(crate) struct Day<'a> {
+pub(crate) struct Scenario<'a> {
     /// Number of VMs, and number of VMs that callers use.
     pub(crate) vms: usize,
-    pub(crate) carriers: usize,
+    pub(crate) active_vms: usize,
     pub(crate) limit: quota::Limit,
     pub(crate) load: f64,
     /// Events with their times in milliseconds.
@@ -69,7 +69,7 @@
 
 impl Outcome {
     /// Maximum number of requests admitted in any window that begins at or after `from_ms`.
-    pub(crate) fn busiest(&self, bound: &quota::Bound, from_ms: u64) -> usize {
+    pub(crate) fn busiest_window(&self, bound: &quota::Bound, from_ms: u64) -> usize {
         let width = bound.window.as_millis() as u64;
         let all: Vec<u64> = self
             .admitted
@@ -78,14 +78,14 @@
             .filter(|at| *at >= from_ms)
             .collect();
         let mut first = 0;
-        let mut most = 0;
+        let mut max_count = 0;
         for (last, at) in all.iter().enumerate() {
             while all[first] + width <= *at {
                 first += 1;
             }
-            most = most.max(last + 1 - first);
+            max_count = max_count.max(last + 1 - first);
         }
-        most
+        max_count
     }
 
     /// Share of requests refused although the customer kept to its limit in the window before.
@@ -113,25 +113,25 @@
     at: u64,
     to: usize,
     from: usize,
-    start: quota::Start,
+    start: quota::StartMs,
     rows: Vec<(quota::Name, quota::Told)>,
     whole: bool,
 }
 
-struct Play<'a, S> {
-    day: &'a Day<'a>,
-    carriers: usize,
-    looks: Vec<u64>,
+struct Simulation<'a, S> {
+    scenario: &'a Scenario<'a>,
+    active_vms: usize,
+    next_check: Vec<u64>,
     ledgers: Vec<Ledger<S>>,
-    spoke: Vec<u64>,
-    told_all: Vec<u64>,
-    under_way: collections::VecDeque<Message>,
+    reported_at: Vec<u64>,
+    fully_reported_at: Vec<u64>,
+    in_transit: collections::VecDeque<Message>,
     load: f64,
     limit: quota::Limit,
-    cut: usize,
-    first_carrier: usize,
+    partition_below: usize,
+    first_active_vm: usize,
     up_at: u64,
-    start: quota::Start,
+    start: quota::StartMs,
     rng: rand_chacha::ChaCha8Rng,
     outcome: Outcome,
 }
@@ -147,56 +147,56 @@
     others.map(|other| other as quota::Name).collect()
 }
 
-/// Callers use the first `carriers` VMs, and as many more are on standby.
-fn expect<S: Sharing>(ledger: &mut Ledger<S>, carriers: usize, vm: usize, vms: usize) {
-    let next = others(carriers * 2, vm);
-    ledger.expect(others(carriers, vm), next, vms);
+/// Callers use the first `active_vms` VMs, and as many more are on standby.
+fn set_peers<S: Sharing>(ledger: &mut Ledger<S>, active_vms: usize, vm: usize, vms: usize) {
+    let next = others(active_vms * 2, vm);
+    ledger.expect(others(active_vms, vm), next, vms);
 }
 
-impl<S: Sharing> Play<'_, S> {
-    fn happen(&mut self, now: u64, event: Event) {
+impl<S: Sharing> Simulation<'_, S> {
+    fn apply(&mut self, now: u64, event: Event) {
         match event {
             Event::Load(load) => self.load = load,
-            Event::Cut(below) => self.cut = below,
-            Event::Heal => self.cut = 0,
-            Event::Move(to) => self.first_carrier = to,
+            Event::Partition(below) => self.partition_below = below,
+            Event::Heal => self.partition_below = 0,
+            Event::MoveCallers(to) => self.first_active_vm = to,
             Event::Limit(part) => {
                 self.limit = quota::Limit {
-                    rate: self.day.limit.rate * part,
-                    burst: self.day.limit.burst * part,
+                    rate: self.scenario.limit.rate * part,
+                    burst: self.scenario.limit.burst * part,
                 };
             }
             Event::RestartAll => {
-                self.under_way.clear();
-                self.up_at = now + DOWN_MS;
+                self.in_transit.clear();
+                self.up_at = now + DOWNTIME_MS;
                 self.start = now + 1;
-                self.spoke.fill(0);
-                self.told_all.fill(0);
+                self.reported_at.fill(0);
+                self.fully_reported_at.fill(0);
                 for (vm, ledger) in self.ledgers.iter_mut().enumerate() {
                     let near = ledger.near_limits(moment(now));
                     *ledger = Ledger::new(quota::Bound::default(), moment(self.up_at), now + 1);
                     ledger.inherit(moment(self.up_at), &near);
-                    expect(ledger, self.carriers, vm, self.day.vms);
+                    set_peers(ledger, self.active_vms, vm, self.scenario.vms);
                 }
             }
-            Event::Carriers(carriers) => {
-                self.carriers = carriers;
+            Event::ActiveVms(active_vms) => {
+                self.active_vms = active_vms;
                 for (vm, ledger) in self.ledgers.iter_mut().enumerate() {
-                    expect(ledger, carriers, vm, self.day.vms);
+                    set_peers(ledger, active_vms, vm, self.scenario.vms);
                 }
             }
         }
     }
 
-    fn callers(&mut self, now: u64) {
-        let mean = self.day.limit.rate * self.load / 1000.0;
+    fn send_requests(&mut self, now: u64) {
+        let mean = self.scenario.limit.rate * self.load / 1000.0;
         let whole = mean.floor();
         let more = u64::from(self.rng.random_bool(mean - whole));
         for _ in 0..whole as u64 + more {
-            let vm = self.rng.random_range(self.first_carrier..self.carriers);
+            let vm = self.rng.random_range(self.first_active_vm..self.active_vms);
             let tie = self.rng.random();
             if !self.ledgers[vm].is_active() {
-                self.looks[vm] = self.looks[vm].min(now + TICK_MS);
+                self.next_check[vm] = self.next_check[vm].min(now + CHECK_INTERVAL_MS);
             }
             match self.ledgers[vm].ask(moment(now), CUSTOMER, self.limit, tie) {
                 Ok(()) => self.outcome.admitted.push(now),
@@ -206,12 +206,13 @@
     }
 
     fn deliver(&mut self, now: u64) {
-        while self.under_way.front().is_some_and(|m| m.at <= now) {
-            let Some(message) = self.under_way.pop_front() else {
+        while self.in_transit.front().is_some_and(|m| m.at <= now) {
+            let Some(message) = self.in_transit.pop_front() else {
                 return;
             };
-            let apart = (message.to < self.cut) != (message.from < self.cut);
-            if apart || self.rng.random_bool(self.day.lost) {
+            let partitioned =
+                (message.to < self.partition_below) != (message.from < self.partition_below);
+            if partitioned || self.rng.random_bool(self.scenario.lost) {
                 continue;
             }
             let from = message.from as quota::Name;
@@ -220,31 +221,37 @@
         }
     }
 
-    fn tell(&mut self, now: u64) {
+    fn send_reports(&mut self, now: u64) {
         for vm in 0..self.ledgers.len() {
-            if now < self.looks[vm] {
+            if now < self.next_check[vm] {
                 continue;
             }
             let active = self.ledgers[vm].is_active();
-            self.looks[vm] = now + if active { TICK_MS } else { IDLE_MS };
-            let speak = now >= self.spoke[vm] + SPEAK_MS;
-            let whole = self.ledgers[vm].owes_whole() || now >= self.told_all[vm] + WHOLE_MS;
+            self.next_check[vm] = now
+                + if active {
+                    CHECK_INTERVAL_MS
+                } else {
+                    IDLE_CHECK_INTERVAL_MS
+                };
+            let report_due = now >= self.reported_at[vm] + REPORT_INTERVAL_MS;
+            let whole = self.ledgers[vm].owes_whole()
+                || now >= self.fully_reported_at[vm] + FULL_REPORT_INTERVAL_MS;
             let rows = self.ledgers[vm].news(moment(now), whole, 64);
-            let speaks = active || vm < self.carriers;
-            if !speaks || (rows.is_empty() && !speak) {
+            let sends_reports = active || vm < self.active_vms;
+            if !sends_reports || (rows.is_empty() && !report_due) {
                 continue;
             }
-            self.spoke[vm] = now;
+            self.reported_at[vm] = now;
             if whole {
-                self.told_all[vm] = now;
+                self.fully_reported_at[vm] = now;
             }
             for to in (0..self.ledgers.len()).filter(|to| *to != vm) {
                 if !self.ledgers[vm].concerns(moment(now), to as quota::Name) {
                     continue;
                 }
                 self.outcome.messages += 1;
-                self.under_way.push_back(Message {
-                    at: now + WAY_MS,
+                self.in_transit.push_back(Message {
+                    at: now + PROPAGATION_DELAY_MS,
                     to,
                     from: vm,
                     start: self.start,
@@ -257,44 +264,46 @@
 }
 
 /// Runs the simulation.
-pub(crate) fn play<S: Sharing>(day: &Day<'_>) -> Outcome {
+pub(crate) fn simulate<S: Sharing>(scenario: &Scenario<'_>) -> Outcome {
     let ledger = |vm: usize| {
         let mut ledger = Ledger::<S>::new(quota::Bound::default(), time::Duration::ZERO, 0);
-        expect(&mut ledger, day.carriers, vm, day.vms);
+        set_peers(&mut ledger, scenario.active_vms, vm, scenario.vms);
         ledger
     };
-    let later = day.events.iter().filter_map(|(_, event)| match event {
-        Event::Carriers(carriers) => Some(*carriers),
+    let later = scenario.events.iter().filter_map(|(_, event)| match event {
+        Event::ActiveVms(active_vms) => Some(*active_vms),
         _ => None,
     });
-    let carriers = later.fold(day.carriers, usize::max);
-    let mut play = Play {
-        day,
-        carriers: day.carriers,
+    let active_vms = later.fold(scenario.active_vms, usize::max);
+    let mut simulation = Simulation {
+        scenario,
+        active_vms: scenario.active_vms,
         // Staggers the checks of the VMs.
-        looks: (0..carriers as u64).map(|vm| vm * 37 % IDLE_MS).collect(),
-        ledgers: (0..carriers).map(ledger).collect(),
-        spoke: vec![0; carriers],
-        told_all: vec![0; carriers],
-        under_way: collections::VecDeque::new(),
-        load: day.load,
-        limit: day.limit,
-        cut: 0,
-        first_carrier: 0,
+        next_check: (0..active_vms as u64)
+            .map(|vm| vm * 37 % IDLE_CHECK_INTERVAL_MS)
+            .collect(),
+        ledgers: (0..active_vms).map(ledger).collect(),
+        reported_at: vec![0; active_vms],
+        fully_reported_at: vec![0; active_vms],
+        in_transit: collections::VecDeque::new(),
+        load: scenario.load,
+        limit: scenario.limit,
+        partition_below: 0,
+        first_active_vm: 0,
         up_at: 0,
         start: 0,
-        rng: rand_chacha::ChaCha8Rng::seed_from_u64(day.seed),
+        rng: rand_chacha::ChaCha8Rng::seed_from_u64(scenario.seed),
         outcome: Outcome::default(),
     };
-    for now in 0..day.length_ms {
-        for (_, event) in day.events.iter().filter(|(at, _)| *at == now) {
-            play.happen(now, *event);
+    for now in 0..scenario.length_ms {
+        for (_, event) in scenario.events.iter().filter(|(at, _)| *at == now) {
+            simulation.apply(now, *event);
         }
-        if now >= play.up_at {
-            play.deliver(now);
-            play.callers(now);
-            play.tell(now);
+        if now >= simulation.up_at {
+            simulation.deliver(now);
+            simulation.send_requests(now);
+            simulation.send_reports(now);
         }
     }
-    play.outcome
+    simulation.outcome
 }
--- a/tests/quota/small.rs
+++ b/tests/quota/small.rs
@@ -6,7 +6,7 @@
 
 use std::time;
 
-use bulrushwind::decisions::quota::{self, ByDemand, Ledger, Sharing, Standing, UntilFull};
+use bulrushwind::decisions::quota::{self, ByDemand, Ledger, QuotaState, Sharing, UntilFull};
 
 const LIMIT: quota::Limit = quota::Limit {
     rate: 60.0,
@@ -18,31 +18,31 @@
 const SECONDS: u32 = 6;
 
 /// Requests per 100 ms that the limit allows permanently, and far more.
-const WITHIN: usize = 7;
-const BEYOND: usize = 40;
+const WITHIN_LIMIT_COUNT: usize = 7;
+const BEYOND_LIMIT_COUNT: usize = 40;
 
 /// Maximum number of restarts. A VM that is killed twice within a window has twice forgotten its
 /// admissions, and its share of the limit no longer bounds them.
-const RESTARTS: usize = 1;
+const MAX_RESTARTS: usize = 1;
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Talk,
+    Exchange,
     OneWay,
-    Cut,
+    Partition,
     Restart,
 }
 
-const STEPS: [Step; 4] = [Step::Talk, Step::OneWay, Step::Cut, Step::Restart];
+const STEPS: [Step; 4] = [Step::Exchange, Step::OneWay, Step::Partition, Step::Restart];
 
 struct Pair<S> {
     ledgers: [Ledger<S>; 2],
-    starts: [quota::Start; 2],
+    starts: [quota::StartMs; 2],
     admitted: Vec<time::Duration>,
 }
 
 fn ledger<S: Sharing>(vm: u64, started: time::Duration) -> Ledger<S> {
-    let start = started.as_millis() as quota::Start;
+    let start = started.as_millis() as quota::StartMs;
     let mut ledger = Ledger::new(quota::Bound::default(), started, start);
     ledger.expect(vec![1 - vm], Vec::new(), 2);
     ledger
@@ -57,28 +57,28 @@
         }
     }
 
-    fn hear(&mut self, now: time::Duration, from: usize) {
+    fn deliver(&mut self, now: time::Duration, from: usize) {
         let rows = self.ledgers[from].news(now, true, 8);
         let start = self.starts[from];
         self.ledgers[1 - from].heard(now, from as u64, start, rows, true);
     }
 
     /// Plays one second: the step and `requests` requests in each tenth of it.
-    fn second(&mut self, begin: time::Duration, step: Step, requests: usize) {
+    fn play_second(&mut self, begin: time::Duration, step: Step, requests: usize) {
         if let Step::Restart = step {
             // The VM is down for this second.
             let near = self.ledgers[0].near_limits(begin);
             let up = begin + time::Duration::from_secs(1);
             self.ledgers[0] = ledger(0, up);
             self.ledgers[0].inherit(up, &near);
-            self.starts[0] = up.as_millis() as quota::Start;
+            self.starts[0] = up.as_millis() as quota::StartMs;
         }
         for tenth in 0..10 {
             let now = begin + time::Duration::from_millis(tenth * 100);
             match step {
-                Step::Talk => (0..2).for_each(|vm| self.hear(now, vm)),
-                Step::OneWay => self.hear(now, 1),
-                Step::Cut | Step::Restart => {}
+                Step::Exchange => (0..2).for_each(|vm| self.deliver(now, vm)),
+                Step::OneWay => self.deliver(now, 1),
+                Step::Partition | Step::Restart => {}
             }
             let asked = if let Step::Restart = step { 1..2 } else { 0..2 };
             for vm in asked.cycle().take(requests) {
@@ -89,7 +89,7 @@
         }
     }
 
-    fn busiest(&self) -> usize {
+    fn busiest_window(&self) -> usize {
         let width = quota::Bound::default().window;
         let within = |from: time::Duration| {
             let inside = |at: &&time::Duration| **at >= from && **at < from + width;
@@ -118,49 +118,57 @@
     let mut pair = Pair::<S>::new();
     // Before, both have exchanged reports for long, and the customer kept to its limit.
     for second in 50..60 {
-        pair.second(time::Duration::from_secs(second), Step::Talk, WITHIN);
+        pair.play_second(
+            time::Duration::from_secs(second),
+            Step::Exchange,
+            WITHIN_LIMIT_COUNT,
+        );
     }
     for (second, step) in (60..).zip(steps) {
-        pair.second(time::Duration::from_secs(second), *step, BEYOND);
+        pair.play_second(time::Duration::from_secs(second), *step, BEYOND_LIMIT_COUNT);
     }
-    pair.busiest()
+    pair.busiest_window()
 }
 
 /// The first sequence that exceeds the bound, and its busiest window.
-fn broken<S: Sharing>() -> Option<(usize, Vec<Step>)> {
-    let most = quota::Bound::default().most(&LIMIT);
+fn first_violation<S: Sharing>() -> Option<(usize, Vec<Step>)> {
+    let max_admitted = quota::Bound::default().max_admitted(&LIMIT);
     let restarts = |steps: &[Step]| steps.iter().filter(|s| matches!(s, Step::Restart)).count();
     (0..STEPS.len().pow(SECONDS))
         .map(steps)
-        .filter(|steps| restarts(steps) <= RESTARTS)
+        .filter(|steps| restarts(steps) <= MAX_RESTARTS)
         .map(|steps| (play::<S>(&steps), steps))
-        .find(|(busiest, _)| *busiest as f64 > most)
+        .find(|(busiest_window, _)| *busiest_window as f64 > max_admitted)
 }
 
 /// Guards against an order of reports, partitions and restarts in which far too many requests run.
 #[test]
-fn no_order_of_cuts_and_restarts_breaks_the_bound() {
-    assert!(broken::<ByDemand>().is_none(), "{:?}", broken::<ByDemand>());
+fn no_order_of_partitions_and_restarts_breaks_the_bound() {
+    assert!(
+        first_violation::<ByDemand>().is_none(),
+        "{:?}",
+        first_violation::<ByDemand>()
+    );
 }
 
 /// A faulty policy that ignores the requests admitted by other VMs.
-struct Deaf;
+struct IgnorePeers;
 
-impl Sharing for Deaf {
-    fn cap(standing: &Standing) -> f64 {
-        standing.target
+impl Sharing for IgnorePeers {
+    fn cap(state: &QuotaState) -> f64 {
+        state.target
     }
 }
 
 /// Checks that the search finds a fault: a VM that counts only its own requests admits twice the
 /// limit.
 #[test]
-fn a_way_that_leaves_others_out_is_found() {
-    assert!(broken::<Deaf>().is_some());
+fn a_policy_that_ignores_peers_is_found() {
+    assert!(first_violation::<IgnorePeers>().is_some());
 }
 
 /// Checks that the search finds a policy that gives each VM the whole remaining quota.
 #[test]
-fn a_way_that_gives_all_that_is_left_to_each_is_found() {
-    assert!(broken::<UntilFull>().is_some());
+fn a_policy_that_gives_each_vm_the_whole_quota_is_found() {
+    assert!(first_violation::<UntilFull>().is_some());
 }
