--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -45,7 +45,7 @@
 /// A customer sends eight times its usual load from one second to the next. Guards against admitting
 /// all of it at once: 0.4 of the region's requests would run elsewhere 2 s later.
 #[test]
-fn a_surge_of_a_customer_from_elsewhere_shifts_in_steps() {
+fn a_surge_of_a_remote_customer_shifts_in_steps() {
     let (shares, refused) = shares(20, |ms| (300, if ms < 6000 { 30 } else { 240 }));
     assert!(largest_step(&shares) <= CAP, "{shares:?}");
     assert!(refused > 0);
@@ -56,7 +56,7 @@
 
 /// Guards against refusing a customer with steady load, in a large region and in a small one.
 #[test]
-fn a_steady_share_leaves_freely() {
+fn a_steady_share_is_never_refused() {
     for (here, elsewhere) in [(300, 60), (20, 5), (5, 2)] {
         let (_, refused) = shares(20, |_| (here, elsewhere));
         assert_eq!(refused, 0, "{here} {elsewhere}");
@@ -66,7 +66,7 @@
 /// Guards against counting requests that a full home region refuses: once other callers leave and the
 /// home region has room, they would all run there at once.
 #[test]
-fn what_was_refused_elsewhere_does_not_stand_for_a_share() {
+fn requests_refused_elsewhere_do_not_count_towards_the_share() {
     let mut departures = departures::Departures::default();
     let mut ran: Vec<(u64, bool)> = Vec::new();
     for ms in 0..12_000 {
