--- a/src/decisions/crashes.rs
+++ b/src/decisions/crashes.rs
@@ -7,9 +7,9 @@
 //!
 //! Answers also get lost in the network, so a broken connection counts only if the backend server
 //! then refuses connections or has restarted. Requests in flight at a crash are reported to all VMs,
-//! and one in flight at [`BANNED`] crashes is refused; innocent requests are in flight at one, seldom
-//! at two. A backend server may restart under the same name and crash again, so crashes are counted
-//! per run of its process.
+//! and one in flight at [`BAN_CRASH_COUNT`] crashes is refused; innocent requests are in flight at
+//! one, seldom at two. A backend server may restart under the same name and crash again, so crashes
+//! are counted per run of its process.
 
 use std::collections;
 use std::time;
@@ -17,22 +17,22 @@
 use super::policy;
 
 /// Number of crashes after which a request is refused on all VMs.
-pub const BANNED: usize = 3;
+pub const BAN_CRASH_COUNT: usize = 3;
 
 /// Time after a broken connection within which a refused connection proves a crash. A restart takes
 /// seconds, and further requests for the backend server arrive within a fraction of a second.
-const CONFIRMED: time::Duration = time::Duration::from_millis(1500);
+const REFUSAL_CONFIRMS_WITHIN: time::Duration = time::Duration::from_millis(1500);
 
 /// Time after a broken connection within which a restart proves that the previous run crashed: the
 /// restart takes some seconds, and the list of backend servers shows it up to 2 s later.
-const STARTED: time::Duration = time::Duration::from_secs(8);
+const RESTART_CONFIRMS_WITHIN: time::Duration = time::Duration::from_secs(8);
 
 /// Maximum number of broken requests kept until a crash is confirmed or ruled out.
-const REMEMBERED: usize = 256;
+const MAX_BROKEN_REQUESTS: usize = 256;
 
 #[derive(Clone, Debug)]
-struct Lost {
-    at: policy::Moment,
+struct BrokenRequest {
+    broke_at: policy::Moment,
     fingerprint: u64,
     run: String,
 }
@@ -40,18 +40,18 @@
 /// Crashes of backend servers and the requests in flight at each.
 #[derive(Clone, Debug, Default)]
 pub struct Crashes {
-    lost: collections::VecDeque<Lost>,
-    by_request: collections::HashMap<u64, collections::BTreeSet<String>>,
+    broken: collections::VecDeque<BrokenRequest>,
+    crashes_by_request: collections::HashMap<u64, collections::BTreeSet<String>>,
 }
 
 impl Crashes {
     /// Records that a request's connection to a run of a backend server broke.
     pub fn lost(&mut self, now: policy::Moment, fingerprint: u64, run: &str) {
-        if self.lost.len() >= REMEMBERED {
-            self.lost.pop_front();
+        if self.broken.len() >= MAX_BROKEN_REQUESTS {
+            self.broken.pop_front();
         }
-        self.lost.push_back(Lost {
-            at: now,
+        self.broken.push_back(BrokenRequest {
+            broke_at: now,
             fingerprint,
             run: run.to_owned(),
         });
@@ -60,50 +60,56 @@
     /// Records that a backend server refused a connection. Returns the requests that were in flight
     /// when it crashed, for the report to all VMs.
     pub fn refused(&mut self, now: policy::Moment, run: &str) -> Vec<u64> {
-        self.over(now, run, CONFIRMED)
+        self.take_in_flight(now, run, REFUSAL_CONFIRMS_WITHIN)
     }
 
     /// Records that a backend server has restarted and that this run of it has ended. Returns the
     /// requests that were in flight when it crashed, for the report to all VMs.
     pub fn started_again(&mut self, now: policy::Moment, run: &str) -> Vec<u64> {
-        self.over(now, run, STARTED)
+        self.take_in_flight(now, run, RESTART_CONFIRMS_WITHIN)
     }
 
-    fn over(&mut self, now: policy::Moment, run: &str, within: time::Duration) -> Vec<u64> {
-        self.lost.retain(|lost| now <= lost.at + STARTED);
-        let (crashed, others): (collections::VecDeque<_>, _) = std::mem::take(&mut self.lost)
+    fn take_in_flight(
+        &mut self,
+        now: policy::Moment,
+        run: &str,
+        within: time::Duration,
+    ) -> Vec<u64> {
+        self.broken
+            .retain(|request| now <= request.broke_at + RESTART_CONFIRMS_WITHIN);
+        let (crashed, others): (collections::VecDeque<_>, _) = std::mem::take(&mut self.broken)
             .into_iter()
-            .partition(|lost| lost.run == run);
-        self.lost = others;
+            .partition(|request| request.run == run);
+        self.broken = others;
         crashed
             .into_iter()
-            .filter(|lost| now <= lost.at + within)
-            .map(|lost| lost.fingerprint)
+            .filter(|request| now <= request.broke_at + within)
+            .map(|request| request.fingerprint)
             .collect()
     }
 
     /// Adds a crash, seen here or on another VM, to a request's record. Returns whether it is new.
     pub fn learn(&mut self, fingerprint: u64, run: &str) -> bool {
-        let crashes = self.by_request.entry(fingerprint).or_default();
+        let crashes = self.crashes_by_request.entry(fingerprint).or_default();
         crashes.insert(run.to_owned())
     }
 
     /// Removes an expired crash from a request's record. Returns whether the record held it.
     pub fn forget(&mut self, fingerprint: u64, run: &str) -> bool {
-        let Some(crashes) = self.by_request.get_mut(&fingerprint) else {
+        let Some(crashes) = self.crashes_by_request.get_mut(&fingerprint) else {
             return false;
         };
-        let news = crashes.remove(run);
+        let removed = crashes.remove(run);
         if crashes.is_empty() {
-            self.by_request.remove(&fingerprint);
+            self.crashes_by_request.remove(&fingerprint);
         }
-        news
+        removed
     }
 
     /// Whether a request is refused.
     pub fn is_banned(&self, fingerprint: u64) -> bool {
-        self.by_request
+        self.crashes_by_request
             .get(&fingerprint)
-            .is_some_and(|crashes| crashes.len() >= BANNED)
+            .is_some_and(|crashes| crashes.len() >= BAN_CRASH_COUNT)
     }
 }
