--- a/src/decisions/quarantine.rs
+++ b/src/decisions/quarantine.rs
@@ -24,7 +24,7 @@
     /// service is not held back for long.
     pub ban: time::Duration,
     /// Maximum number of fingerprints kept. The oldest suspects are removed first.
-    pub most: usize,
+    pub max_records: usize,
     /// Maximum number of suspects that wait for a trial.
     pub waiting: usize,
     /// Broken connections to one backend server within this time count as one crash.
@@ -36,7 +36,7 @@
         Self {
             suspect: time::Duration::from_secs(60),
             ban: time::Duration::from_secs(120),
-            most: 10_000,
+            max_records: 10_000,
             waiting: 32,
             one_crash: time::Duration::from_millis(200),
         }
@@ -49,7 +49,7 @@
         let suspect = self.suspect.as_secs_f64();
         range::check("quarantine.suspect", suspect, 1.0..=3_600.0)?;
         range::check("quarantine.ban", self.ban.as_secs_f64(), 1.0..=86_400.0)?;
-        range::check("quarantine.most", self.most as f64, 16.0..=1e6)?;
+        range::check("quarantine.most", self.max_records as f64, 16.0..=1e6)?;
         range::check("quarantine.waiting", self.waiting as f64, 0.0..=10_000.0)?;
         let one_crash = self.one_crash.as_secs_f64();
         range::check("quarantine.one_crash", one_crash, 0.01..=10.0)
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     records: collections::HashMap<policy::Fingerprint, Record>,
-    fresh: Vec<policy::Fingerprint>,
+    new_bans: Vec<policy::Fingerprint>,
 }
 
 impl Quarantine {
@@ -109,8 +109,8 @@
 
     /// Records that a backend server crashed with this request in flight.
     pub fn crashed(&mut self, cfg: &Config, now: policy::Moment, fingerprint: policy::Fingerprint) {
-        if self.records.len() >= cfg.most {
-            self.make_room(now);
+        if self.records.len() >= cfg.max_records {
+            self.evict_oldest(now);
         }
         let record = self.records.entry(fingerprint).or_insert(Record {
             crashes: 0,
@@ -123,7 +123,7 @@
         let banned = record.crashes >= 2;
         record.until = now + if banned { cfg.ban } else { cfg.suspect };
         if record.crashes == 2 {
-            self.fresh.push(fingerprint);
+            self.new_bans.push(fingerprint);
         }
     }
 
@@ -143,18 +143,18 @@
 
     /// Returns the bans that originated here since the last call, to be sent to other VMs.
     pub fn export(&mut self, now: policy::Moment) -> Vec<Entry> {
-        let fresh = std::mem::take(&mut self.fresh);
+        let new_bans = std::mem::take(&mut self.new_bans);
         let entry = |fingerprint| match self.state(now, fingerprint) {
             State::Banned { left } => Some(Entry { fingerprint, left }),
             _ => None,
         };
-        fresh.into_iter().filter_map(entry).collect()
+        new_bans.into_iter().filter_map(entry).collect()
     }
 
     /// Applies a ban from another VM. It is not forwarded.
     pub fn import(&mut self, cfg: &Config, now: policy::Moment, entry: Entry) {
-        if self.records.len() >= cfg.most {
-            self.make_room(now);
+        if self.records.len() >= cfg.max_records {
+            self.evict_oldest(now);
         }
         let until = now + entry.left.min(cfg.ban);
         let record = self
@@ -170,7 +170,7 @@
         self.records.retain(|_, record| record.until > now);
     }
 
-    fn make_room(&mut self, now: policy::Moment) {
+    fn evict_oldest(&mut self, now: policy::Moment) {
         self.tick(now);
         let oldest = self
             .records
@@ -186,7 +186,7 @@
 mod tests {
     use super::*;
 
-    const KILLER: policy::Fingerprint = policy::Fingerprint(1);
+    const CRASHING: policy::Fingerprint = policy::Fingerprint(1);
     const INNOCENT: policy::Fingerprint = policy::Fingerprint(2);
 
     fn at(secs: u64) -> policy::Moment {
@@ -198,43 +198,46 @@
     #[test]
     fn two_crashes_ban_and_an_answer_clears() {
         let (mut quarantine, cfg) = (Quarantine::default(), Config::default());
-        quarantine.crashed(&cfg, at(1), KILLER);
+        quarantine.crashed(&cfg, at(1), CRASHING);
         quarantine.crashed(&cfg, at(1), INNOCENT);
         assert_eq!(quarantine.state(at(2), INNOCENT), State::Suspect);
         quarantine.answered(INNOCENT);
-        quarantine.crashed(&cfg, at(3), KILLER);
+        quarantine.crashed(&cfg, at(3), CRASHING);
         assert_eq!(quarantine.state(at(3), INNOCENT), State::Clear);
         let banned = State::Banned { left: cfg.ban };
-        assert_eq!(quarantine.state(at(3), KILLER), banned);
-        assert_eq!(quarantine.state(at(3) + cfg.ban, KILLER), State::Clear);
+        assert_eq!(quarantine.state(at(3), CRASHING), banned);
+        assert_eq!(quarantine.state(at(3) + cfg.ban, CRASHING), State::Clear);
     }
 
     #[test]
-    fn a_ban_is_told_once_and_not_told_on() {
+    fn a_ban_is_exported_once_and_not_forwarded() {
         let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
         let cfg = Config::default();
-        here.crashed(&cfg, at(1), KILLER);
-        here.crashed(&cfg, at(2), KILLER);
-        let told = here.export(at(2));
-        assert_eq!((told.len(), here.export(at(2)).len()), (1, 0));
-        there.import(&cfg, at(900), told[0]);
-        assert!(matches!(there.state(at(900), KILLER), State::Banned { .. }));
+        here.crashed(&cfg, at(1), CRASHING);
+        here.crashed(&cfg, at(2), CRASHING);
+        let exported = here.export(at(2));
+        assert_eq!((exported.len(), here.export(at(2)).len()), (1, 0));
+        there.import(&cfg, at(900), exported[0]);
+        assert!(matches!(
+            there.state(at(900), CRASHING),
+            State::Banned { .. }
+        ));
         assert!(there.export(at(900)).is_empty());
     }
 
     #[test]
-    fn it_is_bounded_and_keeps_bans() {
+    fn records_are_bounded_and_bans_are_kept() {
         let cfg = Config {
-            most: 16,
+            max_records: 16,
             ..Config::default()
         };
         let mut quarantine = Quarantine::default();
-        quarantine.crashed(&cfg, at(1), KILLER);
-        quarantine.crashed(&cfg, at(1), KILLER);
+        quarantine.crashed(&cfg, at(1), CRASHING);
+        quarantine.crashed(&cfg, at(1), CRASHING);
         (10..200).for_each(|i| quarantine.crashed(&cfg, at(2), policy::Fingerprint(i)));
         assert_eq!(quarantine.records.len(), 16);
         assert!(matches!(
-            quarantine.state(at(2), KILLER),
+            quarantine.state(at(2), CRASHING),
             State::Banned { .. }
         ));
     }
