--- a/src/decisions/nearby.rs
+++ b/src/decisions/nearby.rs
@@ -26,17 +26,17 @@
 
 /// Utilization of processor or link above which a VM becomes busy. Half, because callers arrive in
 /// bursts and those of a lost VM are added.
-const BUSY: f64 = 0.5;
+const BUSY_ABOVE_RATIO: f64 = 0.5;
 
 /// Utilization at or below which a busy VM stops being busy. When the load of one busy VM is shared
-/// with a second one, each has half of [`BUSY`] and must stay busy.
-const IDLE: f64 = 0.2;
+/// with a second one, each has half of [`BUSY_ABOVE_RATIO`] and must stay busy.
+const IDLE_BELOW_RATIO: f64 = 0.2;
 
 /// Processor time per request, in seconds of one core, with a reserve for large answers.
-const REQUEST_S: f64 = 0.000_2;
+const REQUEST_CORE_S: f64 = 0.000_2;
 
 /// Typical size of an answer.
-const ANSWER: f64 = 5_000.0;
+const TYPICAL_ANSWER_BYTES: f64 = 5_000.0;
 
 /// Capacity of a VM.
 #[derive(Clone, Copy, Debug, Default)]
@@ -49,21 +49,24 @@
 
 impl Capacity {
     /// Bytes per second of a link of 1 Mbit/s.
-    const MBPS: f64 = 1e6 / 8.0;
+    const BYTES_PER_S_PER_MBPS: f64 = 1e6 / 8.0;
 
     /// Typical requests per second that the VM can serve; 0 if its capacity is unknown.
     pub fn requests(&self) -> u32 {
-        let by_cores = self.cores / REQUEST_S;
-        let by_link = self.link_mbps * Self::MBPS / ANSWER;
+        let by_cores = self.cores / REQUEST_CORE_S;
+        let by_link = self.link_mbps * Self::BYTES_PER_S_PER_MBPS / TYPICAL_ANSWER_BYTES;
         let known = [by_cores, by_link].into_iter().filter(|n| *n > 0.0);
         known.reduce(f64::min).unwrap_or_default() as u32
     }
 
     /// Utilization of processor or link, whichever is larger.
-    pub fn used(&self, requests_a_second: f64, bytes_a_second: f64) -> f64 {
-        let part = |used: f64, of: f64| if of > 0.0 { used / of } else { 0.0 };
-        let processor = part(requests_a_second * REQUEST_S, self.cores);
-        processor.max(part(bytes_a_second, self.link_mbps * Self::MBPS))
+    pub fn used(&self, requests_per_s: f64, bytes_per_s: f64) -> f64 {
+        let ratio = |used: f64, total: f64| if total > 0.0 { used / total } else { 0.0 };
+        let processor = ratio(requests_per_s * REQUEST_CORE_S, self.cores);
+        processor.max(ratio(
+            bytes_per_s,
+            self.link_mbps * Self::BYTES_PER_S_PER_MBPS,
+        ))
     }
 }
 
@@ -79,8 +82,12 @@
 
     /// Updates the state from the current utilization. Returns whether the state has changed.
     pub fn step(&mut self, used: f64) -> bool {
-        let limit = if self.0 { IDLE } else { BUSY };
-        let busy = used > limit;
+        let threshold = if self.0 {
+            IDLE_BELOW_RATIO
+        } else {
+            BUSY_ABOVE_RATIO
+        };
+        let busy = used > threshold;
         std::mem::replace(&mut self.0, busy) != busy
     }
 }
@@ -104,15 +111,15 @@
 
 /// Selects the entry VMs for a caller so that `least` of them are not busy, if there are enough.
 pub fn told<'a, T>(least: usize, all: impl Iterator<Item = Entry<'a, T>>) -> Vec<T> {
-    let mut rest = least;
-    let enough = |entry: &Entry<'_, T>| {
-        let more = rest > 0;
-        rest -= usize::from(more && !entry.busy);
-        more
+    let mut not_busy_missing = least;
+    let is_needed = |entry: &Entry<'_, T>| {
+        let is_missing = not_busy_missing > 0;
+        not_busy_missing -= usize::from(is_missing && !entry.busy);
+        is_missing
     };
-    in_order(all)
+    rank_candidates(all)
         .into_iter()
-        .take_while(enough)
+        .take_while(is_needed)
         .take(MOST)
         .map(|entry| entry.told)
         .collect()
@@ -120,16 +127,16 @@
 
 /// Orders the VMs of the region, or all VMs if it has none: first the largest of each zone, then the
 /// second largest of each, and so on.
-fn in_order<'a, T>(all: impl Iterator<Item = Entry<'a, T>>) -> Vec<Entry<'a, T>> {
+fn rank_candidates<'a, T>(all: impl Iterator<Item = Entry<'a, T>>) -> Vec<Entry<'a, T>> {
     let mut all: Vec<Entry<'a, T>> = all.collect();
     if all.iter().any(|entry| entry.near) {
         all.retain(|entry| entry.near);
     }
     all.sort_by_key(|entry| (cmp::Reverse(entry.requests), entry.hash));
-    let mut of_zone: collections::HashMap<&id::AzId, usize> = collections::HashMap::new();
+    let mut ranks_by_az: collections::HashMap<&id::AzId, usize> = collections::HashMap::new();
     let mut ranked: Vec<(usize, Entry<'a, T>)> = Vec::with_capacity(all.len());
     for entry in all {
-        let rank = of_zone.entry(entry.az).or_default();
+        let rank = ranks_by_az.entry(entry.az).or_default();
         ranked.push((*rank, entry));
         *rank += 1;
     }
