--- a/src/decisions/resend.rs
+++ b/src/decisions/resend.rs
@@ -25,7 +25,7 @@
     pub window: time::Duration,
     /// Share of the bound that is used. The rest covers VMs that have just joined or left, which
     /// others miscount for a few seconds, and requests in transit at the edge of the window.
-    pub used: f64,
+    pub used_share: f64,
 }
 
 impl Default for Bound {
@@ -34,19 +34,19 @@
             share: 0.1,
             extra: 20.0,
             window: time::Duration::from_secs(10),
-            used: 0.75,
+            used_share: 0.75,
         }
     }
 }
 
 /// Number of steps in which the window advances.
-const STEPS: u32 = 20;
+const WINDOW_STEPS: u32 = 20;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Count {
     step: u64,
     requests: f64,
-    second: f64,
+    resends: f64,
 }
 
 /// Requests and second sends of one service on this VM.
@@ -57,10 +57,10 @@
 
 impl Resends {
     fn count(&mut self, bound: &Bound, now: policy::Moment) -> &mut Count {
-        let width = (bound.window / STEPS).max(time::Duration::from_millis(1));
+        let width = (bound.window / WINDOW_STEPS).max(time::Duration::from_millis(1));
         let step = (now.as_nanos() / width.as_nanos()) as u64;
         while let Some(first) = self.counts.front()
-            && first.step + u64::from(STEPS) < step
+            && first.step + u64::from(WINDOW_STEPS) < step
         {
             self.counts.pop_front();
         }
@@ -83,12 +83,12 @@
     pub fn take(&mut self, bound: &Bound, now: policy::Moment, vms: usize) -> bool {
         self.count(bound, now);
         let requests: f64 = self.counts.iter().map(|c| c.requests).sum();
-        let second: f64 = self.counts.iter().map(|c| c.second).sum();
-        let own = bound.share * requests + bound.extra / vms.max(1) as f64;
-        if second + 1.0 > own * bound.used {
+        let resends: f64 = self.counts.iter().map(|c| c.resends).sum();
+        let budget = bound.share * requests + bound.extra / vms.max(1) as f64;
+        if resends + 1.0 > budget * bound.used_share {
             return false;
         }
-        self.count(bound, now).second += 1.0;
+        self.count(bound, now).resends += 1.0;
         true
     }
 }
