--- a/src/decisions/comeback.rs
+++ b/src/decisions/comeback.rs
@@ -9,14 +9,14 @@
 use std::time;
 
 /// Minimum delay before the spread. A shorter one is no better than queueing the request.
-const LEAST: time::Duration = time::Duration::from_millis(80);
+const MIN_DELAY: time::Duration = time::Duration::from_millis(80);
 
 /// Maximum delay as a share of the caller's remaining time.
-const PART: f64 = 0.3;
+const MAX_DELAY_SHARE: f64 = 0.3;
 
 /// Returns the retry delay. `backlog` is the expected time to drain the queue, `left` the caller's
 /// remaining time, and `jitter` lies between 0 and 1.
 pub fn after(backlog: time::Duration, left: time::Duration, jitter: f64) -> time::Duration {
-    let spread = backlog.max(LEAST).mul_f64(0.5 + jitter);
-    spread.min(left.mul_f64(PART))
+    let delay = backlog.max(MIN_DELAY).mul_f64(0.5 + jitter);
+    delay.min(left.mul_f64(MAX_DELAY_SHARE))
 }
