--- a/src/decisions/precedence.rs
+++ b/src/decisions/precedence.rs
@@ -5,8 +5,8 @@
 //! part of each backend server for bookings at all times would refuse reads needlessly whenever there
 //! are none.
 //!
-//! Capacity is therefore reserved only on demand: for [`HOLD`] after a more urgent request was
-//! refused.
+//! Capacity is therefore reserved only on demand: for [`RESERVATION_TIME`] after a more urgent
+//! request was refused.
 
 use std::time;
 
@@ -14,22 +14,22 @@
 
 /// Duration of the reservation after the refusal of a more urgent request. A refused caller retries
 /// within a fraction of a second, and an overload lasts for some seconds.
-pub const HOLD: time::Duration = time::Duration::from_secs(1);
+pub const RESERVATION_TIME: time::Duration = time::Duration::from_secs(1);
 
 /// Reservation state of one service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Precedence {
-    until: policy::Moment,
+    reserved_until: policy::Moment,
 }
 
 impl Precedence {
     /// Records that one of the most urgent requests found no capacity.
     pub fn refused(&mut self, now: policy::Moment) {
-        self.until = now + HOLD;
+        self.reserved_until = now + RESERVATION_TIME;
     }
 
     /// Whether less urgent requests leave capacity at `now`.
     pub fn yields(&self, now: policy::Moment) -> bool {
-        now < self.until
+        now < self.reserved_until
     }
 }
