--- a/src/decisions/note.rs
+++ b/src/decisions/note.rs
@@ -36,7 +36,7 @@
 }
 
 /// Maximum number of uncollected events; further ones are dropped.
-const MOST: usize = 256;
+const MAX_PENDING_NOTES: usize = 256;
 
 /// Events since the last call of [`Notes::take`].
 #[derive(Clone, Debug, Default)]
@@ -45,7 +45,7 @@
 impl Notes {
     /// Adds an event, or drops it if the list is full.
     pub fn push(&mut self, note: Note) {
-        if self.0.len() < MOST {
+        if self.0.len() < MAX_PENDING_NOTES {
             self.0.push(note);
         }
     }
