--- a/src/decisions/crashes.rs
+++ b/src/decisions/crashes.rs
@@ -27,7 +27,7 @@
 /// restart takes some seconds, and the list of backend servers shows it up to 2 s later.
 const RESTART_CONFIRMS_WITHIN: time::Duration = time::Duration::from_secs(8);
 
-/// Maximum number of broken requests kept until a crash is confirmed or ruled out.
+/// Maximum number of requests with a broken connection that are kept to be matched with a crash.
 const MAX_BROKEN_REQUESTS: usize = 256;
 
 #[derive(Clone, Debug)]
--- a/src/decisions/nearby.rs
+++ b/src/decisions/nearby.rs
@@ -81,13 +81,13 @@
     }
 
     /// Updates the state from the current utilization. Returns whether the state has changed.
-    pub fn step(&mut self, used: f64) -> bool {
+    pub fn step(&mut self, utilization: f64) -> bool {
         let threshold = if self.0 {
             IDLE_BELOW_RATIO
         } else {
             BUSY_ABOVE_RATIO
         };
-        let busy = used > threshold;
+        let busy = utilization > threshold;
         std::mem::replace(&mut self.0, busy) != busy
     }
 }
@@ -109,7 +109,7 @@
     pub told: T,
 }
 
-/// Selects the entry VMs for a caller so that `least` of them are not busy, if there are enough.
+/// Selects the entry VMs for a caller so that `least` of them are not busy, if there are that many.
 pub fn told<'a, T>(least: usize, all: impl Iterator<Item = Entry<'a, T>>) -> Vec<T> {
     let mut not_busy_missing = least;
     let is_needed = |entry: &Entry<'_, T>| {
--- a/src/decisions/quota.rs
+++ b/src/decisions/quota.rs
@@ -92,7 +92,7 @@
 /// Age from which a report is late. During a surge, each VM reports every 100 ms.
 const REPORT_LATE_AFTER: time::Duration = time::Duration::from_millis(250);
 
-/// Ratio by which the target is lowered while peers are silent.
+/// Factor applied to the target while peers are silent.
 const PARTITION_TARGET_RATIO: f64 = 0.9;
 
 /// Usual upper bound on the propagation delay of a report.
@@ -114,7 +114,7 @@
     pub used: f64,
     /// Requests admitted per second since the previous report.
     pub pace: f64,
-    /// Recent requests, whether admitted or refused.
+    /// Requests in the last fifth of the window, admitted or refused.
     pub asked: f64,
 }
 
@@ -135,7 +135,7 @@
     /// Identifies the process; a later process of the same VM has a larger value.
     start_ms: StartMs,
     rows: collections::HashMap<Name, PeerUsage>,
-    /// Usage of the peer's previous process, and the end of that usage.
+    /// Usage of the peer's previous process, and the time until which it may have admitted requests.
     previous_usage: collections::HashMap<Name, f64>,
     previous_end: policy::Moment,
 }
@@ -181,7 +181,7 @@
     }
 }
 
-/// Policy that splits a customer's quota among VMs.
+/// How the VMs split a customer's quota. Each VM computes a cap on its own admissions.
 pub trait Sharing {
     /// Whether the policy depends on reports of peers.
     const USES_REPORTS: bool = true;
--- a/src/decisions/rest.rs
+++ b/src/decisions/rest.rs
@@ -17,7 +17,7 @@
 /// Idle limit for a backend server that states no idle timeout.
 const UNSTATED_IDLE_LIMIT: time::Duration = time::Duration::from_secs(4);
 
-/// Margin before the stated timeout, for the longest time that a request takes to the backend server.
+/// Margin before the stated timeout: the longest time that a request takes to reach the server.
 const EXPIRY_MARGIN: time::Duration = time::Duration::from_millis(500);
 
 /// Maximum idle limit, in force until a connection breaks.
