--- a/src/standin/steering/upkeep.rs
+++ b/src/standin/steering/upkeep.rs
@@ -72,8 +72,8 @@
         let (now, slots, busy) = (self.now, self.azs[az].slots, self.azs[az].busy);
         let queued = self.azs[az].queue.len() as u32;
         let v = &mut self.vms[vm];
-        v.across.tick(now);
-        v.across.own_load(now, slots, busy, queued);
+        v.cross_az.tick(now);
+        v.cross_az.set_local_load(now, slots, busy, queued);
         v.granter.set_load(now, load);
         v.granter.tick(now);
         if !tells {
@@ -86,14 +86,14 @@
                 let name = to.name.clone();
                 if f64::from(to.in_hand) < full && self.reaches(az, &name) {
                     let grant = blank(&self.dep.service.name, &name);
-                    self.vms[vm].across.set_grant(now, grant);
+                    self.vms[vm].cross_az.set_grant(now, grant);
                 }
             }
         }
         if !self.way.grants() {
             return;
         }
-        for wish in self.vms[vm].across.wishes(now) {
+        for wish in self.vms[vm].cross_az.grant_requests(now) {
             let to = self
                 .azs
                 .iter()
@@ -116,7 +116,7 @@
             slots: az.slots,
             max_load: 0.9,
             members: VMS as u32,
-            own: self.vms[vm].own,
+            local_requests: self.vms[vm].own,
             az_in_flight: az.busy + az.queue.len() as u32,
             service_time: self.dep.mean(),
         }
@@ -130,7 +130,7 @@
         let load = self.load(to);
         let granter = &mut self.vms[to].granter;
         granter.set_load(self.now, load);
-        if let Some(grant) = granter.ask(self.now, &vm_name(from), per_s as f64) {
+        if let Some(grant) = granter.request_grant(self.now, &vm_name(from), per_s as f64) {
             self.granted.push(grant);
             let number = self.granted.len() - 1;
             let back = self.dep.one_way(&name, &self.azs[self.vms[from].az].name);
@@ -153,8 +153,8 @@
         let summaries: Vec<_> = self.azs.iter().map(|az| self.summary(az)).collect();
         let mut left = collections::BTreeMap::new();
         if let Some(drain) = &self.scenario.drain {
-            let part = drain::left(drain, self.now.as_secs_f64());
-            for az in drain::azs(&self.dep.settings, &drain.target) {
+            let part = drain::remaining_share(drain, self.now.as_secs_f64());
+            for az in drain::target_azs(&self.dep.settings, &drain.target) {
                 left.insert(az, part);
             }
         }
@@ -163,8 +163,8 @@
             settings: &self.dep.settings,
             service: &self.dep.service,
             summaries: &summaries,
-            left: &left,
-            now: &self.plan.services[&self.dep.service.name],
+            capacity_shares: &left,
+            current: &self.plan.services[&self.dep.service.name],
         };
         let target = plan::target(&cfg, &inputs);
         let name = &self.dep.service.name;
