--- a/src/decisions/precedence.rs
+++ b/src/decisions/precedence.rs
@@ -1,9 +1,9 @@
 //! Decides when less urgent requests leave capacity to more urgent ones of the same service.
 //!
 //! Load pattern: an overloaded service with many reads and a few bookings. Refused at the same load,
-//! bookings fail as often as reads: payments are lost while photo lists are still served. Reserving a
-//! part of each backend server for bookings at all times would refuse reads needlessly whenever there
-//! are none.
+//! bookings are refused as often as reads: payments fail while photo lists are still served.
+//! Reserving a part of each backend server for bookings at all times would refuse reads needlessly
+//! whenever there are no bookings.
 //!
 //! Capacity is therefore reserved only on demand: for [`RESERVATION_TIME`] after a more urgent
 //! request was refused.
