--- a/benches/capacity/customers.rs
+++ b/benches/capacity/customers.rs
@@ -85,18 +85,18 @@
         burst: 1e6,
     };
     let mut ledger = Ledger::<ByDemand>::new(quota::Bound::default(), time::Duration::ZERO, 0);
-    let told = quota::Told {
+    let told = quota::UsageReport {
         used: 10.0,
-        pace: 2.0,
-        asked: 2.0,
+        rate_per_s: 2.0,
+        demand: 2.0,
     };
     let now = time::Duration::from_secs(60);
     for vm in 0..8 {
-        ledger.heard(now, 1_000_000 + vm, 0, (0..84).map(|c| (c, told)), true);
+        ledger.apply_report(now, 1_000_000 + vm, 0, (0..84).map(|c| (c, told)), true);
     }
     for n in 0..REQUESTS {
         let now = now + time::Duration::from_micros(n as u64 * 3);
-        let customer = (n % customers) as quota::Name;
-        let _ = hint::black_box(ledger.ask(now, customer, limit, 0.5));
+        let customer = (n % customers) as quota::NameHash;
+        let _ = hint::black_box(ledger.admit(now, customer, limit, 0.5));
     }
 }
--- a/src/decisions/quota.rs
+++ b/src/decisions/quota.rs
@@ -6,10 +6,10 @@
 //! callers use only a few of the VMs.
 //!
 //! The fleet admits at most [`Bound::max_admitted`] requests of a customer in any window. Each VM
-//! reports what it admits to its peers ([`Ledger::news`]). The remaining quota is split by recent
-//! demand, and each VM admits at most its share until the next reports, so the total keeps the bound
-//! despite propagation delay, and nothing is refused while quota remains. The rules for peers that
-//! are partitioned, new or killed are stated at the functions that apply them.
+//! reports what it admits to its peers ([`Ledger::due_reports`]). The remaining quota is split by
+//! recent demand, and each VM admits at most its share until the next reports, so the total keeps the
+//! bound despite propagation delay, and nothing is refused while quota remains. The rules for peers
+//! that are partitioned, new or killed are stated at the functions that apply them.
 
 use std::collections;
 use std::marker;
@@ -23,7 +23,7 @@
     /// Length of the sliding window.
     pub window: time::Duration,
     /// Requests admitted above the quota, as a share of the quota.
-    pub over: f64,
+    pub overshoot_ratio: f64,
     /// Fixed number of requests admitted on top of that.
     pub slack: f64,
 }
@@ -32,7 +32,7 @@
     fn default() -> Self {
         Self {
             window: time::Duration::from_secs(5),
-            over: 0.1,
+            overshoot_ratio: 0.1,
             slack: 20.0,
         }
     }
@@ -55,7 +55,7 @@
 
     /// Maximum number of requests that the fleet admits in one window.
     pub fn max_admitted(&self, limit: &Limit) -> f64 {
-        self.allowed(limit) * (1.0 + self.over) + self.slack
+        self.allowed(limit) * (1.0 + self.overshoot_ratio) + self.slack
     }
 
     /// Target for the admitted requests per window. The margin below the bound covers requests that
@@ -74,7 +74,7 @@
 }
 
 /// Hash of the name of a customer or an entry VM.
-pub type Name = u64;
+pub type NameHash = u64;
 
 /// Wall-clock start time of a process, in milliseconds.
 pub type StartMs = u64;
@@ -109,19 +109,19 @@
 
 /// Usage of one customer as reported by one VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct UsageReport {
     /// Requests admitted in the window that ends with the report.
     pub used: f64,
     /// Requests admitted per second since the previous report.
-    pub pace: f64,
+    pub rate_per_s: f64,
     /// Requests in the last fifth of the window, admitted or refused.
-    pub asked: f64,
+    pub demand: f64,
 }
 
 /// Last report of one peer on one customer.
 #[derive(Clone, Copy, Debug)]
 struct PeerUsage {
-    report: Told,
+    report: UsageReport,
     /// The peer's share of the fleet's demand at the last report.
     share: f64,
     /// The peer's demand divided by this VM's demand at the last report.
@@ -134,15 +134,20 @@
     reported_at: policy::Moment,
     /// Identifies the process; a later process of the same VM has a larger value.
     start_ms: StartMs,
-    rows: collections::HashMap<Name, PeerUsage>,
+    rows: collections::HashMap<NameHash, PeerUsage>,
     /// Usage of the peer's previous process, and the time until which it may have admitted requests.
-    previous_usage: collections::HashMap<Name, f64>,
+    previous_usage: collections::HashMap<NameHash, f64>,
     previous_end: policy::Moment,
 }
 
 impl Peer {
     /// Usage of the previous process that still lies in the window, assuming an even rate.
-    fn previous_used(&self, now: policy::Moment, customer: Name, window: time::Duration) -> f64 {
+    fn previous_used(
+        &self,
+        now: policy::Moment,
+        customer: NameHash,
+        window: time::Duration,
+    ) -> f64 {
         let age = now.saturating_sub(self.previous_end).as_secs_f64();
         let left = (1.0 - age / window.as_secs_f64()).max(0.0);
         self.previous_usage
@@ -239,14 +244,14 @@
 struct Account {
     limit: Limit,
     used: window::Counts,
-    asked: window::Counts,
+    demand: window::Counts,
     /// Number of requests that may be admitted until the next cap, and when the cap was computed.
     cap: f64,
     cap_set_at: Option<policy::Moment>,
     /// Whether the customer was near its limit at the last check.
     near_limit: bool,
     /// Last report sent to peers.
-    report: Told,
+    report: UsageReport,
     /// When the admission rate was last read, and requests admitted since then.
     rate_read_at: policy::Moment,
     admitted_since: f64,
@@ -257,11 +262,11 @@
         Self {
             limit,
             used: window::Counts::new(bound.window),
-            asked: window::Counts::new(bound.window),
+            demand: window::Counts::new(bound.window),
             cap: 0.0,
             cap_set_at: None,
             near_limit: false,
-            report: Told::default(),
+            report: UsageReport::default(),
             rate_read_at: policy::Moment::ZERO,
             admitted_since: 0.0,
         }
@@ -275,7 +280,7 @@
 
     /// Requests admitted per second since the previous call, without those that chance alone
     /// explains. Resets the measurement.
-    fn pace(&mut self, now: policy::Moment) -> f64 {
+    fn take_rate_per_s(&mut self, now: policy::Moment) -> f64 {
         /// Minimum span in seconds; a shorter one gives no meaningful rate.
         const MIN_RATE_SPAN_S: f64 = 0.05;
         /// Number of requests that may arrive close together by chance.
@@ -329,11 +334,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refused {
     /// Time until the recently refused requests would find quota, at the rate at which it is freed.
-    pub after: time::Duration,
+    pub retry_after: time::Duration,
     /// The customer's quota and usage on this VM.
     pub state: QuotaState,
     /// Largest age of a peer's last report; `None` if there are no peers.
-    pub heard: Option<time::Duration>,
+    pub oldest_report_age: Option<time::Duration>,
 }
 
 /// Usage of all customers on this VM, and the reports of its peers.
@@ -343,15 +348,15 @@
     started_at: policy::Moment,
     start_ms: StartMs,
     /// Customers that were near their limit when this VM started.
-    restored_near_limits: collections::HashSet<Name>,
-    accounts: collections::HashMap<Name, Account>,
-    peers: collections::HashMap<Name, Peer>,
+    restored_near_limits: collections::HashSet<NameHash>,
+    accounts: collections::HashMap<NameHash, Account>,
+    peers: collections::HashMap<NameHash, Peer>,
     /// Other VMs to which callers are sent.
-    expected_peers: Vec<Name>,
+    expected_peers: Vec<NameHash>,
     /// Other VMs to which callers are sent if the expected ones are busy.
-    standby_peers: Vec<Name>,
+    standby_peers: Vec<NameHash>,
     /// Whether a peer still lacks a report of all customers from this VM.
-    owes_whole: bool,
+    full_report_due: bool,
     vm_count: usize,
     sharing: marker::PhantomData<S>,
 }
@@ -369,7 +374,7 @@
             peers: collections::HashMap::new(),
             expected_peers: Vec::new(),
             standby_peers: Vec::new(),
-            owes_whole: false,
+            full_report_due: false,
             vm_count: 1,
             sharing: marker::PhantomData,
         }
@@ -377,9 +382,14 @@
 
     /// Sets the VMs to which callers are sent, those to which they are sent if these are busy, and
     /// the number of entry VMs.
-    pub fn expect(&mut self, expected_peers: Vec<Name>, standby_peers: Vec<Name>, vm_count: usize) {
+    pub fn set_peers(
+        &mut self,
+        expected_peers: Vec<NameHash>,
+        standby_peers: Vec<NameHash>,
+        vm_count: usize,
+    ) {
         let mut all = expected_peers.iter().chain(&standby_peers);
-        self.owes_whole |=
+        self.full_report_due |=
             all.any(|vm| !self.expected_peers.contains(vm) && !self.standby_peers.contains(vm));
         self.expected_peers = expected_peers;
         self.standby_peers = standby_peers;
@@ -389,34 +399,34 @@
     /// Returns and clears whether a report of all customers is due because a peer has none yet.
     /// Without it, a VM to which callers are sent during a surge would admit again what its peers
     /// have already used.
-    pub fn owes_whole(&mut self) -> bool {
-        std::mem::take(&mut self.owes_whole)
+    pub fn take_full_report_due(&mut self) -> bool {
+        std::mem::take(&mut self.full_report_due)
     }
 
     /// Admits and counts a request, or refuses it. `tie` lies between 0 and 1 and rounds a fractional
     /// cap up or down.
-    pub fn ask(
+    pub fn admit(
         &mut self,
         now: policy::Moment,
-        customer: Name,
+        customer: NameHash,
         limit: Limit,
         tie: f64,
     ) -> Result<(), Refused> {
-        self.account(customer, limit).asked.add(now, 1.0);
-        self.take(now, customer, limit, tie)
+        self.account(customer, limit).demand.add(now, 1.0);
+        self.admit_resend(now, customer, limit, tie)
     }
 
     /// Admits a further send of an admitted request; it adds no demand.
-    pub fn take(
+    pub fn admit_resend(
         &mut self,
         now: policy::Moment,
-        customer: Name,
+        customer: NameHash,
         limit: Limit,
         tie: f64,
     ) -> Result<(), Refused> {
         let account = self.account(customer, limit);
         if account.cap_set_at.is_none_or(|at| now >= at + CAP_LIFETIME) {
-            self.plan(now, customer, limit, tie);
+            self.update_cap(now, customer, limit, tie);
         }
         let account = self.account(customer, limit);
         let used = account.used.sum(now);
@@ -429,17 +439,17 @@
             self.account(customer, limit).count_admitted(now);
             return Ok(());
         }
-        let after = self.retry_delay(now, customer, &state);
-        let heard = self.peers.values().map(|peer| peer.reported_at).min();
+        let retry_after = self.retry_delay(now, customer, &state);
+        let oldest = self.peers.values().map(|peer| peer.reported_at).min();
         Err(Refused {
-            after,
+            retry_after,
             state,
-            heard: heard.map(|at| now.saturating_sub(at)),
+            oldest_report_age: oldest.map(|at| now.saturating_sub(at)),
         })
     }
 
     /// Computes how many requests of a customer may be admitted until the next cap.
-    fn plan(&mut self, now: policy::Moment, customer: Name, limit: Limit, tie: f64) {
+    fn update_cap(&mut self, now: policy::Moment, customer: NameHash, limit: Limit, tie: f64) {
         let state = self.state(now, customer, limit);
         let cap = S::cap(&state);
         let account = self.account(customer, limit);
@@ -454,20 +464,25 @@
 
     /// Whether a peer needs this VM's reports: callers are sent there, will be sent there if others
     /// are busy, or the peer has itself reported recently.
-    pub fn concerns(&self, now: policy::Moment, vm: Name) -> bool {
+    pub fn needs_reports(&self, now: policy::Moment, vm: NameHash) -> bool {
         let reports = |peer: &Peer| now.saturating_sub(peer.reported_at) <= SILENCE_TIMEOUT;
         let gets_callers = self.expected_peers.contains(&vm) || self.standby_peers.contains(&vm);
         gets_callers || self.peers.get(&vm).is_some_and(reports)
     }
 
     /// Uncounts a request that was admitted at `admitted_at` but never ran.
-    pub fn give_back(&mut self, now: policy::Moment, customer: Name, admitted_at: policy::Moment) {
+    pub fn give_back(
+        &mut self,
+        now: policy::Moment,
+        customer: NameHash,
+        admitted_at: policy::Moment,
+    ) {
         if let Some(account) = self.accounts.get_mut(&customer) {
             account.used.take_back(now, admitted_at);
         }
     }
 
-    fn account(&mut self, customer: Name, limit: Limit) -> &mut Account {
+    fn account(&mut self, customer: NameHash, limit: Limit) -> &mut Account {
         let bound = &self.bound;
         let account = self
             .accounts
@@ -481,10 +496,10 @@
     }
 
     /// Computes a customer's quota and usage on this VM.
-    fn state(&mut self, now: policy::Moment, customer: Name, limit: Limit) -> QuotaState {
+    fn state(&mut self, now: policy::Moment, customer: NameHash, limit: Limit) -> QuotaState {
         let account = self.account(customer, limit);
         let used = account.used.sum(now);
-        let own_demand = account.asked.last(now, DEMAND_WINDOW_STEPS);
+        let own_demand = account.demand.last(now, DEMAND_WINDOW_STEPS);
         let mut surge = Surge::of(account, now);
         let mut target = self.bound.target(&limit);
         if self.has_silent_peer(now, customer) {
@@ -495,7 +510,7 @@
         let unseen_peers = self.unseen_peers();
         let isolated = self.is_isolated(now);
         // Demand on all reporting peers, plus an estimate for those that have never reported.
-        let mut asked = own_demand * (1 + unseen_peers) as f64;
+        let mut demand = own_demand * (1 + unseen_peers) as f64;
         let mut peers_used = 0.0;
         let mut reported_used = 0.0;
         for peer in self.peers.values() {
@@ -508,7 +523,7 @@
                 peers_used += row.used(true, target);
                 continue;
             }
-            asked += row.report.asked;
+            demand += row.report.demand;
             let extrapolated = row.extrapolated_used(age, self.bound.window);
             peers_used += match age > REPORT_LATE_AFTER {
                 true => extrapolated.max(surge.estimated_used(row, age, self.bound.window)),
@@ -519,9 +534,9 @@
             }
         }
         let lost_usage = self.lost_usage(now, customer, &limit, reported_used);
-        let share = match (isolated, asked > 0.0) {
+        let share = match (isolated, demand > 0.0) {
             (true, _) => 1.0 / self.vm_count.max(1) as f64,
-            (false, true) => (own_demand / asked).min(1.0),
+            (false, true) => (own_demand / demand).min(1.0),
             (false, false) => 1.0 / self.admitting_vms() as f64,
         };
         QuotaState {
@@ -541,7 +556,7 @@
     fn lost_usage(
         &self,
         now: policy::Moment,
-        customer: Name,
+        customer: NameHash,
         limit: &Limit,
         reported_used: f64,
     ) -> f64 {
@@ -555,13 +570,13 @@
 
     /// Returns the customers near their limit. Stored outside the process, they bound the usage that
     /// nobody remembers after all VMs were killed.
-    pub fn near_limits(&mut self, now: policy::Moment) -> Vec<Name> {
+    pub fn near_limits(&mut self, now: policy::Moment) -> Vec<NameHash> {
         /// Share of the target from which a customer is near its limit, and the lower share down to
         /// which it stays so. A customer below that can hardly use up the remaining quota and a full
         /// quota again within one window.
         const NEAR_LIMIT_SHARE: f64 = 0.9;
         const NEAR_LIMIT_EXIT_SHARE: f64 = 0.7;
-        let customers: Vec<(Name, Limit, bool)> = self
+        let customers: Vec<(NameHash, Limit, bool)> = self
             .accounts
             .iter()
             .map(|(name, account)| (*name, account.limit, account.near_limit))
@@ -587,7 +602,7 @@
 
     /// Restores the customers near their limit, as stored by VMs that may have been killed since.
     /// Ignored later than one window after the start.
-    pub fn inherit(&mut self, now: policy::Moment, near: &[Name]) {
+    pub fn restore_near_limits(&mut self, now: policy::Moment, near: &[NameHash]) {
         if now.saturating_sub(self.started_at) < self.bound.window {
             self.restored_near_limits.extend(near);
         }
@@ -599,7 +614,7 @@
     }
 
     /// Whether a peer that has reported usage of the customer is silent.
-    fn has_silent_peer(&self, now: policy::Moment, customer: Name) -> bool {
+    fn has_silent_peer(&self, now: policy::Moment, customer: NameHash) -> bool {
         let is_silent = |peer: &Peer| now.saturating_sub(peer.reported_at) > SILENCE_TIMEOUT;
         let mut silent = self.peers.values().filter(|peer| is_silent(peer));
         silent.any(|peer| peer.rows.contains_key(&customer))
@@ -608,7 +623,7 @@
     /// Number of expected peers without any report. Each is assumed to have this VM's demand and
     /// usage.
     fn unseen_peers(&self) -> usize {
-        let unseen = |vm: &&Name| !self.peers.contains_key(vm);
+        let unseen = |vm: &&NameHash| !self.peers.contains_key(vm);
         self.expected_peers.iter().filter(unseen).count()
     }
 
@@ -625,27 +640,27 @@
     fn retry_delay(
         &mut self,
         now: policy::Moment,
-        customer: Name,
+        customer: NameHash,
         state: &QuotaState,
     ) -> time::Duration {
         let Some(account) = self.accounts.get_mut(&customer) else {
             return time::Duration::ZERO;
         };
         let window = self.bound.window.as_secs_f64();
-        let pace = (state.target * state.share / window).max(0.1);
-        let asked = account.asked.last(now, DEMAND_WINDOW_STEPS);
-        let refused = (asked - account.used.last(now, DEMAND_WINDOW_STEPS)).max(1.0);
-        time::Duration::from_secs_f64((refused / pace).min(window))
+        let rate_per_s = (state.target * state.share / window).max(0.1);
+        let demand = account.demand.last(now, DEMAND_WINDOW_STEPS);
+        let refused = (demand - account.used.last(now, DEMAND_WINDOW_STEPS)).max(1.0);
+        time::Duration::from_secs_f64((refused / rate_per_s).min(window))
     }
 
     /// Applies a peer's report. `rows` replace its earlier usage of these customers; if `whole`, its
     /// usage of all other customers is zero.
-    pub fn heard(
+    pub fn apply_report(
         &mut self,
         now: policy::Moment,
-        vm: Name,
+        vm: NameHash,
         start_ms: StartMs,
-        rows: impl IntoIterator<Item = (Name, Told)>,
+        rows: impl IntoIterator<Item = (NameHash, UsageReport)>,
         whole: bool,
     ) {
         let peer = self.peers.entry(vm).or_insert_with(|| Peer {
@@ -657,8 +672,8 @@
         });
         if peer.start_ms != start_ms {
             let silent = now.saturating_sub(peer.reported_at) > SILENCE_TIMEOUT;
-            let limit_of = |customer: &Name| self.accounts.get(customer).map(|a| a.limit);
-            let used = |(customer, row): (&Name, &PeerUsage)| {
+            let limit_of = |customer: &NameHash| self.accounts.get(customer).map(|a| a.limit);
+            let used = |(customer, row): (&NameHash, &PeerUsage)| {
                 let target = limit_of(customer).map_or(0.0, |limit| self.bound.target(&limit));
                 (*customer, row.used(silent, target))
             };
@@ -666,19 +681,19 @@
             peer.previous_end = if silent { now } else { peer.reported_at };
             peer.rows.clear();
             peer.start_ms = start_ms;
-            self.owes_whole = true;
+            self.full_report_due = true;
         }
         peer.reported_at = now;
         if whole {
             peer.rows.clear();
         }
-        let rows: Vec<(Name, Told)> = rows.into_iter().collect();
+        let rows: Vec<(NameHash, UsageReport)> = rows.into_iter().collect();
         let accounts = &self.accounts;
-        let ratio = |customer: Name, report: &Told| {
+        let ratio = |customer: NameHash, report: &UsageReport| {
             let own_demand = accounts
                 .get(&customer)
-                .map_or(0.0, |account| account.report.asked);
-            report.asked / own_demand.max(1.0)
+                .map_or(0.0, |account| account.report.demand);
+            report.demand / own_demand.max(1.0)
         };
         for (customer, report) in &rows {
             let row = PeerUsage {
@@ -689,7 +704,7 @@
             peer.rows.insert(*customer, row);
         }
         for (customer, report) in rows {
-            let share = report.asked / self.fleet_demand(now, customer).max(1.0);
+            let share = report.demand / self.fleet_demand(now, customer).max(1.0);
             let peer = self.peers.get_mut(&vm);
             if let Some(row) = peer.and_then(|peer| peer.rows.get_mut(&customer)) {
                 row.share = share;
@@ -699,40 +714,45 @@
 
     /// Fleet-wide demand of a customer as all VMs know it: it includes this VM's last reported
     /// demand, not its current one. During a partition, both sides use the shares computed from it.
-    fn fleet_demand(&self, now: policy::Moment, customer: Name) -> f64 {
+    fn fleet_demand(&self, now: policy::Moment, customer: NameHash) -> f64 {
         let own_demand = self
             .accounts
             .get(&customer)
-            .map(|account| account.report.asked);
+            .map(|account| account.report.demand);
         let peers = self
             .peers
             .values()
             .filter(|peer| now.saturating_sub(peer.reported_at) <= SILENCE_TIMEOUT)
-            .filter_map(|peer| Some(peer.rows.get(&customer)?.report.asked));
+            .filter_map(|peer| Some(peer.rows.get(&customer)?.report.demand));
         own_demand.unwrap_or_default() + peers.sum::<f64>()
     }
 
     /// Removes peers that have long been silent and no longer serve, and unused accounts.
-    pub fn forget(&mut self, now: policy::Moment, serves: impl Fn(Name) -> bool) {
+    pub fn remove_departed(&mut self, now: policy::Moment, serves: impl Fn(NameHash) -> bool) {
         self.peers.retain(|vm, peer| {
             now.saturating_sub(peer.reported_at) <= DEPARTED_PEER_TIMEOUT || serves(*vm)
         });
         let bound = self.bound;
         self.accounts.retain(|_, account| {
-            account.asked.sum(now) + account.used.sum(now) > 0.0 || bound.is_recent(account, now)
+            account.demand.sum(now) + account.used.sum(now) > 0.0 || bound.is_recent(account, now)
         });
     }
 
     /// Returns the reports due, customers closest to their limit first, at most `max_rows`: with
     /// `whole`, all usage; otherwise usage that differs from the last report by more than a part of
     /// the remaining quota.
-    pub fn news(&mut self, now: policy::Moment, whole: bool, max_rows: usize) -> Vec<(Name, Told)> {
-        let customers: Vec<(Name, Limit)> = self
+    pub fn due_reports(
+        &mut self,
+        now: policy::Moment,
+        whole: bool,
+        max_rows: usize,
+    ) -> Vec<(NameHash, UsageReport)> {
+        let customers: Vec<(NameHash, Limit)> = self
             .accounts
             .iter()
             .map(|(name, account)| (*name, account.limit))
             .collect();
-        let mut due: Vec<(f64, Name, Told)> = customers
+        let mut due: Vec<(f64, NameHash, UsageReport)> = customers
             .into_iter()
             .filter_map(|(name, limit)| self.due_report(now, name, limit, whole))
             .collect();
@@ -751,10 +771,10 @@
     fn due_report(
         &mut self,
         now: policy::Moment,
-        name: Name,
+        name: NameHash,
         limit: Limit,
         whole: bool,
-    ) -> Option<(f64, Name, Told)> {
+    ) -> Option<(f64, NameHash, UsageReport)> {
         /// Share of the remaining quota that all VMs together may admit unreported.
         const MAX_UNREPORTED_SHARE: f64 = 0.25;
         /// Number of requests not worth a message, unless many VMs leave as many unreported.
@@ -763,10 +783,10 @@
         const MAX_UNREPORTED_SLACK_SHARE: f64 = 0.5;
         let state = self.state(now, name, limit);
         let account = self.accounts.get_mut(&name)?;
-        let report = Told {
+        let report = UsageReport {
             used: state.own_used,
-            pace: account.pace(now),
-            asked: account.asked.last(now, DEMAND_WINDOW_STEPS),
+            rate_per_s: account.take_rate_per_s(now),
+            demand: account.demand.last(now, DEMAND_WINDOW_STEPS),
         };
         let used_share = (state.own_used + state.peers_used) / state.target.max(1.0);
         let remaining = (state.target * (1.0 - used_share)).max(0.0);
@@ -775,11 +795,11 @@
             .min(MAX_UNREPORTED_COUNT);
         let difference = (report.used - account.report.used).abs();
         let is_due = match whole {
-            true => report.used > 0.0 || report.asked > 0.0,
+            true => report.used > 0.0 || report.demand > 0.0,
             // Peers extrapolate with the last reported rate until they receive another one.
             false => {
                 difference > f64::max(remaining * MAX_UNREPORTED_SHARE / admitting_vms, tolerated)
-                    || account.report.pace > 0.0
+                    || account.report.rate_per_s > 0.0
             }
         };
         is_due.then_some((used_share, name, report))
@@ -808,7 +828,7 @@
     /// Estimated current usage of the peer, extrapolated at its last reported rate.
     fn extrapolated_used(&self, age: time::Duration, window: time::Duration) -> f64 {
         let leaves = self.report.used / window.as_secs_f64();
-        let grows = (self.report.pace - leaves).max(0.0);
+        let grows = (self.report.rate_per_s - leaves).max(0.0);
         self.report.used + grows * (age + REPORT_PROPAGATION_DELAY).as_secs_f64()
     }
 }
--- a/src/gateway/beliefs.rs
+++ b/src/gateway/beliefs.rs
@@ -235,7 +235,7 @@
         let az = entry.az.clone();
         self.quotas
             .borrow_mut()
-            .inherit(self.now(), &entry.near_limits);
+            .restore_near_limits(self.now(), &entry.near_limits);
         let news = self.entries.borrow_mut().put(vm.clone(), entry);
         if news && let Some(left_out) = self.lines.admit("entry listed", self.now()) {
             slog::info!(self.log, "entry VM listed"; "vm" => %vm, "az" => %az, "left_out" => left_out);
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -163,7 +163,7 @@
     /// The version of the entry VMs from which those were taken that callers are sent to.
     expected_by: cell::Cell<Option<u64>>,
     /// The latest datagram of each other VM, and how many this one has sent.
-    heard_usage: cell::RefCell<collections::HashMap<quota::Name, quotas::Latest>>,
+    heard_usage: cell::RefCell<collections::HashMap<quota::NameHash, quotas::Latest>>,
     told_usage: cell::Cell<u64>,
     /// When the process started, in milliseconds of the time of day, so that what it tells is later than
     /// what the process before it told.
--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -41,7 +41,7 @@
 /// A request that counts against its customer's quota until it is known not to have run.
 #[derive(Debug)]
 pub(super) struct Charge {
-    customer: quota::Name,
+    customer: quota::NameHash,
     limit: quota::Limit,
     at: policy::Moment,
 }
@@ -67,7 +67,7 @@
     })
 }
 
-fn name_of(customer: &customers::Customer) -> quota::Name {
+fn name_of(customer: &customers::Customer) -> quota::NameHash {
     affinity::hash(customer.name.as_str().as_bytes())
 }
 
@@ -87,7 +87,7 @@
         if !quotas.is_active() {
             self.asked.notify_one();
         }
-        quotas.ask(at, customer, limit, self.jitter())?;
+        quotas.admit(at, customer, limit, self.jitter())?;
         Ok(Some(Charge {
             customer,
             limit,
@@ -99,7 +99,7 @@
     pub(super) fn charge_again(&self, charge: &mut Charge) -> bool {
         let at = self.now();
         let mut quotas = self.quotas.borrow_mut();
-        let taken = quotas.take(at, charge.customer, charge.limit, self.jitter());
+        let taken = quotas.admit_resend(at, charge.customer, charge.limit, self.jitter());
         charge.at = at;
         taken.is_ok()
     }
@@ -145,8 +145,8 @@
         }
         let (rows, active, whole) = {
             let mut quotas = self.quotas.borrow_mut();
-            let whole = quotas.owes_whole() || whole;
-            let rows = quotas.news(now, whole, DATAGRAMS * usage::ROWS);
+            let whole = quotas.take_full_report_due() || whole;
+            let rows = quotas.due_reports(now, whole, DATAGRAMS * usage::ROWS);
             (rows, quotas.is_active(), whole)
         };
         let speaks = active || self.awaits_customers();
@@ -176,18 +176,22 @@
     }
 
     /// Customers that have nearly used their quotas, which outlive this process where it registers.
-    pub fn near_limits(&self) -> Vec<quota::Name> {
+    pub fn near_limits(&self) -> Vec<quota::NameHash> {
         self.quotas.borrow_mut().near_limits(self.now())
     }
 
-    fn datagrams(&self, rows: &[(quota::Name, quota::Told)], whole: bool) -> Vec<Vec<u8>> {
+    fn datagrams(
+        &self,
+        rows: &[(quota::NameHash, quota::UsageReport)],
+        whole: bool,
+    ) -> Vec<Vec<u8>> {
         // What a large VM let in of one customer in a window stays far below the type's bound.
         let count = |n: f64| n.round() as u32;
-        let row = |(customer, told): &(quota::Name, quota::Told)| usage::Row {
+        let row = |(customer, told): &(quota::NameHash, quota::UsageReport)| usage::Row {
             customer: *customer,
             used: count(told.used),
-            pace: count(told.pace),
-            asked: count(told.asked),
+            pace: count(told.rate_per_s),
+            asked: count(told.demand),
         };
         let mut parts: Vec<Vec<usage::Row>> = rows
             .chunks(usage::ROWS)
@@ -244,7 +248,7 @@
         let entries = self.entries.borrow();
         let mut ips: Vec<net::IpAddr> = entries
             .iter()
-            .filter(|(vm, hash, _)| **vm != self.cfg.vm && quotas.concerns(now, *hash))
+            .filter(|(vm, hash, _)| **vm != self.cfg.vm && quotas.needs_reports(now, *hash))
             .map(|(_, _, entry)| entry.front.ip())
             .collect();
         ips.sort_unstable();
@@ -270,12 +274,12 @@
         let next = regions.iter().map(|region| self.hashes_in(*region, NEXT));
         let next = self.others(next.flatten());
         let vms = self.entries.borrow().len();
-        self.quotas.borrow_mut().expect(told, next, vms);
+        self.quotas.borrow_mut().set_peers(told, next, vms);
     }
 
     /// Each of these VMs once, but for this one.
-    fn others(&self, vms: impl Iterator<Item = quota::Name>) -> Vec<quota::Name> {
-        let mut others: Vec<quota::Name> = vms.filter(|hash| *hash != self.own_hash).collect();
+    fn others(&self, vms: impl Iterator<Item = quota::NameHash>) -> Vec<quota::NameHash> {
+        let mut others: Vec<quota::NameHash> = vms.filter(|hash| *hash != self.own_hash).collect();
         others.sort_unstable();
         others.dedup();
         others
@@ -286,7 +290,7 @@
         let entries = self.entries.borrow();
         let serving: collections::HashSet<u64> = entries.iter().map(|(_, h, _)| h).collect();
         let mut quotas = self.quotas.borrow_mut();
-        quotas.forget(now, |vm| serving.contains(&vm));
+        quotas.remove_departed(now, |vm| serving.contains(&vm));
     }
 
     /// Hears what another VM lets in. Only one that is listed, and from its own address: anybody else
@@ -324,15 +328,15 @@
         }
         *before = latest;
         let rows = usage.rows.iter().map(|row| {
-            let told = quota::Told {
+            let told = quota::UsageReport {
                 used: f64::from(row.used),
-                pace: f64::from(row.pace),
-                asked: f64::from(row.asked),
+                rate_per_s: f64::from(row.pace),
+                demand: f64::from(row.asked),
             };
             (row.customer, told)
         });
         let mut quotas = self.quotas.borrow_mut();
-        quotas.heard(self.now(), vm, usage.start, rows, usage.whole);
+        quotas.apply_report(self.now(), vm, usage.start, rows, usage.whole);
     }
 
     /// Refuses a request that is beyond its customer's quota.
@@ -343,7 +347,7 @@
         left: time::Duration,
     ) -> callers::Answer {
         self.record_beyond(facts, refused);
-        let after = comeback::after(refused.after, left, self.jitter());
+        let after = comeback::after(refused.retry_after, left, self.jitter());
         let mut answer = self.own_answer(429, Some(&facts.id));
         facts::put_retry_after(&mut answer.fields, after);
         answer
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -130,7 +130,7 @@
             "customer" => facts.customer_name(), "route" => &facts.route.name,
             "aim" => standing.target, "own" => standing.own_used, "others" => standing.peers_used,
             "share" => standing.share, "speakers" => standing.admitting_vms,
-            "heard_ms" => refused.heard.map(ms), "after_ms" => ms(refused.after),
+            "heard_ms" => refused.oldest_report_age.map(ms), "after_ms" => ms(refused.retry_after),
             "version" => facts.table.version, "left_out" => left_out);
     }
 
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -124,7 +124,7 @@
             "quota_window_s",
             defaults.quota.window.as_secs_f64(),
         )),
-        over: bound("quota_over", defaults.quota.over),
+        overshoot_ratio: bound("quota_over", defaults.quota.overshoot_ratio),
         slack: bound("quota_slack", defaults.quota.slack),
     };
     let grace = bound("grace_s", defaults.grace.as_secs_f64());
--- a/tests/quota/model.rs
+++ b/tests/quota/model.rs
@@ -7,7 +7,7 @@
 use rand::{RngExt, SeedableRng};
 
 /// The customer of all requests.
-pub(crate) const CUSTOMER: quota::Name = 7;
+pub(crate) const CUSTOMER: quota::NameHash = 7;
 
 /// How often a VM checks for due reports, and how often it sends one at least.
 const CHECK_INTERVAL_MS: u64 = 100;
@@ -114,7 +114,7 @@
     to: usize,
     from: usize,
     start: quota::StartMs,
-    rows: Vec<(quota::Name, quota::Told)>,
+    rows: Vec<(quota::NameHash, quota::UsageReport)>,
     whole: bool,
 }
 
@@ -142,15 +142,15 @@
 }
 
 /// The first `among` VMs without `vm`.
-fn others(among: usize, vm: usize) -> Vec<quota::Name> {
+fn others(among: usize, vm: usize) -> Vec<quota::NameHash> {
     let others = (0..among).filter(|other| *other != vm);
-    others.map(|other| other as quota::Name).collect()
+    others.map(|other| other as quota::NameHash).collect()
 }
 
 /// Callers use the first `active_vms` VMs, and as many more are on standby.
 fn set_peers<S: Sharing>(ledger: &mut Ledger<S>, active_vms: usize, vm: usize, vms: usize) {
     let next = others(active_vms * 2, vm);
-    ledger.expect(others(active_vms, vm), next, vms);
+    ledger.set_peers(others(active_vms, vm), next, vms);
 }
 
 impl<S: Sharing> Simulation<'_, S> {
@@ -175,7 +175,7 @@
                 for (vm, ledger) in self.ledgers.iter_mut().enumerate() {
                     let near = ledger.near_limits(moment(now));
                     *ledger = Ledger::new(quota::Bound::default(), moment(self.up_at), now + 1);
-                    ledger.inherit(moment(self.up_at), &near);
+                    ledger.restore_near_limits(moment(self.up_at), &near);
                     set_peers(ledger, self.active_vms, vm, self.scenario.vms);
                 }
             }
@@ -198,7 +198,7 @@
             if !self.ledgers[vm].is_active() {
                 self.next_check[vm] = self.next_check[vm].min(now + CHECK_INTERVAL_MS);
             }
-            match self.ledgers[vm].ask(moment(now), CUSTOMER, self.limit, tie) {
+            match self.ledgers[vm].admit(moment(now), CUSTOMER, self.limit, tie) {
                 Ok(()) => self.outcome.admitted.push(now),
                 Err(_) => self.outcome.refused.push(now),
             }
@@ -215,9 +215,15 @@
             if partitioned || self.rng.random_bool(self.scenario.lost) {
                 continue;
             }
-            let from = message.from as quota::Name;
+            let from = message.from as quota::NameHash;
             let start = message.start;
-            self.ledgers[message.to].heard(moment(now), from, start, message.rows, message.whole);
+            self.ledgers[message.to].apply_report(
+                moment(now),
+                from,
+                start,
+                message.rows,
+                message.whole,
+            );
         }
     }
 
@@ -234,9 +240,9 @@
                     IDLE_CHECK_INTERVAL_MS
                 };
             let report_due = now >= self.reported_at[vm] + REPORT_INTERVAL_MS;
-            let whole = self.ledgers[vm].owes_whole()
+            let whole = self.ledgers[vm].take_full_report_due()
                 || now >= self.fully_reported_at[vm] + FULL_REPORT_INTERVAL_MS;
-            let rows = self.ledgers[vm].news(moment(now), whole, 64);
+            let rows = self.ledgers[vm].due_reports(moment(now), whole, 64);
             let sends_reports = active || vm < self.active_vms;
             if !sends_reports || (rows.is_empty() && !report_due) {
                 continue;
@@ -246,7 +252,7 @@
                 self.fully_reported_at[vm] = now;
             }
             for to in (0..self.ledgers.len()).filter(|to| *to != vm) {
-                if !self.ledgers[vm].concerns(moment(now), to as quota::Name) {
+                if !self.ledgers[vm].needs_reports(moment(now), to as quota::NameHash) {
                     continue;
                 }
                 self.outcome.messages += 1;
--- a/tests/quota/small.rs
+++ b/tests/quota/small.rs
@@ -13,7 +13,7 @@
     burst: 60.0,
 };
 
-const CUSTOMER: quota::Name = 1;
+const CUSTOMER: quota::NameHash = 1;
 
 const SECONDS: u32 = 6;
 
@@ -44,7 +44,7 @@
 fn ledger<S: Sharing>(vm: u64, started: time::Duration) -> Ledger<S> {
     let start = started.as_millis() as quota::StartMs;
     let mut ledger = Ledger::new(quota::Bound::default(), started, start);
-    ledger.expect(vec![1 - vm], Vec::new(), 2);
+    ledger.set_peers(vec![1 - vm], Vec::new(), 2);
     ledger
 }
 
@@ -58,9 +58,9 @@
     }
 
     fn deliver(&mut self, now: time::Duration, from: usize) {
-        let rows = self.ledgers[from].news(now, true, 8);
+        let rows = self.ledgers[from].due_reports(now, true, 8);
         let start = self.starts[from];
-        self.ledgers[1 - from].heard(now, from as u64, start, rows, true);
+        self.ledgers[1 - from].apply_report(now, from as u64, start, rows, true);
     }
 
     /// Plays one second: the step and `requests` requests in each tenth of it.
@@ -70,7 +70,7 @@
             let near = self.ledgers[0].near_limits(begin);
             let up = begin + time::Duration::from_secs(1);
             self.ledgers[0] = ledger(0, up);
-            self.ledgers[0].inherit(up, &near);
+            self.ledgers[0].restore_near_limits(up, &near);
             self.starts[0] = up.as_millis() as quota::StartMs;
         }
         for tenth in 0..10 {
@@ -82,7 +82,7 @@
             }
             let asked = if let Step::Restart = step { 1..2 } else { 0..2 };
             for vm in asked.cycle().take(requests) {
-                if self.ledgers[vm].ask(now, CUSTOMER, LIMIT, 0.5).is_ok() {
+                if self.ledgers[vm].admit(now, CUSTOMER, LIMIT, 0.5).is_ok() {
                     self.admitted.push(now);
                 }
             }
