--- a/src/decisions/crashes.rs
+++ b/src/decisions/crashes.rs
@@ -46,7 +46,7 @@
 
 impl Crashes {
     /// Records that a request's connection to a run of a backend server broke.
-    pub fn lost(&mut self, now: policy::Moment, fingerprint: u64, run: &str) {
+    pub fn connection_broke(&mut self, now: policy::Moment, fingerprint: u64, run: &str) {
         if self.broken.len() >= MAX_BROKEN_REQUESTS {
             self.broken.pop_front();
         }
@@ -59,13 +59,13 @@
 
     /// Records that a backend server refused a connection. Returns the requests that were in flight
     /// when it crashed, for the report to all VMs.
-    pub fn refused(&mut self, now: policy::Moment, run: &str) -> Vec<u64> {
+    pub fn connection_refused(&mut self, now: policy::Moment, run: &str) -> Vec<u64> {
         self.take_in_flight(now, run, REFUSAL_CONFIRMS_WITHIN)
     }
 
     /// Records that a backend server has restarted and that this run of it has ended. Returns the
     /// requests that were in flight when it crashed, for the report to all VMs.
-    pub fn started_again(&mut self, now: policy::Moment, run: &str) -> Vec<u64> {
+    pub fn restarted(&mut self, now: policy::Moment, run: &str) -> Vec<u64> {
         self.take_in_flight(now, run, RESTART_CONFIRMS_WITHIN)
     }
 
@@ -89,13 +89,13 @@
     }
 
     /// Adds a crash, seen here or on another VM, to a request's record. Returns whether it is new.
-    pub fn learn(&mut self, fingerprint: u64, run: &str) -> bool {
+    pub fn add_crash(&mut self, fingerprint: u64, run: &str) -> bool {
         let crashes = self.crashes_by_request.entry(fingerprint).or_default();
         crashes.insert(run.to_owned())
     }
 
     /// Removes an expired crash from a request's record. Returns whether the record held it.
-    pub fn forget(&mut self, fingerprint: u64, run: &str) -> bool {
+    pub fn remove_crash(&mut self, fingerprint: u64, run: &str) -> bool {
         let Some(crashes) = self.crashes_by_request.get_mut(&fingerprint) else {
             return false;
         };
--- a/src/gateway/beliefs.rs
+++ b/src/gateway/beliefs.rs
@@ -32,9 +32,9 @@
     pub fn learn_crash(&self, crash: &Crash, counts: bool) -> bool {
         let mut crashes = self.crashes.borrow_mut();
         if !counts {
-            return crashes.forget(crash.fingerprint, &crash.run);
+            return crashes.remove_crash(crash.fingerprint, &crash.run);
         }
-        let news = crashes.learn(crash.fingerprint, &crash.run);
+        let news = crashes.add_crash(crash.fingerprint, &crash.run);
         if news && crashes.is_banned(crash.fingerprint) {
             slog::warn!(self.log, "request refused from now on, it crashes backend servers"; "fingerprint" => format!("{:016x}", crash.fingerprint), "backend" => &crash.run);
         }
@@ -60,10 +60,13 @@
         match outcome {
             attempt::Outcome::Unknown(upstream::Failure::Lost) => {
                 let mut crashes = self.crashes.borrow_mut();
-                crashes.lost(self.now(), job.fingerprint, run);
+                crashes.connection_broke(self.now(), job.fingerprint, run);
             }
             attempt::Outcome::NotRun(attempt::NotRun::NoConnection) => {
-                let crashed = self.crashes.borrow_mut().refused(self.now(), run);
+                let crashed = self
+                    .crashes
+                    .borrow_mut()
+                    .connection_refused(self.now(), run);
                 self.crashed(run, crashed);
             }
             _ => {}
@@ -176,7 +179,7 @@
         slog::info!(self.log, "backend server started again"; "backend" => %id, "in_flight" => old.in_flight);
         old.ended().notify_waiters();
         let run = old.run_name();
-        let crashed = self.crashes.borrow_mut().started_again(self.now(), &run);
+        let crashed = self.crashes.borrow_mut().restarted(self.now(), &run);
         self.crashed(&run, crashed);
     }
 
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -643,18 +643,18 @@
     for n in 0..3_u64 {
         let backend = format!("i-{n}");
         let (seen_by, now) = (n as usize, secs(n as f64 * 5.0));
-        vms[seen_by].lost(now, bad, &backend);
-        vms[seen_by].lost(now, 100 + n, &backend);
+        vms[seen_by].connection_broke(now, bad, &backend);
+        vms[seen_by].connection_broke(now, 100 + n, &backend);
         assert!(!vms[7].is_banned(bad));
-        for fingerprint in vms[seen_by].refused(now + secs(0.3), &backend) {
+        for fingerprint in vms[seen_by].connection_refused(now + secs(0.3), &backend) {
             vms.iter_mut().for_each(|vm| {
-                vm.learn(fingerprint, &backend);
+                vm.add_crash(fingerprint, &backend);
             });
         }
     }
     assert!(vms.iter().all(|vm| vm.is_banned(bad)));
     assert!((100..103).all(|innocent| !vms[0].is_banned(innocent)));
-    assert!(vms[0].forget(bad, "i-0"));
+    assert!(vms[0].remove_crash(bad, "i-0"));
     assert!(
         !vms[0].is_banned(bad),
         "after a while it may be tried again"
@@ -667,11 +667,14 @@
 fn a_broken_connection_alone_is_no_crash() {
     let mut crashes = crashes::Crashes::default();
     for n in 0..10 {
-        crashes.lost(secs(f64::from(n)), 7, "i-1");
+        crashes.connection_broke(secs(f64::from(n)), 7, "i-1");
     }
-    assert_eq!(crashes.refused(secs(30.0), "i-1"), Vec::<u64>::new());
-    crashes.lost(secs(31.0), 7, "i-1");
-    assert!(crashes.refused(secs(31.1), "i-2").is_empty());
+    assert_eq!(
+        crashes.connection_refused(secs(30.0), "i-1"),
+        Vec::<u64>::new()
+    );
+    crashes.connection_broke(secs(31.0), 7, "i-1");
+    assert!(crashes.connection_refused(secs(31.1), "i-2").is_empty());
 }
 
 fn names(n: usize) -> Vec<id::VmId> {
