--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -235,7 +235,7 @@
     }
 
     fn may_try_suspect(&self, now: Moment) -> bool {
-        self.suspects.len() < self.cfg.quarantine.waiting && self.can_lose_one(now)
+        self.suspects.len() < self.cfg.quarantine.max_waiting && self.can_lose_one(now)
     }
 
     /// Whether one backend server could crash and another stay available.
@@ -473,14 +473,14 @@
     fn record_lost_attempt(&mut self, now: Moment, i: usize, attempt: &members::Attempt) {
         let cfg = &self.cfg.quarantine;
         let member = &mut self.members[i];
-        let same_crash = |at: Moment| now < at + cfg.one_crash && attempt.sent_at <= at;
+        let same_crash = |at: Moment| now < at + cfg.crash_window && attempt.sent_at <= at;
         if !member.last_crash.is_some_and(same_crash) {
             member.last_crash = Some(now);
             let others = member.in_flight.iter().map(|other| other.fingerprint);
             let suspects: Vec<_> = [attempt.fingerprint].into_iter().chain(others).collect();
             let vm = member.id.clone();
             for fingerprint in suspects {
-                self.quarantine.crashed(cfg, now, fingerprint);
+                self.quarantine.record_crash(cfg, now, fingerprint);
                 let state = self.quarantine.state(now, fingerprint);
                 let banned = matches!(state, quarantine::State::Banned { .. });
                 self.notes.push(note::Note::Suspected {
@@ -563,12 +563,12 @@
         Some(&mut self.cross_az)
     }
 
-    fn bans(&mut self, now: Moment) -> Vec<quarantine::Entry> {
-        self.quarantine.export(now)
+    fn bans(&mut self, now: Moment) -> Vec<quarantine::Ban> {
+        self.quarantine.take_new_bans(now)
     }
 
-    fn ban(&mut self, now: Moment, entry: quarantine::Entry) {
-        self.quarantine.import(&self.cfg.quarantine, now, entry);
+    fn ban(&mut self, now: Moment, entry: quarantine::Ban) {
+        self.quarantine.apply_ban(&self.cfg.quarantine, now, entry);
     }
 
     fn arrive(&mut self, now: Moment, req: policy::Arrival, out: &mut Vec<Action>) {
@@ -616,7 +616,7 @@
             pending.maybe_run |= retry::may_have_run(how);
             if how == Ended::Answered {
                 let fingerprint = pending.req.fingerprint;
-                self.quarantine.answered(fingerprint);
+                self.quarantine.record_answer(fingerprint);
                 self.settle_answered(req, out);
             } else {
                 self.retry_or_settle(now, req, at, how, out);
--- a/src/decisions/policy.rs
+++ b/src/decisions/policy.rs
@@ -219,12 +219,12 @@
     }
 
     /// Requests that came to be banned since the last call, to be told to other VMs.
-    fn bans(&mut self, _now: Moment) -> Vec<quarantine::Entry> {
+    fn bans(&mut self, _now: Moment) -> Vec<quarantine::Ban> {
         Vec::new()
     }
 
     /// Another VM tells of a banned request.
-    fn ban(&mut self, _now: Moment, _entry: quarantine::Entry) {}
+    fn ban(&mut self, _now: Moment, _entry: quarantine::Ban) {}
 
     /// What was decided beside the actions since the last call, for the logs.
     fn notes(&mut self) -> Vec<note::Note> {
--- a/src/decisions/quarantine.rs
+++ b/src/decisions/quarantine.rs
@@ -7,7 +7,7 @@
 //! Any request in flight at a crash may have caused it, so the fingerprint of each becomes a suspect.
 //! A suspect is tried alone: on a backend server with no other request of this VM in flight, and only
 //! while another backend server is up. An answer clears it. A second crash bans it for
-//! [`Config::ban`] on this VM and on the VMs that receive the [`Entry`]. One crash is not enough,
+//! [`Config::ban`] on this VM and on the VMs that receive the [`Ban`]. One crash is not enough,
 //! because it makes some innocent requests suspects too.
 
 use std::collections;
@@ -26,9 +26,9 @@
     /// Maximum number of fingerprints kept. The oldest suspects are removed first.
     pub max_records: usize,
     /// Maximum number of suspects that wait for a trial.
-    pub waiting: usize,
+    pub max_waiting: usize,
     /// Broken connections to one backend server within this time count as one crash.
-    pub one_crash: time::Duration,
+    pub crash_window: time::Duration,
 }
 
 impl Default for Config {
@@ -37,8 +37,8 @@
             suspect: time::Duration::from_secs(60),
             ban: time::Duration::from_secs(120),
             max_records: 10_000,
-            waiting: 32,
-            one_crash: time::Duration::from_millis(200),
+            max_waiting: 32,
+            crash_window: time::Duration::from_millis(200),
         }
     }
 }
@@ -50,16 +50,20 @@
         range::check("quarantine.suspect", suspect, 1.0..=3_600.0)?;
         range::check("quarantine.ban", self.ban.as_secs_f64(), 1.0..=86_400.0)?;
         range::check("quarantine.most", self.max_records as f64, 16.0..=1e6)?;
-        range::check("quarantine.waiting", self.waiting as f64, 0.0..=10_000.0)?;
-        let one_crash = self.one_crash.as_secs_f64();
-        range::check("quarantine.one_crash", one_crash, 0.01..=10.0)
+        range::check(
+            "quarantine.waiting",
+            self.max_waiting as f64,
+            0.0..=10_000.0,
+        )?;
+        let crash_window = self.crash_window.as_secs_f64();
+        range::check("quarantine.one_crash", crash_window, 0.01..=10.0)
     }
 }
 
 data! {
     /// A ban, as sent to other VMs.
     #[derive(Copy, Eq)]
-    pub struct Entry {
+    pub struct Ban {
         /// The banned fingerprint.
         pub fingerprint: policy::Fingerprint,
         /// Remaining time of the ban. A duration, because VMs share no clock.
@@ -108,7 +112,12 @@
     }
 
     /// Records that a backend server crashed with this request in flight.
-    pub fn crashed(&mut self, cfg: &Config, now: policy::Moment, fingerprint: policy::Fingerprint) {
+    pub fn record_crash(
+        &mut self,
+        cfg: &Config,
+        now: policy::Moment,
+        fingerprint: policy::Fingerprint,
+    ) {
         if self.records.len() >= cfg.max_records {
             self.evict_oldest(now);
         }
@@ -128,7 +137,7 @@
     }
 
     /// Clears a suspect that was answered: another request caused the crash.
-    pub fn answered(&mut self, fingerprint: policy::Fingerprint) {
+    pub fn record_answer(&mut self, fingerprint: policy::Fingerprint) {
         if self.records.is_empty() {
             return;
         }
@@ -142,24 +151,24 @@
     }
 
     /// Returns the bans that originated here since the last call, to be sent to other VMs.
-    pub fn export(&mut self, now: policy::Moment) -> Vec<Entry> {
+    pub fn take_new_bans(&mut self, now: policy::Moment) -> Vec<Ban> {
         let new_bans = std::mem::take(&mut self.new_bans);
-        let entry = |fingerprint| match self.state(now, fingerprint) {
-            State::Banned { left } => Some(Entry { fingerprint, left }),
+        let ban = |fingerprint| match self.state(now, fingerprint) {
+            State::Banned { left } => Some(Ban { fingerprint, left }),
             _ => None,
         };
-        new_bans.into_iter().filter_map(entry).collect()
+        new_bans.into_iter().filter_map(ban).collect()
     }
 
     /// Applies a ban from another VM. It is not forwarded.
-    pub fn import(&mut self, cfg: &Config, now: policy::Moment, entry: Entry) {
+    pub fn apply_ban(&mut self, cfg: &Config, now: policy::Moment, ban: Ban) {
         if self.records.len() >= cfg.max_records {
             self.evict_oldest(now);
         }
-        let until = now + entry.left.min(cfg.ban);
+        let until = now + ban.left.min(cfg.ban);
         let record = self
             .records
-            .entry(entry.fingerprint)
+            .entry(ban.fingerprint)
             .or_insert(Record { crashes: 2, until });
         record.crashes = record.crashes.max(2);
         record.until = record.until.max(until);
@@ -198,11 +207,11 @@
     #[test]
     fn two_crashes_ban_and_an_answer_clears() {
         let (mut quarantine, cfg) = (Quarantine::default(), Config::default());
-        quarantine.crashed(&cfg, at(1), CRASHING);
-        quarantine.crashed(&cfg, at(1), INNOCENT);
+        quarantine.record_crash(&cfg, at(1), CRASHING);
+        quarantine.record_crash(&cfg, at(1), INNOCENT);
         assert_eq!(quarantine.state(at(2), INNOCENT), State::Suspect);
-        quarantine.answered(INNOCENT);
-        quarantine.crashed(&cfg, at(3), CRASHING);
+        quarantine.record_answer(INNOCENT);
+        quarantine.record_crash(&cfg, at(3), CRASHING);
         assert_eq!(quarantine.state(at(3), INNOCENT), State::Clear);
         let banned = State::Banned { left: cfg.ban };
         assert_eq!(quarantine.state(at(3), CRASHING), banned);
@@ -213,16 +222,16 @@
     fn a_ban_is_exported_once_and_not_forwarded() {
         let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
         let cfg = Config::default();
-        here.crashed(&cfg, at(1), CRASHING);
-        here.crashed(&cfg, at(2), CRASHING);
-        let exported = here.export(at(2));
-        assert_eq!((exported.len(), here.export(at(2)).len()), (1, 0));
-        there.import(&cfg, at(900), exported[0]);
+        here.record_crash(&cfg, at(1), CRASHING);
+        here.record_crash(&cfg, at(2), CRASHING);
+        let exported = here.take_new_bans(at(2));
+        assert_eq!((exported.len(), here.take_new_bans(at(2)).len()), (1, 0));
+        there.apply_ban(&cfg, at(900), exported[0]);
         assert!(matches!(
             there.state(at(900), CRASHING),
             State::Banned { .. }
         ));
-        assert!(there.export(at(900)).is_empty());
+        assert!(there.take_new_bans(at(900)).is_empty());
     }
 
     #[test]
@@ -232,9 +241,9 @@
             ..Config::default()
         };
         let mut quarantine = Quarantine::default();
-        quarantine.crashed(&cfg, at(1), CRASHING);
-        quarantine.crashed(&cfg, at(1), CRASHING);
-        (10..200).for_each(|i| quarantine.crashed(&cfg, at(2), policy::Fingerprint(i)));
+        quarantine.record_crash(&cfg, at(1), CRASHING);
+        quarantine.record_crash(&cfg, at(1), CRASHING);
+        (10..200).for_each(|i| quarantine.record_crash(&cfg, at(2), policy::Fingerprint(i)));
         assert_eq!(quarantine.records.len(), 16);
         assert!(matches!(
             quarantine.state(at(2), CRASHING),
--- a/src/entry/observe.rs
+++ b/src/entry/observe.rs
@@ -250,7 +250,7 @@
         now: Moment,
         service: &id::ServiceId,
         from: &id::VmId,
-        entry: &quarantine::Entry,
+        entry: &quarantine::Ban,
     ) {
         let label = self.services.label(service.as_str());
         metrics::counter!(names::QUARANTINES, "service" => label).increment(1);
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -78,7 +78,7 @@
         /// The service.
         pub service: id::ServiceId,
         /// What is banned, at most [`MAX_BANS`].
-        pub entries: Vec<quarantine::Entry>,
+        pub entries: Vec<quarantine::Ban>,
     }
 
     /// What one entry VM has in hand.
--- a/src/standin/altered.rs
+++ b/src/standin/altered.rs
@@ -16,7 +16,7 @@
     );
 
     /// What other entry VMs are told.
-    fn bans(&self) -> Vec<quarantine::Entry> {
+    fn bans(&self) -> Vec<quarantine::Ban> {
         Vec::new()
     }
 }
@@ -53,7 +53,7 @@
         self.change.arrive(&mut self.naive, now, req, out);
     }
 
-    fn bans(&mut self, _now: policy::Moment) -> Vec<quarantine::Entry> {
+    fn bans(&mut self, _now: policy::Moment) -> Vec<quarantine::Ban> {
         self.change.bans()
     }
 
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -100,7 +100,7 @@
         for action in actions {
             self.check_action(action);
         }
-        let max_waiting = self.cfg.queue.max_len + self.cfg.quarantine.waiting;
+        let max_waiting = self.cfg.queue.max_len + self.cfg.quarantine.max_waiting;
         assert!(
             self.dispatch.waiting() <= max_waiting,
             "the queue is not bounded"
--- a/tests/steering_path.rs
+++ b/tests/steering_path.rs
@@ -280,9 +280,9 @@
         naive.arrive(now, req, out);
     }
 
-    fn bans(&self) -> Vec<quarantine::Entry> {
+    fn bans(&self) -> Vec<quarantine::Ban> {
         let left = time::Duration::from_secs(60);
-        let entry = |fingerprint| quarantine::Entry { fingerprint, left };
+        let entry = |fingerprint| quarantine::Ban { fingerprint, left };
         self.banned.map(entry).into_iter().collect()
     }
 }
