--- a/src/decisions/resend.rs
+++ b/src/decisions/resend.rs
@@ -51,11 +51,11 @@
 
 /// Requests and second sends of one service on this VM.
 #[derive(Clone, Debug, Default)]
-pub struct Resends {
+pub struct ResendBudget {
     counts: collections::VecDeque<Count>,
 }
 
-impl Resends {
+impl ResendBudget {
     fn count(&mut self, bound: &Bound, now: policy::Moment) -> &mut Count {
         let width = (bound.window / WINDOW_STEPS).max(time::Duration::from_millis(1));
         let step = (now.as_nanos() / width.as_nanos()) as u64;
@@ -75,7 +75,7 @@
     }
 
     /// Counts a request of a caller.
-    pub fn request(&mut self, bound: &Bound, now: policy::Moment) {
+    pub fn count_request(&mut self, bound: &Bound, now: policy::Moment) {
         self.count(bound, now).requests += 1.0;
     }
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -97,7 +97,7 @@
 #[derive(Debug, Default)]
 pub struct Desk {
     /// Its requests and second sends.
-    pub resends: resend::Resends,
+    pub resends: resend::ResendBudget,
     /// The share that other regions serve.
     pub share: regions::Share,
     /// What its less urgent requests leave to the more urgent.
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -88,7 +88,7 @@
         let bound = &self.cfg.resend;
         let now = self.now();
         let away = self.with_desk(&service, |desk| {
-            desk.resends.request(bound, now);
+            desk.resends.count_request(bound, now);
             desk.traffic += 1.0;
             match reach {
                 regions::Reach::Anywhere => {
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -306,12 +306,12 @@
     };
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let vms = 8;
-    let mut budgets = vec![resend::Resends::default(); vms];
+    let mut budgets = vec![resend::ResendBudget::default(); vms];
     let (mut requests, mut second) = (Vec::new(), Vec::new());
     for n in 0..20_000 {
         let now = secs(f64::from(n) * 0.002);
         let budget = &mut budgets[rng.random_range(0..vms)];
-        budget.request(&bound, now);
+        budget.count_request(&bound, now);
         requests.push(now);
         for _ in 0..rng.random_range(0..3) {
             if budget.take(&bound, now, vms) {
