--- a/src/decisions/precedence.rs
+++ b/src/decisions/precedence.rs
@@ -24,7 +24,7 @@
 
 impl Precedence {
     /// Records that one of the most urgent requests found no capacity.
-    pub fn refused(&mut self, now: policy::Moment) {
+    pub fn urgent_refused(&mut self, now: policy::Moment) {
         self.reserved_until = now + RESERVATION_TIME;
     }
 
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -116,7 +116,7 @@
         let now = self.now();
         let chosen = self.choose(need, now);
         if chosen == Err(Nowhere::Full) && !need.behind {
-            self.with_desk(need.service, |desk| desk.precedence.refused(now));
+            self.with_desk(need.service, |desk| desk.precedence.urgent_refused(now));
         }
         let chosen = chosen?;
         let cfg = &self.cfg.thresholds.warming;
