--- a/src/decisions/nearby.rs
+++ b/src/decisions/entry_selection.rs
@@ -19,10 +19,10 @@
 
 /// Default number of VMs in the list that are not busy. Two, because after the loss of a VM or its
 /// zone the other one still answers until the lease of the lost one has expired.
-pub const LEAST: usize = 2;
+pub const DEFAULT_VM_COUNT: usize = 2;
 
 /// Maximum number of VMs in one list. More would only make answers longer.
-pub const MOST: usize = 64;
+pub const MAX_VM_COUNT: usize = 64;
 
 /// Utilization of processor or link above which a VM becomes busy. Half, because callers arrive in
 /// bursts and those of a lost VM are added.
@@ -52,7 +52,7 @@
     const BYTES_PER_S_PER_MBPS: f64 = 1e6 / 8.0;
 
     /// Typical requests per second that the VM can serve; 0 if its capacity is unknown.
-    pub fn requests(&self) -> u32 {
+    pub fn requests_per_s(&self) -> u32 {
         let by_cores = self.cores / REQUEST_CORE_S;
         let by_link = self.link_mbps * Self::BYTES_PER_S_PER_MBPS / TYPICAL_ANSWER_BYTES;
         let known = [by_cores, by_link].into_iter().filter(|n| *n > 0.0);
@@ -60,7 +60,7 @@
     }
 
     /// Utilization of processor or link, whichever is larger.
-    pub fn used(&self, requests_per_s: f64, bytes_per_s: f64) -> f64 {
+    pub fn utilization(&self, requests_per_s: f64, bytes_per_s: f64) -> f64 {
         let ratio = |used: f64, total: f64| if total > 0.0 { used / total } else { 0.0 };
         let processor = ratio(requests_per_s * REQUEST_CORE_S, self.cores);
         processor.max(ratio(
@@ -81,7 +81,7 @@
     }
 
     /// Updates the state from the current utilization. Returns whether the state has changed.
-    pub fn step(&mut self, utilization: f64) -> bool {
+    pub fn update(&mut self, utilization: f64) -> bool {
         let threshold = if self.0 {
             IDLE_BELOW_RATIO
         } else {
@@ -94,52 +94,53 @@
 
 /// An entry VM that may be in a caller's list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry<'a, T> {
+pub struct Candidate<'a, T> {
     /// Whether it is in the caller's region.
-    pub near: bool,
+    pub in_region: bool,
     /// Its availability zone.
     pub az: &'a id::AzId,
     /// Typical requests per second that it can serve.
-    pub requests: u32,
+    pub requests_per_s: u32,
     /// Whether it reports that it is busy.
     pub busy: bool,
     /// Hash of its name; orders VMs of equal capacity the same way on all VMs.
     pub hash: u64,
     /// The value that the selection returns for this VM.
-    pub told: T,
+    pub value: T,
 }
 
-/// Selects the entry VMs for a caller so that `least` of them are not busy, if there are that many.
-pub fn told<'a, T>(least: usize, all: impl Iterator<Item = Entry<'a, T>>) -> Vec<T> {
-    let mut not_busy_missing = least;
-    let is_needed = |entry: &Entry<'_, T>| {
+/// Selects the entry VMs for a caller so that `not_busy_count` of them are not busy, if there are
+/// that many.
+pub fn select<'a, T>(not_busy_count: usize, all: impl Iterator<Item = Candidate<'a, T>>) -> Vec<T> {
+    let mut not_busy_missing = not_busy_count;
+    let is_needed = |candidate: &Candidate<'_, T>| {
         let is_missing = not_busy_missing > 0;
-        not_busy_missing -= usize::from(is_missing && !entry.busy);
+        not_busy_missing -= usize::from(is_missing && !candidate.busy);
         is_missing
     };
     rank_candidates(all)
         .into_iter()
         .take_while(is_needed)
-        .take(MOST)
-        .map(|entry| entry.told)
+        .take(MAX_VM_COUNT)
+        .map(|candidate| candidate.value)
         .collect()
 }
 
 /// Orders the VMs of the region, or all VMs if it has none: first the largest of each zone, then the
 /// second largest of each, and so on.
-fn rank_candidates<'a, T>(all: impl Iterator<Item = Entry<'a, T>>) -> Vec<Entry<'a, T>> {
-    let mut all: Vec<Entry<'a, T>> = all.collect();
-    if all.iter().any(|entry| entry.near) {
-        all.retain(|entry| entry.near);
+fn rank_candidates<'a, T>(all: impl Iterator<Item = Candidate<'a, T>>) -> Vec<Candidate<'a, T>> {
+    let mut all: Vec<Candidate<'a, T>> = all.collect();
+    if all.iter().any(|candidate| candidate.in_region) {
+        all.retain(|candidate| candidate.in_region);
     }
-    all.sort_by_key(|entry| (cmp::Reverse(entry.requests), entry.hash));
+    all.sort_by_key(|candidate| (cmp::Reverse(candidate.requests_per_s), candidate.hash));
     let mut ranks_by_az: collections::HashMap<&id::AzId, usize> = collections::HashMap::new();
-    let mut ranked: Vec<(usize, Entry<'a, T>)> = Vec::with_capacity(all.len());
-    for entry in all {
-        let rank = ranks_by_az.entry(entry.az).or_default();
-        ranked.push((*rank, entry));
+    let mut ranked: Vec<(usize, Candidate<'a, T>)> = Vec::with_capacity(all.len());
+    for candidate in all {
+        let rank = ranks_by_az.entry(candidate.az).or_default();
+        ranked.push((*rank, candidate));
         *rank += 1;
     }
     ranked.sort_by_key(|(rank, _)| *rank);
-    ranked.into_iter().map(|(_, entry)| entry).collect()
+    ranked.into_iter().map(|(_, candidate)| candidate).collect()
 }
--- a/src/gateway/carried.rs
+++ b/src/gateway/carried.rs
@@ -5,7 +5,7 @@
 use std::rc;
 
 use super::Gateway;
-use crate::decisions::{nearby, policy};
+use crate::decisions::{entry_selection, policy};
 use crate::id;
 use crate::transport::callers;
 
@@ -76,18 +76,18 @@
         let entries = self.entries.borrow();
         let others = entries
             .to_tell(near, |vm, _, entry| (vm.clone(), entry.front))
-            .filter(|entry| entry.told.0 != self.cfg.vm);
+            .filter(|entry| entry.value.0 != self.cfg.vm);
         // This VM answers, so it runs, whatever the store can say of it at the moment. Until it knows
         // what to do with requests, callers that keep its name would be refused for as long.
-        let own = self.is_ready().then(|| nearby::Entry {
-            near: near(&self.cfg.az),
+        let own = self.is_ready().then(|| entry_selection::Candidate {
+            in_region: near(&self.cfg.az),
             az: &self.cfg.az,
-            requests: self.cfg.capacity.requests(),
+            requests_per_s: self.cfg.capacity.requests_per_s(),
             busy: self.is_busy(),
             hash: self.own_hash,
-            told: (self.cfg.vm.clone(), self.cfg.front),
+            value: (self.cfg.vm.clone(), self.cfg.front),
         });
-        let told = nearby::told(self.cfg.thresholds.told, others.chain(own));
+        let told = entry_selection::select(self.cfg.thresholds.told, others.chain(own));
         told.into_iter().map(|(_, front)| front).collect()
     }
 
@@ -108,7 +108,7 @@
         let near = |az: &id::AzId| self.cfg.regions.get(az) == region;
         let entries = self.entries.borrow();
         let all = entries.to_tell(near, |_, hash, _| hash);
-        nearby::told(self.cfg.thresholds.told + more, all)
+        entry_selection::select(self.cfg.thresholds.told + more, all)
     }
 
     /// Whether callers of its region are sent to others, and would be to further ones before this VM.
@@ -146,9 +146,10 @@
             ..Carried::default()
         });
         let a_second = |count: u64| count as f64 / span;
-        let used = (self.cfg.capacity).used(a_second(carried.requests), a_second(carried.bytes));
+        let used =
+            (self.cfg.capacity).utilization(a_second(carried.requests), a_second(carried.bytes));
         let mut busy = self.busy.get();
-        if busy.step(used) {
+        if busy.update(used) {
             slog::info!(self.log, "capacity in use"; "busy" => busy.get(), "used" => used, "requests" => carried.requests, "bytes" => carried.bytes, "span_s" => span);
         }
         self.busy.set(busy);
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -30,8 +30,8 @@
 
 use crate::coordination::listing;
 use crate::decisions::{
-    affinity, crashes, declines, departures, nearby, policy, precedence, quota, regions, resend,
-    split, warming,
+    affinity, crashes, declines, departures, entry_selection, policy, precedence, quota, regions,
+    resend, split, warming,
 };
 use crate::protocol::{names, routes};
 use crate::state::{backends, entries};
@@ -53,7 +53,7 @@
     /// Where callers connect.
     pub front: net::SocketAddr,
     /// What it can carry.
-    pub capacity: nearby::Capacity,
+    pub capacity: entry_selection::Capacity,
     /// The names of the fields of requests and answers.
     pub names: names::Names,
     /// The bound on second sends over all entry VMs.
@@ -80,7 +80,7 @@
             az: "az".into(),
             regions: collections::BTreeMap::new(),
             front: net::SocketAddr::from(([127, 0, 0, 1], 0)),
-            capacity: nearby::Capacity::default(),
+            capacity: entry_selection::Capacity::default(),
             names: names::Names::default(),
             resend: resend::Bound::default(),
             shift_most: 0.15,
@@ -151,7 +151,7 @@
     entries: cell::RefCell<entries::Entries>,
     carried: cell::Cell<carried::Carried>,
     told: cell::RefCell<carried::Told>,
-    busy: cell::Cell<nearby::Busy>,
+    busy: cell::Cell<entry_selection::Busy>,
     /// Whether the callers of its region are told this VM and no other.
     alone: cell::Cell<bool>,
     listing: cell::RefCell<listing::Listing>,
--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -13,7 +13,7 @@
 use tokio::net::UdpSocket;
 
 use super::{Gateway, facts};
-use crate::decisions::{affinity, comeback, nearby, policy, quota};
+use crate::decisions::{affinity, comeback, entry_selection, policy, quota};
 use crate::id;
 use crate::metrics as known;
 use crate::protocol::{customers, usage};
@@ -33,7 +33,7 @@
 
 /// How many VMs of a region that are next in line hear what is let in: as many as callers are told, which
 /// may all become busy at once.
-const NEXT: usize = nearby::LEAST;
+const NEXT: usize = entry_selection::DEFAULT_VM_COUNT;
 
 /// Datagrams of one time, at the most: customers far from their limits are left out beyond it.
 const DATAGRAMS: usize = 8;
--- a/src/gateway/thresholds.rs
+++ b/src/gateway/thresholds.rs
@@ -6,7 +6,9 @@
 use std::fs;
 use std::path;
 
-use crate::decisions::{affinity, ejection, hedge, limit, nearby, range, regions, warming};
+use crate::decisions::{
+    affinity, ejection, entry_selection, hedge, limit, range, regions, warming,
+};
 use crate::error;
 
 /// The thresholds.
@@ -34,7 +36,7 @@
 impl Default for Thresholds {
     fn default() -> Self {
         Self {
-            told: nearby::LEAST,
+            told: entry_selection::DEFAULT_VM_COUNT,
             second_sends: 0.75,
             placement: affinity::Config::default(),
             regions: regions::Config::default(),
@@ -77,7 +79,11 @@
     }
 
     fn check(&self) -> Result<(), range::Error> {
-        range::check("told", self.told as f64, 1.0..=nearby::MOST as f64)?;
+        range::check(
+            "told",
+            self.told as f64,
+            1.0..=entry_selection::MAX_VM_COUNT as f64,
+        )?;
         range::check("second_sends", self.second_sends, 0.0..=1.0)?;
         self.placement.check()?;
         self.regions.check()?;
--- a/src/platform/feed.rs
+++ b/src/platform/feed.rs
@@ -257,7 +257,7 @@
             peers: self.settings.peers,
             az: self.settings.gateway.az.clone(),
             link_mbps: capacity.link_mbps as u32,
-            requests: capacity.requests(),
+            requests: capacity.requests_per_s(),
             busy: self.cx.is_busy(),
             near_limits: self.cx.near_limits(),
         }
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -6,7 +6,7 @@
 use std::path;
 use std::time;
 
-use crate::decisions::{nearby, quota, resend};
+use crate::decisions::{entry_selection, quota, resend};
 use crate::{error, gateway, id};
 
 use super::names;
@@ -136,7 +136,7 @@
             az: file.zone.as_str().into(),
             regions,
             front,
-            capacity: nearby::Capacity {
+            capacity: entry_selection::Capacity {
                 cores: file.limits.cpu_share * file.limits.cores,
                 link_mbps: file.limits.link_mbps,
             },
--- a/src/state/entries.rs
+++ b/src/state/entries.rs
@@ -3,7 +3,7 @@
 use std::collections;
 use std::net;
 
-use crate::decisions::{affinity, nearby};
+use crate::decisions::{affinity, entry_selection};
 use crate::id;
 
 /// An entry VM.
@@ -91,14 +91,15 @@
         &'a self,
         near: impl Fn(&id::AzId) -> bool + 'a,
         told: impl Fn(&id::VmId, u64, &Entry) -> T + 'a,
-    ) -> impl Iterator<Item = nearby::Entry<'a, T>> {
-        self.iter().map(move |(vm, hash, entry)| nearby::Entry {
-            near: near(&entry.az),
-            az: &entry.az,
-            requests: entry.requests,
-            busy: entry.busy,
-            hash,
-            told: told(vm, hash, entry),
-        })
+    ) -> impl Iterator<Item = entry_selection::Candidate<'a, T>> {
+        self.iter()
+            .map(move |(vm, hash, entry)| entry_selection::Candidate {
+                in_region: near(&entry.az),
+                az: &entry.az,
+                requests_per_s: entry.requests,
+                busy: entry.busy,
+                hash,
+                value: told(vm, hash, entry),
+            })
     }
 }
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -5,7 +5,7 @@
 
 use bulrushwind::coordination::{listing, mirror};
 use bulrushwind::decisions::{
-    affinity, cold, comeback, crashes, nearby, precedence, regions, resend, split, warming,
+    affinity, cold, comeback, crashes, entry_selection, precedence, regions, resend, split, warming,
 };
 use bulrushwind::{id, protocol};
 use rand::{RngExt, SeedableRng};
@@ -482,14 +482,19 @@
     );
 }
 
-fn entry(near: bool, az: &id::AzId, requests: u32, told: u64) -> nearby::Entry<'_, u64> {
-    nearby::Entry {
-        near,
+fn entry(
+    in_region: bool,
+    az: &id::AzId,
+    requests_per_s: u32,
+    value: u64,
+) -> entry_selection::Candidate<'_, u64> {
+    entry_selection::Candidate {
+        in_region,
         az,
-        requests,
+        requests_per_s,
         busy: false,
-        hash: told,
-        told,
+        hash: value,
+        value,
     }
 }
 
@@ -507,12 +512,27 @@
     ];
     let beyond = (40..60).map(|n| entry(false, &far, 9000, n));
     let all: Vec<_> = small.chain(beyond).chain(large).collect();
-    assert_eq!(nearby::told(nearby::LEAST, all.iter().copied()), [1, 3]);
-    let only_far = all.iter().copied().filter(|e| !e.near);
-    assert_eq!(nearby::told(nearby::LEAST, only_far), [40, 41]);
+    assert_eq!(
+        entry_selection::select(entry_selection::DEFAULT_VM_COUNT, all.iter().copied()),
+        [1, 3]
+    );
+    let only_far = all.iter().copied().filter(|e| !e.in_region);
+    assert_eq!(
+        entry_selection::select(entry_selection::DEFAULT_VM_COUNT, only_far),
+        [40, 41]
+    );
     let one_zone = all.iter().copied().filter(|e| *e.az == a);
-    assert_eq!(nearby::told(nearby::LEAST, one_zone), [1, 2]);
-    assert!(nearby::told(nearby::LEAST, std::iter::empty::<nearby::Entry<'_, u64>>()).is_empty());
+    assert_eq!(
+        entry_selection::select(entry_selection::DEFAULT_VM_COUNT, one_zone),
+        [1, 2]
+    );
+    assert!(
+        entry_selection::select(
+            entry_selection::DEFAULT_VM_COUNT,
+            std::iter::empty::<entry_selection::Candidate<'_, u64>>()
+        )
+        .is_empty()
+    );
 }
 
 /// Callers come in numbers that two VMs cannot carry, and leave again. Told no others, they would
@@ -520,18 +540,21 @@
 /// would be late for the other reason.
 #[test]
 fn more_entry_vms_are_told_while_these_are_busy_and_fewer_after() {
-    let capacity = nearby::Capacity {
+    let capacity = entry_selection::Capacity {
         cores: 0.5,
         link_mbps: 200.0,
     };
     let az = "a".into();
-    let mut busy = [nearby::Busy::default(); 20];
+    let mut busy = [entry_selection::Busy::default(); 20];
     let mut step = |crowd: f64| {
-        let all = busy.iter().zip(0..).map(|(busy, n)| nearby::Entry {
-            busy: busy.get(),
-            ..entry(true, &az, capacity.requests(), n)
-        });
-        let told = nearby::told(nearby::LEAST, all);
+        let all = busy
+            .iter()
+            .zip(0..)
+            .map(|(busy, n)| entry_selection::Candidate {
+                busy: busy.get(),
+                ..entry(true, &az, capacity.requests_per_s(), n)
+            });
+        let told = entry_selection::select(entry_selection::DEFAULT_VM_COUNT, all);
         let each = crowd / told.len() as f64;
         for (n, busy) in busy.iter_mut().enumerate() {
             let part = if told.contains(&(n as u64)) {
@@ -539,16 +562,16 @@
             } else {
                 0.0
             };
-            busy.step(capacity.used(part, part * 5_000.0));
+            busy.update(capacity.utilization(part, part * 5_000.0));
         }
-        (told.len(), capacity.used(each, each * 5_000.0))
+        (told.len(), capacity.utilization(each, each * 5_000.0))
     };
     let crowded: Vec<(usize, f64)> = (0..40).map(|_| step(12_000.0)).collect();
     let (told, used) = crowded[39];
     assert!(used <= 0.5 && told <= 14, "{crowded:?}");
     assert_eq!(crowded[20..], [(told, used); 20], "it comes to rest");
     let calm: Vec<(usize, f64)> = (0..40).map(|_| step(500.0)).collect();
-    assert_eq!(calm[39].0, nearby::LEAST);
+    assert_eq!(calm[39].0, entry_selection::DEFAULT_VM_COUNT);
 }
 
 /// Plays one backend server with three slots and cold caches, asked for twelve objects at random.
