--- a/src/decisions/rest.rs
+++ b/src/decisions/idle_limit.rs
@@ -43,14 +43,14 @@
 
 /// Adaptive idle limit of this VM.
 #[derive(Clone, Copy, Debug)]
-pub struct Rest {
+pub struct IdleLimit {
     limit: time::Duration,
     /// Shares of sends that break at once, on reused and on new connections.
     reused_break_share: f64,
     new_break_share: f64,
 }
 
-impl Default for Rest {
+impl Default for IdleLimit {
     fn default() -> Self {
         Self {
             limit: MAX_IDLE_LIMIT,
@@ -61,7 +61,7 @@
 }
 
 /// Whether a break so soon after the send means that the connection was closed or dropped before it.
-pub fn at_once(after: time::Duration, round_trip: time::Duration) -> bool {
+pub fn was_stale(after: time::Duration, round_trip: time::Duration) -> bool {
     after <= round_trip.mul_f64(BREAK_ROUND_TRIPS) + BREAK_ALLOWANCE
 }
 
@@ -69,7 +69,7 @@
     *share += (f64::from(u8::from(broke)) - *share) * BREAK_SHARE_WEIGHT;
 }
 
-impl Rest {
+impl IdleLimit {
     /// Idle limit for a connection to a backend server that states this idle timeout.
     pub fn limit(&self, stated: Option<time::Duration>) -> time::Duration {
         let allowed = stated.map_or(UNSTATED_IDLE_LIMIT, |stated| {
@@ -79,13 +79,13 @@
     }
 
     /// Records a send on a new connection, and whether it broke at once.
-    pub fn dialled(&mut self, broke: bool) {
+    pub fn record_new(&mut self, broke: bool) {
         update_share(&mut self.new_break_share, broke);
     }
 
     /// Records a send on a connection that was idle for `idle_time` and did not break at once. After
     /// more than half of the limit, this raises the limit.
-    pub fn held(&mut self, idle_time: time::Duration) {
+    pub fn record_reuse(&mut self, idle_time: time::Duration) {
         update_share(&mut self.reused_break_share, false);
         if idle_time > self.limit / 2 {
             self.limit = self.limit.mul_f64(LIMIT_RAISE_FACTOR).min(MAX_IDLE_LIMIT);
@@ -94,7 +94,7 @@
 
     /// Records that a connection that was idle for `idle_time` broke at once. Returns whether the
     /// limit has dropped, which is to a quarter of `idle_time` at most.
-    pub fn broke(&mut self, idle_time: time::Duration) -> bool {
+    pub fn record_break(&mut self, idle_time: time::Duration) -> bool {
         update_share(&mut self.reused_break_share, true);
         let is_excess = self.reused_break_share > self.new_break_share + MIN_EXCESS_BREAK_SHARE;
         if is_excess {
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -8,7 +8,7 @@
 use tokio::task;
 
 use super::{Gateway, place, pool};
-use crate::decisions::{policy, rest};
+use crate::decisions::{idle_limit, policy};
 use crate::id;
 use crate::protocol::{customers, http1, names};
 use crate::transport::{callers, socket, upstream};
@@ -141,7 +141,7 @@
                     Err(outcome) => return outcome,
                 };
                 let sent = self.exchange(job, &mut wire, payload, &seat).await;
-                self.pool.borrow_mut().rest.dialled(sent.broke_at_once);
+                self.pool.borrow_mut().rest.record_new(sent.broke_at_once);
                 (wire, sent.received)
             }
         };
@@ -165,7 +165,7 @@
         let sent = self.exchange(job, &mut wire, payload, seat).await;
         match sent.broke_at_once {
             true => self.broke_at_rest(seat, pooled.rested),
-            false => self.pool.borrow_mut().rest.held(pooled.rested),
+            false => self.pool.borrow_mut().rest.record_reuse(pooled.rested),
         }
         let received = sent.received;
         let unsent = matches!(received, Err(upstream::Failure::Unsent));
@@ -176,7 +176,7 @@
     }
 
     fn broke_at_rest(&self, seat: &place::Seat, rested: time::Duration) {
-        if !self.pool.borrow_mut().rest.broke(rested) {
+        if !self.pool.borrow_mut().rest.record_break(rested) {
             return;
         }
         if let Some(left_out) = self.lines.admit("rest", self.now()) {
@@ -211,7 +211,7 @@
         );
         Sent {
             received,
-            broke_at_once: broke && rest::at_once(after, wire.round_trip),
+            broke_at_once: broke && idle_limit::was_stale(after, wire.round_trip),
         }
     }
 
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -3,7 +3,7 @@
 use std::collections;
 use std::time;
 
-use crate::decisions::rest;
+use crate::decisions::idle_limit;
 use crate::id;
 use crate::transport::socket;
 
@@ -33,7 +33,7 @@
 pub struct Pool {
     idle: collections::HashMap<id::VmId, Vec<Idle>>,
     /// How long they may rest.
-    pub rest: rest::Rest,
+    pub rest: idle_limit::IdleLimit,
 }
 
 impl Pool {
--- a/tests/rest.rs
+++ b/tests/rest.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use bulrushwind::decisions::rest;
+use bulrushwind::decisions::idle_limit;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -21,7 +21,7 @@
 /// idle connections after `dropped_after_s` seconds.
 fn play(dropped_after_s: f64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
-    let mut rest = rest::Rest::default();
+    let mut rest = idle_limit::IdleLimit::default();
     let mut outcome = Outcome::default();
     for _ in 0..1000 {
         let idle_time = secs(rng.random_range(0.2..9.0));
@@ -29,9 +29,9 @@
             outcome.dialled += 1;
         } else if idle_time > secs(dropped_after_s) {
             outcome.broke += 1;
-            rest.broke(idle_time);
+            rest.record_break(idle_time);
         } else {
-            rest.held(idle_time);
+            rest.record_reuse(idle_time);
         }
     }
     outcome
@@ -60,15 +60,15 @@
 #[test]
 fn answers_lost_on_any_connection_do_not_lower_the_limit() {
     let mut rng = ChaCha8Rng::seed_from_u64(10);
-    let mut rest = rest::Rest::default();
+    let mut rest = idle_limit::IdleLimit::default();
     for _ in 0..2000 {
         let lost = rng.random_range(0..20) == 0;
         if rng.random_range(0..4) == 0 {
-            rest.dialled(lost);
+            rest.record_new(lost);
         } else if lost {
-            assert!(!rest.broke(secs(rng.random_range(0.2..9.0))));
+            assert!(!rest.record_break(secs(rng.random_range(0.2..9.0))));
         } else {
-            rest.held(secs(1.0));
+            rest.record_reuse(secs(1.0));
         }
     }
     assert_eq!(rest.limit(Some(secs(10.0))), secs(9.5));
@@ -77,14 +77,14 @@
 /// Guards against taking a crash during a request for a dropped idle connection.
 #[test]
 fn a_connection_that_breaks_during_a_request_was_not_dropped() {
-    assert!(rest::at_once(secs(0.112), secs(0.11)));
-    assert!(!rest::at_once(secs(0.11 + 0.14), secs(0.11)));
-    assert!(!rest::at_once(secs(0.14), secs(0.002)));
+    assert!(idle_limit::was_stale(secs(0.112), secs(0.11)));
+    assert!(!idle_limit::was_stale(secs(0.11 + 0.14), secs(0.11)));
+    assert!(!idle_limit::was_stale(secs(0.14), secs(0.002)));
 }
 
 #[test]
 fn the_stated_idle_timeout_is_kept() {
-    let rest = rest::Rest::default();
+    let rest = idle_limit::IdleLimit::default();
     assert_eq!(rest.limit(Some(secs(2.0))), secs(1.5));
     assert_eq!(rest.limit(None), secs(4.0));
     assert_eq!(rest.limit(Some(secs(0.0))), secs(0.0));
