--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -13,7 +13,7 @@
 use tokio::net::UdpSocket;
 
 use super::{Gateway, facts};
-use crate::decisions::{affinity, comeback, entry_selection, policy, quota};
+use crate::decisions::{affinity, entry_selection, policy, quota, retry_delay};
 use crate::id;
 use crate::metrics as known;
 use crate::protocol::{customers, usage};
@@ -347,7 +347,7 @@
         left: time::Duration,
     ) -> callers::Answer {
         self.record_beyond(facts, refused);
-        let after = comeback::after(refused.retry_after, left, self.jitter());
+        let after = retry_delay::after(refused.retry_after, left, self.jitter());
         let mut answer = self.own_answer(429, Some(&facts.id));
         facts::put_retry_after(&mut answer.fields, after);
         answer
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -8,7 +8,7 @@
 use futures_util::stream::FuturesUnordered;
 
 use super::{Gateway, attempt, facts, place, quotas, record};
-use crate::decisions::{comeback, policy, regions};
+use crate::decisions::{policy, regions, retry_delay};
 use crate::id;
 use crate::protocol::{http1, routes};
 use crate::transport::{callers, upstream};
@@ -176,7 +176,7 @@
     /// Refuses a request that must run elsewhere while too many more do than just before.
     fn stays_away(&self, facts: &facts::Facts) -> callers::Answer {
         let left = facts.deadline.saturating_sub(self.now());
-        let after = comeback::after(STAYS_AWAY, left, self.jitter());
+        let after = retry_delay::after(STAYS_AWAY, left, self.jitter());
         let mut answer = self.not_here(&facts.id, after, "too many more must run elsewhere");
         answer.close = false;
         answer
@@ -467,7 +467,7 @@
     fn refuse(&mut self, why: &'static str) -> callers::Answer {
         self.fate = ("not_run", why);
         let backlog = self.cx.with_desk(&self.job.service, |desk| desk.backlog());
-        let after = comeback::after(backlog, self.left(), self.cx.jitter());
+        let after = retry_delay::after(backlog, self.left(), self.cx.jitter());
         let mut answer = self.cx.own_answer(503, Some(&self.facts.id));
         facts::put_retry_after(&mut answer.fields, after);
         answer
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -5,7 +5,8 @@
 
 use bulrushwind::coordination::{listing, mirror};
 use bulrushwind::decisions::{
-    affinity, cold, comeback, crashes, entry_selection, precedence, regions, resend, split, warming,
+    affinity, cold, crashes, entry_selection, precedence, regions, resend, retry_delay, split,
+    warming,
 };
 use bulrushwind::{id, protocol};
 use rand::{RngExt, SeedableRng};
@@ -650,11 +651,11 @@
 #[test]
 fn refused_callers_come_back_spread_and_in_time() {
     let left = secs(2.0);
-    let at = |jitter| comeback::after(secs(0.4), left, jitter);
+    let at = |jitter| retry_delay::after(secs(0.4), left, jitter);
     assert!(at(0.9) - at(0.1) > secs(0.2));
     assert!(at(1.0) <= left / 3);
-    assert!(comeback::after(secs(60.0), left, 1.0) <= left / 3);
-    assert!(comeback::after(secs(0.0), left, 0.0) > time::Duration::ZERO);
+    assert!(retry_delay::after(secs(60.0), left, 1.0) <= left / 3);
+    assert!(retry_delay::after(secs(0.0), left, 0.0) > time::Duration::ZERO);
 }
 
 /// One request crashes each backend server that runs it, and its caller sends it again through
