--- a/src/decisions/links.rs
+++ b/src/decisions/links.rs
@@ -1,13 +1,13 @@
-//! Links with a limit of their own.
+//! Limits the bytes per second that an entry VM sends over each link to another region.
 //!
-//! Load pattern: a region spills while the link to the next one is thin. Caps and headroom count
-//! requests, so a few long answers fill the link; one notices answers of every service that crosses
-//! it coming late, also of those that did not spill.
+//! Load pattern: a region sends requests to another one over a link of low capacity. Shift caps and
+//! grants count requests, so a few large answers saturate the link. Then the answers of every
+//! service that uses the link are late, even of services that send no requests to other regions.
 //!
-//! Each entry VM uses only its share of a link. A link from A to B carries requests that A sends
-//! and answers to what B sends, so both regions' entry VMs share it, and each counts the bytes of
-//! request and answer against both directions. The share is counted by the most members seen
-//! lately: counting a VM that has gone wastes a part of the link, missing one would overfill it.
+//! Each entry VM uses only its share of a link. A link from A to B carries the requests of A and
+//! the answers to requests of B, so the entry VMs of both regions share it, and each counts the
+//! bytes of request and answer against both directions. The highest recent VM count determines the
+//! share: counting a stopped VM wastes a part of the link, missing a running one would overload it.
 
 use std::collections;
 use std::time;
@@ -15,25 +15,25 @@
 use super::policy;
 use crate::id;
 
-/// How a sender uses its share.
+/// Token bucket parameters of a link share.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The part of the share that is used lastingly; above 0 and, with `depth`, at most 1 together.
-    pub fill: f64,
-    /// What may be saved up, in seconds of the share. With `fill` it is 1 at most, so that any one
-    /// second keeps the link's limit. A request longer than that stays home: for the others behind
-    /// it the link would be gone for longer.
-    pub depth: f64,
-    /// How long a VM that has gone counts on.
-    pub hold: time::Duration,
+    /// Sustained rate, as a part of the share; above 0, and at most 1 together with `burst_s`.
+    pub sustained_share: f64,
+    /// Bucket capacity, in seconds of the share. Together with `sustained_share` it is at most 1,
+    /// so that no second exceeds the link's limit. A larger request is not sent over the link,
+    /// because it would delay the requests behind it for longer.
+    pub burst_s: f64,
+    /// How long a VM still counts after it is no longer seen.
+    pub member_retention: time::Duration,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            fill: 0.7,
-            depth: 0.3,
-            hold: time::Duration::from_secs(30),
+            sustained_share: 0.7,
+            burst_s: 0.3,
+            member_retention: time::Duration::from_secs(30),
         }
     }
 }
@@ -41,106 +41,116 @@
 impl Config {
     /// Checks that the values are in range.
     pub fn check(&self) -> Result<(), &'static str> {
-        let sound = self.fill > 0.0 && self.depth > 0.0 && self.fill + self.depth <= 1.0;
-        if sound {
+        let in_range = self.sustained_share > 0.0
+            && self.burst_s > 0.0
+            && self.sustained_share + self.burst_s <= 1.0;
+        if in_range {
             Ok(())
         } else {
-            Err("fill and depth are out of range; give both above 0 and at most 1 together")
+            Err(
+                "sustained_share and burst_s are out of range; give both above 0 and at most 1 together",
+            )
         }
     }
 }
 
-/// The most members that were seen within a time.
+/// The maximum of a count over a sliding time window.
 #[derive(Clone, Debug, Default)]
-pub struct MostSeen {
-    seen: collections::VecDeque<(policy::Moment, u32)>,
+pub struct RecentMax {
+    samples: collections::VecDeque<(policy::Moment, u32)>,
 }
 
-impl MostSeen {
-    /// Notes how many there are now and returns the most within `hold`, at least 1.
-    pub fn note(&mut self, now: policy::Moment, count: u32, hold: time::Duration) -> u32 {
-        while self.seen.back().is_some_and(|(_, c)| *c < count) {
-            self.seen.pop_back();
+impl RecentMax {
+    /// Records a count and returns the maximum within the last `member_retention`, at least 1.
+    pub fn record(
+        &mut self,
+        now: policy::Moment,
+        count: u32,
+        member_retention: time::Duration,
+    ) -> u32 {
+        while self.samples.back().is_some_and(|(_, c)| *c < count) {
+            self.samples.pop_back();
         }
-        if self.seen.back().is_none_or(|(_, c)| *c > count) {
-            self.seen.push_back((now, count));
+        if self.samples.back().is_none_or(|(_, c)| *c > count) {
+            self.samples.push_back((now, count));
         }
-        // The most lasted until the next, smaller count was noted.
-        while self.seen.len() > 1 && self.seen[1].0 + hold < now {
-            self.seen.pop_front();
+        // The maximum was valid until the next, smaller count was recorded.
+        while self.samples.len() > 1 && self.samples[1].0 + member_retention < now {
+            self.samples.pop_front();
         }
-        self.seen[0].1.max(1)
+        self.samples[0].1.max(1)
     }
 }
 
 #[derive(Clone, Debug)]
 struct Link {
     bytes_per_s: f64,
-    members: MostSeen,
-    saved: f64,
-    filled: policy::Moment,
+    members: RecentMax,
+    tokens: f64,
+    refilled_at: policy::Moment,
 }
 
-/// One entry VM's shares of the links between its own and other regions, for all services.
+/// One entry VM's shares of the links from its region to others, for all services.
 #[derive(Debug, Default)]
 pub struct Links {
     cfg: Config,
-    to: collections::BTreeMap<id::RegionId, Link>,
+    by_region: collections::BTreeMap<id::RegionId, Link>,
 }
 
 impl Links {
-    /// No links yet: nothing may go to another region.
+    /// Creates an empty set of links, which allows no request to another region.
     pub fn new(cfg: Config) -> Self {
         Self {
             cfg,
-            to: collections::BTreeMap::new(),
+            by_region: collections::BTreeMap::new(),
         }
     }
 
-    /// Declares the link to another region: the thinner of its two directions, and the entry VMs
-    /// of both regions together.
+    /// Adds or updates the link to another region. `bytes_per_s` is the smaller capacity of the two
+    /// directions, and `members` the number of entry VMs of both regions together.
     pub fn set(&mut self, now: policy::Moment, to: &id::RegionId, bytes_per_s: u64, members: u32) {
-        let link = self.to.entry(to.clone()).or_insert_with(|| Link {
+        let link = self.by_region.entry(to.clone()).or_insert_with(|| Link {
             bytes_per_s: 0.0,
-            members: MostSeen::default(),
-            saved: 0.0,
-            filled: now,
+            members: RecentMax::default(),
+            tokens: 0.0,
+            refilled_at: now,
         });
-        let members = link.members.note(now, members, self.cfg.hold);
-        link.fill(now, &self.cfg);
+        let members = link.members.record(now, members, self.cfg.member_retention);
+        link.refill(now, &self.cfg);
         link.bytes_per_s = bytes_per_s as f64 / f64::from(members);
-        link.saved = link.saved.min(link.bytes_per_s * self.cfg.depth);
+        link.tokens = link.tokens.min(link.bytes_per_s * self.cfg.burst_s);
     }
 
-    /// Takes out links that are no longer declared.
-    pub fn keep(&mut self, declared: impl Fn(&id::RegionId) -> bool) {
-        self.to.retain(|to, _| declared(to));
+    /// Removes links that are no longer declared.
+    pub fn retain(&mut self, declared: impl Fn(&id::RegionId) -> bool) {
+        self.by_region.retain(|to, _| declared(to));
     }
 
-    /// Whether the own share has room for `bytes`.
+    /// Whether this VM's share of the link permits `bytes` now; false for an unknown link.
     pub fn allows(&mut self, now: policy::Moment, to: &id::RegionId, bytes: u64) -> bool {
-        let Some(link) = self.to.get_mut(to) else {
+        let Some(link) = self.by_region.get_mut(to) else {
             return false;
         };
-        link.fill(now, &self.cfg);
-        bytes as f64 <= link.saved
+        link.refill(now, &self.cfg);
+        bytes as f64 <= link.tokens
     }
 
-    /// Counts `bytes` that go over a link.
+    /// Takes tokens for `bytes` sent over a link.
     pub fn take(&mut self, now: policy::Moment, to: &id::RegionId, bytes: u64) {
-        if let Some(link) = self.to.get_mut(to) {
-            link.fill(now, &self.cfg);
-            link.saved -= bytes as f64;
+        if let Some(link) = self.by_region.get_mut(to) {
+            link.refill(now, &self.cfg);
+            link.tokens -= bytes as f64;
         }
     }
 }
 
 impl Link {
-    fn fill(&mut self, now: policy::Moment, cfg: &Config) {
-        let passed = now.saturating_sub(self.filled).as_secs_f64();
-        self.filled = self.filled.max(now);
-        let most = self.bytes_per_s * cfg.depth;
-        self.saved = (self.saved + passed * self.bytes_per_s * cfg.fill).min(most);
+    fn refill(&mut self, now: policy::Moment, cfg: &Config) {
+        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        let max_tokens = self.bytes_per_s * cfg.burst_s;
+        self.tokens =
+            (self.tokens + passed * self.bytes_per_s * cfg.sustained_share).min(max_tokens);
     }
 }
 
@@ -156,8 +166,8 @@
         links
     }
 
-    /// A storm sends long dossiers over a thin link. What callers of the other services notice is
-    /// that their answers are late.
+    /// Guards against a surge of large requests that saturates a link and delays the answers of all
+    /// services.
     #[test]
     fn no_second_carries_more_than_the_share() {
         let mut links = links(4);
@@ -168,25 +178,25 @@
                 sent.push(i);
             }
         }
-        let most = (0..4_000)
+        let max_count = (0..4_000)
             .map(|from| {
                 sent.iter()
                     .filter(|i| (from..from + 1_000).contains(*i))
                     .count()
             })
             .max();
-        assert!((18..=25).contains(&most.unwrap()), "{most:?}");
+        assert!((18..=25).contains(&max_count.unwrap()), "{max_count:?}");
     }
 
     #[test]
-    fn a_region_without_a_link_gets_nothing() {
+    fn nothing_is_sent_to_a_region_without_a_link() {
         assert!(!links(1).allows(MS * 1_000, &"c".into(), 1));
     }
 
-    /// A link's members are seen to leave when a partition hides them. They go on using their
-    /// share; taking it over at once would overfill the link.
+    /// Guards against overloading a link during a partition: the VMs that this one no longer sees
+    /// still use their shares.
     #[test]
-    fn a_member_that_went_unseen_keeps_its_share() {
+    fn a_member_that_is_not_seen_keeps_its_share() {
         let mut links = links(4);
         links.set(MS * 10_000, &"b".into(), 1_000_000, 1);
         assert!(!links.allows(MS * 20_000, &"b".into(), 100_000));
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -5,25 +5,25 @@
 //! so each decision can be tested in virtual time. The entry process and the load model run the
 //! same code behind [`policy::Policy`].
 
-pub mod across;
 pub mod admission;
 pub mod affinity;
 pub mod caps;
 pub mod cold;
-pub mod comeback;
 pub mod crashes;
+pub mod cross_az;
 pub mod declines;
 pub mod departures;
 pub mod dispatch;
 pub mod drain;
 pub mod ejection;
+pub mod entry_selection;
 pub mod grants;
 pub mod hedge;
+pub mod idle_limit;
 pub mod limit;
 pub mod links;
 pub mod members;
 pub mod naive;
-pub mod nearby;
 pub mod note;
 pub mod orders;
 pub mod placement;
@@ -38,8 +38,8 @@
 pub mod range;
 pub mod regions;
 pub mod resend;
-pub mod rest;
 pub mod retry;
+pub mod retry_delay;
 pub mod serve;
 pub mod split;
 pub mod trust;
--- a/src/decisions/policy.rs
+++ b/src/decisions/policy.rs
@@ -6,7 +6,7 @@
 
 use std::time;
 
-use super::{across, note, quarantine};
+use super::{cross_az, note, quarantine};
 use crate::id;
 
 /// A point in time, as the time since the process started.
@@ -215,17 +215,17 @@
     );
 
     /// The limits on sends to other availability zones, if the policy sends any.
-    fn across(&mut self) -> Option<&mut across::Across> {
+    fn cross_az(&mut self) -> Option<&mut cross_az::CrossAzRouter> {
         None
     }
 
     /// Request fingerprints quarantined since the last call, for other VMs.
-    fn bans(&mut self, _now: Moment) -> Vec<quarantine::Entry> {
+    fn bans(&mut self, _now: Moment) -> Vec<quarantine::Ban> {
         Vec::new()
     }
 
     /// Adds a quarantine entry from another VM.
-    fn ban(&mut self, _now: Moment, _entry: quarantine::Entry) {}
+    fn ban(&mut self, _now: Moment, _entry: quarantine::Ban) {}
 
     /// Decisions since the last call that are not actions, for the logs.
     fn notes(&mut self) -> Vec<note::Note> {
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -6,7 +6,7 @@
 use std::path;
 use std::time;
 
-use crate::decisions::{nearby, quota, resend};
+use crate::decisions::{entry_selection, quota, resend};
 use crate::{error, gateway, id};
 
 use super::names;
@@ -124,7 +124,7 @@
             "quota_window_s",
             defaults.quota.window.as_secs_f64(),
         )),
-        over: bound("quota_over", defaults.quota.over),
+        overshoot_ratio: bound("quota_over", defaults.quota.overshoot_ratio),
         slack: bound("quota_slack", defaults.quota.slack),
     };
     let grace = bound("grace_s", defaults.grace.as_secs_f64());
@@ -136,7 +136,7 @@
             az: file.zone.as_str().into(),
             regions,
             front,
-            capacity: nearby::Capacity {
+            capacity: entry_selection::Capacity {
                 cores: file.limits.cpu_share * file.limits.cores,
                 link_mbps: file.limits.link_mbps,
             },
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -5,7 +5,8 @@
 
 use bulrushwind::coordination::{listing, mirror};
 use bulrushwind::decisions::{
-    affinity, cold, comeback, crashes, nearby, precedence, regions, resend, split, warming,
+    affinity, cold, crashes, entry_selection, precedence, regions, resend, retry_delay, split,
+    warming,
 };
 use bulrushwind::{id, protocol};
 use rand::{RngExt, SeedableRng};
@@ -250,7 +251,7 @@
         if let Some(i) = chosen {
             fleet.run(now, i, object);
         } else if !read {
-            precedence.refused(secs(now / 1000.0));
+            precedence.urgent_refused(secs(now / 1000.0));
         }
         let count = &mut counts[usize::from(!read)];
         count[0] += 1.0;
@@ -306,12 +307,12 @@
     };
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let vms = 8;
-    let mut budgets = vec![resend::Resends::default(); vms];
+    let mut budgets = vec![resend::ResendBudget::default(); vms];
     let (mut requests, mut second) = (Vec::new(), Vec::new());
     for n in 0..20_000 {
         let now = secs(f64::from(n) * 0.002);
         let budget = &mut budgets[rng.random_range(0..vms)];
-        budget.request(&bound, now);
+        budget.count_request(&bound, now);
         requests.push(now);
         for _ in 0..rng.random_range(0..3) {
             if budget.take(&bound, now, vms) {
@@ -482,14 +483,19 @@
     );
 }
 
-fn entry(near: bool, az: &id::AzId, requests: u32, told: u64) -> nearby::Entry<'_, u64> {
-    nearby::Entry {
-        near,
+fn entry(
+    in_region: bool,
+    az: &id::AzId,
+    requests_per_s: u32,
+    value: u64,
+) -> entry_selection::Candidate<'_, u64> {
+    entry_selection::Candidate {
+        in_region,
         az,
-        requests,
+        requests_per_s,
         busy: false,
-        hash: told,
-        told,
+        hash: value,
+        value,
     }
 }
 
@@ -507,12 +513,27 @@
     ];
     let beyond = (40..60).map(|n| entry(false, &far, 9000, n));
     let all: Vec<_> = small.chain(beyond).chain(large).collect();
-    assert_eq!(nearby::told(nearby::LEAST, all.iter().copied()), [1, 3]);
-    let only_far = all.iter().copied().filter(|e| !e.near);
-    assert_eq!(nearby::told(nearby::LEAST, only_far), [40, 41]);
+    assert_eq!(
+        entry_selection::select(entry_selection::DEFAULT_VM_COUNT, all.iter().copied()),
+        [1, 3]
+    );
+    let only_far = all.iter().copied().filter(|e| !e.in_region);
+    assert_eq!(
+        entry_selection::select(entry_selection::DEFAULT_VM_COUNT, only_far),
+        [40, 41]
+    );
     let one_zone = all.iter().copied().filter(|e| *e.az == a);
-    assert_eq!(nearby::told(nearby::LEAST, one_zone), [1, 2]);
-    assert!(nearby::told(nearby::LEAST, std::iter::empty::<nearby::Entry<'_, u64>>()).is_empty());
+    assert_eq!(
+        entry_selection::select(entry_selection::DEFAULT_VM_COUNT, one_zone),
+        [1, 2]
+    );
+    assert!(
+        entry_selection::select(
+            entry_selection::DEFAULT_VM_COUNT,
+            std::iter::empty::<entry_selection::Candidate<'_, u64>>()
+        )
+        .is_empty()
+    );
 }
 
 /// More callers arrive than two VMs can serve, and leave again. With no further VMs advertised,
@@ -520,18 +541,21 @@
 /// good, answers would be late because load is spread too thinly.
 #[test]
 fn more_entry_vms_are_advertised_while_others_are_busy() {
-    let capacity = nearby::Capacity {
+    let capacity = entry_selection::Capacity {
         cores: 0.5,
         link_mbps: 200.0,
     };
     let az = "a".into();
-    let mut busy = [nearby::Busy::default(); 20];
+    let mut busy = [entry_selection::Busy::default(); 20];
     let mut step = |crowd: f64| {
-        let all = busy.iter().zip(0..).map(|(busy, n)| nearby::Entry {
-            busy: busy.get(),
-            ..entry(true, &az, capacity.requests(), n)
-        });
-        let told = nearby::told(nearby::LEAST, all);
+        let all = busy
+            .iter()
+            .zip(0..)
+            .map(|(busy, n)| entry_selection::Candidate {
+                busy: busy.get(),
+                ..entry(true, &az, capacity.requests_per_s(), n)
+            });
+        let told = entry_selection::select(entry_selection::DEFAULT_VM_COUNT, all);
         let each = crowd / told.len() as f64;
         for (n, busy) in busy.iter_mut().enumerate() {
             let part = if told.contains(&(n as u64)) {
@@ -539,9 +563,9 @@
             } else {
                 0.0
             };
-            busy.step(capacity.used(part, part * 5_000.0));
+            busy.update(capacity.utilization(part, part * 5_000.0));
         }
-        (told.len(), capacity.used(each, each * 5_000.0))
+        (told.len(), capacity.utilization(each, each * 5_000.0))
     };
     let crowded: Vec<(usize, f64)> = (0..40).map(|_| step(12_000.0)).collect();
     let (told, used) = crowded[39];
@@ -552,7 +576,7 @@
         "the number of VMs stabilizes"
     );
     let calm: Vec<(usize, f64)> = (0..40).map(|_| step(500.0)).collect();
-    assert_eq!(calm[39].0, nearby::LEAST);
+    assert_eq!(calm[39].0, entry_selection::DEFAULT_VM_COUNT);
 }
 
 /// Simulates one backend server with three slots and cold caches, and random requests for twelve
@@ -634,11 +658,11 @@
 #[test]
 fn retry_delays_are_spread_and_within_the_deadline() {
     let left = secs(2.0);
-    let at = |jitter| comeback::after(secs(0.4), left, jitter);
+    let at = |jitter| retry_delay::after(secs(0.4), left, jitter);
     assert!(at(0.9) - at(0.1) > secs(0.2));
     assert!(at(1.0) <= left / 3);
-    assert!(comeback::after(secs(60.0), left, 1.0) <= left / 3);
-    assert!(comeback::after(secs(0.0), left, 0.0) > time::Duration::ZERO);
+    assert!(retry_delay::after(secs(60.0), left, 1.0) <= left / 3);
+    assert!(retry_delay::after(secs(0.0), left, 0.0) > time::Duration::ZERO);
 }
 
 /// A request crashes each backend server that runs it, and its caller retries through other entry
@@ -650,18 +674,18 @@
     for n in 0..3_u64 {
         let backend = format!("i-{n}");
         let (seen_by, now) = (n as usize, secs(n as f64 * 5.0));
-        vms[seen_by].lost(now, bad, &backend);
-        vms[seen_by].lost(now, 100 + n, &backend);
+        vms[seen_by].connection_broke(now, bad, &backend);
+        vms[seen_by].connection_broke(now, 100 + n, &backend);
         assert!(!vms[7].is_banned(bad));
-        for fingerprint in vms[seen_by].refused(now + secs(0.3), &backend) {
+        for fingerprint in vms[seen_by].connection_refused(now + secs(0.3), &backend) {
             vms.iter_mut().for_each(|vm| {
-                vm.learn(fingerprint, &backend);
+                vm.add_crash(fingerprint, &backend);
             });
         }
     }
     assert!(vms.iter().all(|vm| vm.is_banned(bad)));
     assert!((100..103).all(|innocent| !vms[0].is_banned(innocent)));
-    assert!(vms[0].forget(bad, "i-0"));
+    assert!(vms[0].remove_crash(bad, "i-0"));
     assert!(
         !vms[0].is_banned(bad),
         "the request may run after its ban is lifted"
@@ -674,11 +698,14 @@
 fn a_broken_connection_alone_is_no_crash() {
     let mut crashes = crashes::Crashes::default();
     for n in 0..10 {
-        crashes.lost(secs(f64::from(n)), 7, "i-1");
+        crashes.connection_broke(secs(f64::from(n)), 7, "i-1");
     }
-    assert_eq!(crashes.refused(secs(30.0), "i-1"), Vec::<u64>::new());
-    crashes.lost(secs(31.0), 7, "i-1");
-    assert!(crashes.refused(secs(31.1), "i-2").is_empty());
+    assert_eq!(
+        crashes.connection_refused(secs(30.0), "i-1"),
+        Vec::<u64>::new()
+    );
+    crashes.connection_broke(secs(31.0), 7, "i-1");
+    assert!(crashes.connection_refused(secs(31.1), "i-2").is_empty());
 }
 
 fn names(n: usize) -> Vec<id::VmId> {
