--- a/src/decisions/affinity.rs
+++ b/src/decisions/affinity.rs
@@ -52,7 +52,8 @@
     /// The load of the first position at which it accepts no more, in requests per slot. A request
     /// behind 2.5 requests per slot would wait for 1.5 service times and be late; when refused
     /// instead, its caller retries after part of the queue has drained.
-    pub most: f64,
+    #[serde(rename = "most")]
+    pub max_load: f64,
     /// The load, in requests per slot, at which a replica that has not handled the object recently
     /// accepts no more. Only a free slot justifies another cold run: with a bound of 2.5 requests
     /// per slot, caches stay cold for ten seconds after two availability zones of six are lost.
@@ -70,8 +71,8 @@
     /// first fills up before an object is handled cold elsewhere.
     #[serde(rename = "further")]
     pub further_cost: f64,
-    /// The factor on [`Self::most`] for low-priority requests: half a request per slot stays free
-    /// for more urgent ones.
+    /// The factor on [`Self::max_load`] for low-priority requests: half a request per slot stays
+    /// free for more urgent ones.
     #[serde(rename = "behind")]
     pub low_priority_factor: f64,
 }
@@ -81,7 +82,7 @@
         Self {
             by_object: true,
             second_cost: 2.0,
-            most: 2.5,
+            max_load: 2.5,
             max_cold_load: 1.0,
             recent_cost: 0.34,
             max_objects: 4,
@@ -95,7 +96,7 @@
     /// Returns an error for the first threshold that is out of range.
     pub fn check(&self) -> Result<(), range::Error> {
         range::check("affinity.second", self.second_cost, 0.0..=10.0)?;
-        range::check("affinity.most", self.most, 0.1..=10.0)?;
+        range::check("affinity.most", self.max_load, 0.1..=10.0)?;
         range::check("affinity.spill", self.max_cold_load, 0.0..=10.0)?;
         range::check("affinity.known", self.recent_cost, 0.0..=10.0)?;
         range::check("affinity.further", self.further_cost, 0.0..=10.0)?;
@@ -166,8 +167,8 @@
 /// Returns the index into `candidates` of the backend server to send to; `None` if none has room.
 pub fn pick(cfg: &Config, want: &Want, candidates: &[Candidate]) -> Option<usize> {
     let max_load = match want.behind {
-        true => cfg.most * cfg.low_priority_factor,
-        false => cfg.most,
+        true => cfg.max_load * cfg.low_priority_factor,
+        false => cfg.max_load,
     };
     match want.key.filter(|_| cfg.by_object) {
         Some(key) => pick_by_object(cfg, key, max_load, want.among, candidates),
--- a/src/decisions/ejection.rs
+++ b/src/decisions/ejection.rs
@@ -21,13 +21,18 @@
 pub struct Config {
     /// Failed answers or timeouts in a row that eject. At three, and with one answer in a hundred
     /// failing by chance, a false ejection happens once in a million.
-    pub in_a_row: u32,
+    #[serde(rename = "in_a_row")]
+    pub consecutive_failures: u32,
     /// Broken or refused connections in a row that eject. One may be a closed idle connection.
-    pub broken_in_a_row: u32,
-    /// The ratio of failures among the last [`Self::window`] answers above which it is ejected.
-    pub share: f64,
+    #[serde(rename = "broken_in_a_row")]
+    pub consecutive_breaks: u32,
+    /// The ratio of failures among the last [`Self::window_answers`] answers above which it is
+    /// ejected.
+    #[serde(rename = "share")]
+    pub max_failure_ratio: f64,
     /// The number of answers that the failure ratio covers.
-    pub window: f64,
+    #[serde(rename = "window")]
+    pub window_answers: f64,
     /// The maximum share of backend servers that may be ejected as outliers.
     #[serde(rename = "max_out")]
     pub max_ejected_share: f64,
@@ -40,20 +45,21 @@
     #[serde(rename = "longest")]
     pub max_ejection_time: time::Duration,
     /// Answers in a row that end a trial.
-    pub trial: u32,
+    #[serde(rename = "trial")]
+    pub trial_answers: u32,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            in_a_row: 3,
-            broken_in_a_row: 2,
-            share: 0.5,
-            window: 20.0,
+            consecutive_failures: 3,
+            consecutive_breaks: 2,
+            max_failure_ratio: 0.5,
+            window_answers: 20.0,
             max_ejected_share: 0.5,
             min_ejection_time: time::Duration::from_millis(500),
             max_ejection_time: time::Duration::from_secs(20),
-            trial: 5,
+            trial_answers: 5,
         }
     }
 }
@@ -61,11 +67,15 @@
 impl Config {
     /// Returns an error for the first threshold that is out of range.
     pub fn check(&self) -> Result<(), range::Error> {
-        range::check("ejection.in_a_row", f64::from(self.in_a_row), 1.0..=100.0)?;
-        let broken = f64::from(self.broken_in_a_row);
+        range::check(
+            "ejection.in_a_row",
+            f64::from(self.consecutive_failures),
+            1.0..=100.0,
+        )?;
+        let broken = f64::from(self.consecutive_breaks);
         range::check("ejection.broken_in_a_row", broken, 1.0..=100.0)?;
-        range::check("ejection.share", self.share, 0.05..=1.0)?;
-        range::check("ejection.window", self.window, 2.0..=10_000.0)?;
+        range::check("ejection.share", self.max_failure_ratio, 0.05..=1.0)?;
+        range::check("ejection.window", self.window_answers, 2.0..=10_000.0)?;
         range::check("ejection.max_out", self.max_ejected_share, 0.0..=0.9)?;
         range::check(
             "ejection.first",
@@ -74,7 +84,11 @@
         )?;
         let longest = self.max_ejection_time.as_secs_f64();
         range::check("ejection.longest", longest, 0.05..=600.0)?;
-        range::check("ejection.trial", f64::from(self.trial), 1.0..=1_000.0)
+        range::check(
+            "ejection.trial",
+            f64::from(self.trial_answers),
+            1.0..=1_000.0,
+        )
     }
 }
 
@@ -126,14 +140,14 @@
 
     /// Records an answer. Returns whether it ended a trial.
     pub fn answered(&mut self, cfg: &Config) -> bool {
-        self.failure_ratio -= self.failure_ratio / cfg.window;
+        self.failure_ratio -= self.failure_ratio / cfg.window_answers;
         self.failures_in_a_row = 0;
         self.breaks_in_a_row = 0;
         self.answers_in_a_row += 1;
-        if self.answers_in_a_row >= cfg.window as u32 {
+        if self.answers_in_a_row >= cfg.window_answers as u32 {
             self.ejections = 0;
         }
-        if self.state != State::Trial || self.answers_in_a_row < cfg.trial {
+        if self.state != State::Trial || self.answers_in_a_row < cfg.trial_answers {
             return false;
         }
         self.state = State::In;
@@ -143,11 +157,14 @@
 
     /// Records a failed answer or a timeout. Returns whether to eject it as an outlier.
     pub fn failed(&mut self, cfg: &Config) -> bool {
-        self.failure_ratio += (1.0 - self.failure_ratio) / cfg.window;
+        self.failure_ratio += (1.0 - self.failure_ratio) / cfg.window_answers;
         self.failures_in_a_row += 1;
         self.answers_in_a_row = 0;
         match self.state {
-            State::In => self.failures_in_a_row >= cfg.in_a_row || self.failure_ratio > cfg.share,
+            State::In => {
+                self.failures_in_a_row >= cfg.consecutive_failures
+                    || self.failure_ratio > cfg.max_failure_ratio
+            }
             State::Trial => true,
             State::Out { .. } => false,
         }
@@ -158,7 +175,7 @@
         self.breaks_in_a_row += 1;
         self.answers_in_a_row = 0;
         match self.state {
-            State::In => self.breaks_in_a_row >= cfg.broken_in_a_row,
+            State::In => self.breaks_in_a_row >= cfg.consecutive_breaks,
             State::Trial => true,
             State::Out { .. } => false,
         }
--- a/src/decisions/regions.rs
+++ b/src/decisions/regions.rs
@@ -37,7 +37,8 @@
     pub max_step: f64,
     /// The interval between steps.
     #[serde(with = "range::seconds")]
-    pub every: time::Duration,
+    #[serde(rename = "every")]
+    pub step_interval: time::Duration,
 }
 
 impl Default for Config {
@@ -47,7 +48,7 @@
             high_load: 2.0,
             low_load: 0.45,
             max_step: 0.005,
-            every: time::Duration::from_millis(500),
+            step_interval: time::Duration::from_millis(500),
         }
     }
 }
--- a/src/gateway/beliefs.rs
+++ b/src/gateway/beliefs.rs
@@ -361,7 +361,7 @@
 
     /// What is due from time to time.
     pub async fn upkeep(self) {
-        let mut every = tokio::time::interval(self.cfg.thresholds.regions.every);
+        let mut every = tokio::time::interval(self.cfg.thresholds.regions.step_interval);
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             every.tick().await;
--- a/src/gateway/thresholds.rs
+++ b/src/gateway/thresholds.rs
@@ -43,11 +43,11 @@
             ejection: ejection::Config {
                 // An object stays with its backend server, so a broken one is noticed by its own
                 // failures and not by its share of the load: ten answers and no more.
-                in_a_row: 3,
-                broken_in_a_row: 1,
-                share: 0.4,
-                window: 10.0,
-                trial: 3,
+                consecutive_failures: 3,
+                consecutive_breaks: 1,
+                max_failure_ratio: 0.4,
+                window_answers: 10.0,
+                trial_answers: 3,
                 ..ejection::Config::default()
             },
             limit: limit::Config::default(),
--- a/tests/gateway/thresholds.rs
+++ b/tests/gateway/thresholds.rs
@@ -11,10 +11,13 @@
     let read = read.unwrap();
     let default = Thresholds::default();
     assert_eq!(read.told, 3);
-    assert_eq!(read.regions.every, time::Duration::from_millis(250));
+    assert_eq!(read.regions.step_interval, time::Duration::from_millis(250));
     assert!(!read.placement.by_object);
-    assert_eq!(read.placement.most, default.placement.most);
-    assert_eq!(read.ejection.in_a_row, default.ejection.in_a_row);
+    assert_eq!(read.placement.max_load, default.placement.max_load);
+    assert_eq!(
+        read.ejection.consecutive_failures,
+        default.ejection.consecutive_failures
+    );
     assert_eq!(
         format!("{:?}", Thresholds::parse("").unwrap()),
         format!("{default:?}")
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -467,7 +467,7 @@
             .map(|(s, v)| s.get() * v.traffic)
             .sum()
     };
-    let window = (2.0 / cfg.every.as_secs_f64()) as usize;
+    let window = (2.0 / cfg.step_interval.as_secs_f64()) as usize;
     let mut last = served(&shares);
     for _ in 0..200 {
         for _ in 0..window {
