--- a/src/decisions/affinity.rs
+++ b/src/decisions/affinity.rs
@@ -32,7 +32,7 @@
 pub const MAX_REPLICAS: usize = 6;
 
 /// The number of backend servers that may handle one object in a small region.
-pub const HELD: usize = 2;
+pub const SMALL_REGION_REPLICAS: usize = 2;
 
 /// Backend servers of a region per replica of an object. In a small region each is first for many
 /// objects, and further replicas, or a queue at the second, would slow these down.
@@ -106,15 +106,15 @@
 
 /// A request to be placed.
 #[derive(Clone, Copy, Debug)]
-pub struct Want {
+pub struct PlacementRequest {
     /// The hash of its object, if it has one.
     pub key: Option<u64>,
     /// Breaks ties between equally loaded backend servers when there is no object.
     pub tie: u64,
     /// Whether the request leaves room for more urgent ones.
-    pub behind: bool,
+    pub low_priority: bool,
     /// The number of the service's backend servers in the region that serves the request.
-    pub among: usize,
+    pub region_backends: usize,
 }
 
 /// A backend server that may get the request.
@@ -129,9 +129,9 @@
     /// It accepts no more from this VM at the moment, but keeps its position in the order.
     pub full: bool,
     /// Whether this VM has recently sent the object there.
-    pub known: bool,
+    pub recently_sent: bool,
     /// The number of objects that this VM has recently sent there.
-    pub objects: usize,
+    pub recent_objects: usize,
 }
 
 impl Candidate {
@@ -152,7 +152,7 @@
 }
 
 /// Maps a hash to a number in `[0, 1)`.
-pub fn unit(hash: u64) -> f64 {
+pub fn unit_interval(hash: u64) -> f64 {
     const BITS: u32 = 53;
     (hash >> (u64::BITS - BITS)) as f64 / (1_u64 << BITS) as f64
 }
@@ -160,19 +160,19 @@
 /// The weighted rendezvous score of a backend server for an object. A backend server of weight 2
 /// scores highest for twice as many objects as one of weight 1.
 pub fn rank(key: u64, candidate: u64, weight: f64) -> f64 {
-    let u = unit(mix(key, candidate)).max(f64::MIN_POSITIVE);
+    let u = unit_interval(mix(key, candidate)).max(f64::MIN_POSITIVE);
     -weight.max(f64::MIN_POSITIVE) / u.ln()
 }
 
 /// Returns the index into `candidates` of the backend server to send to; `None` if none has room.
-pub fn pick(cfg: &Config, want: &Want, candidates: &[Candidate]) -> Option<usize> {
-    let max_load = match want.behind {
+pub fn pick(cfg: &Config, request: &PlacementRequest, candidates: &[Candidate]) -> Option<usize> {
+    let max_load = match request.low_priority {
         true => cfg.max_load * cfg.low_priority_factor,
         false => cfg.max_load,
     };
-    match want.key.filter(|_| cfg.by_object) {
-        Some(key) => pick_by_object(cfg, key, max_load, want.among, candidates),
-        None => least_loaded(want.tie, max_load, candidates),
+    match request.key.filter(|_| cfg.by_object) {
+        Some(key) => pick_by_object(cfg, key, max_load, request.region_backends, candidates),
+        None => least_loaded(request.tie, max_load, candidates),
     }
 }
 
@@ -180,13 +180,14 @@
     cfg: &Config,
     key: u64,
     max_load: f64,
-    among: usize,
+    region_backends: usize,
     candidates: &[Candidate],
 ) -> Option<usize> {
-    let replicas = (among / BACKENDS_PER_REPLICA).clamp(HELD, MAX_REPLICAS);
+    let replicas =
+        (region_backends / BACKENDS_PER_REPLICA).clamp(SMALL_REGION_REPLICAS, MAX_REPLICAS);
     let limits = LoadLimits {
         first: max_load,
-        recent: if replicas > HELD {
+        recent: if replicas > SMALL_REGION_REPLICAS {
             max_load
         } else {
             cfg.max_cold_load
@@ -215,15 +216,15 @@
     if position == 0 {
         return (load < limits.first).then_some(load);
     }
-    if candidate.known {
+    if candidate.recently_sent {
         return (load < limits.recent).then_some(load + cfg.recent_cost);
     }
     if load >= cfg.max_cold_load {
         return None;
     }
-    match position < HELD {
+    match position < SMALL_REGION_REPLICAS {
         true => Some(load + cfg.second_cost),
-        false => (candidate.objects < cfg.max_objects).then_some(load + cfg.further_cost),
+        false => (candidate.recent_objects < cfg.max_objects).then_some(load + cfg.further_cost),
     }
 }
 
--- a/src/decisions/regions.rs
+++ b/src/decisions/regions.rs
@@ -125,7 +125,7 @@
     pub fn moves(&self, key: u64) -> bool {
         /// Keeps this hash independent of the one that ranks backend servers.
         const SALT: u64 = 0x7265_6769_6f6e;
-        affinity::unit(affinity::mix(key, SALT)) < self.get()
+        affinity::unit_interval(affinity::mix(key, SALT)) < self.get()
     }
 
     /// Moves the share towards its target for `view`, by at most `allowed` of the service's
--- a/src/decisions/split.rs
+++ b/src/decisions/split.rs
@@ -33,7 +33,7 @@
             self.counts = vec![0.0; weights.len()];
         }
         let sum: f64 = weights.iter().sum::<f64>().max(f64::MIN_POSITIVE);
-        let preferred = part_at(weights, affinity::unit(point) * sum);
+        let preferred = part_at(weights, affinity::unit_interval(point) * sum);
         let chosen = self.corrected(weights, sum, preferred);
         self.counts.iter_mut().for_each(|n| *n *= COUNT_DECAY);
         if let Some(n) = self.counts.get_mut(chosen) {
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -197,15 +197,15 @@
     ) -> Option<Result<id::VmId, Nowhere>> {
         let few = self.few(side, need);
         let backends = self.backends.borrow();
-        let among = backends.count_on(need.service, side);
+        let region_backends = backends.count_on(need.service, side);
         let listed = few.iter().filter_map(|name| backends.get(name));
         let in_order = self.in_order(listed, need, now).in_order;
-        if in_order.len() >= affinity::HELD {
-            return Some(self.pick(&in_order, among, need, now));
+        if in_order.len() >= affinity::SMALL_REGION_REPLICAS {
+            return Some(self.pick(&in_order, region_backends, need, now));
         }
         let all = self.in_order(backends.on(need.service, side), need, now);
         all.usable
-            .then(|| self.pick(&all.in_order, among, need, now))
+            .then(|| self.pick(&all.in_order, region_backends, need, now))
     }
 
     /// Those among which the choice lies as a rule: the first of the object's order, or some drawn
@@ -238,7 +238,7 @@
     fn pick(
         &self,
         in_order: &[&backends::Backend],
-        among: usize,
+        region_backends: usize,
         need: &Need<'_>,
         now: policy::Moment,
     ) -> Result<id::VmId, Nowhere> {
@@ -250,17 +250,18 @@
                 slots: f64::from(b.listed.slots),
                 load: b.load(now),
                 full: b.in_flight as usize >= b.limit.shared(limit, now, self.alone.get()),
-                known: need.key.is_some_and(|key| b.warming.has(now, key)),
-                objects: b.warming.objects(),
+                recently_sent: need.key.is_some_and(|key| b.warming.has(now, key)),
+                recent_objects: b.warming.objects(),
             })
             .collect();
-        let want = affinity::Want {
+        let request = affinity::PlacementRequest {
             key: need.key,
             tie: self.jitter().to_bits(),
-            among,
-            behind: need.behind && self.with_desk(need.service, |desk| desk.precedence.yields(now)),
+            region_backends,
+            low_priority: need.behind
+                && self.with_desk(need.service, |desk| desk.precedence.yields(now)),
         };
-        affinity::pick(&self.cfg.thresholds.placement, &want, &candidates)
+        affinity::pick(&self.cfg.thresholds.placement, &request, &candidates)
             .map(|i| in_order[i].id.clone())
             .ok_or(Nowhere::Full)
     }
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -88,18 +88,18 @@
                 slots: SLOTS as f64,
                 load: backends[*i].ends.len() as f64,
                 full: backends[*i].ends.iter().filter(|(_, by)| *by == vm).count() >= LIMIT,
-                known: known[vm][*i].has(moment, key),
-                objects: known[vm][*i].objects(),
+                recently_sent: known[vm][*i].has(moment, key),
+                recent_objects: known[vm][*i].objects(),
             })
             .collect();
-        let want = affinity::Want {
+        let request = affinity::PlacementRequest {
             key: Some(key),
             tie: 0,
-            behind: false,
-            among: n,
+            low_priority: false,
+            region_backends: n,
         };
         results.requests += 1.0;
-        let Some(at) = affinity::pick(cfg, &want, &candidates) else {
+        let Some(at) = affinity::pick(cfg, &request, &candidates) else {
             results.refused += 1.0;
             continue;
         };
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -23,18 +23,18 @@
             slots: 3.0,
             load: 0.0,
             full: false,
-            known: false,
-            objects: Fleet::CACHED_OBJECTS,
+            recently_sent: false,
+            recent_objects: Fleet::CACHED_OBJECTS,
         })
         .collect()
 }
 
-fn want(key: Option<u64>) -> affinity::Want {
-    affinity::Want {
+fn request(key: Option<u64>) -> affinity::PlacementRequest {
+    affinity::PlacementRequest {
         key,
         tie: 0,
-        behind: false,
-        among: 12,
+        low_priority: false,
+        region_backends: 12,
     }
 }
 
@@ -103,14 +103,14 @@
     for n in 0..8000 {
         let now = f64::from(n) * 1000.0 / PER_S;
         let object = rng.random_range(0..OBJECTS);
-        let want = affinity::Want {
+        let request = affinity::PlacementRequest {
             key: by_object.then(|| affinity::hash(&object.to_le_bytes())),
             tie: rng.random(),
-            behind: false,
-            among: 12,
+            low_priority: false,
+            region_backends: 12,
         };
         sent += 1.0;
-        if let Some(i) = affinity::pick(&cfg, &want, fleet.candidates_at(now))
+        if let Some(i) = affinity::pick(&cfg, &request, fleet.candidates_at(now))
             && fleet.run(now, i, object)
         {
             in_time += 1.0;
@@ -162,7 +162,7 @@
 #[test]
 fn a_cold_fleet_warms_up_after_a_surge() {
     let cfg = affinity::Config::default();
-    let ours = play_after_surge(|key, all| affinity::pick(&cfg, &want(Some(key)), all));
+    let ours = play_after_surge(|key, all| affinity::pick(&cfg, &request(Some(key)), all));
     let before = play_after_surge(place_anywhere);
     // With this seed the shares are 0.000 and 0.936.
     assert!(before < 0.5, "wherever there is room: {before}");
@@ -186,8 +186,8 @@
     let cfg = affinity::Config::default();
     for object in 0..500_u64 {
         let key = Some(affinity::hash(&object.to_le_bytes()));
-        let before = affinity::pick(&cfg, &want(key), &all).unwrap();
-        let after = affinity::pick(&cfg, &want(key), &fewer).unwrap();
+        let before = affinity::pick(&cfg, &request(key), &all).unwrap();
+        let after = affinity::pick(&cfg, &request(key), &fewer).unwrap();
         if before != 0 {
             assert_eq!(before, after + 1);
         }
@@ -201,16 +201,16 @@
     let cfg = affinity::Config::default();
     let mut all = candidates(4);
     let key = Some(affinity::hash(b"busy"));
-    let first = affinity::pick(&cfg, &want(key), &all).unwrap();
+    let first = affinity::pick(&cfg, &request(key), &all).unwrap();
     all[first].load = 3.0 * 2.5;
-    let second = affinity::pick(&cfg, &want(key), &all).unwrap();
+    let second = affinity::pick(&cfg, &request(key), &all).unwrap();
     assert_ne!(first, second);
     all[first].load = 3.0;
-    assert_eq!(affinity::pick(&cfg, &want(key), &all), Some(first));
+    assert_eq!(affinity::pick(&cfg, &request(key), &all), Some(first));
     // On any other backend server, even an idle one, it would evict another object.
     all[second].load = 3.0;
     all[first].load = 3.0 * 2.5;
-    assert_eq!(affinity::pick(&cfg, &want(key), &all), None);
+    assert_eq!(affinity::pick(&cfg, &request(key), &all), None);
 }
 
 /// A backend server has just refused a request. If its objects moved to the third position for the
@@ -220,11 +220,11 @@
     let cfg = affinity::Config::default();
     let mut all = candidates(6);
     let key = Some(affinity::hash(b"object"));
-    let first = affinity::pick(&cfg, &want(key), &all).unwrap();
+    let first = affinity::pick(&cfg, &request(key), &all).unwrap();
     all[first].full = true;
-    let second = affinity::pick(&cfg, &want(key), &all).unwrap();
+    let second = affinity::pick(&cfg, &request(key), &all).unwrap();
     all[second].load = 3.0;
-    assert_eq!(affinity::pick(&cfg, &want(key), &all), None);
+    assert_eq!(affinity::pick(&cfg, &request(key), &all), None);
 }
 
 /// A service gets twice the load that it can answer, one request in five a booking. Without
@@ -241,13 +241,13 @@
         let now = f64::from(n) * 8.0;
         let object: u64 = rng.random_range(0..40);
         let read = rng.random_range(0..5) > 0;
-        let want = affinity::Want {
+        let request = affinity::PlacementRequest {
             key: Some(affinity::hash(&object.to_le_bytes())),
             tie: 0,
-            behind: read && precedence.yields(secs(now / 1000.0)),
-            among: 4,
+            low_priority: read && precedence.yields(secs(now / 1000.0)),
+            region_backends: 4,
         };
-        let chosen = affinity::pick(&cfg, &want, fleet.candidates_at(now));
+        let chosen = affinity::pick(&cfg, &request, fleet.candidates_at(now));
         if let Some(i) = chosen {
             fleet.run(now, i, object);
         } else if !read {
@@ -268,8 +268,11 @@
     all.iter_mut().for_each(|c| c.load = 2.0);
     all[3].load = 1.0;
     for tie in 0..50 {
-        let want = affinity::Want { tie, ..want(None) };
-        let picked = affinity::pick(&affinity::Config::default(), &want, &all);
+        let request = affinity::PlacementRequest {
+            tie,
+            ..request(None)
+        };
+        let picked = affinity::pick(&affinity::Config::default(), &request, &all);
         assert_eq!(picked, Some(3));
     }
 }
