--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -452,7 +452,7 @@
             .filter(|(_, m)| !m.healthy(&self.cfg.members, now))
             .count();
         let should_eject = self.members[i].health.failed(cfg);
-        if should_eject && ejection::room(cfg, self.members.len(), unhealthy) {
+        if should_eject && ejection::may_eject_outlier(cfg, self.members.len(), unhealthy) {
             self.members[i].health.eject(cfg, now, false);
             let vm = self.members[i].id.clone();
             self.notes.push(note::Note::Ejected { vm, down: false });
--- a/src/decisions/ejection.rs
+++ b/src/decisions/ejection.rs
@@ -96,11 +96,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// It gets requests.
-    In,
+    Active,
     /// It gets a few reads, one at a time, to check whether it has recovered.
     Trial,
     /// It gets no requests.
-    Out {
+    Ejected {
         /// When a probe may be sent.
         until: policy::Moment,
         /// Whether it refuses or breaks connections.
@@ -122,7 +122,7 @@
 impl Default for Health {
     fn default() -> Self {
         Self {
-            state: State::In,
+            state: State::Active,
             failure_ratio: 0.0,
             failures_in_a_row: 0,
             breaks_in_a_row: 0,
@@ -150,7 +150,7 @@
         if self.state != State::Trial || self.answers_in_a_row < cfg.trial_answers {
             return false;
         }
-        self.state = State::In;
+        self.state = State::Active;
         self.failure_ratio = 0.0;
         true
     }
@@ -161,12 +161,12 @@
         self.failures_in_a_row += 1;
         self.answers_in_a_row = 0;
         match self.state {
-            State::In => {
+            State::Active => {
                 self.failures_in_a_row >= cfg.consecutive_failures
                     || self.failure_ratio > cfg.max_failure_ratio
             }
             State::Trial => true,
-            State::Out { .. } => false,
+            State::Ejected { .. } => false,
         }
     }
 
@@ -175,9 +175,9 @@
         self.breaks_in_a_row += 1;
         self.answers_in_a_row = 0;
         match self.state {
-            State::In => self.breaks_in_a_row >= cfg.consecutive_breaks,
+            State::Active => self.breaks_in_a_row >= cfg.consecutive_breaks,
             State::Trial => true,
-            State::Out { .. } => false,
+            State::Ejected { .. } => false,
         }
     }
 
@@ -188,22 +188,22 @@
         // The ejection time does not grow while it is down: a longer wait gives no information.
         self.ejections += u32::from(!down);
         self.answers_in_a_row = 0;
-        self.state = State::Out { until, down };
+        self.state = State::Ejected { until, down };
     }
 
     /// Whether a probe may be sent now.
-    pub fn due(&self, now: policy::Moment) -> bool {
-        matches!(self.state, State::Out { until, .. } if until <= now)
+    pub fn probe_due(&self, now: policy::Moment) -> bool {
+        matches!(self.state, State::Ejected { until, .. } if until <= now)
     }
 
     /// Records the result of a probe. Returns whether a trial has begun.
     pub fn probed(&mut self, cfg: &Config, now: policy::Moment, answered: bool) -> bool {
-        let State::Out { down, .. } = self.state else {
+        let State::Ejected { down, .. } = self.state else {
             return false;
         };
         if !answered {
             let until = now + cfg.min_ejection_time;
-            self.state = State::Out { until, down };
+            self.state = State::Ejected { until, down };
             return false;
         }
         self.failures_in_a_row = 0;
@@ -216,7 +216,7 @@
 
 /// Whether one more of `members` may be ejected as an outlier, while `out` are ejected already for
 /// any cause.
-pub fn room(cfg: &Config, members: usize, out: usize) -> bool {
+pub fn may_eject_outlier(cfg: &Config, members: usize, out: usize) -> bool {
     (out + 1) as f64 <= members as f64 * cfg.max_ejected_share
 }
 
@@ -249,11 +249,11 @@
         let mut ejection_times = Vec::new();
         for _ in 0..3 {
             health.eject(&cfg, NOW, false);
-            let State::Out { until, .. } = health.state() else {
+            let State::Ejected { until, .. } = health.state() else {
                 panic!("the backend server is not ejected");
             };
             ejection_times.push((until - NOW).as_millis());
-            assert!(health.due(until) && health.probed(&cfg, until, true));
+            assert!(health.probe_due(until) && health.probed(&cfg, until, true));
         }
         assert_eq!(ejection_times, [500, 1_000, 2_000]);
     }
@@ -270,6 +270,10 @@
     #[test]
     fn at_most_half_are_ejected_as_outliers() {
         let cfg = Config::default();
-        assert!(room(&cfg, 2, 0) && !room(&cfg, 2, 1) && !room(&cfg, 1, 0));
+        assert!(
+            may_eject_outlier(&cfg, 2, 0)
+                && !may_eject_outlier(&cfg, 2, 1)
+                && !may_eject_outlier(&cfg, 1, 0)
+        );
     }
 }
--- a/src/decisions/members.rs
+++ b/src/decisions/members.rs
@@ -126,7 +126,7 @@
 
     /// Whether it is healthy: not ejected, not on trial and not leaving.
     pub fn healthy(&self, cfg: &Config, now: policy::Moment) -> bool {
-        self.health.state() == ejection::State::In && !self.leaving(cfg, now)
+        self.health.state() == ejection::State::Active && !self.leaving(cfg, now)
     }
 
     /// Whether it is healthy and has answered since connections to it last broke.
@@ -138,12 +138,12 @@
     pub fn max_in_flight(&self, now: policy::Moment, ramping: Option<&ramp::Config>) -> usize {
         let ramp_limit = |cfg| self.ramp.max_in_flight(cfg, self.slots);
         match self.health.state() {
-            ejection::State::In => self
+            ejection::State::Active => self
                 .limit
                 .get(now)
                 .min(ramping.map_or(usize::MAX, ramp_limit)),
             ejection::State::Trial => 1,
-            ejection::State::Out { .. } => 0,
+            ejection::State::Ejected { .. } => 0,
         }
     }
 
--- a/src/decisions/serve.rs
+++ b/src/decisions/serve.rs
@@ -188,7 +188,7 @@
             return;
         };
         let other = &self.members[member];
-        let healthy = other.health.state() == ejection::State::In && other.id != avoid[0];
+        let healthy = other.health.state() == ejection::State::Active && other.id != avoid[0];
         if healthy && self.budget.take() {
             self.send(now, id, member, out);
         }
--- a/src/decisions/upkeep.rs
+++ b/src/decisions/upkeep.rs
@@ -83,8 +83,8 @@
         self.members.iter().position(|member| {
             let idle_slow = view.is_slow(member) && member.in_flight.is_empty();
             let wanted = match member.health.state() {
-                ejection::State::Out { .. } => member.health.due(now),
-                ejection::State::In | ejection::State::Trial => idle_slow,
+                ejection::State::Ejected { .. } => member.health.probe_due(now),
+                ejection::State::Active | ejection::State::Trial => idle_slow,
             };
             wanted && member.probe_state.may_probe(&self.cfg.probe, now)
         })
--- a/src/gateway/beliefs.rs
+++ b/src/gateway/beliefs.rs
@@ -343,10 +343,10 @@
     fn may_eject(&self, backends: &backends::Backends, service: &id::ServiceId) -> bool {
         let out = backends
             .of(service)
-            .filter(|b| b.health.state() != ejection::State::In)
+            .filter(|b| b.health.state() != ejection::State::Active)
             .count();
         let members = backends.of(service).count();
-        ejection::room(&self.cfg.thresholds.ejection, members, out)
+        ejection::may_eject_outlier(&self.cfg.thresholds.ejection, members, out)
     }
 
     /// Writes and counts that a backend server gets no work for a while.
@@ -414,7 +414,10 @@
         let usable = |b: &&backends::Backend| {
             !b.listed.leaving
                 && !evacuated.contains(&b.listed.az)
-                && !matches!(b.health.state(), ejection::State::Out { down: true, .. })
+                && !matches!(
+                    b.health.state(),
+                    ejection::State::Ejected { down: true, .. }
+                )
         };
         let (mut own, mut all, mut load) = (0.0, 0.0, 0.0);
         for backend in backends.of(service).filter(usable) {
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -133,7 +133,7 @@
         let new = need.key.is_some_and(|key| backend.warming.begun(now, key));
         let ahead = backend.load(now);
         backend.in_flight += 1;
-        if backend.health.due(now) {
+        if backend.health.probe_due(now) {
             backend
                 .health
                 .probed(&self.cfg.thresholds.ejection, now, true);
@@ -277,14 +277,14 @@
         if need.tried.contains(&b.id) {
             return false;
         }
-        let out = matches!(b.health.state(), ejection::State::Out { .. });
-        !out || (b.health.due(now) && need.idempotent)
+        let out = matches!(b.health.state(), ejection::State::Ejected { .. });
+        !out || (b.health.probe_due(now) && need.idempotent)
     }
 
     /// Whether it has a place in the order of objects just now. One that is cold or on trial has
     /// one only for a request that it takes at once: its objects go elsewhere meanwhile.
     fn has_place(&self, b: &backends::Backend, need: &Need<'_>, now: policy::Moment) -> bool {
-        let on_trial = b.health.state() != ejection::State::In;
+        let on_trial = b.health.state() != ejection::State::Active;
         if on_trial && (b.in_flight > 0 || !need.idempotent) {
             return false;
         }
