--- a/src/decisions/regions.rs
+++ b/src/decisions/regions.rs
@@ -78,7 +78,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct View {
     /// Slots of the usable backend servers in this region.
-    pub own_slots: f64,
+    pub local_slots: f64,
     /// Slots of all usable backend servers.
     pub all_slots: f64,
     /// This region's share of all callers.
@@ -88,20 +88,20 @@
     /// This service's share of the region's requests.
     pub traffic: f64,
     /// The share of all regions' requests that must run in this region.
-    pub homed_here: f64,
+    pub pinned_here: f64,
     /// The share of all regions' requests that must run in one particular region.
-    pub homed: f64,
+    pub pinned: f64,
 }
 
 impl View {
     /// The share of the movable requests that goes elsewhere according to the slots alone. Requests
     /// that must run in this region take precedence for its slots, wherever their callers are.
     pub fn by_slots(&self, cfg: &Config) -> f64 {
-        if self.own_slots <= 0.0 {
+        if self.local_slots <= 0.0 {
             return 1.0;
         }
-        let room = self.own_slots / self.all_slots.max(1.0) / cfg.slot_surplus - self.homed_here;
-        let movable = self.callers.max(0.01) * (1.0 - self.homed).max(0.01);
+        let room = self.local_slots / self.all_slots.max(1.0) / cfg.slot_surplus - self.pinned_here;
+        let movable = self.callers.max(0.01) * (1.0 - self.pinned).max(0.01);
         (1.0 - room / movable).clamp(0.0, 1.0)
     }
 }
--- a/src/gateway/beliefs.rs
+++ b/src/gateway/beliefs.rs
@@ -438,13 +438,13 @@
             .filter(|r| Some(*r) == self.region.as_ref())
             .count() as f64;
         regions::View {
-            own_slots: own,
+            local_slots: own,
             all_slots: all,
             callers: in_region / zones,
             load: load / f64::max(own, 1.0),
             traffic: self.with_desk(service, |desk| desk.traffic),
-            homed_here: homed.map_or(0.0, |h| h.part(self.region.as_ref())),
-            homed: homed.map_or(0.0, |h| h.all()),
+            pinned_here: homed.map_or(0.0, |h| h.part(self.region.as_ref())),
+            pinned: homed.map_or(0.0, |h| h.all()),
         }
     }
 }
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -364,13 +364,13 @@
 
 fn view(own: f64, load: f64, traffic: f64) -> regions::View {
     regions::View {
-        own_slots: own,
+        local_slots: own,
         all_slots: 36.0,
         callers: 1.0 / 3.0,
         load,
         traffic,
-        homed_here: 0.0,
-        homed: 0.0,
+        pinned_here: 0.0,
+        pinned: 0.0,
     }
 }
 
@@ -379,17 +379,17 @@
 #[test]
 fn a_region_reserves_slots_for_requests_that_must_run_there() {
     let cfg = regions::Config::default();
-    let homed = regions::View {
-        homed_here: 0.1,
-        homed: 0.2,
+    let pinned = regions::View {
+        pinned_here: 0.1,
+        pinned: 0.2,
         ..view(6.0, 0.5, 1.0)
     };
     // Load of this region: requests that must run here, and the local share of the others.
     let load = |view: &regions::View| {
-        let own = view.callers * (1.0 - view.homed) * (1.0 - view.by_slots(&cfg));
-        (view.homed_here + own) / (view.own_slots / view.all_slots)
+        let own = view.callers * (1.0 - view.pinned) * (1.0 - view.by_slots(&cfg));
+        (view.pinned_here + own) / (view.local_slots / view.all_slots)
     };
-    for view in [homed, view(6.0, 0.5, 1.0)] {
+    for view in [pinned, view(6.0, 0.5, 1.0)] {
         assert!(
             (load(&view) - 1.0 / cfg.slot_surplus).abs() < 1e-9,
             "{}",
@@ -397,8 +397,8 @@
         );
     }
     let full = regions::View {
-        homed_here: 0.16,
-        ..homed
+        pinned_here: 0.16,
+        ..pinned
     };
     assert_eq!(full.by_slots(&cfg), 1.0);
 }
