--- a/src/decisions/warming.rs
+++ b/src/decisions/warming.rs
@@ -50,15 +50,15 @@
 
 /// The moving ratio of late answers for objects that are new to this VM, for one service.
 #[derive(Clone, Copy, Debug)]
-pub struct Late(f64);
+pub struct LateRatio(f64);
 
-impl Default for Late {
+impl Default for LateRatio {
     fn default() -> Self {
         Self(1.0)
     }
 }
 
-impl Late {
+impl LateRatio {
     /// Records whether an answer for a new object was late.
     pub fn answered(&mut self, late: bool) {
         /// The weight of one answer: six in time show that caches are warm.
@@ -67,14 +67,14 @@
     }
 
     /// Whether objects that are new to this VM count as cold.
-    pub fn are_cold(&self, cfg: &Config) -> bool {
+    pub fn caches_cold(&self, cfg: &Config) -> bool {
         self.0 > cfg.max_late_ratio
     }
 }
 
 /// The objects that this VM has sent to one backend server.
 #[derive(Clone, Debug, Default)]
-pub struct Warming {
+pub struct SentObjects {
     last_sent: collections::HashMap<u64, policy::Moment>,
     /// When expired objects were last removed.
     last_sweep: policy::Moment,
@@ -82,7 +82,7 @@
     new_in_flight: u32,
 }
 
-impl Warming {
+impl SentObjects {
     /// The maximum number of remembered objects. Backend servers cache a few dozen.
     const MAX_OBJECTS: usize = 512;
 
@@ -90,25 +90,25 @@
     const RETENTION: time::Duration = time::Duration::from_secs(60);
 
     /// Whether a backend server with `slots` may get a request for the object `key` now.
-    pub fn takes(&self, cfg: &Config, slots: f64, key: u64) -> bool {
+    pub fn admits(&self, cfg: &Config, slots: f64, key: u64) -> bool {
         let max_new = (slots * cfg.max_new_share).round().max(1.0);
         self.last_sent.contains_key(&key) || f64::from(self.new_in_flight) < max_new
     }
 
     /// Whether the object was sent there within the retention time.
-    pub fn has(&self, now: policy::Moment, key: u64) -> bool {
+    pub fn sent_recently(&self, now: policy::Moment, key: u64) -> bool {
         self.last_sent
             .get(&key)
             .is_some_and(|at| now < *at + Self::RETENTION)
     }
 
     /// The number of objects remembered for this backend server.
-    pub fn objects(&self) -> usize {
+    pub fn object_count(&self) -> usize {
         self.last_sent.len()
     }
 
     /// Records a sent request. Returns whether its object is new there.
-    pub fn begun(&mut self, now: policy::Moment, key: u64) -> bool {
+    pub fn request_started(&mut self, now: policy::Moment, key: u64) -> bool {
         if now >= self.last_sweep + Self::RETENTION || self.last_sent.len() >= Self::MAX_OBJECTS {
             self.last_sent.retain(|_, at| now < *at + Self::RETENTION);
             self.last_sweep = now;
@@ -122,7 +122,7 @@
     }
 
     /// Records the end of a request whose object was new there.
-    pub fn ended(&mut self) {
+    pub fn request_ended(&mut self) {
         self.new_in_flight = self.new_in_flight.saturating_sub(1);
     }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -105,7 +105,7 @@
     /// How often its backend servers refuse though they have room.
     pub declines: declines::Declines,
     /// How often answers for objects that are new to this VM are late.
-    pub late: warming::Late,
+    pub late: warming::LateRatio,
     /// Requests since the last step of that share, decaying.
     pub traffic: f64,
     /// How long answers take, in seconds.
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -74,7 +74,7 @@
         if let Some(backend) = known.filter(|b| self.run.is_of(b)) {
             backend.in_flight = backend.in_flight.saturating_sub(1);
             if self.new {
-                backend.warming.ended();
+                backend.warming.request_ended();
             }
         }
     }
@@ -120,17 +120,19 @@
         }
         let chosen = chosen?;
         let cfg = &self.cfg.thresholds.warming;
-        let cold = self.with_desk(need.service, |desk| desk.late.are_cold(cfg));
+        let cold = self.with_desk(need.service, |desk| desk.late.caches_cold(cfg));
         let mut backends = self.backends.borrow_mut();
         let Some(backend) = backends.get_mut(&chosen) else {
             return Err(Nowhere::NoBackend);
         };
         let slots = f64::from(backend.listed.slots);
-        let takes = |key| backend.warming.takes(cfg, slots, key);
+        let takes = |key| backend.warming.admits(cfg, slots, key);
         if cold && !need.key.is_none_or(takes) {
             return Err(Nowhere::Cold);
         }
-        let new = need.key.is_some_and(|key| backend.warming.begun(now, key));
+        let new = need
+            .key
+            .is_some_and(|key| backend.warming.request_started(now, key));
         let ahead = backend.load(now);
         backend.in_flight += 1;
         if backend.health.probe_due(now) {
@@ -250,8 +252,10 @@
                 slots: f64::from(b.listed.slots),
                 load: b.load(now),
                 full: b.in_flight as usize >= b.limit.shared(limit, now, self.alone.get()),
-                recently_sent: need.key.is_some_and(|key| b.warming.has(now, key)),
-                recent_objects: b.warming.objects(),
+                recently_sent: need
+                    .key
+                    .is_some_and(|key| b.warming.sent_recently(now, key)),
+                recent_objects: b.warming.object_count(),
             })
             .collect();
         let request = affinity::PlacementRequest {
--- a/src/state/backends.rs
+++ b/src/state/backends.rs
@@ -77,7 +77,7 @@
     /// How it is paced while cold.
     pub pace: cold::Pace,
     /// The objects that this VM has sent to it.
-    pub warming: warming::Warming,
+    pub warming: warming::SentObjects,
     report: Report,
     ended: rc::Rc<sync::Notify>,
 }
@@ -230,7 +230,7 @@
             in_flight: 0,
             health: ejection::Health::default(),
             pace: cold::Pace::default(),
-            warming: warming::Warming::default(),
+            warming: warming::SentObjects::default(),
             report: Report::default(),
             ended: rc::Rc::default(),
         };
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -64,7 +64,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     let mut backends = vec![Backend::default(); n];
     let hashes: Vec<u64> = (0..n).map(|i| affinity::hash(&i.to_le_bytes())).collect();
-    let mut known = vec![vec![warming::Warming::default(); n]; 2];
+    let mut known = vec![vec![warming::SentObjects::default(); n]; 2];
     let mut results = Results::default();
     let mut now = 0.0;
     while now < 30.0 {
@@ -88,8 +88,8 @@
                 slots: SLOTS as f64,
                 load: backends[*i].ends.len() as f64,
                 full: backends[*i].ends.iter().filter(|(_, by)| *by == vm).count() >= LIMIT,
-                recently_sent: known[vm][*i].has(moment, key),
-                recent_objects: known[vm][*i].objects(),
+                recently_sent: known[vm][*i].sent_recently(moment, key),
+                recent_objects: known[vm][*i].object_count(),
             })
             .collect();
         let request = affinity::PlacementRequest {
@@ -104,7 +104,7 @@
             continue;
         };
         let chosen = alive[at];
-        known[vm][chosen].begun(moment, key);
+        known[vm][chosen].request_started(moment, key);
         let end = backends[chosen].run(now, vm, object);
         results.in_time += f64::from(u8::from(end - now <= TARGET_S));
     }
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -589,7 +589,10 @@
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let (mut in_time, mut all) = (0, 0);
     for _ in 0..40 {
-        let (mut here, mut late) = (warming::Warming::default(), warming::Late::default());
+        let (mut sent, mut late) = (
+            warming::SentObjects::default(),
+            warming::LateRatio::default(),
+        );
         let (mut free, mut ends) = ([0.0_f64; 3], Vec::<(f64, bool, bool)>::new());
         let mut due: collections::VecDeque<(f64, f64, u64, bool)> = (0..45)
             .map(|n| f64::from(n) / 15.0)
@@ -601,11 +604,11 @@
             ends = rest;
             for (_, new, was_late) in over {
                 if new {
-                    here.ended();
+                    sent.request_ended();
                     late.answered(was_late);
                 }
             }
-            if late.are_cold(cfg) && !here.takes(cfg, 3.0, object) {
+            if late.caches_cold(cfg) && !sent.admits(cfg, 3.0, object) {
                 if again {
                     let back = at + 0.3;
                     let place = due.partition_point(|(other, ..)| *other < back);
@@ -613,7 +616,7 @@
                 }
                 continue;
             }
-            let new = here.begun(secs(at), object);
+            let new = sent.request_started(secs(at), object);
             let work = if new { 0.64 } else { 0.192 };
             free.sort_by(f64::total_cmp);
             let end = free[0].max(at) + work;
@@ -643,17 +646,20 @@
 #[test]
 fn a_restarted_vm_detects_warm_caches() {
     let cfg = warming::Config::default();
-    let (mut here, mut late) = (warming::Warming::default(), warming::Late::default());
-    assert!(here.begun(secs(0.0), 1) && here.begun(secs(0.0), 2));
-    assert!(late.are_cold(&cfg) && !here.takes(&cfg, 3.0, 3));
+    let (mut sent, mut late) = (
+        warming::SentObjects::default(),
+        warming::LateRatio::default(),
+    );
+    assert!(sent.request_started(secs(0.0), 1) && sent.request_started(secs(0.0), 2));
+    assert!(late.caches_cold(&cfg) && !sent.admits(&cfg, 3.0, 3));
     assert!(
-        here.takes(&cfg, 3.0, 1),
+        sent.admits(&cfg, 3.0, 1),
         "an object that was sent there counts as warm"
     );
     (0..6).for_each(|_| late.answered(false));
-    assert!(!late.are_cold(&cfg));
-    here.ended();
-    assert!(here.takes(&cfg, 3.0, 3));
+    assert!(!late.caches_cold(&cfg));
+    sent.request_ended();
+    assert!(sent.admits(&cfg, 3.0, 3));
 }
 
 /// A burst is refused. With equal retry delays, all callers would return as the next burst; with
