--- a/src/decisions/orders.rs
+++ b/src/decisions/orders.rs
@@ -43,12 +43,12 @@
 
 /// The preference orders over one service's backend servers.
 #[derive(Clone, Debug)]
-pub struct Orders<T> {
+pub struct PreferenceOrders<T> {
     members: Vec<Member<T>>,
     by_key: collections::HashMap<u64, Vec<Ranked<T>>>,
 }
 
-impl<T> Default for Orders<T> {
+impl<T> Default for PreferenceOrders<T> {
     fn default() -> Self {
         Self {
             members: Vec::new(),
@@ -57,7 +57,7 @@
     }
 }
 
-impl<T: Clone + PartialEq> Orders<T> {
+impl<T: Clone + PartialEq> PreferenceOrders<T> {
     /// Adds a backend server that is not yet a member.
     pub fn add(&mut self, name: &T, hash: u64, weight: f64) {
         let all = self.members.len();
@@ -111,7 +111,7 @@
     }
 
     /// A pseudo-random sample of `count` backend servers, drawn by `tie`; all if there are no more.
-    pub fn some(&self, tie: u64, count: usize) -> impl Iterator<Item = &T> {
+    pub fn sample(&self, tie: u64, count: usize) -> impl Iterator<Item = &T> {
         let all = self.members.len();
         let index_of = move |n: usize| match all <= count {
             true => n,
--- a/src/state/backends.rs
+++ b/src/state/backends.rs
@@ -148,14 +148,14 @@
 #[derive(Debug, Default)]
 struct Group {
     names: Vec<id::VmId>,
-    near: orders::Orders<id::VmId>,
-    far: orders::Orders<id::VmId>,
+    near: orders::PreferenceOrders<id::VmId>,
+    far: orders::PreferenceOrders<id::VmId>,
     /// Those of `far` by region.
-    regions: collections::HashMap<id::RegionId, orders::Orders<id::VmId>>,
+    regions: collections::HashMap<id::RegionId, orders::PreferenceOrders<id::VmId>>,
 }
 
 impl Group {
-    fn side(&self, side: Side<'_>) -> Option<&orders::Orders<id::VmId>> {
+    fn side(&self, side: Side<'_>) -> Option<&orders::PreferenceOrders<id::VmId>> {
         match side {
             Side::Near => Some(&self.near),
             Side::Far => Some(&self.far),
@@ -163,7 +163,7 @@
         }
     }
 
-    fn side_mut(&mut self, side: Side<'_>) -> Option<&mut orders::Orders<id::VmId>> {
+    fn side_mut(&mut self, side: Side<'_>) -> Option<&mut orders::PreferenceOrders<id::VmId>> {
         match side {
             Side::Near => Some(&mut self.near),
             Side::Far => Some(&mut self.far),
@@ -176,7 +176,7 @@
         &mut self,
         near: bool,
         region: &Option<id::RegionId>,
-    ) -> impl Iterator<Item = &mut orders::Orders<id::VmId>> {
+    ) -> impl Iterator<Item = &mut orders::PreferenceOrders<id::VmId>> {
         let (all, one) = match (near, region) {
             (true, _) => (&mut self.near, None),
             (false, None) => (&mut self.far, None),
@@ -270,7 +270,7 @@
     }
 
     /// The first of an object's order of a service's backend servers on one side, see
-    /// [`orders::Orders::first`].
+    /// [`orders::PreferenceOrders::first`].
     pub fn first(&mut self, service: &id::ServiceId, side: Side<'_>, key: u64) -> Vec<id::VmId> {
         let group = self.by_service.get_mut(service);
         match group.and_then(|group| group.side_mut(side)) {
@@ -279,15 +279,19 @@
         }
     }
 
-    /// Some of a service's backend servers on one side, see [`orders::Orders::some`].
+    /// Some of a service's backend servers on one side, see [`orders::PreferenceOrders::sample`].
     pub fn some(&self, service: &id::ServiceId, side: Side<'_>, tie: u64) -> Vec<id::VmId> {
         match self.order(service, side) {
-            Some(order) => order.some(tie, DRAWN).cloned().collect(),
+            Some(order) => order.sample(tie, DRAWN).cloned().collect(),
             None => Vec::new(),
         }
     }
 
-    fn order(&self, service: &id::ServiceId, side: Side<'_>) -> Option<&orders::Orders<id::VmId>> {
+    fn order(
+        &self,
+        service: &id::ServiceId,
+        side: Side<'_>,
+    ) -> Option<&orders::PreferenceOrders<id::VmId>> {
         self.by_service.get(service)?.side(side)
     }
 
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -29,7 +29,7 @@
 fn a_cached_order_equals_a_recomputed_one() {
     let mut rng = ChaCha8Rng::seed_from_u64(31);
     for round in 0..20_u32 {
-        let mut cached = orders::Orders::default();
+        let mut cached = orders::PreferenceOrders::default();
         let mut members: Vec<u32> = Vec::new();
         for step in 0..400_u32 {
             let comes = members.len() < 3 || rng.random_range(0..100) < 51;
@@ -55,16 +55,16 @@
 
 #[test]
 fn samples_cover_all_backend_servers() {
-    let mut cached = orders::Orders::default();
+    let mut cached = orders::PreferenceOrders::default();
     (0..50_u32).for_each(|n| cached.add(&n, hash(n), 1.0));
     let mut seen = std::collections::BTreeSet::new();
     for tie in 0..200 {
-        let drawn: Vec<u32> = cached.some(tie, 16).copied().collect();
+        let drawn: Vec<u32> = cached.sample(tie, 16).copied().collect();
         assert_eq!(drawn.len(), 16);
         seen.extend(drawn);
     }
     assert_eq!(seen.len(), 50);
-    let all: Vec<u32> = cached.some(7, 64).copied().collect();
+    let all: Vec<u32> = cached.sample(7, 64).copied().collect();
     assert_eq!(all.len(), 50);
 }
 
