--- a/src/decisions/declines.rs
+++ b/src/decisions/declines.rs
@@ -29,7 +29,7 @@
     }
 
     /// Whether refusals despite room affect the service as a whole.
-    pub fn are_everywhere(&self) -> bool {
+    pub fn is_service_wide(&self) -> bool {
         self.ratio > SERVICE_WIDE_RATIO
     }
 }
--- a/src/gateway/beliefs.rs
+++ b/src/gateway/beliefs.rs
@@ -314,9 +314,9 @@
             _ => return false,
         };
         let (before, now) = self.with_desk(&job.service, |desk| {
-            let before = desk.declines.are_everywhere();
+            let before = desk.declines.is_service_wide();
             desk.declines.sent(declined);
-            (before, desk.declines.are_everywhere())
+            (before, desk.declines.is_service_wide())
         });
         if before != now {
             slog::info!(self.log, "service refuses with room"; "service" => %job.service, "everywhere" => now);
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -116,7 +116,7 @@
     /// How long until there is room for those that are refused now: what is worked on must end first,
     /// unless there is room already.
     pub fn backlog(&self) -> time::Duration {
-        match self.declines.are_everywhere() {
+        match self.declines.is_service_wide() {
             true => time::Duration::ZERO,
             false => time::Duration::from_secs_f64(self.work),
         }
--- a/tests/declines.rs
+++ b/tests/declines.rs
@@ -37,7 +37,7 @@
                 served += 1;
                 break;
             }
-            if !detected || !service.are_everywhere() {
+            if !detected || !service.is_service_wide() {
                 limits[at].shed(&cfg, now);
             }
         }
@@ -65,7 +65,7 @@
     let mut service = declines::Declines::default();
     for n in 0..1000 {
         service.sent(n % BACKENDS == 0);
-        assert!(!service.are_everywhere());
+        assert!(!service.is_service_wide());
     }
     assert_eq!(answered(1, 0.9, true), answered(1, 0.9, false));
 }
@@ -75,7 +75,7 @@
 fn service_wide_refusals_end_after_some_answers() {
     let mut service = declines::Declines::default();
     (0..100).for_each(|_| service.sent(true));
-    assert!(service.are_everywhere());
+    assert!(service.is_service_wide());
     (0..30).for_each(|_| service.sent(false));
-    assert!(!service.are_everywhere());
+    assert!(!service.is_service_wide());
 }
