--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -408,7 +408,14 @@
     while let Some(action) = out.pop() {
         if let policy::Action::Send { req, to, .. } = action {
             let after = now + time::Duration::from_millis(1);
-            dispatch.ended(after, req, &to, policy::Ended::Answered, report, out);
+            dispatch.ended(
+                after,
+                req,
+                &to,
+                policy::AttemptOutcome::Answered,
+                report,
+                out,
+            );
         }
     }
 }
--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -4,7 +4,7 @@
 
 use bulrushwind::decisions::{cross_az, dispatch, policy};
 use criterion::{criterion_group, criterion_main};
-use policy::{Action, Ended, Policy};
+use policy::{Action, AttemptOutcome, Policy};
 
 fn decisions(c: &mut criterion::Criterion) {
     for backends in [2, 20] {
@@ -60,7 +60,7 @@
         let Some(Action::Send { req, to, .. }) = self.out.pop() else {
             panic!("the request was not sent");
         };
-        let (now, how) = (self.now, Ended::Answered);
+        let (now, how) = (self.now, AttemptOutcome::Answered);
         self.dispatch.ended(now, req, &to, how, None, &mut self.out);
         self.out.clear();
     }
--- a/src/decisions/cross_az.rs
+++ b/src/decisions/cross_az.rs
@@ -22,7 +22,7 @@
 
 use super::{caps, grants, links, policy};
 use crate::id;
-use policy::Ended;
+use policy::AttemptOutcome;
 
 /// Lower bound of the trust in an availability zone, which scales its granted rate. At a sixteenth,
 /// a recovery is detected within about twenty requests.
@@ -231,14 +231,15 @@
     }
 
     /// Updates the trust in `az` after an attempt that [`Self::choose`] counted.
-    pub fn ended(&mut self, _now: policy::Moment, az: &id::AzId, how: Ended, _bytes: u64) {
+    pub fn ended(&mut self, _now: policy::Moment, az: &id::AzId, how: AttemptOutcome, _bytes: u64) {
         let trust = self.trust.entry(az.clone()).or_insert(1.0);
         *trust = match how {
-            Ended::Answered | Ended::Failed => (*trust + TRUST_GAIN).min(1.0),
-            Ended::Shed | Ended::NotSent | Ended::Lost | Ended::TimedOut => {
-                (*trust / 2.0).max(MIN_TRUST)
-            }
-            Ended::Cancelled => *trust,
+            AttemptOutcome::Answered | AttemptOutcome::Failed => (*trust + TRUST_GAIN).min(1.0),
+            AttemptOutcome::Shed
+            | AttemptOutcome::NotSent
+            | AttemptOutcome::Lost
+            | AttemptOutcome::TimedOut => (*trust / 2.0).max(MIN_TRUST),
+            AttemptOutcome::Cancelled => *trust,
         };
     }
 
@@ -441,7 +442,7 @@
             let now = MS * i;
             cross_az.arrived(now);
             if let Some(az) = cross_az.choose(now, 1, 100, now + MS * 500) {
-                cross_az.ended(now + MS, &az, Ended::Shed, 100);
+                cross_az.ended(now + MS, &az, AttemptOutcome::Shed, 100);
                 sent += 1;
             }
         }
--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -16,7 +16,9 @@
     queue, ramp, range, retry, trust,
 };
 use crate::id;
-use policy::{Action, Ended, Fate, Moment, Origin, Place, Policy, Refusal, RequestId};
+use policy::{
+    Action, AttemptOutcome, Destination, Moment, Origin, Policy, Refusal, RequestId, RequestOutcome,
+};
 
 /// Thresholds of all decisions inside an availability zone.
 #[derive(Clone, Copy, Debug)]
@@ -105,7 +107,7 @@
     pub(super) req: policy::Arrival,
     pub(super) stage: Stage,
     /// Where attempts are in flight.
-    pub(super) destinations: Vec<Place>,
+    pub(super) destinations: Vec<Destination>,
     /// Backend servers where an attempt failed.
     pub(super) avoid: Vec<id::VmId>,
     pub(super) attempts: u32,
@@ -327,7 +329,7 @@
         let Some(az) = chosen else {
             return Some(pending);
         };
-        let to = Place::Az(az);
+        let to = Destination::Az(az);
         out.push(Action::Send {
             req: req.id,
             to: to.clone(),
@@ -372,13 +374,13 @@
     fn give_up_on(&mut self, now: Moment, pending: Pending, why: Refusal, out: &mut Vec<Action>) {
         let retry_after = self.retry_after(now, &pending.req);
         let fate = match pending.maybe_run || !pending.destinations.is_empty() {
-            true => Fate::Unknown { retry_after },
-            false => Fate::NotRun { why, retry_after },
+            true => RequestOutcome::Unknown { retry_after },
+            false => RequestOutcome::NotRun { why, retry_after },
         };
         self.settle(pending, fate, out);
     }
 
-    fn settle(&mut self, pending: Pending, fate: Fate, out: &mut Vec<Action>) {
+    fn settle(&mut self, pending: Pending, fate: RequestOutcome, out: &mut Vec<Action>) {
         let req = pending.req.id;
         self.outstanding.remove(pending.req.caller);
         for member in &mut self.members {
@@ -394,7 +396,7 @@
 
     fn settle_answered(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if let Some(pending) = self.pending.remove(&id) {
-            self.settle(pending, Fate::Answer, out);
+            self.settle(pending, RequestOutcome::Answer, out);
         }
     }
 
@@ -406,7 +408,7 @@
         now: Moment,
         req: RequestId,
         at: &id::VmId,
-        how: Ended,
+        how: AttemptOutcome,
         report: Option<policy::Report>,
     ) {
         let Some(i) = self.members.iter().position(|m| m.id == *at) else {
@@ -422,15 +424,15 @@
         }
         let took = now.saturating_sub(attempt.sent_at);
         match how {
-            Ended::Answered => {
+            AttemptOutcome::Answered => {
                 member.last_crash = member.last_crash.filter(|at| attempt.sent_at <= *at);
                 member.record_duration(&cfg.members, took, attempt.typical);
                 member.limit.answered(&cfg.limit);
                 member.ramp.record_answer();
                 member.health.answered(&cfg.ejection);
             }
-            Ended::Failed => self.record_failure(now, i),
-            Ended::TimedOut => {
+            AttemptOutcome::Failed => self.record_failure(now, i),
+            AttemptOutcome::TimedOut => {
                 member.record_duration(&cfg.members, took, attempt.typical);
                 // A timeout before the hedge delay means a short deadline, not a slow server.
                 let hedge_at = retry::hedge_at(&cfg.retry, attempt.sent_at, attempt.typical, 1.0);
@@ -438,10 +440,10 @@
                     self.record_failure(now, i);
                 }
             }
-            Ended::Shed => member.limit.shed(&cfg.limit, now),
-            Ended::NotSent => self.record_broken_connection(now, i),
-            Ended::Lost => self.record_lost_attempt(now, i, &attempt),
-            Ended::Cancelled => {}
+            AttemptOutcome::Shed => member.limit.shed(&cfg.limit, now),
+            AttemptOutcome::NotSent => self.record_broken_connection(now, i),
+            AttemptOutcome::Lost => self.record_lost_attempt(now, i, &attempt),
+            AttemptOutcome::Cancelled => {}
         }
     }
 
@@ -498,8 +500,8 @@
         &mut self,
         now: Moment,
         id: RequestId,
-        at: &Place,
-        how: Ended,
+        at: &Destination,
+        how: AttemptOutcome,
         out: &mut Vec<Action>,
     ) {
         let Some(pending) = self.pending.get_mut(&id) else {
@@ -514,15 +516,15 @@
         let attempts_left = pending.attempts <= self.cfg.retry.max_retries
             && now < req.deadline
             && !pending.caller_left;
-        let unbudgeted = matches!(at, Place::Az(_)) && !pending.maybe_run;
+        let unbudgeted = matches!(at, Destination::Az(_)) && !pending.maybe_run;
         if !may_resend || !attempts_left || !(unbudgeted || self.budget.take()) {
             return match how {
-                Ended::Failed => self.settle_answered(id, out),
+                AttemptOutcome::Failed => self.settle_answered(id, out),
                 _ if pending.caller_left => self.give_up(now, id, Refusal::CallerGone, out),
                 _ => self.give_up(now, id, Refusal::Shed, out),
             };
         }
-        if let Place::Backend(at) = at {
+        if let Destination::Backend(at) = at {
             pending.avoid.push(at.clone());
         }
         self.requeue(now, id, out);
@@ -581,7 +583,7 @@
         self.outstanding.add(req.caller);
         let pending = Pending::new(req, now);
         if let Some((why, retry_after)) = refusal {
-            return self.settle(pending, Fate::NotRun { why, retry_after }, out);
+            return self.settle(pending, RequestOutcome::NotRun { why, retry_after }, out);
         }
         let id = pending.req.id;
         if self.quarantine.state(now, pending.req.fingerprint) == quarantine::State::Suspect {
@@ -599,14 +601,14 @@
         &mut self,
         now: Moment,
         req: RequestId,
-        at: &Place,
-        how: Ended,
+        at: &Destination,
+        how: AttemptOutcome,
         report: Option<policy::Report>,
         out: &mut Vec<Action>,
     ) {
         match at {
-            Place::Backend(backend) => self.record_end(now, req, backend, how, report),
-            Place::Az(az) => {
+            Destination::Backend(backend) => self.record_end(now, req, backend, how, report),
+            Destination::Az(az) => {
                 let bytes = self.pending.get(&req).map_or(0, |p| p.req.bytes);
                 self.cross_az.ended(now, az, how, bytes);
             }
@@ -614,7 +616,7 @@
         if let Some(pending) = self.pending.get_mut(&req) {
             pending.destinations.retain(|place| place != at);
             pending.maybe_run |= retry::may_have_run(how);
-            if how == Ended::Answered {
+            if how == AttemptOutcome::Answered {
                 let fingerprint = pending.req.fingerprint;
                 self.quarantine.record_answer(fingerprint);
                 self.settle_answered(req, out);
@@ -625,7 +627,7 @@
         self.serve(now, out);
     }
 
-    fn gone(&mut self, now: Moment, req: RequestId, out: &mut Vec<Action>) {
+    fn caller_gone(&mut self, now: Moment, req: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.pending.get_mut(&req) else {
             return;
         };
@@ -648,7 +650,7 @@
             }
             // A non-idempotent request in flight is not cancelled, so that its outcome is known.
             Stage::Sent if pending.req.idempotent => {
-                let cancel = |to: &Place| Action::Cancel {
+                let cancel = |to: &Destination| Action::Cancel {
                     req,
                     to: to.clone(),
                 };
--- a/src/decisions/naive.rs
+++ b/src/decisions/naive.rs
@@ -6,7 +6,7 @@
 
 use super::policy;
 use crate::id;
-use policy::{Action, Ended, Fate, Place, Policy, Refusal};
+use policy::{Action, AttemptOutcome, Destination, Policy, Refusal, RequestOutcome};
 
 /// Time after which a refused caller may retry.
 const RETRY_AFTER: time::Duration = time::Duration::from_secs(1);
@@ -64,7 +64,7 @@
         self.next = (self.next + 1) % self.backends.len();
         out.push(Action::Send {
             req: id,
-            to: Place::Backend(self.backends[self.next].clone()),
+            to: Destination::Backend(self.backends[self.next].clone()),
             deadline: pending.req.deadline,
         });
     }
@@ -74,11 +74,11 @@
             return;
         };
         let fate = if pending.maybe_run {
-            Fate::Unknown {
+            RequestOutcome::Unknown {
                 retry_after: RETRY_AFTER,
             }
         } else {
-            Fate::NotRun {
+            RequestOutcome::NotRun {
                 why,
                 retry_after: RETRY_AFTER,
             }
@@ -103,20 +103,20 @@
         &mut self,
         now: policy::Moment,
         req: policy::RequestId,
-        _at: &Place,
-        how: Ended,
+        _at: &Destination,
+        how: AttemptOutcome,
         _report: Option<policy::Report>,
         out: &mut Vec<Action>,
     ) {
         let Some(pending) = self.pending.get_mut(&req) else {
             return;
         };
-        if matches!(how, Ended::Answered | Ended::Failed) {
+        if matches!(how, AttemptOutcome::Answered | AttemptOutcome::Failed) {
             self.pending.remove(&req);
-            let fate = Fate::Answer;
+            let fate = RequestOutcome::Answer;
             return out.push(Action::Settle { req, fate });
         }
-        let may_have_run = !matches!(how, Ended::Shed | Ended::NotSent);
+        let may_have_run = !matches!(how, AttemptOutcome::Shed | AttemptOutcome::NotSent);
         pending.maybe_run |= may_have_run && !pending.req.idempotent;
         let may_resend = pending.req.idempotent || !pending.maybe_run || self.cfg.retry_unknown;
         if may_resend && pending.retries_left > 0 && now < pending.req.deadline {
@@ -127,7 +127,13 @@
         self.settle(req, Refusal::Shed, out);
     }
 
-    fn gone(&mut self, _now: policy::Moment, _req: policy::RequestId, _out: &mut Vec<Action>) {}
+    fn caller_gone(
+        &mut self,
+        _now: policy::Moment,
+        _req: policy::RequestId,
+        _out: &mut Vec<Action>,
+    ) {
+    }
 
     fn tick(&mut self, _now: policy::Moment, _out: &mut Vec<Action>) {}
 
@@ -192,11 +198,11 @@
             panic!("nothing was sent");
         };
         let now = time::Duration::from_millis(1);
-        naive.ended(now, req, &to, Ended::Lost, None, &mut out);
+        naive.ended(now, req, &to, AttemptOutcome::Lost, None, &mut out);
         let settled = matches!(
             out[..],
             [Action::Settle {
-                fate: Fate::Unknown { .. },
+                fate: RequestOutcome::Unknown { .. },
                 ..
             }]
         );
@@ -211,7 +217,7 @@
             panic!("nothing was sent");
         };
         let now = time::Duration::from_millis(1);
-        naive.ended(now, req, &to, Ended::Lost, None, &mut out);
+        naive.ended(now, req, &to, AttemptOutcome::Lost, None, &mut out);
         assert!(matches!(&out[..], [Action::Send { to: next, .. }] if *next != to));
     }
 }
--- a/src/decisions/policy.rs
+++ b/src/decisions/policy.rs
@@ -26,7 +26,7 @@
 data! {
     /// The destination of an attempt.
     #[derive(Eq, PartialOrd, Ord, Hash)]
-    pub enum Place {
+    pub enum Destination {
         /// A backend server in this VM's availability zone.
         Backend(id::VmId),
         /// An entry VM in another availability zone.
@@ -88,7 +88,7 @@
 
     /// The final outcome of a request.
     #[derive(Copy, Eq)]
-    pub enum Fate {
+    pub enum RequestOutcome {
         /// The latest answer received goes to the caller.
         Answer,
         /// It has not run and will not run.
@@ -113,23 +113,24 @@
             /// The request.
             req: RequestId,
             /// The destination.
-            to: Place,
+            to: Destination,
             /// When the attempt times out.
             deadline: Moment,
         },
-        /// Cancel an attempt whose answer is not needed. It still ends with [`Ended::Cancelled`].
+        /// Cancel an attempt whose answer is not needed. It still ends with
+        /// [`AttemptOutcome::Cancelled`].
         Cancel {
             /// The request.
             req: RequestId,
             /// The destination of the attempt.
-            to: Place,
+            to: Destination,
         },
         /// Send the final outcome to the caller.
         Settle {
             /// The request.
             req: RequestId,
             /// The outcome.
-            fate: Fate,
+            fate: RequestOutcome,
         },
         /// Probe a backend server for its state.
         Probe {
@@ -140,7 +141,7 @@
 
     /// How an attempt ended.
     #[derive(Copy, Eq, Hash)]
-    pub enum Ended {
+    pub enum AttemptOutcome {
         /// A complete answer was received.
         Answered,
         /// A complete answer was received that reports a failure of the backend server.
@@ -190,14 +191,14 @@
         &mut self,
         now: Moment,
         req: RequestId,
-        at: &Place,
-        how: Ended,
+        at: &Destination,
+        how: AttemptOutcome,
         report: Option<Report>,
         out: &mut Vec<Action>,
     );
 
     /// Handles the disconnect of a request's caller.
-    fn gone(&mut self, now: Moment, req: RequestId, out: &mut Vec<Action>);
+    fn caller_gone(&mut self, now: Moment, req: RequestId, out: &mut Vec<Action>);
 
     /// Handles the passage of time. Called at least every 10 ms.
     fn tick(&mut self, now: Moment, out: &mut Vec<Action>);
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -11,7 +11,7 @@
 use std::time;
 
 use super::{policy, range};
-use policy::Ended;
+use policy::AttemptOutcome;
 
 /// Thresholds of retries and hedges.
 #[derive(Clone, Copy, Debug)]
@@ -81,16 +81,16 @@
 }
 
 /// Whether a request may have run when its attempt ended this way.
-pub fn may_have_run(how: Ended) -> bool {
-    !matches!(how, Ended::Shed | Ended::NotSent)
+pub fn may_have_run(how: AttemptOutcome) -> bool {
+    !matches!(how, AttemptOutcome::Shed | AttemptOutcome::NotSent)
 }
 
 /// Whether a request may be sent again when its attempt ended this way.
-pub fn may_retry(idempotent: bool, how: Ended) -> bool {
+pub fn may_retry(idempotent: bool, how: AttemptOutcome) -> bool {
     match how {
-        Ended::Shed | Ended::NotSent => true,
-        Ended::Failed | Ended::Lost => idempotent,
-        Ended::Answered | Ended::TimedOut | Ended::Cancelled => false,
+        AttemptOutcome::Shed | AttemptOutcome::NotSent => true,
+        AttemptOutcome::Failed | AttemptOutcome::Lost => idempotent,
+        AttemptOutcome::Answered | AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => false,
     }
 }
 
@@ -113,14 +113,16 @@
     #[test]
     fn a_booking_that_may_have_run_is_not_sent_again() {
         for how in [
-            Ended::Failed,
-            Ended::Lost,
-            Ended::TimedOut,
-            Ended::Cancelled,
+            AttemptOutcome::Failed,
+            AttemptOutcome::Lost,
+            AttemptOutcome::TimedOut,
+            AttemptOutcome::Cancelled,
         ] {
             assert!(!may_retry(false, how), "{how:?}");
         }
-        assert!(may_retry(false, Ended::Shed) && may_retry(false, Ended::NotSent));
+        assert!(
+            may_retry(false, AttemptOutcome::Shed) && may_retry(false, AttemptOutcome::NotSent)
+        );
     }
 
     #[test]
--- a/src/decisions/serve.rs
+++ b/src/decisions/serve.rs
@@ -3,7 +3,7 @@
 
 use super::dispatch::{Dispatch, Stage};
 use super::{ejection, members, placement, policy, quarantine, retry};
-use policy::{Action, Moment, Place, Refusal, RequestId};
+use policy::{Action, Destination, Moment, Refusal, RequestId};
 
 impl Dispatch {
     /// Sends as many waiting requests as there is room for.
@@ -137,7 +137,7 @@
             return;
         };
         let member = &mut self.members[member];
-        let to = Place::Backend(member.id.clone());
+        let to = Destination::Backend(member.id.clone());
         member.in_flight.push(members::Attempt {
             req: id,
             fingerprint: pending.req.fingerprint,
@@ -175,7 +175,7 @@
             return;
         };
         let clear = self.quarantine.state(now, pending.req.fingerprint) == quarantine::State::Clear;
-        let [Place::Backend(sent_to)] = &pending.destinations[..] else {
+        let [Destination::Backend(sent_to)] = &pending.destinations[..] else {
             return;
         };
         if !pending.req.idempotent || !clear || pending.attempts > self.cfg.retry.max_retries {
--- a/src/entry/desk.rs
+++ b/src/entry/desk.rs
@@ -27,7 +27,7 @@
 use crate::transport::{client, server};
 use crate::{id, settings};
 use backend::Wire;
-use policy::{Action, Ended, Fate, Place, Policy};
+use policy::{Action, AttemptOutcome, Destination, Policy, RequestOutcome};
 
 pub(super) use upkeep::{all_in_hand, end_overdue, in_flight_at, observe, refresh, wall_clock_s};
 
@@ -67,7 +67,7 @@
     /// Holds the slot of the grant under which the request came from another availability zone.
     pub(super) _admitted: Option<grants::Admitted>,
     /// Attempts under way.
-    pub(super) attempts: Vec<(Place, client::Attempt)>,
+    pub(super) attempts: Vec<(Destination, client::Attempt)>,
     /// An attempt ended of which nobody can say that it did not run.
     pub(super) maybe_run: bool,
     /// The answer that came in last.
@@ -78,7 +78,7 @@
 pub(super) struct AttemptEnd {
     req: policy::RequestId,
     number: u64,
-    at: Place,
+    at: Destination,
     wire: sync::Arc<backend_http::Http>,
     result: Result<server::Answer, client::Failure>,
 }
@@ -190,7 +190,9 @@
     pending.reply = None;
     if pending.idempotent {
         let now = core.now();
-        step(core, desk, inner, |policy, out| policy.gone(now, req, out));
+        step(core, desk, inner, |policy, out| {
+            policy.caller_gone(now, req, out)
+        });
     }
 }
 
@@ -205,7 +207,7 @@
     core.observer.attempt_ended(&desk.service, how);
     if let Some(pending) = inner.pending.get_mut(&end.req) {
         pending.attempts.retain(|(at, _)| *at != end.at);
-        let not_run = matches!(how, Ended::Shed | Ended::NotSent);
+        let not_run = matches!(how, AttemptOutcome::Shed | AttemptOutcome::NotSent);
         pending.maybe_run |= !not_run;
         if let Some(answer) = &answer {
             core.steer.answered(&desk.service, answer.body.len());
@@ -214,7 +216,7 @@
             pending.answer = answer;
         }
     }
-    if let (Place::Backend(vm), Some(report)) = (&end.at, report) {
+    if let (Destination::Backend(vm), Some(report)) = (&end.at, report) {
         said_leaving(&mut inner, vm, report.leaving);
     }
     let now = core.now();
@@ -224,7 +226,13 @@
 }
 
 /// What an attempt's end means, with the answer if there is one for the caller.
-fn read(end: &AttemptEnd) -> (Ended, Option<policy::Report>, Option<backend::Answer>) {
+fn read(
+    end: &AttemptEnd,
+) -> (
+    AttemptOutcome,
+    Option<policy::Report>,
+    Option<backend::Answer>,
+) {
     let answer = match &end.result {
         Ok(answer) => answer,
         Err(failure) => return (failed(*failure), None, None),
@@ -235,18 +243,22 @@
         body: answer.body.clone(),
     };
     let Some(reading) = end.wire.read(end.number, &answer) else {
-        return (Ended::Lost, None, None);
+        return (AttemptOutcome::Lost, None, None);
     };
-    let kept = matches!(reading.how, Ended::Answered | Ended::Failed).then_some(answer);
+    let kept = matches!(
+        reading.how,
+        AttemptOutcome::Answered | AttemptOutcome::Failed
+    )
+    .then_some(answer);
     (reading.how, reading.report, kept)
 }
 
-fn failed(failure: client::Failure) -> Ended {
+fn failed(failure: client::Failure) -> AttemptOutcome {
     match failure {
-        client::Failure::NotSent => Ended::NotSent,
-        client::Failure::Lost => Ended::Lost,
-        client::Failure::TimedOut => Ended::TimedOut,
-        client::Failure::Cancelled => Ended::Cancelled,
+        client::Failure::NotSent => AttemptOutcome::NotSent,
+        client::Failure::Lost => AttemptOutcome::Lost,
+        client::Failure::TimedOut => AttemptOutcome::TimedOut,
+        client::Failure::Cancelled => AttemptOutcome::Cancelled,
     }
 }
 
@@ -315,7 +327,7 @@
     desk: &sync::Arc<Desk<M::Policy>>,
     inner: &mut Inner<M::Policy>,
     req: policy::RequestId,
-    to: Place,
+    to: Destination,
     deadline: policy::Moment,
 ) {
     let number = inner.next_attempt;
@@ -368,7 +380,7 @@
     if let Some(name) = core.name(pending.seen.id) {
         forward.headers.insert(headers::REQUEST_ID, name);
     }
-    if let (Place::Az(_), Ok(az)) = (&to, core.cfg.az.as_str().parse()) {
+    if let (Destination::Az(_), Ok(az)) = (&to, core.cfg.az.as_str().parse()) {
         forward.headers.insert(headers::ORIGIN_AZ, az);
         if let Some(grant) = grant {
             forward.headers.insert(headers::GRANT, grant);
@@ -391,14 +403,14 @@
     core: &Core<M>,
     desk: &Desk<M::Policy>,
     inner: &mut Inner<M::Policy>,
-    to: &Place,
+    to: &Destination,
 ) -> Option<Target> {
     match to {
-        Place::Backend(vm) => {
+        Destination::Backend(vm) => {
             let known = inner.backends.get(vm)?;
             Some((known.addr, known.wire.clone(), String::new()))
         }
-        Place::Az(az) => {
+        Destination::Az(az) => {
             // Only the entry VM that gave the grant honours it.
             let vm = inner.policy.cross_az()?.grant(core.now(), az)?.vm.clone();
             let addr = core.shared.fleet.load().vm(&vm)?.addr;
@@ -411,14 +423,14 @@
 fn grant<M: MakePolicy>(
     core: &Core<M>,
     inner: &mut Inner<M::Policy>,
-    to: &Place,
+    to: &Destination,
 ) -> Option<hyper::header::HeaderValue> {
-    let Place::Az(az) = to else { return None };
+    let Destination::Az(az) = to else { return None };
     let grant = inner.policy.cross_az()?.grant(core.now(), az)?;
     grants::to_text(&core.cfg.vm, grant.id).parse().ok()
 }
 
-fn cancel<P>(inner: &mut Inner<P>, req: policy::RequestId, to: &Place) {
+fn cancel<P>(inner: &mut Inner<P>, req: policy::RequestId, to: &Destination) {
     let Some(pending) = inner.pending.get_mut(&req) else {
         return;
     };
@@ -433,7 +445,7 @@
     desk: &Desk<M::Policy>,
     inner: &mut Inner<M::Policy>,
     req: policy::RequestId,
-    fate: Fate,
+    fate: RequestOutcome,
 ) {
     let Some(mut pending) = inner.pending.remove(&req) else {
         return;
@@ -444,7 +456,7 @@
     };
     let maybe_run = pending.maybe_run || !pending.attempts.is_empty();
     let problem = match (fate, pending.answer.take()) {
-        (Fate::Answer, Some(answer)) => {
+        (RequestOutcome::Answer, Some(answer)) => {
             let failed = answer.status.is_server_error();
             seen(if failed {
                 observe::End::Failed
@@ -455,13 +467,14 @@
             let end = Some(keys::End::Answer(answer));
             return tell(core, pending.reply, pending.key.as_deref(), end, &told);
         }
-        (Fate::NotRun { why, retry_after }, _) if !maybe_run => {
+        (RequestOutcome::NotRun { why, retry_after }, _) if !maybe_run => {
             outcome::Problem::Refused(why, retry_after)
         }
-        (Fate::NotRun { retry_after, .. } | Fate::Unknown { retry_after }, _) => {
-            outcome::Problem::Lost(retry_after)
-        }
-        (Fate::Answer, None) => outcome::Problem::Lost(RETRY_AFTER),
+        (
+            RequestOutcome::NotRun { retry_after, .. } | RequestOutcome::Unknown { retry_after },
+            _,
+        ) => outcome::Problem::Lost(retry_after),
+        (RequestOutcome::Answer, None) => outcome::Problem::Lost(RETRY_AFTER),
     };
     seen(observe::End::of(&problem));
     let told = answers::problem(&problem);
--- a/src/entry/desk/upkeep.rs
+++ b/src/entry/desk/upkeep.rs
@@ -17,7 +17,7 @@
 use crate::protocol::operators;
 use crate::state::{directory, fleet};
 use crate::{id, settings};
-use policy::{Fate, Place, Policy};
+use policy::{Destination, Policy, RequestOutcome};
 
 /// How long after its deadline a request is taken for forgotten. Attempts end at the deadline and
 /// a tick settles what waits, so that seconds are far more than either needs.
@@ -36,7 +36,7 @@
         for req in overdue {
             slog::crit!(core.log, "a request was forgotten; its caller is told that it may have run";
                 "service" => desk.service.as_str(), "request" => req.0);
-            let fate = Fate::Unknown {
+            let fate = RequestOutcome::Unknown {
                 retry_after: RETRY_AFTER,
             };
             settle(core, desk, &mut inner, req, fate);
@@ -177,9 +177,9 @@
 
 /// Requests of this VM that an availability zone works on.
 pub(in crate::entry) fn in_flight_at<M: MakePolicy>(core: &Core<M>, az: &id::AzId) -> u64 {
-    let there = |place: &Place| match place {
-        Place::Backend(_) => *az == core.cfg.az,
-        Place::Az(to) => to == az,
+    let there = |place: &Destination| match place {
+        Destination::Backend(_) => *az == core.cfg.az,
+        Destination::Az(to) => to == az,
     };
     let desks = core.desks.load();
     let count = |desk: &sync::Arc<Desk<M::Policy>>| {
--- a/src/entry/observe.rs
+++ b/src/entry/observe.rs
@@ -15,7 +15,7 @@
 use crate::protocol::{headers, outcome};
 use crate::state::{explain, totals};
 use crate::{id, logging, metrics as names, settings};
-use policy::{Ended, Moment, Place};
+use policy::{AttemptOutcome, Destination, Moment};
 
 /// Characters of a caller's text that go into a log line.
 const MOST_TEXT: usize = 96;
@@ -166,7 +166,7 @@
         now: Moment,
         service: &id::ServiceId,
         seen: &Seen,
-        to: &Place,
+        to: &Destination,
         own_az: &id::AzId,
         first: bool,
     ) {
@@ -175,8 +175,8 @@
             metrics::counter!(names::RETRIES, "service" => label.clone()).increment(1);
         }
         let az = match to {
-            Place::Backend(_) => own_az,
-            Place::Az(az) => {
+            Destination::Backend(_) => own_az,
+            Destination::Az(az) => {
                 let name = az.to_string();
                 metrics::counter!(names::SPILLS, "service" => label, "az" => name.clone())
                     .increment(1);
@@ -188,15 +188,15 @@
     }
 
     /// An attempt ended.
-    pub(super) fn attempt_ended(&self, service: &id::ServiceId, how: Ended) {
+    pub(super) fn attempt_ended(&self, service: &id::ServiceId, how: AttemptOutcome) {
         let how = match how {
-            Ended::Answered => "answered",
-            Ended::Failed => "failed",
-            Ended::Shed => "shed",
-            Ended::NotSent => "not_sent",
-            Ended::Lost => "lost",
-            Ended::TimedOut => "timed_out",
-            Ended::Cancelled => "cancelled",
+            AttemptOutcome::Answered => "answered",
+            AttemptOutcome::Failed => "failed",
+            AttemptOutcome::Shed => "shed",
+            AttemptOutcome::NotSent => "not_sent",
+            AttemptOutcome::Lost => "lost",
+            AttemptOutcome::TimedOut => "timed_out",
+            AttemptOutcome::Cancelled => "cancelled",
         };
         let label = self.services.label(service.as_str());
         metrics::counter!(names::ATTEMPTS, "service" => label, "ended" => how).increment(1);
--- a/src/protocol/backend.rs
+++ b/src/protocol/backend.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reading {
     /// How the attempt ended.
-    pub how: policy::Ended,
+    pub how: policy::AttemptOutcome,
     /// What the backend server said of itself.
     pub report: Option<policy::Report>,
 }
--- a/src/protocol/backend_http.rs
+++ b/src/protocol/backend_http.rs
@@ -57,10 +57,10 @@
         let not_run = outcome == Some(outcome::Outcome::NotRun.as_str());
         let unknown = outcome == Some(outcome::Outcome::Unknown.as_str());
         let how = match answer.status {
-            _ if not_run => policy::Ended::Shed,
-            _ if unknown => policy::Ended::Lost,
-            status if status.is_server_error() => policy::Ended::Failed,
-            _ => policy::Ended::Answered,
+            _ if not_run => policy::AttemptOutcome::Shed,
+            _ if unknown => policy::AttemptOutcome::Lost,
+            status if status.is_server_error() => policy::AttemptOutcome::Failed,
+            _ => policy::AttemptOutcome::Answered,
         };
         let report = headers::text(&answer.headers, headers::LOAD).and_then(parse_load);
         Some(backend::Reading { how, report })
--- a/src/standin/altered.rs
+++ b/src/standin/altered.rs
@@ -61,16 +61,16 @@
         &mut self,
         now: policy::Moment,
         req: policy::RequestId,
-        at: &policy::Place,
-        how: policy::Ended,
+        at: &policy::Destination,
+        how: policy::AttemptOutcome,
         report: Option<policy::Report>,
         out: &mut Vec<Action>,
     ) {
         self.naive.ended(now, req, at, how, report, out);
     }
 
-    fn gone(&mut self, now: policy::Moment, req: policy::RequestId, out: &mut Vec<Action>) {
-        self.naive.gone(now, req, out);
+    fn caller_gone(&mut self, now: policy::Moment, req: policy::RequestId, out: &mut Vec<Action>) {
+        self.naive.caller_gone(now, req, out);
     }
 
     fn tick(&mut self, now: policy::Moment, out: &mut Vec<Action>) {
--- a/src/standin/model/run/backends.rs
+++ b/src/standin/model/run/backends.rs
@@ -8,7 +8,7 @@
 };
 use crate::decisions::policy;
 use crate::standin::model::server::{Job, Server};
-use policy::{Fate, Moment, Policy};
+use policy::{Moment, Policy, RequestOutcome};
 
 impl<P: Policy, M: FnMut(&super::Site) -> P> World<'_, P, M> {
     pub(super) fn at_server(&mut self, send: usize) {
@@ -120,7 +120,7 @@
         while let Some(req) = next {
             let r = &mut self.reqs[req];
             r.ran = true;
-            let refused = matches!(r.settled, Some(Fate::NotRun { .. }));
+            let refused = matches!(r.settled, Some(RequestOutcome::NotRun { .. }));
             self.tally.false_not_runs += u64::from(refused);
             next = r.parent.map(|send| self.sends[send].req);
         }
--- a/src/standin/model/run/callers.rs
+++ b/src/standin/model/run/callers.rs
@@ -6,7 +6,7 @@
 use crate::decisions::policy;
 use crate::standin::model::load;
 use load::Call;
-use policy::{Fate, Policy};
+use policy::{Policy, RequestOutcome};
 
 impl<P: Policy, M: FnMut(&super::Site) -> P> World<'_, P, M> {
     pub(super) fn ask(&mut self, call: usize) {
@@ -57,7 +57,7 @@
         let (call, vm) = (r.call, r.vm);
         if r.settled.is_none() {
             let id = policy::RequestId(req as u64);
-            self.with(vm, |p, now, out| p.gone(now, id, out));
+            self.with(vm, |p, now, out| p.caller_gone(now, id, out));
         }
         if self.dep.ops[self.calls[call].op].idempotent {
             self.ask_again(call, time::Duration::ZERO);
@@ -82,17 +82,17 @@
         let info = &self.calls[call];
         let op = &self.dep.ops[info.op];
         match r.settled.expect("it was settled before it was told") {
-            Fate::Answer if last == Some(How::Answered) => self.answered(call),
-            Fate::Answer => {}
-            Fate::NotRun { retry_after, .. } => {
+            RequestOutcome::Answer if last == Some(How::Answered) => self.answered(call),
+            RequestOutcome::Answer => {}
+            RequestOutcome::NotRun { retry_after, .. } => {
                 let waited = (self.now - asked).as_micros() as u32;
                 self.tally.slowest_refusal_us = self.tally.slowest_refusal_us.max(waited);
                 self.ask_again(call, retry_after);
             }
-            Fate::Unknown { retry_after } if op.idempotent => {
+            RequestOutcome::Unknown { retry_after } if op.idempotent => {
                 self.ask_again(call, retry_after.min(ASK_AGAIN));
             }
-            Fate::Unknown { .. } => {}
+            RequestOutcome::Unknown { .. } => {}
         }
     }
 
--- a/src/standin/model/run/entry.rs
+++ b/src/standin/model/run/entry.rs
@@ -6,7 +6,7 @@
 use crate::decisions::policy;
 use crate::id;
 use crate::standin::model::server::Job;
-use policy::{Action, Ended, Fate, Moment, Place, Policy};
+use policy::{Action, AttemptOutcome, Destination, Moment, Policy, RequestOutcome};
 
 impl<P: Policy, M: FnMut(&super::Site) -> P> World<'_, P, M> {
     pub(super) fn with(&mut self, vm: usize, f: impl FnOnce(&mut P, Moment, &mut Vec<Action>)) {
@@ -80,7 +80,7 @@
         }
     }
 
-    pub(super) fn send(&mut self, vm: usize, req: usize, to: Place, deadline: Moment) {
+    pub(super) fn send(&mut self, vm: usize, req: usize, to: Destination, deadline: Moment) {
         let send = self.sends.len();
         let mut entry = Send {
             req,
@@ -92,13 +92,13 @@
         };
         self.push(deadline.max(self.now), Event::TimeOut(send));
         match to {
-            Place::Backend(id) => {
+            Destination::Backend(id) => {
                 entry.server = self.servers.iter().position(|s| s.id == id);
                 self.sends.push(entry);
                 self.tally.attempts += 1;
                 self.after(self.dep.local_delay, Event::AtServer(send));
             }
-            Place::Az(az) => {
+            Destination::Az(az) => {
                 self.sends.push(entry);
                 self.spill(vm, send, &az);
             }
@@ -154,19 +154,19 @@
         *bytes.or_default() += self.pattern.callers.bytes;
     }
 
-    pub(super) fn cancel(&mut self, req: usize, to: &Place) {
+    pub(super) fn cancel(&mut self, req: usize, to: &Destination) {
         let open = |send: &Send| send.req == req && !send.ended && send.place == *to;
         let Some(send) = self.sends.iter().rposition(open) else {
             return;
         };
         let delay = match to {
-            Place::Backend(_) => self.dep.local_delay,
-            Place::Az(_) => self.dep.az_delay,
+            Destination::Backend(_) => self.dep.local_delay,
+            Destination::Az(_) => self.dep.az_delay,
         };
         self.after(delay, Event::CancelAt(send));
     }
 
-    pub(super) fn settle(&mut self, req: usize, fate: Fate) {
+    pub(super) fn settle(&mut self, req: usize, fate: RequestOutcome) {
         let r = &mut self.reqs[req];
         if r.settled.is_some() {
             self.tally.unsettled += 1;
@@ -174,20 +174,20 @@
         }
         r.settled = Some(fate);
         match fate {
-            Fate::NotRun { why, .. } => {
+            RequestOutcome::NotRun { why, .. } => {
                 self.tally.false_not_runs += u64::from(r.ran);
                 self.tally.refuse(why);
             }
-            Fate::Unknown { .. } => self.tally.unknown += 1,
-            Fate::Answer => {}
+            RequestOutcome::Unknown { .. } => self.tally.unknown += 1,
+            RequestOutcome::Answer => {}
         }
         let Some(send) = r.parent else {
             return self.after(self.dep.client_delay, Event::Told(req));
         };
         let how = match fate {
-            Fate::Answer => r.last.unwrap_or(How::Failed),
-            Fate::NotRun { .. } => How::Shed,
-            Fate::Unknown { .. } => How::Lost,
+            RequestOutcome::Answer => r.last.unwrap_or(How::Failed),
+            RequestOutcome::NotRun { .. } => How::Shed,
+            RequestOutcome::Unknown { .. } => How::Lost,
         };
         let (here, home) = (r.vm, self.reqs[self.sends[send].req].vm);
         let delay = self.between(self.nodes[here].site.az, self.nodes[home].site.az);
@@ -224,7 +224,7 @@
         let (req, place) = (sent.req, sent.place.clone());
         let id = policy::RequestId(req as u64);
         self.with(self.reqs[req].vm, |p, now, out| {
-            p.ended(now, id, &place, Ended::TimedOut, None, out);
+            p.ended(now, id, &place, AttemptOutcome::TimedOut, None, out);
         });
     }
 
@@ -234,7 +234,9 @@
         }
         if let Some(child) = self.sends[send].child {
             let id = policy::RequestId(child as u64);
-            return self.with(self.reqs[child].vm, |p, now, out| p.gone(now, id, out));
+            return self.with(self.reqs[child].vm, |p, now, out| {
+                p.caller_gone(now, id, out)
+            });
         }
         if let Some(server) = self.sends[send].server {
             self.servers[server]
--- a/src/standin/model/run/mod.rs
+++ b/src/standin/model/run/mod.rs
@@ -14,7 +14,7 @@
 use super::{Deployment, load, tally};
 use crate::decisions::policy;
 use crate::id;
-use policy::{Ended, Fate, Moment, Place, Policy};
+use policy::{AttemptOutcome, Destination, Moment, Policy, RequestOutcome};
 
 /// How often policies get to act on time alone.
 const TICK: time::Duration = time::Duration::from_millis(10);
@@ -115,14 +115,14 @@
 }
 
 impl How {
-    fn ended(self) -> Ended {
+    fn ended(self) -> AttemptOutcome {
         match self {
-            Self::Answered => Ended::Answered,
-            Self::Failed => Ended::Failed,
-            Self::Shed => Ended::Shed,
-            Self::NotSent => Ended::NotSent,
-            Self::Lost => Ended::Lost,
-            Self::Cancelled => Ended::Cancelled,
+            Self::Answered => AttemptOutcome::Answered,
+            Self::Failed => AttemptOutcome::Failed,
+            Self::Shed => AttemptOutcome::Shed,
+            Self::NotSent => AttemptOutcome::NotSent,
+            Self::Lost => AttemptOutcome::Lost,
+            Self::Cancelled => AttemptOutcome::Cancelled,
         }
     }
 }
@@ -143,7 +143,7 @@
     parent: Option<usize>,
     ran: bool,
     last: Option<How>,
-    settled: Option<Fate>,
+    settled: Option<RequestOutcome>,
     dead: bool,
     told: bool,
 }
@@ -152,7 +152,7 @@
 #[derive(Debug)]
 struct Send {
     req: usize,
-    place: Place,
+    place: Destination,
     server: Option<usize>,
     child: Option<usize>,
     deadline: Moment,
--- a/src/standin/steering/places.rs
+++ b/src/standin/steering/places.rs
@@ -6,7 +6,7 @@
 use super::play::{COLD, CROSS_AFTER, Event, RETRY, VMS, World, vm_index, vm_name};
 use crate::decisions::{cross_az, grants, plan, policy};
 use crate::id;
-use policy::{Ended, Moment};
+use policy::{AttemptOutcome, Moment};
 
 impl World<'_> {
     pub(super) fn arrive(&mut self, req: usize, vm: usize) {
@@ -171,15 +171,15 @@
         );
         let az = self.vms[vm].az;
         let how = if how == 0 {
-            Ended::Shed
+            AttemptOutcome::Shed
         } else {
-            Ended::TimedOut
+            AttemptOutcome::TimedOut
         };
         let name = self.azs[to].name.clone();
         self.vms[vm]
             .cross_az
             .ended(self.now, &name, how, self.scenario.bytes);
-        if how == Ended::TimedOut {
+        if how == AttemptOutcome::TimedOut {
             self.tally.lost += 1;
             return;
         }
@@ -250,9 +250,12 @@
         if let Some(to) = self.reqs[req].crossed {
             back += self.dep.one_way(&self.azs[from].name, &self.azs[to].name);
             let (vm, name) = (self.reqs[req].vm, self.azs[to].name.clone());
-            self.vms[vm]
-                .cross_az
-                .ended(self.now, &name, Ended::Answered, self.scenario.bytes);
+            self.vms[vm].cross_az.ended(
+                self.now,
+                &name,
+                AttemptOutcome::Answered,
+                self.scenario.bytes,
+            );
         }
         self.after(back, Event::Told(req));
         self.pull(az);
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -4,7 +4,7 @@
 use std::time;
 
 use bulrushwind::decisions::{cross_az, dispatch, policy, queue, retry};
-use policy::{Action, Ended, Fate, Moment, Place, Policy};
+use policy::{Action, AttemptOutcome, Destination, Moment, Policy, RequestOutcome};
 use proptest::prelude::*;
 use proptest::test_runner;
 
@@ -21,7 +21,7 @@
     },
     End {
         pick: usize,
-        how: Ended,
+        how: AttemptOutcome,
     },
     CallerLeft(usize),
     Advance(u64),
@@ -34,12 +34,12 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let how = prop_oneof![
-        8 => Just(Ended::Answered),
-        1 => Just(Ended::Failed),
-        2 => Just(Ended::Shed),
-        1 => Just(Ended::NotSent),
-        2 => Just(Ended::Lost),
-        1 => Just(Ended::Cancelled),
+        8 => Just(AttemptOutcome::Answered),
+        1 => Just(AttemptOutcome::Failed),
+        2 => Just(AttemptOutcome::Shed),
+        1 => Just(AttemptOutcome::NotSent),
+        2 => Just(AttemptOutcome::Lost),
+        1 => Just(AttemptOutcome::Cancelled),
     ];
     let arrive = (0..4_u64, 0..6_u64, any::<bool>(), 0..8_u8, 1..500_u64);
     prop_oneof![
@@ -68,7 +68,7 @@
     cfg: dispatch::Config,
     now: Moment,
     requests: Vec<RequestState>,
-    in_flight: Vec<(policy::RequestId, Place, Moment)>,
+    in_flight: Vec<(policy::RequestId, Destination, Moment)>,
     leaving: [bool; 3],
 }
 
@@ -126,20 +126,20 @@
                 let in_flight = self.in_flight.iter().any(|o| o.0 == req);
                 let request = &mut self.requests[req.0 as usize];
                 request.settled += 1;
-                let not_run = matches!(fate, Fate::NotRun { .. });
+                let not_run = matches!(fate, RequestOutcome::NotRun { .. });
                 let may_run = request.maybe_run || in_flight;
                 assert!(
                     !(not_run && may_run),
                     "called not run though it may have: {req:?}"
                 );
-                assert!(fate != Fate::Answer || request.sends > 0);
+                assert!(fate != RequestOutcome::Answer || request.sends > 0);
             }
             Action::Cancel { .. } | Action::Probe { .. } => {}
         }
     }
 
-    fn is_leaving(&self, to: &Place) -> bool {
-        let Place::Backend(id) = to else {
+    fn is_leaving(&self, to: &Destination) -> bool {
+        let Destination::Backend(id) = to else {
             return false;
         };
         let at = BACKENDS.iter().position(|b| *b == id.as_str());
@@ -156,7 +156,7 @@
         self.apply(|d, now, out| d.set_backends(now, &backends, out));
     }
 
-    fn end_attempt(&mut self, at: usize, how: Ended) {
+    fn end_attempt(&mut self, at: usize, how: AttemptOutcome) {
         let (req, place, _) = self.in_flight.swap_remove(at);
         let request = &mut self.requests[req.0 as usize];
         request.maybe_run |= retry::may_have_run(how);
@@ -166,7 +166,7 @@
     fn advance(&mut self, millis: u64) {
         self.now += time::Duration::from_millis(millis);
         while let Some(late) = self.in_flight.iter().position(|o| o.2 <= self.now) {
-            self.end_attempt(late, Ended::TimedOut);
+            self.end_attempt(late, AttemptOutcome::TimedOut);
         }
         self.apply(|d, now, out| d.tick(now, out));
     }
@@ -207,7 +207,7 @@
             }
             Step::CallerLeft(pick) if !self.requests.is_empty() => {
                 let req = policy::RequestId((pick % self.requests.len()) as u64);
-                self.apply(|d, now, out| d.gone(now, req, out));
+                self.apply(|d, now, out| d.caller_gone(now, req, out));
             }
             Step::End { .. } | Step::CallerLeft(_) => {}
             Step::Advance(millis) => self.advance(millis),
@@ -295,7 +295,7 @@
         if round % 2 == 0 && !harness.in_flight.is_empty() {
             let read = harness.requests[harness.in_flight[0].0.0 as usize].idempotent;
             *answers_by_kind.entry(read).or_insert(0) += 1;
-            harness.end_attempt(0, Ended::Answered);
+            harness.end_attempt(0, AttemptOutcome::Answered);
         }
         harness.advance(5);
     }
