--- a/src/decisions/ejection.rs
+++ b/src/decisions/ejection.rs
@@ -1,15 +1,15 @@
-//! Which backend servers get no work because they fail.
+//! Outlier ejection: stops sending requests to backend servers that fail.
 //!
-//! Load pattern: one backend server that fails fast, or is down. Without this it draws more work
-//! than the sound ones, since it is always idle, and answers all of it with failures. One notices
-//! it as one backend server with many runs, very short ones, and callers with errors.
+//! Load pattern: one backend server fails fast or is down. Without ejection it attracts more
+//! requests than the healthy ones, since it is always idle, and fails all of them. The symptom is
+//! one backend server with many very short runs, and callers that get errors.
 //!
-//! A backend server is out after a few failures in a row, or once half of its answers fail. After
-//! a while a probe asks how it is, and a few reads try it before it counts as sound. Each return
-//! to the same state doubles the wait. At most half of the backend servers are out as outliers:
-//! when all fail alike, the cause lies elsewhere, and taking them out would only overload the
-//! rest. One that refuses connections or breaks them is out whatever the others do, since nothing
-//! runs there.
+//! A backend server is ejected after a few failures in a row, or once half of its answers are
+//! failures. After the ejection time a probe checks it, and it must then answer a few reads on
+//! trial. Each repeated ejection doubles the ejection time. At most half of the backend servers are
+//! ejected as outliers: when all fail alike, the cause lies elsewhere, and ejecting them would only
+//! overload the rest. One that refuses or breaks connections is always ejected, since it runs
+//! nothing.
 
 use std::time;
 
@@ -19,182 +19,205 @@
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Failed answers or timeouts in a row. Three: with one answer in a hundred failing by chance
-    /// it happens once in a million.
-    pub in_a_row: u32,
-    /// Broken or refused connections in a row. One may be an idle connection that was closed.
-    pub broken_in_a_row: u32,
-    /// The share of failures among the last [`Self::window`] answers.
-    pub share: f64,
-    /// Over how many answers that share is taken.
-    pub window: f64,
-    /// The largest share of backend servers that may be out as outliers.
-    pub max_out: f64,
-    /// How long the first time out lasts.
+    /// Failed answers or timeouts in a row that eject. At three, and with one answer in a hundred
+    /// failing by chance, a false ejection happens once in a million.
+    #[serde(rename = "in_a_row")]
+    pub consecutive_failures: u32,
+    /// Broken or refused connections in a row that eject. One may be a closed idle connection.
+    #[serde(rename = "broken_in_a_row")]
+    pub consecutive_breaks: u32,
+    /// The ratio of failures among the last [`Self::window_answers`] answers above which it is
+    /// ejected.
+    #[serde(rename = "share")]
+    pub max_failure_ratio: f64,
+    /// The number of answers that the failure ratio covers.
+    #[serde(rename = "window")]
+    pub window_answers: f64,
+    /// The maximum share of backend servers that may be ejected as outliers.
+    #[serde(rename = "max_out")]
+    pub max_ejected_share: f64,
+    /// The first ejection time.
     #[serde(with = "range::seconds")]
-    pub first: time::Duration,
-    /// How long a time out lasts at most.
+    #[serde(rename = "first")]
+    pub min_ejection_time: time::Duration,
+    /// The maximum ejection time.
     #[serde(with = "range::seconds")]
-    pub longest: time::Duration,
+    #[serde(rename = "longest")]
+    pub max_ejection_time: time::Duration,
     /// Answers in a row that end a trial.
-    pub trial: u32,
+    #[serde(rename = "trial")]
+    pub trial_answers: u32,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            in_a_row: 3,
-            broken_in_a_row: 2,
-            share: 0.5,
-            window: 20.0,
-            max_out: 0.5,
-            first: time::Duration::from_millis(500),
-            longest: time::Duration::from_secs(20),
-            trial: 5,
+            consecutive_failures: 3,
+            consecutive_breaks: 2,
+            max_failure_ratio: 0.5,
+            window_answers: 20.0,
+            max_ejected_share: 0.5,
+            min_ejection_time: time::Duration::from_millis(500),
+            max_ejection_time: time::Duration::from_secs(20),
+            trial_answers: 5,
         }
     }
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Returns an error for the first threshold that is out of range.
     pub fn check(&self) -> Result<(), range::Error> {
-        range::check("ejection.in_a_row", f64::from(self.in_a_row), 1.0..=100.0)?;
-        let broken = f64::from(self.broken_in_a_row);
+        range::check(
+            "ejection.in_a_row",
+            f64::from(self.consecutive_failures),
+            1.0..=100.0,
+        )?;
+        let broken = f64::from(self.consecutive_breaks);
         range::check("ejection.broken_in_a_row", broken, 1.0..=100.0)?;
-        range::check("ejection.share", self.share, 0.05..=1.0)?;
-        range::check("ejection.window", self.window, 2.0..=10_000.0)?;
-        range::check("ejection.max_out", self.max_out, 0.0..=0.9)?;
-        range::check("ejection.first", self.first.as_secs_f64(), 0.05..=60.0)?;
-        let longest = self.longest.as_secs_f64();
+        range::check("ejection.share", self.max_failure_ratio, 0.05..=1.0)?;
+        range::check("ejection.window", self.window_answers, 2.0..=10_000.0)?;
+        range::check("ejection.max_out", self.max_ejected_share, 0.0..=0.9)?;
+        range::check(
+            "ejection.first",
+            self.min_ejection_time.as_secs_f64(),
+            0.05..=60.0,
+        )?;
+        let longest = self.max_ejection_time.as_secs_f64();
         range::check("ejection.longest", longest, 0.05..=600.0)?;
-        range::check("ejection.trial", f64::from(self.trial), 1.0..=1_000.0)
+        range::check(
+            "ejection.trial",
+            f64::from(self.trial_answers),
+            1.0..=1_000.0,
+        )
     }
 }
 
-/// Whether a backend server gets work.
+/// Whether a backend server gets requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It does.
-    In,
-    /// It gets a few reads, one at a time, to see whether it is sound again.
+    /// It gets requests.
+    Active,
+    /// It gets a few reads, one at a time, to check whether it has recovered.
     Trial,
-    /// It does not.
-    Out {
-        /// When a probe may ask how it is.
+    /// It gets no requests.
+    Ejected {
+        /// When a probe may be sent.
         until: policy::Moment,
-        /// It takes no connections.
+        /// Whether it refuses or breaks connections.
         down: bool,
     },
 }
 
-/// The failures of one backend server.
+/// The failure record of one backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct Health {
     state: State,
-    failures: f64,
-    in_a_row: u32,
-    broken: u32,
-    good: u32,
-    times: u32,
+    failure_ratio: f64,
+    failures_in_a_row: u32,
+    breaks_in_a_row: u32,
+    answers_in_a_row: u32,
+    ejections: u32,
 }
 
 impl Default for Health {
     fn default() -> Self {
         Self {
-            state: State::In,
-            failures: 0.0,
-            in_a_row: 0,
-            broken: 0,
-            good: 0,
-            times: 0,
+            state: State::Active,
+            failure_ratio: 0.0,
+            failures_in_a_row: 0,
+            breaks_in_a_row: 0,
+            answers_in_a_row: 0,
+            ejections: 0,
         }
     }
 }
 
 impl Health {
-    /// Whether it gets work.
+    /// The current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// An answer came. Returns whether a trial ended well.
+    /// Records an answer. Returns whether it ended a trial.
     pub fn answered(&mut self, cfg: &Config) -> bool {
-        self.failures -= self.failures / cfg.window;
-        self.in_a_row = 0;
-        self.broken = 0;
-        self.good += 1;
-        if self.good >= cfg.window as u32 {
-            self.times = 0;
+        self.failure_ratio -= self.failure_ratio / cfg.window_answers;
+        self.failures_in_a_row = 0;
+        self.breaks_in_a_row = 0;
+        self.answers_in_a_row += 1;
+        if self.answers_in_a_row >= cfg.window_answers as u32 {
+            self.ejections = 0;
         }
-        if self.state != State::Trial || self.good < cfg.trial {
+        if self.state != State::Trial || self.answers_in_a_row < cfg.trial_answers {
             return false;
         }
-        self.state = State::In;
-        self.failures = 0.0;
+        self.state = State::Active;
+        self.failure_ratio = 0.0;
         true
     }
 
-    /// It failed at a request, or took too long. Returns whether it ought to be out as an
-    /// outlier.
+    /// Records a failed answer or a timeout. Returns whether to eject it as an outlier.
     pub fn failed(&mut self, cfg: &Config) -> bool {
-        self.failures += (1.0 - self.failures) / cfg.window;
-        self.in_a_row += 1;
-        self.good = 0;
+        self.failure_ratio += (1.0 - self.failure_ratio) / cfg.window_answers;
+        self.failures_in_a_row += 1;
+        self.answers_in_a_row = 0;
         match self.state {
-            State::In => self.in_a_row >= cfg.in_a_row || self.failures > cfg.share,
+            State::Active => {
+                self.failures_in_a_row >= cfg.consecutive_failures
+                    || self.failure_ratio > cfg.max_failure_ratio
+            }
             State::Trial => true,
-            State::Out { .. } => false,
+            State::Ejected { .. } => false,
         }
     }
 
-    /// It refused or broke a connection. Returns whether it ought to be out as down.
+    /// Records a refused or broken connection. Returns whether to eject it as down.
     pub fn broke(&mut self, cfg: &Config) -> bool {
-        self.broken += 1;
-        self.good = 0;
+        self.breaks_in_a_row += 1;
+        self.answers_in_a_row = 0;
         match self.state {
-            State::In => self.broken >= cfg.broken_in_a_row,
+            State::Active => self.breaks_in_a_row >= cfg.consecutive_breaks,
             State::Trial => true,
-            State::Out { .. } => false,
+            State::Ejected { .. } => false,
         }
     }
 
-    /// Takes it out.
+    /// Ejects the backend server; `down` says that it refuses or breaks connections.
     pub fn eject(&mut self, cfg: &Config, now: policy::Moment, down: bool) {
-        let wait = cfg.first * 2_u32.saturating_pow(self.times.min(16));
-        let until = now + wait.min(cfg.longest);
-        // What is down comes back when it comes back; waiting longer each time finds nothing out.
-        self.times += u32::from(!down);
-        self.good = 0;
-        self.state = State::Out { until, down };
+        let ejection_time = cfg.min_ejection_time * 2_u32.saturating_pow(self.ejections.min(16));
+        let until = now + ejection_time.min(cfg.max_ejection_time);
+        // The ejection time does not grow while it is down: a longer wait gives no information.
+        self.ejections += u32::from(!down);
+        self.answers_in_a_row = 0;
+        self.state = State::Ejected { until, down };
     }
 
-    /// Whether a probe may ask how it is.
-    pub fn due(&self, now: policy::Moment) -> bool {
-        matches!(self.state, State::Out { until, .. } if until <= now)
+    /// Whether a probe may be sent now.
+    pub fn probe_due(&self, now: policy::Moment) -> bool {
+        matches!(self.state, State::Ejected { until, .. } if until <= now)
     }
 
-    /// A probe came back. Returns whether it is on trial now.
+    /// Records the result of a probe. Returns whether a trial has begun.
     pub fn probed(&mut self, cfg: &Config, now: policy::Moment, answered: bool) -> bool {
-        let State::Out { down, .. } = self.state else {
+        let State::Ejected { down, .. } = self.state else {
             return false;
         };
         if !answered {
-            let until = now + cfg.first;
-            self.state = State::Out { until, down };
+            let until = now + cfg.min_ejection_time;
+            self.state = State::Ejected { until, down };
             return false;
         }
-        self.in_a_row = 0;
-        self.broken = 0;
-        self.good = 0;
+        self.failures_in_a_row = 0;
+        self.breaks_in_a_row = 0;
+        self.answers_in_a_row = 0;
         self.state = State::Trial;
         true
     }
 }
 
-/// Whether one more of `members` may be out as an outlier, while `out` are out already for any
-/// cause.
-pub fn room(cfg: &Config, members: usize, out: usize) -> bool {
-    (out + 1) as f64 <= members as f64 * cfg.max_out
+/// Whether one more of `members` may be ejected as an outlier, while `out` are ejected already for
+/// any cause.
+pub fn may_eject_outlier(cfg: &Config, members: usize, out: usize) -> bool {
+    (out + 1) as f64 <= members as f64 * cfg.max_ejected_share
 }
 
 #[cfg(test)]
@@ -203,15 +226,15 @@
 
     const NOW: policy::Moment = policy::Moment::from_secs(1);
 
-    /// A backend server's disk is full: it fails each request in half a millisecond.
+    /// A backend server whose disk is full fails each request within half a millisecond.
     #[test]
-    fn failures_in_a_row_put_it_out() {
+    fn failures_in_a_row_eject() {
         let (mut health, cfg) = (Health::default(), Config::default());
         assert!(!health.failed(&cfg) && !health.failed(&cfg) && health.failed(&cfg));
     }
 
     #[test]
-    fn a_failure_now_and_then_does_not() {
+    fn occasional_failures_do_not_eject() {
         let (mut health, cfg) = (Health::default(), Config::default());
         for _ in 0..1_000 {
             assert!(!health.failed(&cfg));
@@ -221,18 +244,18 @@
     }
 
     #[test]
-    fn each_time_out_is_longer_until_it_is_sound_for_long() {
+    fn ejection_times_double() {
         let (mut health, cfg) = (Health::default(), Config::default());
-        let mut waits = Vec::new();
+        let mut ejection_times = Vec::new();
         for _ in 0..3 {
             health.eject(&cfg, NOW, false);
-            let State::Out { until, .. } = health.state() else {
-                panic!("it is not out");
+            let State::Ejected { until, .. } = health.state() else {
+                panic!("the backend server is not ejected");
             };
-            waits.push((until - NOW).as_millis());
-            assert!(health.due(until) && health.probed(&cfg, until, true));
+            ejection_times.push((until - NOW).as_millis());
+            assert!(health.probe_due(until) && health.probed(&cfg, until, true));
         }
-        assert_eq!(waits, [500, 1_000, 2_000]);
+        assert_eq!(ejection_times, [500, 1_000, 2_000]);
     }
 
     #[test]
@@ -245,8 +268,12 @@
     }
 
     #[test]
-    fn half_of_them_stay() {
+    fn at_most_half_are_ejected_as_outliers() {
         let cfg = Config::default();
-        assert!(room(&cfg, 2, 0) && !room(&cfg, 2, 1) && !room(&cfg, 1, 0));
+        assert!(
+            may_eject_outlier(&cfg, 2, 0)
+                && !may_eject_outlier(&cfg, 2, 1)
+                && !may_eject_outlier(&cfg, 1, 0)
+        );
     }
 }
--- a/src/decisions/quarantine.rs
+++ b/src/decisions/quarantine.rs
@@ -1,15 +1,14 @@
-//! Requests that crash backend servers.
+//! Isolates and bans requests that crash backend servers.
 //!
-//! Load pattern: now and then one request crashes each backend server that runs it, and its
-//! caller sends it again. Without this, retries carry it from one backend server to the next
-//! until none is left. One notices it as backend servers that die one after the other, each a few
-//! milliseconds after a certain request.
+//! Load pattern: a request crashes each backend server that runs it, and its caller retries it.
+//! Without quarantine, retries carry it from one backend server to the next until none is left. The
+//! symptom is crashes that each follow a certain request by milliseconds.
 //!
-//! A crash says only what was in flight, so each of these fingerprints becomes a suspect. A
-//! suspect is tried alone: on a backend server with nothing else of this VM in flight, and only
-//! while another one is up. An answer clears it. A second crash bans it for
-//! [`Config::ban`], here and, as an [`Entry`], on the VMs that are told. Two crashes and not one,
-//! because the first names a handful of innocent requests too.
+//! Any request in flight at a crash may have caused it, so the fingerprint of each becomes a suspect.
+//! A suspect is tried alone: on a backend server with no other request of this VM in flight, and only
+//! while another backend server is up. An answer clears it. A second crash bans it for
+//! [`Config::ban`] on this VM and on the VMs that receive the [`Ban`]. One crash is not enough,
+//! because it makes some innocent requests suspects too.
 
 use std::collections;
 use std::time;
@@ -21,15 +20,15 @@
 pub struct Config {
     /// How long a fingerprint stays a suspect without another crash.
     pub suspect: time::Duration,
-    /// How long a fingerprint is banned: longer than callers keep asking, short enough that a
-    /// repaired service is not held back for long.
+    /// How long a fingerprint is banned: longer than callers retry, but short enough that a repaired
+    /// service is not held back for long.
     pub ban: time::Duration,
-    /// Fingerprints that are kept. The oldest suspects go first.
-    pub most: usize,
-    /// Suspects that may wait to be tried.
-    pub waiting: usize,
-    /// Connections of one backend server that break within this time are one crash.
-    pub one_crash: time::Duration,
+    /// Maximum number of fingerprints kept. The oldest suspects are removed first.
+    pub max_records: usize,
+    /// Maximum number of suspects that wait for a trial.
+    pub max_waiting: usize,
+    /// Broken connections to one backend server within this time count as one crash.
+    pub crash_window: time::Duration,
 }
 
 impl Default for Config {
@@ -37,9 +36,9 @@
         Self {
             suspect: time::Duration::from_secs(60),
             ban: time::Duration::from_secs(120),
-            most: 10_000,
-            waiting: 32,
-            one_crash: time::Duration::from_millis(200),
+            max_records: 10_000,
+            max_waiting: 32,
+            crash_window: time::Duration::from_millis(200),
         }
     }
 }
@@ -50,34 +49,38 @@
         let suspect = self.suspect.as_secs_f64();
         range::check("quarantine.suspect", suspect, 1.0..=3_600.0)?;
         range::check("quarantine.ban", self.ban.as_secs_f64(), 1.0..=86_400.0)?;
-        range::check("quarantine.most", self.most as f64, 16.0..=1e6)?;
-        range::check("quarantine.waiting", self.waiting as f64, 0.0..=10_000.0)?;
-        let one_crash = self.one_crash.as_secs_f64();
-        range::check("quarantine.one_crash", one_crash, 0.01..=10.0)
+        range::check("quarantine.most", self.max_records as f64, 16.0..=1e6)?;
+        range::check(
+            "quarantine.waiting",
+            self.max_waiting as f64,
+            0.0..=10_000.0,
+        )?;
+        let crash_window = self.crash_window.as_secs_f64();
+        range::check("quarantine.one_crash", crash_window, 0.01..=10.0)
     }
 }
 
 data! {
-    /// A ban, as VMs tell it to one another.
+    /// A ban, as sent to other VMs.
     #[derive(Copy, Eq)]
-    pub struct Entry {
-        /// What is banned.
+    pub struct Ban {
+        /// The banned fingerprint.
         pub fingerprint: policy::Fingerprint,
-        /// How much longer. A time span, because VMs share no clock.
+        /// Remaining time of the ban. A duration, because VMs share no clock.
         pub left: time::Duration,
     }
 }
 
-/// What is known of a fingerprint.
+/// State of a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Nothing.
+    /// Neither suspect nor banned.
     Clear,
-    /// It was in flight at a crash.
+    /// In flight at one crash.
     Suspect,
-    /// It was in flight at two.
+    /// In flight at two crashes.
     Banned {
-        /// How much longer it is refused.
+        /// Remaining time of the ban.
         left: time::Duration,
     },
 }
@@ -92,11 +95,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     records: collections::HashMap<policy::Fingerprint, Record>,
-    fresh: Vec<policy::Fingerprint>,
+    new_bans: Vec<policy::Fingerprint>,
 }
 
 impl Quarantine {
-    /// What is known of a fingerprint.
+    /// State of a fingerprint at `now`.
     pub fn state(&self, now: policy::Moment, fingerprint: policy::Fingerprint) -> State {
         match self.records.get(&fingerprint) {
             Some(record) if record.until <= now => State::Clear,
@@ -108,10 +111,15 @@
         }
     }
 
-    /// A backend server crashed with this in flight.
-    pub fn crashed(&mut self, cfg: &Config, now: policy::Moment, fingerprint: policy::Fingerprint) {
-        if self.records.len() >= cfg.most {
-            self.make_room(now);
+    /// Records that a backend server crashed with this request in flight.
+    pub fn record_crash(
+        &mut self,
+        cfg: &Config,
+        now: policy::Moment,
+        fingerprint: policy::Fingerprint,
+    ) {
+        if self.records.len() >= cfg.max_records {
+            self.evict_oldest(now);
         }
         let record = self.records.entry(fingerprint).or_insert(Record {
             crashes: 0,
@@ -124,12 +132,12 @@
         let banned = record.crashes >= 2;
         record.until = now + if banned { cfg.ban } else { cfg.suspect };
         if record.crashes == 2 {
-            self.fresh.push(fingerprint);
+            self.new_bans.push(fingerprint);
         }
     }
 
-    /// It was answered: what crashed the backend server was something else.
-    pub fn answered(&mut self, fingerprint: policy::Fingerprint) {
+    /// Clears a suspect that was answered: another request caused the crash.
+    pub fn record_answer(&mut self, fingerprint: policy::Fingerprint) {
         if self.records.is_empty() {
             return;
         }
@@ -142,36 +150,36 @@
         }
     }
 
-    /// The bans that came up here since the last call, to be told to other VMs.
-    pub fn export(&mut self, now: policy::Moment) -> Vec<Entry> {
-        let fresh = std::mem::take(&mut self.fresh);
-        let entry = |fingerprint| match self.state(now, fingerprint) {
-            State::Banned { left } => Some(Entry { fingerprint, left }),
+    /// Returns the bans that originated here since the last call, to be sent to other VMs.
+    pub fn take_new_bans(&mut self, now: policy::Moment) -> Vec<Ban> {
+        let new_bans = std::mem::take(&mut self.new_bans);
+        let ban = |fingerprint| match self.state(now, fingerprint) {
+            State::Banned { left } => Some(Ban { fingerprint, left }),
             _ => None,
         };
-        fresh.into_iter().filter_map(entry).collect()
+        new_bans.into_iter().filter_map(ban).collect()
     }
 
-    /// Another VM tells of a ban. It is not told on from here.
-    pub fn import(&mut self, cfg: &Config, now: policy::Moment, entry: Entry) {
-        if self.records.len() >= cfg.most {
-            self.make_room(now);
+    /// Applies a ban from another VM. It is not forwarded.
+    pub fn apply_ban(&mut self, cfg: &Config, now: policy::Moment, ban: Ban) {
+        if self.records.len() >= cfg.max_records {
+            self.evict_oldest(now);
         }
-        let until = now + entry.left.min(cfg.ban);
+        let until = now + ban.left.min(cfg.ban);
         let record = self
             .records
-            .entry(entry.fingerprint)
+            .entry(ban.fingerprint)
             .or_insert(Record { crashes: 2, until });
         record.crashes = record.crashes.max(2);
         record.until = record.until.max(until);
     }
 
-    /// Drops what has expired.
+    /// Removes expired records.
     pub fn tick(&mut self, now: policy::Moment) {
         self.records.retain(|_, record| record.until > now);
     }
 
-    fn make_room(&mut self, now: policy::Moment) {
+    fn evict_oldest(&mut self, now: policy::Moment) {
         self.tick(now);
         let oldest = self
             .records
@@ -187,55 +195,58 @@
 mod tests {
     use super::*;
 
-    const KILLER: policy::Fingerprint = policy::Fingerprint(1);
+    const CRASHING: policy::Fingerprint = policy::Fingerprint(1);
     const INNOCENT: policy::Fingerprint = policy::Fingerprint(2);
 
     fn at(secs: u64) -> policy::Moment {
         policy::Moment::from_secs(secs)
     }
 
-    /// A request crashes a backend server while an innocent one is in flight. The innocent one is
-    /// answered when tried alone; the other crashes a second one and is refused from then on.
+    /// A request crashes a backend server while an innocent one is in flight. Tried alone, the
+    /// innocent one is answered; the other crashes a second backend server and is banned.
     #[test]
     fn two_crashes_ban_and_an_answer_clears() {
         let (mut quarantine, cfg) = (Quarantine::default(), Config::default());
-        quarantine.crashed(&cfg, at(1), KILLER);
-        quarantine.crashed(&cfg, at(1), INNOCENT);
+        quarantine.record_crash(&cfg, at(1), CRASHING);
+        quarantine.record_crash(&cfg, at(1), INNOCENT);
         assert_eq!(quarantine.state(at(2), INNOCENT), State::Suspect);
-        quarantine.answered(INNOCENT);
-        quarantine.crashed(&cfg, at(3), KILLER);
+        quarantine.record_answer(INNOCENT);
+        quarantine.record_crash(&cfg, at(3), CRASHING);
         assert_eq!(quarantine.state(at(3), INNOCENT), State::Clear);
         let banned = State::Banned { left: cfg.ban };
-        assert_eq!(quarantine.state(at(3), KILLER), banned);
-        assert_eq!(quarantine.state(at(3) + cfg.ban, KILLER), State::Clear);
+        assert_eq!(quarantine.state(at(3), CRASHING), banned);
+        assert_eq!(quarantine.state(at(3) + cfg.ban, CRASHING), State::Clear);
     }
 
     #[test]
-    fn a_ban_is_told_once_and_not_told_on() {
+    fn a_ban_is_exported_once_and_not_forwarded() {
         let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
         let cfg = Config::default();
-        here.crashed(&cfg, at(1), KILLER);
-        here.crashed(&cfg, at(2), KILLER);
-        let told = here.export(at(2));
-        assert_eq!((told.len(), here.export(at(2)).len()), (1, 0));
-        there.import(&cfg, at(900), told[0]);
-        assert!(matches!(there.state(at(900), KILLER), State::Banned { .. }));
-        assert!(there.export(at(900)).is_empty());
+        here.record_crash(&cfg, at(1), CRASHING);
+        here.record_crash(&cfg, at(2), CRASHING);
+        let exported = here.take_new_bans(at(2));
+        assert_eq!((exported.len(), here.take_new_bans(at(2)).len()), (1, 0));
+        there.apply_ban(&cfg, at(900), exported[0]);
+        assert!(matches!(
+            there.state(at(900), CRASHING),
+            State::Banned { .. }
+        ));
+        assert!(there.take_new_bans(at(900)).is_empty());
     }
 
     #[test]
-    fn it_is_bounded_and_keeps_bans() {
+    fn records_are_bounded_and_bans_are_kept() {
         let cfg = Config {
-            most: 16,
+            max_records: 16,
             ..Config::default()
         };
         let mut quarantine = Quarantine::default();
-        quarantine.crashed(&cfg, at(1), KILLER);
-        quarantine.crashed(&cfg, at(1), KILLER);
-        (10..200).for_each(|i| quarantine.crashed(&cfg, at(2), policy::Fingerprint(i)));
+        quarantine.record_crash(&cfg, at(1), CRASHING);
+        quarantine.record_crash(&cfg, at(1), CRASHING);
+        (10..200).for_each(|i| quarantine.record_crash(&cfg, at(2), policy::Fingerprint(i)));
         assert_eq!(quarantine.records.len(), 16);
         assert!(matches!(
-            quarantine.state(at(2), KILLER),
+            quarantine.state(at(2), CRASHING),
             State::Banned { .. }
         ));
     }
--- a/src/decisions/regions.rs
+++ b/src/decisions/regions.rs
@@ -1,15 +1,15 @@
-//! Which share of a region's requests other regions serve.
+//! Decides which share of a region's requests other regions serve.
 //!
-//! Load pattern: regions whose callers and backend servers do not match. A region with a third of
-//! the callers and a sixth of the slots is full while others stand half empty; sending only what
-//! overflows at the moment makes the place where an object is handled change all the time, so
-//! that nothing is warm, and large shifts land on caches that are cold. One notices it as one
-//! region that refuses while another idles.
+//! Load pattern: callers and backend servers are spread differently over regions. A region with a
+//! third of the callers and a sixth of the slots is full while others are half empty. If it
+//! forwarded only its current overflow, objects would move between regions all the time and never
+//! be warm, and large shifts would reach cold caches. The symptom is one region that refuses while
+//! another idles.
 //!
-//! So a steady share goes elsewhere. It begins at what the slots alone say, which every VM works
-//! out alike without a message, and follows the load slowly. Objects and not single requests
-//! move: those whose hash lies below the share. All services of a region together move no more
-//! than [`Config::step`] of its requests in each step, so that no shift passes the operators' cap.
+//! So a steady share goes elsewhere. It starts at a value computed from the slots alone, the same
+//! on every VM without messages, and follows the load slowly. Whole objects move and not single
+//! requests: those whose hash is below the share. All services of a region together move at most
+//! [`Config::max_step`] of its requests in each step, so that no shift exceeds the operators' cap.
 
 use std::time;
 
@@ -19,138 +19,143 @@
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// How many times its callers' share of the slots a region must have to serve them all by
-    /// itself. Below it some go elsewhere from the start. A region that has its share and no more is full
-    /// whenever its callers come in a wave; much above it, objects cross regions for nothing.
-    pub spare: f64,
-    /// The load per slot above which more goes elsewhere: as much waits as runs. Objects that move
-    /// are cold where they arrive, so a queue that comes and goes is no reason.
-    pub high: f64,
-    /// The load per slot below which less goes elsewhere.
-    pub low: f64,
-    /// The part of the region's requests that may move in one step, over all services: no more objects
-    /// than their new places can warm.
-    pub step: f64,
-    /// The length of a step.
+    /// The ratio of a region's share of the slots to its share of the callers below which part of
+    /// its requests goes elsewhere from the start. At a ratio of 1 the region is full in every
+    /// traffic peak; with a value much above that, objects cross regions needlessly.
+    #[serde(rename = "spare")]
+    pub slot_surplus: f64,
+    /// The load per slot above which the share grows: one request waits for each that runs. Moved
+    /// objects arrive at cold caches, so a short queue must not move any.
+    #[serde(rename = "high")]
+    pub high_load: f64,
+    /// The load per slot below which the share shrinks.
+    #[serde(rename = "low")]
+    pub low_load: f64,
+    /// The maximum share of the region's requests that may move in one step, over all services: no
+    /// more objects than the receiving backend servers can warm.
+    #[serde(rename = "step")]
+    pub max_step: f64,
+    /// The interval between steps.
     #[serde(with = "range::seconds")]
-    pub every: time::Duration,
+    #[serde(rename = "every")]
+    pub step_interval: time::Duration,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            spare: 1.1,
-            high: 2.0,
-            low: 0.45,
-            step: 0.005,
-            every: time::Duration::from_millis(500),
+            slot_surplus: 1.1,
+            high_load: 2.0,
+            low_load: 0.45,
+            max_step: 0.005,
+            step_interval: time::Duration::from_millis(500),
         }
     }
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Returns an error for the first threshold that is out of range.
     pub fn check(&self) -> Result<(), range::Error> {
-        range::check("regions.spare", self.spare, 0.1..=2.0)?;
-        range::check("regions.high", self.high, 0.1..=5.0)?;
-        range::check("regions.low", self.low, 0.0..=5.0)?;
-        range::check("regions.step", self.step, 0.0..=1.0)
+        range::check("regions.spare", self.slot_surplus, 0.1..=2.0)?;
+        range::check("regions.high", self.high_load, 0.1..=5.0)?;
+        range::check("regions.low", self.low_load, 0.0..=5.0)?;
+        range::check("regions.step", self.max_step, 0.0..=1.0)
     }
 }
 
-/// Where a request may run, seen from its caller's region.
+/// Where a request may run, relative to its caller's region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// In that region or elsewhere.
+    /// In the caller's region or any other.
     Anywhere,
-    /// In that region only.
+    /// In the caller's region only.
     Here,
-    /// Elsewhere only.
+    /// In other regions only.
     Elsewhere,
 }
 
-/// What one step looks at for one service.
+/// The inputs of one step for one service.
 #[derive(Clone, Copy, Debug)]
 pub struct View {
-    /// Slots of the own region's usable backend servers.
-    pub own_slots: f64,
+    /// Slots of the usable backend servers in this region.
+    pub local_slots: f64,
     /// Slots of all usable backend servers.
     pub all_slots: f64,
-    /// The own region's share of all callers.
+    /// This region's share of all callers.
     pub callers: f64,
-    /// The load per slot of the own region's backend servers.
+    /// The load per slot of this region's backend servers.
     pub load: f64,
-    /// The share of the region's requests that are for this service.
+    /// This service's share of the region's requests.
     pub traffic: f64,
-    /// The part of all requests of all regions' callers that must run in the region.
-    pub homed_here: f64,
-    /// The part of them that must run in some region.
-    pub homed: f64,
+    /// The share of all regions' requests that must run in this region.
+    pub pinned_here: f64,
+    /// The share of all regions' requests that must run in one particular region.
+    pub pinned: f64,
 }
 
 impl View {
-    /// The share that the slots alone send elsewhere, of what may run anywhere. What must run in the
-    /// region has its slots first, wherever its callers are.
+    /// The share of the movable requests that goes elsewhere according to the slots alone. Requests
+    /// that must run in this region take precedence for its slots, wherever their callers are.
     pub fn by_slots(&self, cfg: &Config) -> f64 {
-        if self.own_slots <= 0.0 {
+        if self.local_slots <= 0.0 {
             return 1.0;
         }
-        let room = self.own_slots / self.all_slots.max(1.0) / cfg.spare - self.homed_here;
-        let movable = self.callers.max(0.01) * (1.0 - self.homed).max(0.01);
+        let room = self.local_slots / self.all_slots.max(1.0) / cfg.slot_surplus - self.pinned_here;
+        let movable = self.callers.max(0.01) * (1.0 - self.pinned).max(0.01);
         (1.0 - room / movable).clamp(0.0, 1.0)
     }
 }
 
-/// The share of one service's requests that go elsewhere.
+/// The share of one service's requests that goes elsewhere.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Share {
-    /// The share in force; `None` before the first step.
-    now: Option<f64>,
-    /// What the load adds to what the slots say.
-    added: f64,
+    /// The current share; `None` before the first step.
+    current: Option<f64>,
+    /// The part added because of load.
+    load_adjustment: f64,
 }
 
 impl Share {
-    /// The share in force.
+    /// The current share, from 0 to 1.
     pub fn get(&self) -> f64 {
-        self.now.unwrap_or(0.0)
+        self.current.unwrap_or(0.0)
     }
 
-    /// Whether an object's requests go elsewhere.
+    /// Whether requests for an object go elsewhere.
     pub fn moves(&self, key: u64) -> bool {
-        /// Makes this draw differ from the one that orders backend servers.
+        /// Keeps this hash independent of the one that ranks backend servers.
         const SALT: u64 = 0x7265_6769_6f6e;
-        affinity::unit(affinity::mix(key, SALT)) < self.get()
+        affinity::unit_interval(affinity::mix(key, SALT)) < self.get()
     }
 
-    /// Moves a step towards what the view wants, by at most `allowed` of the service's requests.
-    /// Returns what it moved.
+    /// Moves the share towards its target for `view`, by at most `allowed` of the service's
+    /// requests. Returns the amount moved.
     pub fn step(&mut self, cfg: &Config, view: &View, allowed: f64) -> f64 {
-        /// What one step changes for the load: the whole share in ten seconds.
-        const ADD: f64 = 0.05;
-        if view.load > cfg.high {
-            self.added = (self.added + ADD).min(1.0);
-        } else if view.load < cfg.low {
-            self.added = (self.added - ADD / 4.0).max(0.0);
+        /// The maximum change per step because of load: from 0 to 1 in ten seconds.
+        const LOAD_ADJUSTMENT_STEP: f64 = 0.05;
+        if view.load > cfg.high_load {
+            self.load_adjustment = (self.load_adjustment + LOAD_ADJUSTMENT_STEP).min(1.0);
+        } else if view.load < cfg.low_load {
+            self.load_adjustment = (self.load_adjustment - LOAD_ADJUSTMENT_STEP / 4.0).max(0.0);
         }
-        let wanted = (view.by_slots(cfg) + self.added).min(1.0);
-        let Some(now) = self.now else {
-            self.now = Some(wanted);
+        let target = (view.by_slots(cfg) + self.load_adjustment).min(1.0);
+        let Some(current) = self.current else {
+            self.current = Some(target);
             return 0.0;
         };
-        let change = (wanted - now).clamp(-allowed, allowed);
-        self.now = Some(now + change);
+        let change = (target - current).clamp(-allowed, allowed);
+        self.current = Some(current + change);
         change.abs()
     }
 }
 
-/// Lets the shares of all services take one step, with the cap over all of them: those that want
-/// to move share what may move by their part of the traffic.
+/// Moves the shares of all services by one step. The cap covers them together: each service may
+/// move up to what the preceding ones left of it, relative to its own traffic.
 pub fn step(cfg: &Config, views: &[View], shares: &mut [Share]) {
-    let mut left = cfg.step;
+    let mut remaining = cfg.max_step;
     for (view, share) in views.iter().zip(shares) {
         let traffic = view.traffic.max(0.01);
-        let moved = share.step(cfg, view, left / traffic);
-        left = (left - moved * traffic).max(0.0);
+        let moved = share.step(cfg, view, remaining / traffic);
+        remaining = (remaining - moved * traffic).max(0.0);
     }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -30,8 +30,8 @@
 
 use crate::coordination::listing;
 use crate::decisions::{
-    affinity, crashes, declines, departures, nearby, policy, precedence, quota, regions, resend,
-    split, warming,
+    affinity, crashes, declines, departures, entry_selection, policy, precedence, quota, regions,
+    resend, split, warming,
 };
 use crate::protocol::{names, routes};
 use crate::state::{backends, entries};
@@ -53,7 +53,7 @@
     /// Where callers connect.
     pub front: net::SocketAddr,
     /// What it can carry.
-    pub capacity: nearby::Capacity,
+    pub capacity: entry_selection::Capacity,
     /// The names of the fields of requests and answers.
     pub names: names::Names,
     /// The bound on second sends over all entry VMs.
@@ -80,7 +80,7 @@
             az: "az".into(),
             regions: collections::BTreeMap::new(),
             front: net::SocketAddr::from(([127, 0, 0, 1], 0)),
-            capacity: nearby::Capacity::default(),
+            capacity: entry_selection::Capacity::default(),
             names: names::Names::default(),
             resend: resend::Bound::default(),
             shift_most: 0.15,
@@ -97,7 +97,7 @@
 #[derive(Debug, Default)]
 pub struct Desk {
     /// Its requests and second sends.
-    pub resends: resend::Resends,
+    pub resends: resend::ResendBudget,
     /// The share that other regions serve.
     pub share: regions::Share,
     /// What its less urgent requests leave to the more urgent.
@@ -105,7 +105,7 @@
     /// How often its backend servers refuse though they have room.
     pub declines: declines::Declines,
     /// How often answers for objects that are new to this VM are late.
-    pub late: warming::Late,
+    pub late: warming::LateRatio,
     /// Requests since the last step of that share, decaying.
     pub traffic: f64,
     /// How long answers take, in seconds.
@@ -116,7 +116,7 @@
     /// How long until there is room for those that are refused now: what is worked on must end first,
     /// unless there is room already.
     pub fn backlog(&self) -> time::Duration {
-        match self.declines.are_everywhere() {
+        match self.declines.is_service_wide() {
             true => time::Duration::ZERO,
             false => time::Duration::from_secs_f64(self.work),
         }
@@ -151,7 +151,7 @@
     entries: cell::RefCell<entries::Entries>,
     carried: cell::Cell<carried::Carried>,
     told: cell::RefCell<carried::Told>,
-    busy: cell::Cell<nearby::Busy>,
+    busy: cell::Cell<entry_selection::Busy>,
     /// Whether the callers of its region are told this VM and no other.
     alone: cell::Cell<bool>,
     listing: cell::RefCell<listing::Listing>,
@@ -163,7 +163,7 @@
     /// The version of the entry VMs from which those were taken that callers are sent to.
     expected_by: cell::Cell<Option<u64>>,
     /// The latest datagram of each other VM, and how many this one has sent.
-    heard_usage: cell::RefCell<collections::HashMap<quota::Name, quotas::Latest>>,
+    heard_usage: cell::RefCell<collections::HashMap<quota::NameHash, quotas::Latest>>,
     told_usage: cell::Cell<u64>,
     /// When the process started, in milliseconds of the time of day, so that what it tells is later than
     /// what the process before it told.
