--- a/benches/coordination/readers.rs
+++ b/benches/coordination/readers.rs
@@ -35,8 +35,8 @@
     );
     println!("|---|---|---|---|---|---|---|");
     for (name, fault) in FAULTS {
-        row(name, "lowest", &mean::<reader::Lowest>(fault));
-        row(name, "accused", &mean::<reader::Accused>(fault));
+        row(name, "lowest", &mean::<reader::LowestName>(fault));
+        row(name, "accused", &mean::<reader::FewestAccusations>(fault));
     }
 }
 
--- a/src/coordination/action.rs
+++ b/src/coordination/action.rs
@@ -105,7 +105,7 @@
     #[error(
         "{key}: two changes have version {version}, `{one}` and `{other}`; all VMs keep the same one, so check with `bulrushwind status` and apply the other one again"
     )]
-    Tie {
+    VersionConflict {
         /// The key.
         key: String,
         /// The version.
--- a/src/coordination/driver.rs
+++ b/src/coordination/driver.rs
@@ -90,7 +90,7 @@
 }
 
 struct Loop<F> {
-    node: node::Node<reader::Accused>,
+    node: node::Node<reader::FewestAccusations>,
     feed: F,
     peers: Option<sync::Arc<peers::Peers>>,
     calls: [channel::Sender<Call>; 3],
@@ -271,7 +271,7 @@
     }
 
     fn take(&mut self, from: id::VmId, message: peer::Message) {
-        if node::takes(&message) {
+        if node::handles(&message) {
             self.step(node::Event::Message(from, message));
         } else if self.rest.try_send((from, message)).is_err() {
             metrics::counter!(names::PEER_DROPPED, "queue" => "inbox").increment(1);
@@ -296,7 +296,7 @@
     }
 
     fn tell_standing(&mut self) {
-        let versions = self.node.sync().book().versions().iter();
+        let versions = self.node.sync().held().versions().iter();
         let standing = Standing {
             versions: versions.map(|(t, r)| (t.clone(), r.version)).collect(),
             store_up: self.node.store_is_up(),
--- a/src/coordination/grants.rs
+++ b/src/coordination/grants.rs
@@ -3,7 +3,7 @@
 //! A sender requests a grant from one entry VM of the receiving availability zone, which grants
 //! part of its own share. While there is demand, the sender renews grants before they expire. The
 //! receiver answers only requests that it grants, and admits requests only by its own record,
-//! [`Lenders`]. A lost, late or duplicate message costs at most one lifetime of a grant.
+//! [`GrantIssuers`]. A lost, late or duplicate message costs at most one lifetime of a grant.
 
 use std::collections;
 use std::sync;
@@ -22,28 +22,28 @@
 /// The issuers of grants of one entry VM, one for each service. Its lock is a leaf: no other lock
 /// is taken while it is held.
 #[derive(Debug, Default)]
-pub struct Lenders {
+pub struct GrantIssuers {
     by_service: Mutex<collections::BTreeMap<id::ServiceId, grants::Granter>>,
 }
 
 /// A request admitted under a grant. Dropping it marks the request as ended.
 #[derive(Debug)]
 pub struct Admitted {
-    lenders: sync::Arc<Lenders>,
+    issuers: sync::Arc<GrantIssuers>,
     service: id::ServiceId,
     grant: grants::GrantId,
 }
 
 impl Drop for Admitted {
     fn drop(&mut self) {
-        let mut granters = self.lenders.by_service.lock();
+        let mut granters = self.issuers.by_service.lock();
         if let Some(granter) = granters.get_mut(&self.service) {
             granter.done(self.grant);
         }
     }
 }
 
-impl Lenders {
+impl GrantIssuers {
     /// Updates the load of the availability zone. The first call creates the service's issuer.
     pub fn set_load(&self, now: policy::Moment, issuer: &grants::Issuer, load: grants::Load) {
         let mut granters = self.by_service.lock();
@@ -55,7 +55,7 @@
     }
 
     /// Answers a grant request. `None`: nothing is granted.
-    pub fn ask(
+    pub fn answer_request(
         &self,
         now: policy::Moment,
         from: &id::VmId,
@@ -83,14 +83,14 @@
         let granter = granters.get_mut(service).ok_or(grants::Refused::NoGrant)?;
         granter.admit(now, from, grant)?;
         Ok(Admitted {
-            lenders: self.clone(),
+            issuers: self.clone(),
             service: service.clone(),
             grant,
         })
     }
 
     /// In-flight requests of a service that were admitted under grants.
-    pub fn in_hand(&self, service: &id::ServiceId) -> u32 {
+    pub fn in_flight(&self, service: &id::ServiceId) -> u32 {
         let granters = self.by_service.lock();
         granters.get(service).map_or(0, grants::Granter::in_flight)
     }
@@ -98,14 +98,14 @@
 
 /// Requests grants for one entry VM.
 #[derive(Debug, Default)]
-pub struct Asker {
+pub struct GrantRequester {
     last_requested: collections::BTreeMap<(id::ServiceId, id::AzId), policy::Moment>,
 }
 
-impl Asker {
+impl GrantRequester {
     /// The due grant requests of a service, each with the entry VM to send it to. `linked` are the
     /// linked entry VMs; an availability zone without any gets no request.
-    pub fn ask(
+    pub fn due_requests(
         &mut self,
         now: policy::Moment,
         service: &id::ServiceId,
@@ -152,12 +152,12 @@
 }
 
 /// Encodes the grant of a request as text.
-pub fn to_text(from: &id::VmId, grant: grants::GrantId) -> String {
+pub fn format_grant(from: &id::VmId, grant: grants::GrantId) -> String {
     format!("{};{:x};{}", from, grant.incarnation.0, grant.number)
 }
 
-/// Decodes the sender and the grant from the output of [`to_text`].
-pub fn from_text(text: &str) -> Option<(id::VmId, grants::GrantId)> {
+/// Decodes the sender and the grant from the output of [`format_grant`].
+pub fn parse_grant(text: &str) -> Option<(id::VmId, grants::GrantId)> {
     let mut parts = text.rsplitn(3, ';');
     let number = parts.next()?.parse().ok()?;
     let incarnation = u64::from_str_radix(parts.next()?, 16).ok()?;
@@ -175,8 +175,8 @@
 
     const S: policy::Moment = policy::Moment::from_secs(1);
 
-    fn lenders() -> sync::Arc<Lenders> {
-        let lenders = sync::Arc::new(Lenders::default());
+    fn issuers() -> sync::Arc<GrantIssuers> {
+        let issuers = sync::Arc::new(GrantIssuers::default());
         let issuer = grants::Issuer {
             service: "s".into(),
             az: "b".into(),
@@ -191,41 +191,42 @@
             az_in_flight: 0,
             service_time: S / 50,
         };
-        lenders.set_load(policy::Moment::ZERO, &issuer, load);
-        lenders.set_load(S * 10, &issuer, load);
-        lenders
+        issuers.set_load(policy::Moment::ZERO, &issuer, load);
+        issuers.set_load(S * 10, &issuer, load);
+        issuers
     }
 
     #[test]
     fn a_request_becomes_a_grant_that_its_issuer_admits() {
-        let lenders = lenders();
+        let issuers = issuers();
         let request = cross_az::GrantRequest {
             az: "b".into(),
             per_s: 50.0,
         };
         let linked = [("b1".into(), "b".into()), ("c1".into(), "c".into())];
-        let mut asker = Asker::default();
-        let messages = asker.ask(S * 10, &"s".into(), &[request], &linked, &"a1".into());
+        let mut requester = GrantRequester::default();
+        let messages =
+            requester.due_requests(S * 10, &"s".into(), &[request], &linked, &"a1".into());
         let [(to, peer::Message::AskGrant(ask))] = &messages[..] else {
             panic!("{messages:?}");
         };
         assert_eq!(*to, "b1".into());
-        let granted = lenders.ask(S * 10, &"a1".into(), ask).unwrap();
-        let text = to_text(&"a1".into(), granted.grant.id);
-        let (from, grant) = from_text(&text).unwrap();
-        let admitted = lenders.admit(S * 11, &"s".into(), &from, grant).unwrap();
-        assert_eq!(lenders.in_hand(&"s".into()), 1);
+        let granted = issuers.answer_request(S * 10, &"a1".into(), ask).unwrap();
+        let text = format_grant(&"a1".into(), granted.grant.id);
+        let (from, grant) = parse_grant(&text).unwrap();
+        let admitted = issuers.admit(S * 11, &"s".into(), &from, grant).unwrap();
+        assert_eq!(issuers.in_flight(&"s".into()), 1);
         drop(admitted);
-        assert_eq!(lenders.in_hand(&"s".into()), 0);
-        let other = lenders.admit(S * 11, &"s".into(), &"a2".into(), grant);
+        assert_eq!(issuers.in_flight(&"s".into()), 0);
+        let other = issuers.admit(S * 11, &"s".into(), &"a2".into(), grant);
         assert_eq!(other.unwrap_err(), grants::Refused::NoGrant);
     }
 
     #[test]
     fn malformed_grants_are_refused() {
         for text in ["", "a1", "a1;x;1", "a1;1;", ";;", "a1;1;-1"] {
-            assert_eq!(from_text(text), None, "{text}");
+            assert_eq!(parse_grant(text), None, "{text}");
         }
-        assert!(from_text("odd;name;1f;2").is_some());
+        assert!(parse_grant("odd;name;1f;2").is_some());
     }
 }
--- a/src/coordination/loads.rs
+++ b/src/coordination/loads.rs
@@ -6,7 +6,7 @@
 //! reporters at a time send the same sum twice, which is harmless. Each report from another
 //! availability zone is relayed once inside this one; sequence numbers identify copies.
 //!
-//! Loads lag by [`EVERY`] and the network delay. Each summary contains its age.
+//! Loads lag by [`REPORT_INTERVAL`] and the network delay. Each summary contains its age.
 
 use std::collections;
 use std::time;
@@ -17,7 +17,7 @@
 
 /// Interval at which loads are sent. At twice a second the plan detects a surge within a second,
 /// and a row of some 200 bytes for each service stays far below 10 KB/s.
-pub const EVERY: time::Duration = time::Duration::from_millis(500);
+pub const REPORT_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
 /// Age after which the last load of an entry VM is ignored.
 pub const LOAD_EXPIRY: time::Duration = time::Duration::from_secs(3);
@@ -36,7 +36,7 @@
 
 /// The loads that this entry VM has received, and its own.
 #[derive(Debug)]
-pub struct Table {
+pub struct LoadTable {
     this_vm: id::VmId,
     az: id::AzId,
     incarnation: id::Incarnation,
@@ -46,7 +46,7 @@
     loads_by_az: collections::BTreeMap<id::AzId, ReceivedLoads>,
 }
 
-impl Table {
+impl LoadTable {
     /// Creates a table without loads.
     pub fn new(this_vm: id::VmId, az: id::AzId, incarnation: id::Incarnation) -> Self {
         Self {
@@ -61,14 +61,14 @@
     }
 
     /// Sets this VM's load and removes expired loads.
-    pub fn set_own(&mut self, now: policy::Moment, work: peer::Work) {
+    pub fn set_own_work(&mut self, now: policy::Moment, work: peer::Work) {
         self.own_work = work;
         self.work_by_vm
             .retain(|_, received| now < received.at + LOAD_EXPIRY);
     }
 
     /// Records the load of another entry VM of this availability zone.
-    pub fn neighbour(&mut self, now: policy::Moment, from: id::VmId, work: peer::Work) {
+    pub fn receive_work(&mut self, now: policy::Moment, from: id::VmId, work: peer::Work) {
         if from != self.this_vm {
             self.work_by_vm.insert(from, ReceivedWork { at: now, work });
         }
@@ -76,7 +76,7 @@
 
     /// Records the load of another availability zone. True: it is new and must be relayed to the
     /// other entry VMs of this availability zone.
-    pub fn zone(&mut self, now: policy::Moment, loads: &peer::Loads) -> bool {
+    pub fn receive_loads(&mut self, now: policy::Moment, loads: &peer::Loads) -> bool {
         if loads.az == self.az {
             return false;
         }
@@ -104,18 +104,18 @@
     }
 
     /// In-flight requests of a service in this availability zone.
-    pub fn az_in_hand(&self, service: &id::ServiceId) -> u32 {
+    pub fn az_in_flight(&self, service: &id::ServiceId) -> u32 {
         self.rows(service).map(|row| row.in_hand).sum()
     }
 
     /// Whether this VM is the reporter of its availability zone.
-    pub fn tells(&self) -> bool {
+    pub fn is_reporter(&self) -> bool {
         self.work_by_vm.keys().all(|vm| *vm > self.this_vm)
     }
 
     /// The load of this availability zone to report, if this VM is the reporter.
-    pub fn tell(&mut self) -> Option<peer::Loads> {
-        if !self.tells() {
+    pub fn next_report(&mut self) -> Option<peer::Loads> {
+        if !self.is_reporter() {
             return None;
         }
         self.seq += 1;
@@ -198,13 +198,13 @@
 const SERVICE_TIME_SMOOTHING_FACTOR: f64 = 1.0 / 64.0;
 
 impl Demand {
-    /// Smoothing factor of the rates: each window of [`EVERY`] contributes half.
+    /// Smoothing factor of the rates: each window of [`REPORT_INTERVAL`] contributes half.
     const RATE_SMOOTHING_FACTOR: f64 = 0.5;
 
     /// Records a request with its expected service time, `work`.
     ///
     /// `region` is that of the caller's address. With `None` the request adds no demand.
-    pub fn count(
+    pub fn record(
         &mut self,
         service: &id::ServiceId,
         region: Option<&id::RegionId>,
@@ -223,13 +223,13 @@
     }
 
     /// The mean service time of a request.
-    pub fn mean(&self, service: &id::ServiceId) -> time::Duration {
+    pub fn mean_service_time(&self, service: &id::ServiceId) -> time::Duration {
         let mean = self.mean_service_times.get(service).copied().unwrap_or(0.0);
         time::Duration::from_secs_f64(mean)
     }
 
     /// Ends a window and updates the rates.
-    pub fn roll(&mut self, now: policy::Moment) {
+    pub fn end_window(&mut self, now: policy::Moment) {
         let passed = now.saturating_sub(self.window_start).as_secs_f64();
         if passed <= 0.0 {
             return;
@@ -247,7 +247,7 @@
     }
 
     /// The demand for a service, in slots, by the callers' region.
-    pub fn of(&self, service: &id::ServiceId) -> collections::BTreeMap<id::RegionId, f64> {
+    pub fn by_region(&self, service: &id::ServiceId) -> collections::BTreeMap<id::RegionId, f64> {
         let of_service = self.rates.iter().filter(|((of, _), _)| of == service);
         of_service
             .map(|((_, region), rate)| (region.clone(), *rate))
@@ -273,25 +273,25 @@
         }
     }
 
-    fn table(this_vm: &str, az: &str) -> Table {
-        Table::new(this_vm.into(), az.into(), id::Incarnation(1))
+    fn table(this_vm: &str, az: &str) -> LoadTable {
+        LoadTable::new(this_vm.into(), az.into(), id::Incarnation(1))
     }
 
     #[test]
     fn the_lowest_name_reports_the_sum() {
         let (mut low, mut high) = (table("a1", "a"), table("a2", "a"));
         for table in [&mut low, &mut high] {
-            table.set_own(S, work(3));
+            table.set_own_work(S, work(3));
         }
-        low.neighbour(S, "a2".into(), work(4));
-        high.neighbour(S, "a1".into(), work(3));
-        assert_eq!(high.tell(), None);
-        let loads = low.tell().unwrap();
+        low.receive_work(S, "a2".into(), work(4));
+        high.receive_work(S, "a1".into(), work(3));
+        assert_eq!(high.next_report(), None);
+        let loads = low.next_report().unwrap();
         assert_eq!((loads.rows[0].slots, loads.rows[0].in_hand), (12, 7));
         assert_eq!(loads.rows[0].demand["r"], 4.0);
         // The reporter crashes; the other takes over once its load has expired.
-        high.set_own(S * 5, work(3));
-        assert!(high.tell().is_some());
+        high.set_own_work(S * 5, work(3));
+        assert!(high.next_report().is_some());
     }
 
     /// Messages are duplicated and reordered. An older load that replaced a newer one would show
@@ -299,12 +299,12 @@
     #[test]
     fn an_older_load_is_ignored() {
         let mut remote = table("a1", "a");
-        remote.set_own(S, work(1));
-        let (first, second) = (remote.tell().unwrap(), remote.tell().unwrap());
+        remote.set_own_work(S, work(1));
+        let (first, second) = (remote.next_report().unwrap(), remote.next_report().unwrap());
         let mut local = table("b1", "b");
-        assert!(local.zone(S, &second));
-        assert!(!local.zone(S, &first));
-        assert!(!local.zone(S, &second));
+        assert!(local.receive_loads(S, &second));
+        assert!(!local.receive_loads(S, &first));
+        assert!(!local.receive_loads(S, &second));
         let ages: Vec<_> = local.summaries(S * 4).iter().map(|s| s.age).collect();
         assert_eq!(ages, [S * 3]);
     }
@@ -314,10 +314,10 @@
         let mut demand = Demand::default();
         for window in 1..20 {
             for _ in 0..100 {
-                demand.count(&"s".into(), Some(&"r".into()), S / 50);
+                demand.record(&"s".into(), Some(&"r".into()), S / 50);
             }
-            demand.roll(S * window);
+            demand.end_window(S * window);
         }
-        assert!((demand.of(&"s".into())["r"] - 2.0).abs() < 0.01);
+        assert!((demand.by_region(&"s".into())["r"] - 2.0).abs() < 0.01);
     }
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,7 +1,6 @@
 //! Coordination of the entry processes with one another and with the platform's store.
 
 pub mod action;
-pub mod book;
 pub mod budget;
 pub mod driver;
 pub mod grants;
@@ -16,6 +15,7 @@
 pub mod reader;
 pub mod registration;
 pub mod settings_sync;
+pub mod signed_values;
 pub mod store;
 pub mod store_http;
 pub mod turns;
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -51,7 +51,7 @@
 }
 
 /// Whether a node handles this message. All others are for other parts of the process.
-pub fn takes(message: &peer::Message) -> bool {
+pub fn handles(message: &peer::Message) -> bool {
     matches!(
         message,
         peer::Message::Alive(_)
@@ -89,7 +89,7 @@
 
 /// The coordination state of one process.
 #[derive(Debug)]
-pub struct Node<E = reader::Accused> {
+pub struct Node<E = reader::FewestAccusations> {
     cfg: Config,
     sync: settings_sync::SettingsSync,
     view: membership::View,
@@ -205,7 +205,9 @@
         match &message {
             peer::Message::Alive(alive) => {
                 let before = self.election.reader().cloned();
-                let first = self.election.alive(now, from, alive, &mut outgoing);
+                let first = self
+                    .election
+                    .handle_heartbeat(now, from, alive, &mut outgoing);
                 self.relay(first, from, &message, out);
                 let from_reader = before.as_ref() == Some(&alive.vm);
                 if from_reader {
@@ -216,7 +218,7 @@
                 }
             }
             peer::Message::Accuse(accuse) => {
-                let first = self.election.accuse(now, accuse, &mut outgoing);
+                let first = self.election.handle_accusation(now, accuse, &mut outgoing);
                 self.relay(first, from, &message, out);
             }
             peer::Message::Vms(list) => {
@@ -348,7 +350,7 @@
         }
         let since = *self.store_lost_since.get_or_insert(now);
         if now >= since + MAX_STORE_OUTAGE {
-            self.election.store_lost(now);
+            self.election.handle_store_loss(now);
             self.store_lost_since = None;
         }
     }
@@ -395,10 +397,10 @@
         }
     }
 
-    fn send_election_messages(&self, outgoing: Vec<reader::Out>, out: &mut Vec<Action>) {
+    fn send_election_messages(&self, outgoing: Vec<reader::Outgoing>, out: &mut Vec<Action>) {
         for election_message in outgoing {
             match election_message {
-                reader::Out::All(mut message) => {
+                reader::Outgoing::All(mut message) => {
                     if let peer::Message::Alive(alive) = &mut message {
                         alive.list = self.view.list_hash();
                         alive.store_up = self.store_up;
@@ -408,7 +410,7 @@
                         message,
                     });
                 }
-                reader::Out::One(to, message) => out.push(Action::Send(to, message)),
+                reader::Outgoing::One(to, message) => out.push(Action::Send(to, message)),
             }
         }
     }
--- a/src/coordination/reader.rs
+++ b/src/coordination/reader.rs
@@ -5,14 +5,14 @@
 //! cost calls. Settings are delayed without a reader, and with one whose messages are lost or that
 //! cannot reach the store.
 //!
-//! [`Election`] has two implementations, compared in docs/design/reader.md. [`Lowest`] picks the
-//! lowest name among the processes with a recent heartbeat. [`Accused`] follows Aguilera,
-//! Delporte-Gallet, Fauconnier and Toueg, "On implementing Omega with weak reliability and
-//! synchrony assumptions", figures 2 and 3: only the reader sends heartbeats; processes that miss
-//! them accuse it; each process counts the accusations against itself and sends the count in its
-//! heartbeats; the lowest (count, name) is the reader. A phase number keeps a process from being
-//! accused for not sending after it gave up the role. A process that receives a heartbeat of a
-//! contender sends the contender the heartbeat of the reader that it prefers. Beyond the paper, a
+//! [`Election`] has two implementations, compared in docs/design/reader.md. [`LowestName`] picks
+//! the lowest name among the processes with a recent heartbeat. [`FewestAccusations`] follows
+//! Aguilera, Delporte-Gallet, Fauconnier and Toueg, "On implementing Omega with weak reliability
+//! and synchrony assumptions", figures 2 and 3: only the reader sends heartbeats; processes that
+//! miss them accuse it; each process counts the accusations against itself and sends the count in
+//! its heartbeats; the lowest (count, name) is the reader. A phase number keeps a process from
+//! being accused for not sending after it gave up the role. A process that receives a heartbeat of
+//! a contender sends the contender the heartbeat of the reader that it prefers. Beyond the paper, a
 //! new process listens first and joins with a count above the reader's, so that a VM that keeps
 //! restarting does not take the role each time; a reader that cannot reach the store counts that
 //! as an accusation; and timeouts grow up to a bound.
@@ -39,7 +39,7 @@
     }
 
     /// A message to send inside the availability zone.
-    pub enum Out {
+    pub enum Outgoing {
         /// To every peer of the availability zone.
         All(peer::Message),
         /// To one peer.
@@ -69,23 +69,28 @@
     ) -> Self;
 
     /// Handles expired timeouts and sends due heartbeats.
-    fn tick(&mut self, now: policy::Moment, out: &mut Vec<Out>);
+    fn tick(&mut self, now: policy::Moment, out: &mut Vec<Outgoing>);
 
     /// Handles a heartbeat that `from` sent or relayed. True: it is the first copy, to be relayed
     /// where not all processes are linked.
-    fn alive(
+    fn handle_heartbeat(
         &mut self,
         now: policy::Moment,
         from: &id::VmId,
         alive: &peer::Alive,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Outgoing>,
     ) -> bool;
 
     /// Handles an accusation. True: it is the first copy, to be relayed.
-    fn accuse(&mut self, now: policy::Moment, accuse: &peer::Accuse, out: &mut Vec<Out>) -> bool;
+    fn handle_accusation(
+        &mut self,
+        now: policy::Moment,
+        accuse: &peer::Accuse,
+        out: &mut Vec<Outgoing>,
+    ) -> bool;
 
     /// Handles a lasting failure of this process's store calls.
-    fn store_lost(&mut self, now: policy::Moment);
+    fn handle_store_loss(&mut self, now: policy::Moment);
 
     /// The reader that this process has elected. None while it listens after its start.
     fn reader(&self) -> Option<&id::VmId>;
@@ -93,14 +98,14 @@
 
 /// Elects the lowest name among the processes with a recent heartbeat. All send heartbeats.
 #[derive(Debug)]
-pub struct Lowest {
+pub struct LowestName {
     this_vm: id::VmId,
     heartbeats: Heartbeats,
     last_heartbeats: collections::BTreeMap<id::VmId, (u64, policy::Moment)>,
     reader: Option<id::VmId>,
 }
 
-impl Election for Lowest {
+impl Election for LowestName {
     fn new(
         this_vm: id::VmId,
         incarnation: id::Incarnation,
@@ -115,7 +120,7 @@
         }
     }
 
-    fn tick(&mut self, now: policy::Moment, out: &mut Vec<Out>) {
+    fn tick(&mut self, now: policy::Moment, out: &mut Vec<Outgoing>) {
         self.heartbeats.send_due(now, out);
         let timeout = self.heartbeats.timing.timeout;
         self.last_heartbeats
@@ -130,12 +135,12 @@
         }
     }
 
-    fn alive(
+    fn handle_heartbeat(
         &mut self,
         now: policy::Moment,
         _from: &id::VmId,
         alive: &peer::Alive,
-        _out: &mut Vec<Out>,
+        _out: &mut Vec<Outgoing>,
     ) -> bool {
         let known = self.last_heartbeats.get(&alive.vm).map(|(seq, _)| *seq);
         let first = alive.vm != self.this_vm && known.is_none_or(|seq| seq < alive.seq);
@@ -146,16 +151,16 @@
         first
     }
 
-    fn accuse(
+    fn handle_accusation(
         &mut self,
         _now: policy::Moment,
         _accuse: &peer::Accuse,
-        _out: &mut Vec<Out>,
+        _out: &mut Vec<Outgoing>,
     ) -> bool {
         false
     }
 
-    fn store_lost(&mut self, _now: policy::Moment) {}
+    fn handle_store_loss(&mut self, _now: policy::Moment) {}
 
     fn reader(&self) -> Option<&id::VmId> {
         self.reader.as_ref()
@@ -164,7 +169,7 @@
 
 /// Elects the process with the fewest accusations. Only the reader sends heartbeats.
 #[derive(Debug)]
-pub struct Accused {
+pub struct FewestAccusations {
     this_vm: id::VmId,
     heartbeats: Heartbeats,
     last_counted: Option<policy::Moment>,
@@ -184,7 +189,7 @@
     expires: policy::Moment,
 }
 
-impl Election for Accused {
+impl Election for FewestAccusations {
     fn new(
         this_vm: id::VmId,
         incarnation: id::Incarnation,
@@ -203,7 +208,7 @@
         }
     }
 
-    fn tick(&mut self, now: policy::Moment, out: &mut Vec<Out>) {
+    fn tick(&mut self, now: policy::Moment, out: &mut Vec<Outgoing>) {
         self.accuse_expired(now, out);
         if self.reader.is_none() && self.heartbeats.has_listened_enough(now) {
             self.join();
@@ -214,12 +219,12 @@
         }
     }
 
-    fn alive(
+    fn handle_heartbeat(
         &mut self,
         now: policy::Moment,
         from: &id::VmId,
         alive: &peer::Alive,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Outgoing>,
     ) -> bool {
         if alive.vm == self.this_vm || self.is_outdated(alive) {
             return false;
@@ -235,7 +240,12 @@
         true
     }
 
-    fn accuse(&mut self, now: policy::Moment, accuse: &peer::Accuse, out: &mut Vec<Out>) -> bool {
+    fn handle_accusation(
+        &mut self,
+        now: policy::Moment,
+        accuse: &peer::Accuse,
+        out: &mut Vec<Outgoing>,
+    ) -> bool {
         if accuse.vm == self.this_vm {
             let current = (accuse.incarnation, accuse.phase);
             if current
@@ -251,12 +261,12 @@
         let first = self.is_new_accusation(now, accuse);
         if first {
             let message = peer::Message::Accuse(accuse.clone());
-            out.push(Out::One(accuse.vm.clone(), message));
+            out.push(Outgoing::One(accuse.vm.clone(), message));
         }
         first
     }
 
-    fn store_lost(&mut self, now: policy::Moment) {
+    fn handle_store_loss(&mut self, now: policy::Moment) {
         if self.is_reader() {
             self.count_accusation(now);
         }
@@ -267,14 +277,14 @@
     }
 }
 
-impl Accused {
+impl FewestAccusations {
     fn is_reader(&self) -> bool {
         self.reader.as_ref() == Some(&self.this_vm)
     }
 
     /// Accuses contenders whose heartbeats timed out. The accusation goes to all peers, which
     /// relay it, since some of them may reach the contender when this process cannot.
-    fn accuse_expired(&mut self, now: policy::Moment, out: &mut Vec<Out>) {
+    fn accuse_expired(&mut self, now: policy::Moment, out: &mut Vec<Outgoing>) {
         let expired: Vec<_> = self
             .contenders
             .iter()
@@ -290,7 +300,7 @@
                 vm.clone(),
                 increased.min(self.heartbeats.timing.max_timeout),
             );
-            out.push(Out::All(peer::Message::Accuse(peer::Accuse {
+            out.push(Outgoing::All(peer::Message::Accuse(peer::Accuse {
                 vm,
                 incarnation: contender.heartbeat.incarnation,
                 phase: contender.heartbeat.phase,
@@ -327,13 +337,13 @@
     }
 
     /// Sends a contender the preferred reader's heartbeat: the two may not be linked.
-    fn send_preferred(&self, from: &id::VmId, alive: &peer::Alive, out: &mut Vec<Out>) {
+    fn send_preferred(&self, from: &id::VmId, alive: &peer::Alive, out: &mut Vec<Outgoing>) {
         let Some(reader) = self.reader.as_ref().filter(|r| **r != alive.vm) else {
             return;
         };
         if let Some(preferred) = self.contenders.get(reader).filter(|_| *from == alive.vm) {
             let message = peer::Message::Alive(preferred.heartbeat.clone());
-            out.push(Out::One(alive.vm.clone(), message));
+            out.push(Outgoing::One(alive.vm.clone(), message));
         }
     }
 
@@ -408,13 +418,13 @@
     }
 
     /// Sends the next heartbeat, if it is due.
-    fn send_due(&mut self, now: policy::Moment, out: &mut Vec<Out>) {
+    fn send_due(&mut self, now: policy::Moment, out: &mut Vec<Outgoing>) {
         if now < self.next_due {
             return;
         }
         self.next_due = now + self.timing.every;
         self.latest.seq += 1;
-        out.push(Out::All(peer::Message::Alive(self.latest.clone())));
+        out.push(Outgoing::All(peer::Message::Alive(self.latest.clone())));
     }
 
     /// Whether the process has listened long enough to receive a reader's heartbeat.
@@ -447,11 +457,11 @@
     /// availability zone would lose its watch each time and get settings late.
     #[test]
     fn a_restarted_process_does_not_take_the_role() {
-        let mut a: Accused = new_election("a");
+        let mut a: FewestAccusations = new_election("a");
         let mut out = Vec::new();
         a.tick(ms(0), &mut out);
         assert_eq!(a.reader(), None);
-        a.alive(ms(400), &"b".into(), &heartbeat("b", 3, 9), &mut out);
+        a.handle_heartbeat(ms(400), &"b".into(), &heartbeat("b", 3, 9), &mut out);
         a.tick(ms(1_500), &mut out);
         assert_eq!(a.reader(), Some(&"b".into()));
         assert!(out.is_empty(), "messages sent while listening: {out:?}");
@@ -461,13 +471,13 @@
     /// availability zone would get no settings until an operator intervened.
     #[test]
     fn a_reader_without_the_store_gives_up() {
-        let mut a: Accused = new_election("a");
+        let mut a: FewestAccusations = new_election("a");
         let mut out = Vec::new();
         a.tick(ms(2_000), &mut out);
         assert_eq!(a.reader(), Some(&"a".into()));
-        a.alive(ms(2_100), &"b".into(), &heartbeat("b", 0, 1), &mut out);
+        a.handle_heartbeat(ms(2_100), &"b".into(), &heartbeat("b", 0, 1), &mut out);
         assert_eq!(a.reader(), Some(&"a".into()));
-        a.store_lost(ms(2_200));
+        a.handle_store_loss(ms(2_200));
         assert_eq!(a.reader(), Some(&"b".into()));
     }
 
@@ -475,13 +485,13 @@
     /// availability zone would follow a dead reader again and again.
     #[test]
     fn a_dead_reader_is_not_brought_back() {
-        let mut b: Accused = new_election("b");
+        let mut b: FewestAccusations = new_election("b");
         let mut out = Vec::new();
         b.tick(ms(1_500), &mut out);
         let last = heartbeat("a", 0, 7);
-        b.alive(ms(1_600), &"a".into(), &last, &mut out);
+        b.handle_heartbeat(ms(1_600), &"a".into(), &last, &mut out);
         b.tick(ms(4_000), &mut out);
-        b.alive(ms(4_000), &"c".into(), &last, &mut out);
+        b.handle_heartbeat(ms(4_000), &"c".into(), &last, &mut out);
         assert_eq!(b.reader(), Some(&"b".into()));
     }
 
@@ -489,16 +499,16 @@
     /// Counting that would move the role without a fault.
     #[test]
     fn missed_heartbeats_after_giving_up_are_not_counted() {
-        let mut b: Accused = new_election("b");
+        let mut b: FewestAccusations = new_election("b");
         let mut out = Vec::new();
         b.tick(ms(2_000), &mut out);
-        b.alive(ms(2_100), &"a".into(), &heartbeat("a", 0, 1), &mut out);
+        b.handle_heartbeat(ms(2_100), &"a".into(), &heartbeat("a", 0, 1), &mut out);
         let accuse = peer::Accuse {
             vm: "b".into(),
             incarnation: id::Incarnation(1),
             phase: 0,
         };
-        b.accuse(ms(4_000), &accuse, &mut out);
+        b.handle_accusation(ms(4_000), &accuse, &mut out);
         assert_eq!(b.heartbeats.latest.counter, 0);
     }
 }
--- a/src/coordination/settings_sync.rs
+++ b/src/coordination/settings_sync.rs
@@ -19,13 +19,13 @@
 use rand::RngExt;
 use rand::SeedableRng;
 
-use super::{action, book, budget, store};
+use super::{action, budget, signed_values, store};
 use crate::decisions::policy;
 use crate::id;
 use crate::protocol::peer;
 use crate::settings::keys;
 use action::{Action, Note, PREFIXES, Prefix};
-use book::OfferOutcome;
+use signed_values::OfferOutcome;
 
 /// Interval at which a process sends its digest to its peers.
 const DIGEST_INTERVAL: time::Duration = time::Duration::from_secs(2);
@@ -81,7 +81,7 @@
 /// Keeps the settings of one process in sync with the store and its peers.
 #[derive(Debug)]
 pub struct SettingsSync {
-    values: book::SignedValues,
+    values: signed_values::SignedValues,
     is_reader: bool,
     reads_by_prefix: collections::BTreeMap<Prefix, PrefixReads>,
     repairs: collections::BTreeMap<String, Repair>,
@@ -97,7 +97,7 @@
     /// Creates an empty instance. `seed` seeds the jitter and must differ between processes.
     pub fn new(roots: Vec<keys::PublicKey>, seed: u64) -> Self {
         Self {
-            values: book::SignedValues::new(roots),
+            values: signed_values::SignedValues::new(roots),
             is_reader: false,
             reads_by_prefix: PREFIXES.map(|p| (p, PrefixReads::default())).into(),
             repairs: collections::BTreeMap::new(),
@@ -111,7 +111,7 @@
     }
 
     /// The signed values that this process holds.
-    pub fn book(&self) -> &book::SignedValues {
+    pub fn held(&self) -> &signed_values::SignedValues {
         &self.values
     }
 
@@ -428,7 +428,7 @@
             .retain(|_, at| now < *at + REQUEST_RETRY_DELAY);
         let mut missing = Vec::new();
         for held in theirs.iter().take(MAX_KEYS_PER_MESSAGE) {
-            let rank = book::Rank {
+            let rank = signed_values::Rank {
                 version: held.version,
                 hash: held.hash,
             };
--- a/src/coordination/book.rs
+++ b/src/coordination/signed_values.rs
@@ -199,7 +199,7 @@
             Err(envelope::Error::UnknownKey { .. }) => return self.wait_for_ring(team, text),
             Err(err) => return OfferOutcome::Refused(err.to_string()),
         }
-        self.note_tie(key, rank, envelope.change.as_str());
+        self.note_version_conflict(key, rank, envelope.change.as_str());
         let body = settings::Team::parse(&format!("teams/{team}"), &envelope.text);
         let value = Value {
             rank,
@@ -230,7 +230,7 @@
             Ok(trusted) => trusted,
             Err(err) => return OfferOutcome::Refused(err.to_string()),
         };
-        self.note_tie(key, rank, "key ring");
+        self.note_version_conflict(key, rank, "key ring");
         let value = Value {
             rank,
             text: text.clone(),
@@ -272,7 +272,7 @@
         OfferOutcome::Waiting
     }
 
-    fn note_tie(&mut self, key: &str, rank: Rank, change: &str) {
+    fn note_version_conflict(&mut self, key: &str, rank: Rank, change: &str) {
         let Some(held) = self.rank(key).filter(|held| held.version == rank.version) else {
             return;
         };
@@ -281,7 +281,7 @@
             .team_settings
             .get(team)
             .map_or("key ring", |v| &v.change);
-        let note = Note::Tie {
+        let note = Note::VersionConflict {
             key: key.to_owned(),
             version: held.version,
             one: change.to_owned(),
--- a/src/entry/desk.rs
+++ b/src/entry/desk.rs
@@ -427,7 +427,7 @@
 ) -> Option<hyper::header::HeaderValue> {
     let Destination::Az(az) = to else { return None };
     let grant = inner.policy.cross_az()?.grant(core.now(), az)?;
-    grants::to_text(&core.cfg.vm, grant.id).parse().ok()
+    grants::format_grant(&core.cfg.vm, grant.id).parse().ok()
 }
 
 fn cancel<P>(inner: &mut Inner<P>, req: policy::RequestId, to: &Destination) {
--- a/src/entry/steer.rs
+++ b/src/entry/steer.rs
@@ -27,9 +27,9 @@
 
 /// What steering knows on this entry VM.
 pub(super) struct Steer {
-    lenders: sync::Arc<exchange::Lenders>,
-    asker: Mutex<exchange::Asker>,
-    loads: Mutex<loads::Table>,
+    lenders: sync::Arc<exchange::GrantIssuers>,
+    asker: Mutex<exchange::GrantRequester>,
+    loads: Mutex<loads::LoadTable>,
     demand: Mutex<loads::Demand>,
     applied: Mutex<plan::AppliedPlan>,
     links: cross_az::SharedLinks,
@@ -56,7 +56,7 @@
         Self {
             lenders: sync::Arc::default(),
             asker: Mutex::default(),
-            loads: Mutex::new(loads::Table::new(vm.clone(), az.clone(), incarnation)),
+            loads: Mutex::new(loads::LoadTable::new(vm.clone(), az.clone(), incarnation)),
             demand: Mutex::default(),
             applied: Mutex::default(),
             links: cross_az::SharedLinks::default(),
@@ -73,7 +73,7 @@
         service: &id::ServiceId,
         headers: &HeaderMap,
     ) -> Result<exchange::Admitted, grants::Refused> {
-        let named = headers::text(headers, headers::GRANT).and_then(exchange::from_text);
+        let named = headers::text(headers, headers::GRANT).and_then(exchange::parse_grant);
         let (from, grant) = named.ok_or(grants::Refused::NoGrant)?;
         self.lenders.admit(now, service, &from, grant)
     }
@@ -128,7 +128,7 @@
         region: Option<&id::RegionId>,
         work: time::Duration,
     ) {
-        self.demand.lock().count(service, region, work);
+        self.demand.lock().record(service, region, work);
     }
 
     /// The availability zones for one caller, its own first. None before a plan is known: then the
@@ -214,15 +214,15 @@
     match message {
         peer::Message::Work(work) => {
             let mut loads = steer.loads.lock();
-            loads.neighbour(now, from.clone(), work.clone());
+            loads.receive_work(now, from.clone(), work.clone());
         }
         peer::Message::Loads(loads) => {
-            if steer.loads.lock().zone(now, loads) {
+            if steer.loads.lock().receive_loads(now, loads) {
                 peers.to_az(&core.cfg.az, message);
             }
         }
         peer::Message::AskGrant(wish) => {
-            if let Some(granted) = steer.lenders.ask(now, from, wish) {
+            if let Some(granted) = steer.lenders.answer_request(now, from, wish) {
                 peers.send(from, &peer::Message::Granted(granted));
             }
         }
@@ -296,10 +296,10 @@
     set_links(core, now, &settings, &fleet);
     let tells = {
         let mut told = core.steer.told.lock();
-        let due = now >= *told + loads::EVERY;
+        let due = now >= *told + loads::REPORT_INTERVAL;
         if due {
             *told = now;
-            core.steer.demand.lock().roll(now);
+            core.steer.demand.lock().end_window(now);
         }
         due
     };
@@ -418,7 +418,7 @@
         slots: own.slots,
         in_hand: desk.pending(),
         in_use: own.in_use,
-        demand: core.steer.demand.lock().of(&service.name),
+        demand: core.steer.demand.lock().by_region(&service.name),
     }
 }
 
@@ -434,7 +434,7 @@
     let listed = entries_in(fleet, std::slice::from_ref(&core.cfg.az));
     let (heard, in_hand) = {
         let loads = core.steer.loads.lock();
-        (loads.members(), loads.az_in_hand(&service.name))
+        (loads.members(), loads.az_in_flight(&service.name))
     };
     let lender = grants::Issuer {
         service: service.name.clone(),
@@ -442,7 +442,7 @@
         vm: core.cfg.vm.clone(),
         incarnation: core.incarnation,
     };
-    let lent = core.steer.lenders.in_hand(&service.name);
+    let lent = core.steer.lenders.in_flight(&service.name);
     let load = grants::Load {
         slots: own.slots,
         max_load: max_load(core, settings),
@@ -450,7 +450,7 @@
         members: if listed == 0 { 0 } else { listed.max(heard) },
         local_requests: row.in_hand.saturating_sub(lent),
         az_in_flight: in_hand.max(own.in_flight + own.queued),
-        service_time: core.steer.demand.lock().mean(&service.name),
+        service_time: core.steer.demand.lock().mean_service_time(&service.name),
     };
     core.steer.lenders.set_load(now, &lender, load);
 }
@@ -464,7 +464,7 @@
 ) {
     let linked: Vec<_> = peers.linked().into_iter().map(|l| (l.vm, l.az)).collect();
     let mut asker = core.steer.asker.lock();
-    let messages = asker.ask(now, service, wishes, &linked, &core.cfg.vm);
+    let messages = asker.due_requests(now, service, wishes, &linked, &core.cfg.vm);
     drop(asker);
     for (to, message) in messages {
         peers.send(&to, &message);
@@ -480,8 +480,8 @@
     let work = peer::Work { rows };
     let told = {
         let mut table = core.steer.loads.lock();
-        table.set_own(now, work.clone());
-        table.tell()
+        table.set_own_work(now, work.clone());
+        table.next_report()
     };
     let Some(peers) = peers else { return };
     peers.to_az(&core.cfg.az, &peer::Message::Work(work));
@@ -518,7 +518,7 @@
     let now = core.now();
     let (tells, summaries) = {
         let table = core.steer.loads.lock();
-        (table.tells(), table.summaries(now))
+        (table.is_reporter(), table.summaries(now))
     };
     let known = core.steer.applied.lock().newest().clone();
     let settings = core.shared.settings.load_full();
--- a/src/standin/elections.rs
+++ b/src/standin/elections.rs
@@ -170,10 +170,10 @@
             let from = &names[arrived.from];
             match arrived.message {
                 peer::Message::Alive(alive) => {
-                    vm.election.alive(now, from, &alive, &mut out);
+                    vm.election.handle_heartbeat(now, from, &alive, &mut out);
                 }
                 peer::Message::Accuse(accuse) => {
-                    vm.election.accuse(now, &accuse, &mut out);
+                    vm.election.handle_accusation(now, &accuse, &mut out);
                 }
                 _ => {}
             }
@@ -190,14 +190,20 @@
         }
     }
 
-    fn send(&mut self, now: policy::Moment, from: usize, names: &[id::VmId], out: reader::Out) {
+    fn send(
+        &mut self,
+        now: policy::Moment,
+        from: usize,
+        names: &[id::VmId],
+        out: reader::Outgoing,
+    ) {
         match out {
-            reader::Out::All(message) => {
+            reader::Outgoing::All(message) => {
                 for to in (0..names.len()).filter(|to| *to != from) {
                     self.fabric.send(now, from, to, message.clone());
                 }
             }
-            reader::Out::One(vm, message) => {
+            reader::Outgoing::One(vm, message) => {
                 if let Some(to) = names.iter().position(|name| *name == vm) {
                     self.fabric.send(now, from, to, message);
                 }
@@ -311,7 +317,7 @@
         }
         let since = *self.store_lost.get_or_insert(now);
         if now >= since + STORE_PATIENCE {
-            self.election.store_lost(now);
+            self.election.handle_store_loss(now);
             self.store_lost = None;
         }
     }
--- a/src/standin/nodes.rs
+++ b/src/standin/nodes.rs
@@ -11,7 +11,7 @@
 use std::time;
 
 use super::{fabric, store as memory};
-use crate::coordination::{action, book, budget, node, peers, reader, store};
+use crate::coordination::{action, budget, node, peers, reader, signed_values, store};
 use crate::decisions::policy;
 use crate::protocol::peer;
 use crate::settings::keys;
@@ -58,7 +58,7 @@
     starts: u64,
     targets: collections::BTreeSet<usize>,
     held: Vec<node::Event>,
-    versions: collections::BTreeMap<id::TeamId, book::Rank>,
+    versions: collections::BTreeMap<id::TeamId, signed_values::Rank>,
 }
 
 /// A call under way.
@@ -252,9 +252,9 @@
     }
 
     /// The highest rank of a key that the store or a running process holds.
-    pub fn highest(&self, key: &str) -> Option<book::Rank> {
+    pub fn highest(&self, key: &str) -> Option<signed_values::Rank> {
         let nodes = self.processes.iter().filter_map(|p| p.node.as_ref());
-        nodes.filter_map(|node| node.sync().book().rank(key)).max()
+        nodes.filter_map(|node| node.sync().held().rank(key)).max()
     }
 
     /// Sets both directions between two groups of processes.
@@ -529,7 +529,7 @@
     /// Settings in force never go back while a process runs.
     fn check(&mut self) {
         let Some(node) = &self.node else { return };
-        let versions = node.sync().book().versions();
+        let versions = node.sync().held().versions();
         for (team, before) in &self.versions {
             let now = versions.get(team);
             assert!(
--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -283,7 +283,7 @@
     let texts: std::collections::BTreeSet<_> = fleet
         .processes
         .iter()
-        .map(|p| p.node.as_ref().unwrap().sync().book().text("settings/bays"))
+        .map(|p| p.node.as_ref().unwrap().sync().held().text("settings/bays"))
         .collect();
     assert_eq!(texts.len(), 1, "all hold the same");
     let stored = fleet.store.get("settings/bays").unwrap().unwrap();
@@ -292,7 +292,7 @@
     let logged_conflict_or_repair = |note: &action::Note| {
         matches!(
             note,
-            action::Note::Tie { .. } | action::Note::StoreBehind { .. }
+            action::Note::VersionConflict { .. } | action::Note::StoreBehind { .. }
         )
     };
     assert!(logged(&fleet, logged_conflict_or_repair));
--- a/tests/reader.rs
+++ b/tests/reader.rs
@@ -9,7 +9,7 @@
 const RUN_TIME: time::Duration = time::Duration::from_secs(300);
 
 fn fewest_accusations(fault: Fault) -> elections::Report {
-    elections::play::<reader::Accused>(fault, 6, RUN_TIME, 3)
+    elections::play::<reader::FewestAccusations>(fault, 6, RUN_TIME, 3)
 }
 
 /// The reader can no longer reach the store but its heartbeats still arrive. If it kept the role,
@@ -18,7 +18,7 @@
 fn a_reader_that_cannot_reach_the_store_is_replaced() {
     let report = fewest_accusations(Fault::LowestWithoutStore);
     assert!(report.longest_s <= 5.0, "{report:?}");
-    let lowest = elections::play::<reader::Lowest>(Fault::LowestWithoutStore, 6, RUN_TIME, 3);
+    let lowest = elections::play::<reader::LowestName>(Fault::LowestWithoutStore, 6, RUN_TIME, 3);
     assert!(
         lowest.without > 0.9,
         "the lowest name keeps the role: {lowest:?}"
