--- a/src/coordination/reader.rs
+++ b/src/coordination/reader.rs
@@ -1,20 +1,21 @@
-//! Which entry process of an availability zone reads the store for all of them.
+//! Elects the entry process of an availability zone that reads the store for the whole zone.
 //!
-//! The reader holds the watches and passes on what they bring, so that the store's load grows with
-//! the number of availability zones and not with the number of VMs. Two readers at a time cost
-//! calls and harm nothing; none at all holds settings back, and so does a reader whose messages
-//! do not arrive or that cannot reach the store itself.
+//! The reader holds the watches and forwards their events, so that the store's load grows with
+//! the number of availability zones and not with the number of VMs. Two readers at a time only
+//! cost calls. Settings are delayed without a reader, and with one whose messages are lost or that
+//! cannot reach the store.
 //!
-//! Two ways stand behind [`Election`], and docs/design/reader.md measures them. [`Lowest`] takes
-//! the lowest name among those heard lately. [`Accused`] is after Aguilera, Delporte-Gallet,
-//! Fauconnier and Toueg, "On implementing Omega with weak reliability and synchrony assumptions",
-//! figures 2 and 3: only the reader sends heartbeats; whoever misses them accuses it; each process
-//! counts the accusations against itself and tells the count in its heartbeats; the lowest
-//! (count, name) reads. A phase number keeps a process from being accused for the silence that
-//! follows from giving the role up, and whoever prefers another reader tells a contender so.
-//! Beyond the paper, a process that starts listens first and joins with a count above the
-//! reader's, so that a VM that keeps restarting does not take the role each time; a reader that
-//! cannot reach the store counts that against itself; and timeouts grow up to a bound.
+//! [`Election`] has two implementations, compared in docs/design/reader.md. [`LowestName`] picks
+//! the lowest name among the processes with a recent heartbeat. [`FewestAccusations`] follows
+//! Aguilera, Delporte-Gallet, Fauconnier and Toueg, "On implementing Omega with weak reliability
+//! and synchrony assumptions", figures 2 and 3: only the reader sends heartbeats; processes that
+//! miss them accuse it; each process counts the accusations against itself and sends the count in
+//! its heartbeats; the lowest (count, name) is the reader. A phase number keeps a process from
+//! being accused for not sending after it gave up the role. A process that receives a heartbeat of
+//! a contender sends the contender the heartbeat of the reader that it prefers. Beyond the paper, a
+//! new process listens first and joins with a count above the reader's, so that a VM that keeps
+//! restarting does not take the role each time; a reader that cannot reach the store counts that
+//! as an accusation; and timeouts grow up to a bound.
 
 use std::collections;
 use std::time;
@@ -24,21 +25,21 @@
 use crate::protocol::peer;
 
 data! {
-    /// How often heartbeats go and how long they may stay out.
+    /// The intervals and timeouts of heartbeats.
     #[derive(Copy, Eq)]
     pub struct Timing {
-        /// Between two heartbeats.
+        /// The interval between two heartbeats.
         pub every: time::Duration,
-        /// The first timeout: three heartbeats.
+        /// The first timeout: three heartbeat intervals.
         pub timeout: time::Duration,
-        /// What each timeout that ran out adds to the next.
+        /// The increase of a process's timeout each time that it expires.
         pub step: time::Duration,
-        /// The longest timeout. It bounds how long an availability zone is without a reader.
+        /// The longest timeout. It bounds the time an availability zone is without a reader.
         pub max_timeout: time::Duration,
     }
 
-    /// A message that an election wants sent inside the availability zone.
-    pub enum Out {
+    /// A message to send inside the availability zone.
+    pub enum Outgoing {
         /// To every peer of the availability zone.
         All(peer::Message),
         /// To one peer.
@@ -57,200 +58,217 @@
     }
 }
 
-/// A way to pick the reader. Each process runs one; they need not agree at every moment.
+/// An election algorithm. Each process runs an instance; their results may differ temporarily.
 pub trait Election {
-    /// Starts listening.
+    /// Creates an instance that listens before it elects a reader.
     fn new(
-        own: id::VmId,
+        this_vm: id::VmId,
         incarnation: id::Incarnation,
         timing: Timing,
         now: policy::Moment,
     ) -> Self;
 
-    /// Time has passed.
-    fn tick(&mut self, now: policy::Moment, out: &mut Vec<Out>);
+    /// Handles expired timeouts and sends due heartbeats.
+    fn tick(&mut self, now: policy::Moment, out: &mut Vec<Outgoing>);
 
-    /// A heartbeat came from `from`, its own or one that it passed on. True: it is the first
-    /// copy, to be passed on where not all are linked.
-    fn alive(
+    /// Handles a heartbeat that `from` sent or relayed. True: it is the first copy, to be relayed
+    /// where not all processes are linked.
+    fn handle_heartbeat(
         &mut self,
         now: policy::Moment,
         from: &id::VmId,
         alive: &peer::Alive,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Outgoing>,
     ) -> bool;
 
-    /// An accusation came. True: it is the first copy, to be passed on where not all are linked.
-    fn accuse(&mut self, now: policy::Moment, accuse: &peer::Accuse, out: &mut Vec<Out>) -> bool;
+    /// Handles an accusation. True: it is the first copy, to be relayed.
+    fn handle_accusation(
+        &mut self,
+        now: policy::Moment,
+        accuse: &peer::Accuse,
+        out: &mut Vec<Outgoing>,
+    ) -> bool;
 
-    /// This process cannot reach the store.
-    fn store_lost(&mut self, now: policy::Moment);
+    /// Handles a lasting failure of this process's store calls.
+    fn handle_store_loss(&mut self, now: policy::Moment);
 
-    /// The reader as this process sees it. None: it has just started and listens.
+    /// The reader that this process has elected. None while it listens after its start.
     fn reader(&self) -> Option<&id::VmId>;
 }
 
-/// Picks the lowest name among the processes that were heard lately. All send heartbeats.
+/// Elects the lowest name among the processes with a recent heartbeat. All send heartbeats.
 #[derive(Debug)]
-pub struct Lowest {
-    own: id::VmId,
-    pulse: Pulse,
-    heard: collections::BTreeMap<id::VmId, (u64, policy::Moment)>,
+pub struct LowestName {
+    this_vm: id::VmId,
+    heartbeats: Heartbeats,
+    last_heartbeats: collections::BTreeMap<id::VmId, (u64, policy::Moment)>,
     reader: Option<id::VmId>,
 }
 
-impl Election for Lowest {
+impl Election for LowestName {
     fn new(
-        own: id::VmId,
+        this_vm: id::VmId,
         incarnation: id::Incarnation,
         timing: Timing,
         now: policy::Moment,
     ) -> Self {
         Self {
-            pulse: Pulse::new(&own, incarnation, timing, now),
-            own,
-            heard: collections::BTreeMap::new(),
+            heartbeats: Heartbeats::new(&this_vm, incarnation, timing, now),
+            this_vm,
+            last_heartbeats: collections::BTreeMap::new(),
             reader: None,
         }
     }
 
-    fn tick(&mut self, now: policy::Moment, out: &mut Vec<Out>) {
-        self.pulse.send_due(now, out);
-        let timeout = self.pulse.timing.timeout;
-        self.heard.retain(|_, (_, at)| now <= *at + timeout);
-        if !self.pulse.has_listened(now) {
+    fn tick(&mut self, now: policy::Moment, out: &mut Vec<Outgoing>) {
+        self.heartbeats.send_due(now, out);
+        let timeout = self.heartbeats.timing.timeout;
+        self.last_heartbeats
+            .retain(|_, (_, at)| now <= *at + timeout);
+        if !self.heartbeats.has_listened_enough(now) {
             return;
         }
-        let lowest = self.heard.keys().next().unwrap_or(&self.own);
-        let reader = lowest.min(&self.own);
+        let lowest = self.last_heartbeats.keys().next().unwrap_or(&self.this_vm);
+        let reader = lowest.min(&self.this_vm);
         if self.reader.as_ref() != Some(reader) {
             self.reader = Some(reader.clone());
         }
     }
 
-    fn alive(
+    fn handle_heartbeat(
         &mut self,
         now: policy::Moment,
         _from: &id::VmId,
         alive: &peer::Alive,
-        _out: &mut Vec<Out>,
+        _out: &mut Vec<Outgoing>,
     ) -> bool {
-        let known = self.heard.get(&alive.vm).map(|(seq, _)| *seq);
-        let first = alive.vm != self.own && known.is_none_or(|seq| seq < alive.seq);
+        let known = self.last_heartbeats.get(&alive.vm).map(|(seq, _)| *seq);
+        let first = alive.vm != self.this_vm && known.is_none_or(|seq| seq < alive.seq);
         if first {
-            self.heard.insert(alive.vm.clone(), (alive.seq, now));
+            self.last_heartbeats
+                .insert(alive.vm.clone(), (alive.seq, now));
         }
         first
     }
 
-    fn accuse(
+    fn handle_accusation(
         &mut self,
         _now: policy::Moment,
         _accuse: &peer::Accuse,
-        _out: &mut Vec<Out>,
+        _out: &mut Vec<Outgoing>,
     ) -> bool {
         false
     }
 
-    fn store_lost(&mut self, _now: policy::Moment) {}
+    fn handle_store_loss(&mut self, _now: policy::Moment) {}
 
     fn reader(&self) -> Option<&id::VmId> {
         self.reader.as_ref()
     }
 }
 
-/// Picks the process with the fewest accusations. Only the reader sends heartbeats.
+/// Elects the process with the fewest accusations. Only the reader sends heartbeats.
 #[derive(Debug)]
-pub struct Accused {
-    own: id::VmId,
-    pulse: Pulse,
-    counted: Option<policy::Moment>,
+pub struct FewestAccusations {
+    this_vm: id::VmId,
+    heartbeats: Heartbeats,
+    last_counted: Option<policy::Moment>,
     contenders: collections::BTreeMap<id::VmId, Contender>,
     timeouts: collections::BTreeMap<id::VmId, time::Duration>,
-    /// The last heartbeat of each, also of those that fell silent: one that a peer passes on must
-    /// not bring a dead reader back.
-    seen: collections::BTreeMap<id::VmId, (id::Incarnation, u64)>,
-    /// The last accusation of each, and when it came.
+    /// The last heartbeat of each process, kept after its timeout: a relayed copy must not make a
+    /// dead process the reader again.
+    last_seen: collections::BTreeMap<id::VmId, (id::Incarnation, u64)>,
+    /// The last accusation against each process, and when it was received.
     accusations: collections::BTreeMap<id::VmId, ((id::Incarnation, u64), policy::Moment)>,
     reader: Option<id::VmId>,
 }
 
 #[derive(Debug)]
 struct Contender {
-    beat: peer::Alive,
-    until: policy::Moment,
+    heartbeat: peer::Alive,
+    expires: policy::Moment,
 }
 
-impl Election for Accused {
+impl Election for FewestAccusations {
     fn new(
-        own: id::VmId,
+        this_vm: id::VmId,
         incarnation: id::Incarnation,
         timing: Timing,
         now: policy::Moment,
     ) -> Self {
         Self {
-            pulse: Pulse::new(&own, incarnation, timing, now),
-            own,
-            counted: None,
+            heartbeats: Heartbeats::new(&this_vm, incarnation, timing, now),
+            this_vm,
+            last_counted: None,
             contenders: collections::BTreeMap::new(),
             timeouts: collections::BTreeMap::new(),
-            seen: collections::BTreeMap::new(),
+            last_seen: collections::BTreeMap::new(),
             accusations: collections::BTreeMap::new(),
             reader: None,
         }
     }
 
-    fn tick(&mut self, now: policy::Moment, out: &mut Vec<Out>) {
-        self.expire(now, out);
-        if self.reader.is_none() && self.pulse.has_listened(now) {
+    fn tick(&mut self, now: policy::Moment, out: &mut Vec<Outgoing>) {
+        self.accuse_expired(now, out);
+        if self.reader.is_none() && self.heartbeats.has_listened_enough(now) {
             self.join();
         }
-        self.update();
+        self.update_reader();
         if self.is_reader() {
-            self.pulse.send_due(now, out);
+            self.heartbeats.send_due(now, out);
         }
     }
 
-    fn alive(
+    fn handle_heartbeat(
         &mut self,
         now: policy::Moment,
         from: &id::VmId,
         alive: &peer::Alive,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Outgoing>,
     ) -> bool {
-        if alive.vm == self.own || self.is_old(alive) {
+        if alive.vm == self.this_vm || self.is_outdated(alive) {
             return false;
         }
-        self.seen
+        self.last_seen
             .insert(alive.vm.clone(), (alive.incarnation, alive.seq));
-        let until = now + self.timeout(&alive.vm);
-        let beat = alive.clone();
+        let expires = now + self.timeout(&alive.vm);
+        let heartbeat = alive.clone();
         self.contenders
-            .insert(alive.vm.clone(), Contender { beat, until });
-        self.update();
-        self.check(from, alive, out);
+            .insert(alive.vm.clone(), Contender { heartbeat, expires });
+        self.update_reader();
+        self.send_preferred(from, alive, out);
         true
     }
 
-    fn accuse(&mut self, now: policy::Moment, accuse: &peer::Accuse, out: &mut Vec<Out>) -> bool {
-        if accuse.vm == self.own {
-            let ours = (accuse.incarnation, accuse.phase);
-            if ours == (self.pulse.beat.incarnation, self.pulse.beat.phase) {
-                self.count(now);
+    fn handle_accusation(
+        &mut self,
+        now: policy::Moment,
+        accuse: &peer::Accuse,
+        out: &mut Vec<Outgoing>,
+    ) -> bool {
+        if accuse.vm == self.this_vm {
+            let current = (accuse.incarnation, accuse.phase);
+            if current
+                == (
+                    self.heartbeats.latest.incarnation,
+                    self.heartbeats.latest.phase,
+                )
+            {
+                self.count_accusation(now);
             }
             return false;
         }
-        let first = self.is_first(now, accuse);
+        let first = self.is_new_accusation(now, accuse);
         if first {
             let message = peer::Message::Accuse(accuse.clone());
-            out.push(Out::One(accuse.vm.clone(), message));
+            out.push(Outgoing::One(accuse.vm.clone(), message));
         }
         first
     }
 
-    fn store_lost(&mut self, now: policy::Moment) {
+    fn handle_store_loss(&mut self, now: policy::Moment) {
         if self.is_reader() {
-            self.count(now);
+            self.count_accusation(now);
         }
     }
 
@@ -259,106 +277,113 @@
     }
 }
 
-impl Accused {
+impl FewestAccusations {
     fn is_reader(&self) -> bool {
-        self.reader.as_ref() == Some(&self.own)
+        self.reader.as_ref() == Some(&self.this_vm)
     }
 
-    /// Those whose heartbeats stayed out are accused. Others may reach them where we cannot, so
-    /// everybody hears the accusation and passes it on.
-    fn expire(&mut self, now: policy::Moment, out: &mut Vec<Out>) {
+    /// Accuses contenders whose heartbeats timed out. The accusation goes to all peers, which
+    /// relay it, since some of them may reach the contender when this process cannot.
+    fn accuse_expired(&mut self, now: policy::Moment, out: &mut Vec<Outgoing>) {
         let expired: Vec<_> = self
             .contenders
             .iter()
-            .filter(|(_, c)| now > c.until)
+            .filter(|(_, c)| now > c.expires)
             .map(|(vm, _)| vm.clone())
             .collect();
         for vm in expired {
             let Some(contender) = self.contenders.remove(&vm) else {
                 continue;
             };
-            let longer = self.timeout(&vm) + self.pulse.timing.step;
-            self.timeouts
-                .insert(vm.clone(), longer.min(self.pulse.timing.max_timeout));
-            out.push(Out::All(peer::Message::Accuse(peer::Accuse {
+            let increased = self.timeout(&vm) + self.heartbeats.timing.step;
+            self.timeouts.insert(
+                vm.clone(),
+                increased.min(self.heartbeats.timing.max_timeout),
+            );
+            out.push(Outgoing::All(peer::Message::Accuse(peer::Accuse {
                 vm,
-                incarnation: contender.beat.incarnation,
-                phase: contender.beat.phase,
+                incarnation: contender.heartbeat.incarnation,
+                phase: contender.heartbeat.phase,
             })));
         }
     }
 
-    /// A process that joins stands behind the reader it finds.
+    /// Joins with a count above the current reader's, so that the reader keeps the role.
     fn join(&mut self) {
-        let counters = self.contenders.values().map(|c| c.beat.counter);
-        self.pulse.beat.counter = counters.min().map_or(0, |counter| counter + 1);
-        self.reader = Some(self.own.clone());
+        let counters = self.contenders.values().map(|c| c.heartbeat.counter);
+        self.heartbeats.latest.counter = counters.min().map_or(0, |counter| counter + 1);
+        self.reader = Some(self.this_vm.clone());
     }
 
-    fn update(&mut self) {
+    fn update_reader(&mut self) {
         if self.reader.is_none() {
             return;
         }
-        let own = (self.pulse.beat.counter, &self.own);
-        let others = self.contenders.iter().map(|(vm, c)| (c.beat.counter, vm));
-        let (_, first) = others.fold(own, Ord::min);
-        if self.reader.as_ref() == Some(first) {
+        let this_process = (self.heartbeats.latest.counter, &self.this_vm);
+        let others = self
+            .contenders
+            .iter()
+            .map(|(vm, c)| (c.heartbeat.counter, vm));
+        let (_, preferred) = others.fold(this_process, Ord::min);
+        if self.reader.as_ref() == Some(preferred) {
             return;
         }
-        let gives_up = self.is_reader();
-        self.reader = Some(first.clone());
-        if gives_up {
-            // Our silence from now on is no fault.
-            self.pulse.beat.phase += 1;
+        let was_reader = self.is_reader();
+        self.reader = Some(preferred.clone());
+        if was_reader {
+            // From now on missing heartbeats of this process are expected.
+            self.heartbeats.latest.phase += 1;
         }
     }
 
-    /// Tells a contender of the reader that we prefer: the two may not hear each other.
-    fn check(&self, from: &id::VmId, alive: &peer::Alive, out: &mut Vec<Out>) {
+    /// Sends a contender the preferred reader's heartbeat: the two may not be linked.
+    fn send_preferred(&self, from: &id::VmId, alive: &peer::Alive, out: &mut Vec<Outgoing>) {
         let Some(reader) = self.reader.as_ref().filter(|r| **r != alive.vm) else {
             return;
         };
         if let Some(preferred) = self.contenders.get(reader).filter(|_| *from == alive.vm) {
-            let message = peer::Message::Alive(preferred.beat.clone());
-            out.push(Out::One(alive.vm.clone(), message));
+            let message = peer::Message::Alive(preferred.heartbeat.clone());
+            out.push(Outgoing::One(alive.vm.clone(), message));
         }
     }
 
-    /// Counts one accusation; those of several peers over one silence count once.
-    fn count(&mut self, now: policy::Moment) {
+    /// Counts an accusation. Those of several peers for the same missed heartbeats count once.
+    fn count_accusation(&mut self, now: policy::Moment) {
         let recent = self
-            .counted
-            .is_some_and(|at| now < at + self.pulse.timing.timeout);
+            .last_counted
+            .is_some_and(|at| now < at + self.heartbeats.timing.timeout);
         if recent {
             return;
         }
-        self.counted = Some(now);
-        self.pulse.beat.counter += 1;
-        self.update();
+        self.last_counted = Some(now);
+        self.heartbeats.latest.counter += 1;
+        self.update_reader();
     }
 
-    /// Whether an accusation over the same silence was not passed on yet.
-    fn is_first(&mut self, now: policy::Moment, accuse: &peer::Accuse) -> bool {
-        let timeout = self.pulse.timing.timeout;
-        let said = (accuse.incarnation, accuse.phase);
-        let before = self.accusations.insert(accuse.vm.clone(), (said, now));
-        before.is_none_or(|(what, at)| what != said || now >= at + timeout)
+    /// Whether no accusation for the same missed heartbeats was relayed yet.
+    fn is_new_accusation(&mut self, now: policy::Moment, accuse: &peer::Accuse) -> bool {
+        let timeout = self.heartbeats.timing.timeout;
+        let accusation = (accuse.incarnation, accuse.phase);
+        let before = self
+            .accusations
+            .insert(accuse.vm.clone(), (accusation, now));
+        before.is_none_or(|(previous, at)| previous != accusation || now >= at + timeout)
     }
 
-    fn is_old(&self, alive: &peer::Alive) -> bool {
-        let seen = self.seen.get(&alive.vm);
-        seen.is_some_and(|seen| (alive.incarnation, alive.seq) <= *seen)
+    fn is_outdated(&self, alive: &peer::Alive) -> bool {
+        let last_seen = self.last_seen.get(&alive.vm);
+        last_seen.is_some_and(|last_seen| (alive.incarnation, alive.seq) <= *last_seen)
     }
 
     fn timeout(&self, vm: &id::VmId) -> time::Duration {
         let known = self.timeouts.get(vm).copied();
-        known.unwrap_or(self.pulse.timing.timeout)
+        known.unwrap_or(self.heartbeats.timing.timeout)
     }
 }
 
-fn beat(own: &id::VmId, incarnation: id::Incarnation) -> peer::Alive {
+fn initial_heartbeat(this_vm: &id::VmId, incarnation: id::Incarnation) -> peer::Alive {
     peer::Alive {
-        vm: own.clone(),
+        vm: this_vm.clone(),
         incarnation,
         counter: 0,
         phase: 0,
@@ -368,42 +393,42 @@
     }
 }
 
-/// A process's own heartbeats: the last one, and when the next is due.
+/// The heartbeats of this process: the last one, and when the next is due.
 #[derive(Debug)]
-struct Pulse {
-    beat: peer::Alive,
+struct Heartbeats {
+    latest: peer::Alive,
     timing: Timing,
     started: policy::Moment,
-    next: policy::Moment,
+    next_due: policy::Moment,
 }
 
-impl Pulse {
+impl Heartbeats {
     fn new(
-        own: &id::VmId,
+        this_vm: &id::VmId,
         incarnation: id::Incarnation,
         timing: Timing,
         now: policy::Moment,
     ) -> Self {
         Self {
-            beat: beat(own, incarnation),
+            latest: initial_heartbeat(this_vm, incarnation),
             timing,
             started: now,
-            next: now,
+            next_due: now,
         }
     }
 
     /// Sends the next heartbeat, if it is due.
-    fn send_due(&mut self, now: policy::Moment, out: &mut Vec<Out>) {
-        if now < self.next {
+    fn send_due(&mut self, now: policy::Moment, out: &mut Vec<Outgoing>) {
+        if now < self.next_due {
             return;
         }
-        self.next = now + self.timing.every;
-        self.beat.seq += 1;
-        out.push(Out::All(peer::Message::Alive(self.beat.clone())));
+        self.next_due = now + self.timing.every;
+        self.latest.seq += 1;
+        out.push(Outgoing::All(peer::Message::Alive(self.latest.clone())));
     }
 
-    /// Whether the process has listened for so long that it would have heard a reader.
-    fn has_listened(&self, now: policy::Moment) -> bool {
+    /// Whether the process has listened long enough to receive a reader's heartbeat.
+    fn has_listened_enough(&self, now: policy::Moment) -> bool {
         now >= self.started + self.timing.timeout
     }
 }
@@ -416,7 +441,7 @@
         policy::Moment::from_millis(ms)
     }
 
-    fn elect<E: Election>(vm: &str) -> E {
+    fn new_election<E: Election>(vm: &str) -> E {
         E::new(vm.into(), id::Incarnation(1), Timing::default(), ms(0))
     }
 
@@ -424,66 +449,66 @@
         peer::Alive {
             counter,
             seq,
-            ..beat(&vm.into(), id::Incarnation(1))
+            ..initial_heartbeat(&vm.into(), id::Incarnation(1))
         }
     }
 
-    /// The VM with the lowest name keeps restarting. If it took the role back each time, the
-    /// availability zone would lose its watch as often and see settings late.
+    /// The VM with the lowest name keeps restarting. If it took the role each time, the
+    /// availability zone would lose its watch each time and get settings late.
     #[test]
     fn a_restarted_process_does_not_take_the_role() {
-        let mut a: Accused = elect("a");
+        let mut a: FewestAccusations = new_election("a");
         let mut out = Vec::new();
         a.tick(ms(0), &mut out);
         assert_eq!(a.reader(), None);
-        a.alive(ms(400), &"b".into(), &heartbeat("b", 3, 9), &mut out);
+        a.handle_heartbeat(ms(400), &"b".into(), &heartbeat("b", 3, 9), &mut out);
         a.tick(ms(1_500), &mut out);
         assert_eq!(a.reader(), Some(&"b".into()));
-        assert!(out.is_empty(), "a listener sends nothing: {out:?}");
+        assert!(out.is_empty(), "messages sent while listening: {out:?}");
     }
 
-    /// The reader's way to the store is cut and its heartbeats still arrive. Without giving the
-    /// role up, its availability zone would have no settings until somebody looked.
+    /// The reader cannot reach the store, but its heartbeats still arrive. If it kept the role, its
+    /// availability zone would get no settings until an operator intervened.
     #[test]
     fn a_reader_without_the_store_gives_up() {
-        let mut a: Accused = elect("a");
+        let mut a: FewestAccusations = new_election("a");
         let mut out = Vec::new();
         a.tick(ms(2_000), &mut out);
         assert_eq!(a.reader(), Some(&"a".into()));
-        a.alive(ms(2_100), &"b".into(), &heartbeat("b", 0, 1), &mut out);
+        a.handle_heartbeat(ms(2_100), &"b".into(), &heartbeat("b", 0, 1), &mut out);
         assert_eq!(a.reader(), Some(&"a".into()));
-        a.store_lost(ms(2_200));
+        a.handle_store_loss(ms(2_200));
         assert_eq!(a.reader(), Some(&"b".into()));
     }
 
-    /// A reader dies and one that did not notice yet passes its last heartbeat on. If that
-    /// brought it back, the availability zone would follow a dead reader over and over.
+    /// A reader crashes and a peer relays its last heartbeat late. If that restored its role, the
+    /// availability zone would follow a dead reader again and again.
     #[test]
     fn a_dead_reader_is_not_brought_back() {
-        let mut b: Accused = elect("b");
+        let mut b: FewestAccusations = new_election("b");
         let mut out = Vec::new();
         b.tick(ms(1_500), &mut out);
         let last = heartbeat("a", 0, 7);
-        b.alive(ms(1_600), &"a".into(), &last, &mut out);
+        b.handle_heartbeat(ms(1_600), &"a".into(), &last, &mut out);
         b.tick(ms(4_000), &mut out);
-        b.alive(ms(4_000), &"c".into(), &last, &mut out);
+        b.handle_heartbeat(ms(4_000), &"c".into(), &last, &mut out);
         assert_eq!(b.reader(), Some(&"b".into()));
     }
 
-    /// A reader gives the role up and falls silent; its peers time out and accuse it. Counting
-    /// that would push the role around for no fault.
+    /// A reader gives up the role and stops sending heartbeats; its peers time out and accuse it.
+    /// Counting that would move the role without a fault.
     #[test]
-    fn silence_after_giving_up_is_not_counted() {
-        let mut b: Accused = elect("b");
+    fn missed_heartbeats_after_giving_up_are_not_counted() {
+        let mut b: FewestAccusations = new_election("b");
         let mut out = Vec::new();
         b.tick(ms(2_000), &mut out);
-        b.alive(ms(2_100), &"a".into(), &heartbeat("a", 0, 1), &mut out);
+        b.handle_heartbeat(ms(2_100), &"a".into(), &heartbeat("a", 0, 1), &mut out);
         let accuse = peer::Accuse {
             vm: "b".into(),
             incarnation: id::Incarnation(1),
             phase: 0,
         };
-        b.accuse(ms(4_000), &accuse, &mut out);
-        assert_eq!(b.pulse.beat.counter, 0);
+        b.handle_accusation(ms(4_000), &accuse, &mut out);
+        assert_eq!(b.heartbeats.latest.counter, 0);
     }
 }
