--- a/src/platform/calls.rs
+++ b/src/platform/calls.rs
@@ -1,5 +1,5 @@
-//! The platform's and callers' calls that are not requests to a service: readiness, where to
-//! connect, metrics.
+//! HTTP endpoints that the gateway answers itself instead of routing to a backend server: readiness
+//! (`/ready`), entry VM addresses (`/resolve`) and metrics (`/metrics`).
 
 use bytes::Bytes;
 
@@ -7,12 +7,12 @@
 use crate::transport::callers;
 use crate::{gateway, metrics};
 
-/// Answers these calls.
+/// Handler for these endpoints.
 #[derive(Clone, Debug)]
 pub struct Calls {
-    /// The gateway.
+    /// The gateway, for its readiness and its list of entry VMs.
     pub cx: gateway::Gateway,
-    /// How long an answer about where to connect may be kept, in seconds.
+    /// How long callers may cache a `/resolve` response, in seconds.
     pub ttl_s: f64,
 }
 
@@ -73,7 +73,7 @@
 fn json<T: serde::Serialize>(value: &T) -> callers::Answer {
     match serde_json::to_vec(value) {
         Ok(body) => with_body("application/json", body.into()),
-        // Our own types always serialize; should one not, the caller asks elsewhere.
+        // Not expected, since these types always serialize; the caller can use another entry VM.
         Err(_) => callers::Answer::bare(500),
     }
 }
