--- a/src/platform/decode.rs
+++ b/src/platform/decode.rs
@@ -1,4 +1,5 @@
-//! What operators and backend servers write to the platform's store, decoded into our own types.
+//! Decodes the records that operators, backend servers and entry VMs write to the platform's store, and
+//! encodes those of this VM.
 
 use std::net;
 use std::time;
@@ -11,31 +12,31 @@
 
 use super::names;
 
-/// Why a value cannot be used.
+/// Why a record is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It is not the expected JSON.
-    #[error("cannot be read: {0}")]
+    /// Not JSON, or not of the expected structure.
+    #[error("cannot decode JSON: {0}")]
     Json(#[from] serde_json::Error),
     /// The version is not a hexadecimal number.
     #[error("version `{0}` is not a hexadecimal number")]
     Version(String),
-    /// A word that says nothing here.
-    #[error("`{0}` is not a state of a backend server")]
+    /// Unknown state of a backend server.
+    #[error("`{0}` is not a known state of a backend server")]
     State(String),
-    /// It has no slot to work in.
-    #[error("it has no slots")]
+    /// The backend server cannot run any request.
+    #[error("the backend server has 0 slots")]
     NoSlots,
-    /// A number is negative or no number.
-    #[error("`{0}` is not a time")]
+    /// A duration is negative, too large or not a number.
+    #[error("`{0}` is not a valid duration in seconds")]
     Time(f64),
-    /// A number of requests is negative or no number.
-    #[error("`{0}` is not a number of requests of customer `{1}`")]
+    /// A rate or burst of a customer is negative or not finite.
+    #[error("`{0}` is not a valid number of requests for customer `{1}`")]
     Quota(f64, String),
-    /// A key is not a digest.
-    #[error("a key of customer `{0}` is not sealed; run the same version on all entry VMs")]
+    /// A customer's key is not a digest.
+    #[error("a key of customer `{0}` is not a digest; run the same version on all entry VMs")]
     Unsealed(String),
-    /// Customers contradict one another.
+    /// Two customers have the same name or the same key.
     #[error(transparent)]
     Customers(#[from] customers::Error),
 }
@@ -46,7 +47,6 @@
     routes: Vec<Route>,
     services: Vec<Service>,
     limits: Option<Limits>,
-    /// The customers.
     #[serde(default)]
     tenants: Vec<Customer>,
 }
@@ -54,16 +54,16 @@
 #[derive(serde::Deserialize)]
 struct Customer {
     name: String,
-    /// The digests of its keys, see [`seal`].
+    /// Digests of the customer's keys, as [`seal`] writes them.
     #[serde(default)]
     keys: Vec<String>,
     priority: Option<u32>,
-    /// 0: without limit.
+    /// 0 means unlimited.
     #[serde(default)]
     rate_per_s: f64,
     #[serde(default)]
     burst: f64,
-    /// Regions, although the name speaks of residence.
+    /// Regions that may serve the customer; empty: all.
     #[serde(default)]
     residency: Vec<String>,
 }
@@ -87,7 +87,7 @@
     service: Option<String>,
     #[serde(default)]
     split: Vec<Part>,
-    /// Regions, although the name speaks of residence.
+    /// Regions that may serve the route; empty: all.
     #[serde(default)]
     residency: Vec<String>,
 }
@@ -113,8 +113,8 @@
     idle_timeout_s: f64,
 }
 
-/// A backend server's entry. Another writer may have left something else under its key; so each
-/// field must be there with its type, also those that are not used here.
+/// A backend server's record. Another program may have written something else under its key, so each
+/// field except `born` must be present with its type, including unused ones.
 #[derive(serde::Deserialize)]
 struct Server {
     service: String,
@@ -124,11 +124,11 @@
     _version: String,
     slots: u32,
     state: String,
-    /// How much longer it is cold, from when it wrote this.
+    /// Remaining warm-up time when the record was written.
     cold_left_s: f64,
     #[serde(rename = "seq")]
     _count: u64,
-    /// The Unix millisecond of its start.
+    /// Start time, in milliseconds since the Unix epoch.
     born: Option<u64>,
 }
 
@@ -136,7 +136,7 @@
     time::Duration::try_from_secs_f64(value).map_err(|_| Error::Time(value))
 }
 
-/// The operators' configuration.
+/// Decodes the operators' configuration; customer keys must be digests. Fails if any part is invalid.
 pub fn config(value: &[u8]) -> Result<routes::Table, Error> {
     let config: Config = serde_json::from_slice(value)?;
     let version = u64::from_str_radix(&config.version, 16)
@@ -157,8 +157,8 @@
     Ok(routes::Table::new(version, routes?, services, limits).with_customers(customers))
 }
 
-/// The operators' configuration with the digest of each key in the key's place, as entry VMs tell
-/// it to one another. What cannot be read becomes empty: a key may stand anywhere in it.
+/// Replaces each customer key in the operators' configuration by its digest, as entry VMs store and
+/// forward it. Invalid JSON becomes empty, since a key may be anywhere in it.
 pub fn seal(value: &[u8]) -> Vec<u8> {
     let Ok(mut config) = serde_json::from_slice::<serde_json::Value>(value) else {
         return Vec::new();
@@ -230,7 +230,7 @@
     })
 }
 
-/// Whether requests of a kind may run more than once.
+/// Whether requests of a kind may run more than once. Unknown kinds may not.
 fn is_idempotent(kind: &str) -> bool {
     matches!(kind, "safe" | "download")
 }
@@ -242,7 +242,7 @@
     }
 }
 
-/// A backend server's entry, read at `now`.
+/// Decodes a backend server's record that was read at `now`. Fails if a field is missing or invalid.
 pub fn backend(value: &[u8], now: policy::Moment) -> Result<backends::Listed, Error> {
     let server: Server = serde_json::from_slice(value)?;
     let leaving = match server.state.as_str() {
@@ -264,7 +264,7 @@
     })
 }
 
-/// How an entry VM registers.
+/// An entry VM's registration, as stored.
 #[derive(serde::Serialize, serde::Deserialize)]
 struct Registered {
     front: net::SocketAddr,
@@ -276,12 +276,12 @@
     requests: u32,
     #[serde(default)]
     busy: bool,
-    /// Customers by the hashes of their names.
+    /// Hashes of the names of customers that have nearly used their quotas.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     near_limits: Vec<u64>,
 }
 
-/// An entry VM's registration.
+/// Decodes an entry VM's registration.
 pub fn entry(value: &[u8]) -> Result<entries::Entry, Error> {
     let entry: Registered = serde_json::from_slice(value)?;
     Ok(entries::Entry {
@@ -295,7 +295,7 @@
     })
 }
 
-/// An entry VM's registration as it is written.
+/// Encodes an entry VM's registration.
 pub fn put_entry(entry: &entries::Entry) -> Result<Vec<u8>, Error> {
     Ok(serde_json::to_vec(&Registered {
         front: entry.front,
@@ -308,7 +308,7 @@
     })?)
 }
 
-/// A crash from the rest of its key.
+/// Decodes a crash record from its key without the prefix; `None` if malformed.
 pub fn crash(rest: &str) -> Option<beliefs::Crash> {
     let (fingerprint, run) = rest.split_once('/')?;
     Some(beliefs::Crash {
@@ -317,7 +317,7 @@
     })
 }
 
-/// The key of a crash.
+/// Returns the store key of a crash record.
 pub fn crash_key(crash: &beliefs::Crash) -> String {
     format!("{}{:016x}/{}", names::CRASHES, crash.fingerprint, crash.run)
 }
