--- a/src/platform/feed.rs
+++ b/src/platform/feed.rs
@@ -1,4 +1,5 @@
-//! What stands in the platform's store, told to the gateway, and this VM's registration there.
+//! Reads and watches the platform's store and applies its records to the gateway. Also keeps this VM
+//! registered in the store and publishes the crashes of backend servers that it observes.
 
 use std::rc;
 use std::time;
@@ -11,31 +12,31 @@
 
 use super::{decode, names, settings, store};
 
-/// How long a crash counts against the requests that were in flight: longer than callers go on
-/// asking, short enough that a repaired service is not held back.
+/// TTL of a crash record, which counts against the requests that were in flight: longer than callers
+/// retry, and short enough that a repaired service soon gets these requests again.
 const CRASH_COUNTS: time::Duration = time::Duration::from_secs(90);
 
-/// The pause after a call that failed.
+/// Pause before a failed registration is retried.
 const RETRY: time::Duration = time::Duration::from_millis(300);
 
-/// Everything in the store concerns entry VMs, so one watch serves for all.
+/// Prefix of the watch. All keys in the store concern entry VMs, so a single watch covers them.
 const EVERYTHING: &str = "";
 
-/// What makes up everything. Read side by side, since each page costs a round trip, which is 0.11 s
-/// from another region: a start after a loss of all VMs is that much shorter for each.
+/// Prefixes that together cover all records. They are read in parallel, since each page costs a round
+/// trip (0.11 s from another region), which would prolong the start after a loss of all VMs.
 const PARTS: [&str; 3] = [names::OWN, names::OPERATORS, names::BACKENDS];
 
-/// The store as a source of records.
+/// Source of the records in the platform's store.
 #[derive(Debug)]
 pub struct Feed {
     cx: gateway::Gateway,
     client: store::Client,
-    /// For reading the parts beside the first.
+    /// Clients for reading the second and the third prefix in parallel.
     beside: [store::Client; PARTS.len() - 1],
 }
 
 impl Feed {
-    /// The store at this address.
+    /// Creates a feed from the store at `addr`.
     pub fn new(cx: gateway::Gateway, addr: std::net::SocketAddr) -> Self {
         Self {
             cx,
@@ -85,7 +86,7 @@
     }
 }
 
-/// Records as they may be kept and passed on: no key of a customer stands in them.
+/// Replaces customer keys in the records by digests, so that no key is kept or sent to other VMs.
 fn sealed(mut records: Vec<mirror::Record>) -> Vec<mirror::Record> {
     for record in records.iter_mut().filter(|r| r.key == names::CONFIG) {
         record.value = record.value.as_deref().map(|v| decode::seal(v).into());
@@ -106,7 +107,7 @@
         );
         self.beside.iter_mut().for_each(store::Client::close);
         let parts: [(Vec<mirror::Record>, u64); 3] = parts?.into();
-        // A watch from the oldest of their revisions brings what the others lack.
+        // A watch from the oldest revision returns all changes since any of the reads.
         let revision = parts.iter().map(|(_, revision)| *revision).min();
         let records = parts.into_iter().flat_map(|(records, _)| records);
         Ok((sealed(records.collect()), revision.unwrap_or_default()))
@@ -115,7 +116,7 @@
     async fn read_zone(&mut self) -> Result<Vec<mirror::Record>, store::Error> {
         let prefix = names::entries_in(&self.cx.cfg.az);
         let [second, third] = &mut self.beside;
-        // The connections for a whole read are opened meanwhile, for one that turns out to be first.
+        // Also opens the connections for a full read, in case this VM is the first to start.
         let (records, (), ()) = tokio::join!(
             self.client.range(&prefix, true),
             second.connect(),
@@ -138,41 +139,41 @@
 
     fn apply(&self, record: &mirror::Record) -> bool {
         self.checked(record).unwrap_or_else(|err| {
-            slog::warn!(self.cx.log, "configuration or registration not taken, the one before stays"; "key" => &record.key, "error" => %err);
+            slog::warn!(self.cx.log, "record from the store rejected; keeping the previous value"; "key" => &record.key, "error" => %err);
             false
         })
     }
 }
 
-/// This VM's registration.
+/// Keeps this VM's registration in the store.
 #[derive(Debug)]
 pub struct Registration {
     /// The gateway.
     pub cx: gateway::Gateway,
-    /// What is known of the store.
+    /// Local copy of the store's records.
     pub mirror: following::Mirror,
     /// The process's settings.
     pub settings: rc::Rc<settings::Settings>,
 }
 
-/// A registration in force.
+/// A registration that was written to the store.
 #[derive(Clone, Debug)]
 struct Held {
     lease: u64,
-    /// How long it lasts unless renewed.
+    /// TTL of the lease.
     lasts: time::Duration,
-    /// Renewals in a row at which the key was not seen in the store.
+    /// Consecutive renewals at which the key was absent from the local copy of the store.
     unseen: u32,
-    /// What it says of this VM.
+    /// The entry that was written.
     said: entries::Entry,
 }
 
-/// Renewals without the key in sight until it is written anew: the view of the store lags by
-/// less than two.
+/// Consecutive renewals without the key in the local copy of the store before it is written again.
+/// The copy lags by less than two renewals.
 const UNSEEN: u32 = 2;
 
 impl Registration {
-    /// Keeps this VM registered while it is ready, until a planned stop.
+    /// Registers this VM once it is ready, and ends the registration on a planned stop.
     pub async fn keep(self) {
         let mut client = store::Client::new(self.settings.store);
         let mut stop = self.cx.stopping();
@@ -193,12 +194,12 @@
         if let Some(held) = held
             && let Err(err) = client.end_lease(held.lease).await
         {
-            slog::warn!(self.cx.log, "registration not taken back, it lapses by itself"; "error" => %err);
+            slog::warn!(self.cx.log, "cannot end the registration; its lease expires by itself"; "error" => %err);
         }
     }
 
     async fn round(&self, client: &mut store::Client, held: Option<Held>) -> Option<Held> {
-        // Where all start for the first time, no caller is sent to one that is not ready.
+        // On the system's first start a VM registers early: no caller is sent to it until it is ready.
         let starts = self.cx.cfg.first_start && self.cx.table().is_none();
         if !starts && !self.cx.is_ready() {
             return held;
@@ -216,7 +217,7 @@
             false => held.unseen + 1,
         };
         match client.renew(held.lease).await {
-            // A store that took the key away does not say so when the lease is renewed.
+            // The store also renews a lease whose key was removed, without reporting that.
             Ok(()) if unseen > UNSEEN => self.register(client).await,
             Ok(()) if held.said != self.entry() => self.say(client, held.lease, held.lasts).await,
             Ok(()) => Some(Held { unseen, ..held }),
@@ -225,14 +226,14 @@
         }
     }
 
-    /// Tells all entry VMs of the crashes seen here.
+    /// Publishes the crashes that this VM has observed to all entry VMs.
     async fn tell_crashes(&self, client: &mut store::Client) {
         let untold = self.cx.untold_crashes();
         if untold.is_empty() {
             return;
         }
         if let Err(err) = self.write_crashes(client, &untold).await {
-            slog::info!(self.cx.log, "crashes not told yet"; "crashes" => untold.len(), "error" => %err);
+            slog::info!(self.cx.log, "cannot publish crashes; will retry"; "crashes" => untold.len(), "error" => %err);
             self.cx.keep_untold(untold);
         }
     }
@@ -276,13 +277,13 @@
         match client.lease(lasts).await {
             Ok(lease) => self.say(client, lease, lasts).await,
             Err(err) => {
-                slog::info!(self.cx.log, "not registered"; "error" => %err);
+                slog::info!(self.cx.log, "registration in the store failed; will retry"; "error" => %err);
                 None
             }
         }
     }
 
-    /// Writes what others should know of this VM.
+    /// Writes this VM's current entry under a lease.
     async fn say(
         &self,
         client: &mut store::Client,
@@ -301,7 +302,7 @@
                 })
             }
             Err(err) => {
-                slog::info!(self.cx.log, "not registered"; "error" => %err);
+                slog::info!(self.cx.log, "registration in the store failed; will retry"; "error" => %err);
                 None
             }
         }
