--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,5 +1,6 @@
-//! Where the product meets the platform: its settings file, store, names and calls, translated
-//! into our own types and back. Nothing here decides; nothing outside knows the platform's names.
+//! Adapter for the platform that runs the entry VMs. Translates its settings file, store records, wire
+//! names and endpoints to the crate's own types and back. It makes no routing decisions, and the
+//! platform's names are not used outside this module.
 
 pub mod calls;
 pub mod decode;
@@ -21,17 +22,17 @@
 use crate::transport::{callers, socket};
 use crate::{error, gateway, metrics};
 
-/// How long before the end of the grace time a planned stop ends whatever is in hand.
+/// A planned stop ends requests that are still in flight this long before the grace period is over.
 const MARGIN: time::Duration = time::Duration::from_millis(400);
 
-/// Runs an entry VM's process on the platform until it is told to stop.
+/// Runs an entry VM's process until SIGTERM. Fails if the runtime or a required listener cannot start.
 pub fn run(settings: settings::Settings, log: &slog::Logger) -> Result<(), error::Error> {
     let settings = rc::Rc::new(settings);
     let log = log.new(slog::o!("on" => settings.gateway.vm.to_string()));
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|err| error::Error::Config(format!("cannot start: {err}")))?;
+        .map_err(|err| error::Error::Config(format!("cannot start the async runtime: {err}")))?;
     let local = task::LocalSet::new();
     local.block_on(&runtime, serve(settings, log))
 }
@@ -52,9 +53,9 @@
     if let Some(addr) = settings.directory {
         listen(addr, "directory", calls.clone(), &cx)?;
     }
-    // Callers are served without metrics rather than not at all.
+    // A metrics listener that cannot bind must not keep the VM from serving callers.
     if let Err(err) = listen(settings.metrics, "metrics", calls, &cx) {
-        slog::warn!(log, "no metrics"; "error" => %err);
+        slog::warn!(log, "cannot serve metrics; continuing without them"; "error" => %err);
     }
     if let Some(addr) = settings.peers {
         task::spawn_local(mirror.clone().serve(bind(addr, "control")?));
@@ -62,8 +63,10 @@
     if let Some(addr) = settings.gateway.usage {
         match bind_datagrams(addr) {
             Ok(socket) => drop(task::spawn_local(cx.clone().share_quotas(socket))),
-            // The others then count on it as on one that they never heard.
-            Err(err) => slog::warn!(log, "quotas are not told"; "error" => %err),
+            // Other VMs then treat this one as a VM that has never reported quota usage.
+            Err(err) => {
+                slog::warn!(log, "cannot bind the quota usage socket; not exchanging usage with other VMs"; "error" => %err)
+            }
         }
     }
     let feed = feed::Feed::new(cx.clone(), settings.store);
@@ -111,8 +114,8 @@
     UdpSocket::from_std(socket).map_err(failed)
 }
 
-/// Keeps the gauges, and folds what histograms gathered: without that it piles up until somebody
-/// asks for the metrics.
+/// Updates the gauges and aggregates the histograms' samples periodically. Without this, samples
+/// accumulate in memory until the next scrape.
 async fn count(cx: gateway::Gateway) {
     const EVERY: time::Duration = time::Duration::from_secs(2);
     loop {
@@ -122,29 +125,28 @@
     }
 }
 
-/// Waits for SIGTERM. The settings of a running process do not change where it listens, so a
-/// SIGHUP only leaves a line.
+/// Waits for SIGTERM. SIGHUP is only logged: the listen addresses of a running process cannot change.
 async fn until_told(cx: &gateway::Gateway) -> Result<(), error::Error> {
     let signal = |kind| {
         unix::signal(kind)
-            .map_err(|err| error::Error::Config(format!("cannot take signals: {err}")))
+            .map_err(|err| error::Error::Config(format!("cannot install a signal handler: {err}")))
     };
     let mut term = signal(unix::SignalKind::terminate())?;
     let mut hup = signal(unix::SignalKind::hangup())?;
     loop {
         tokio::select! {
             _ = term.recv() => return Ok(()),
-            _ = hup.recv() => slog::info!(cx.log, "settings file changed"; "why" => "SIGHUP"),
+            _ = hup.recv() => slog::info!(cx.log, "settings not reloaded; restart the process to apply changes"; "why" => "SIGHUP"),
         }
     }
 }
 
-/// Takes this VM out of use and ends once what is in hand has ended.
+/// Deregisters this VM and waits until its requests have ended, at most for the grace period.
 async fn leave(cx: &gateway::Gateway, registered: task::JoinHandle<()>) {
     let begun = cx.now();
     slog::info!(cx.log, "planned stop"; "in_hand" => cx.in_hand());
     cx.stop();
-    // A panic in it was logged by its own task; the lease then lapses.
+    // The task logs its own panic; the registration's lease then expires.
     let _ = registered.await;
     let end = begun + cx.cfg.grace.saturating_sub(MARGIN);
     loop {
