--- a/src/platform/names.rs
+++ b/src/platform/names.rs
@@ -1,9 +1,9 @@
-//! The names that the platform uses on the wire.
+//! Header fields, store keys and the environment variable that the platform defines.
 
 use crate::id;
 use crate::protocol::names;
 
-/// Fields of requests and answers.
+/// Header fields of requests and responses.
 pub const FIELDS: names::Names = names::Names {
     id: "Bulrushwind-Try-Id",
     timeout_ms: "Bulrushwind-Deadline-Ms",
@@ -16,32 +16,32 @@
     customer: "Bulrushwind-Tenant",
 };
 
-/// The variable that holds the path of the settings file.
+/// Environment variable with the path of the settings file.
 pub const SETTINGS: &str = "BULRUSHWIND_SETTINGS";
 
-/// Under this stands what operators write.
+/// Prefix of the keys that operators write.
 pub const OPERATORS: &str = "op/";
 
-/// Under this stands what we write.
+/// Prefix of the keys that entry VMs write.
 pub const OWN: &str = "bulrushwind/";
 
-/// The key of the newest configuration.
+/// Key of the current route configuration.
 pub const CONFIG: &str = "op/config";
 
-/// Under this stand the availability zones that are evacuated.
+/// Prefix of evacuation marks; the availability zone follows.
 pub const EVACUATED: &str = "op/evacuate/";
 
-/// Under this stand the backend servers, each under its incarnation's name.
+/// Prefix of backend server records; the name of the server's incarnation follows.
 pub const BACKENDS: &str = "servers/";
 
-/// Under this our own entry VMs register: the availability zone, a slash, the VM's name.
+/// Prefix of entry VM registrations; the availability zone, a slash and the VM's name follow.
 pub const ENTRIES: &str = "bulrushwind/entry/";
 
-/// Under this register the entry VMs of one availability zone.
+/// Prefix of the registrations of the entry VMs in one availability zone.
 pub fn entries_in(az: &id::AzId) -> String {
     format!("{ENTRIES}{az}/")
 }
 
-/// Under this stand requests that were in flight when a backend server crashed: the request's
-/// fingerprint, a slash, the name of the backend server's run.
+/// Prefix of records of requests that were in flight when a backend server crashed; the request's
+/// fingerprint, a slash and the name of the backend server's incarnation follow.
 pub const CRASHES: &str = "bulrushwind/crash/";
