--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file that the platform writes for each process.
+//! Reads the settings file that the platform writes for each process and applies the gateway's defaults.
 
 use std::collections;
 use std::fs;
@@ -11,23 +11,25 @@
 
 use super::names;
 
-/// The file's fields that are used here. Fields that are not known are left alone.
+/// The fields of the file that the gateway uses; others are ignored.
 #[derive(Clone, Debug, serde::Deserialize)]
 pub struct File {
+    /// Name of this VM.
     node: String,
     zone: String,
+    /// Region of each availability zone.
     zones: collections::BTreeMap<String, String>,
     listen: Listen,
     platform: Store,
     #[serde(default)]
     seeds: Vec<net::SocketAddr>,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     #[serde(default)]
     bootstrap: bool,
-    /// Texts `name=value`.
+    /// Limits as `name=value`, one or several separated by commas.
     #[serde(default)]
     bounds: Vec<String>,
-    /// The first and the last port that are free on each machine.
+    /// First and last port that the gateway may use for its own purposes.
     port_range: [u16; 2],
     #[serde(default)]
     limits: Limits,
@@ -37,7 +39,7 @@
 struct Limits {
     #[serde(default)]
     link_mbps: f64,
-    /// The part of each core.
+    /// Share of each core that the process may use.
     #[serde(default)]
     cpu_share: f64,
     #[serde(default)]
@@ -57,30 +59,30 @@
     addr: net::SocketAddr,
 }
 
-/// What a process needs to know to start.
+/// Settings of one gateway process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// What the gateway is told.
+    /// Configuration of the gateway.
     pub gateway: gateway::Config,
-    /// Where readiness is asked for.
+    /// Listen address of `/ready`.
     pub ready: net::SocketAddr,
-    /// Where callers ask which entry VM to use.
+    /// Listen address of `/resolve`, where callers look up entry VMs.
     pub directory: Option<net::SocketAddr>,
-    /// Where other entry VMs ask for what this one knows.
+    /// Listen address for other entry VMs that follow this one's copy of the store.
     pub peers: Option<net::SocketAddr>,
-    /// Where metrics are served.
+    /// Listen address of `/metrics`.
     pub metrics: net::SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: net::SocketAddr,
-    /// Entry VMs that may know what the store cannot tell at the moment.
+    /// Entry VMs that may have the store's records while the store is unreachable.
     pub seeds: Vec<net::SocketAddr>,
-    /// How long a caller may keep the answer to where to connect.
+    /// How long callers may cache the entry VM addresses.
     pub lookup_ttl: time::Duration,
-    /// How long an entry VM that died may be named to callers.
+    /// How long callers may still be given the address of an entry VM that died.
     pub dead_named: time::Duration,
 }
 
-/// Reads the file.
+/// Reads and parses the settings file. Fails if it is unreadable or a required field is missing or invalid.
 pub fn read(path: &path::Path) -> Result<Settings, error::Error> {
     let text = fs::read_to_string(path).map_err(|source| error::Error::Read {
         path: path.to_owned(),
@@ -94,7 +96,7 @@
     })
 }
 
-/// Reads the file's text.
+/// Parses the text of a settings file. The error names the missing or invalid field.
 pub fn parse(text: &str) -> Result<Settings, String> {
     let file: File = toml::from_str(text).map_err(|err| err.message().to_owned())?;
     let bounds = bounds(&file.bounds)?;
@@ -160,20 +162,20 @@
     })
 }
 
-/// How long callers keep an answer, in seconds: short, so that a machine that died is soon no
-/// longer named, and long enough that look-ups stay a small part of the requests.
+/// Upper limit of the look-up TTL: short enough that callers soon stop using a VM that died, and long
+/// enough that look-ups remain a small share of the requests.
 const LOOKUP_TTL_S: f64 = 2.0;
 
-/// How long one that died may be named beyond the bound on stability, in seconds.
+/// Time that a dead entry VM may be listed beyond the platform's stability window.
 const DEAD_NAMED_S: f64 = 3.0;
 
 fn bounds(texts: &[String]) -> Result<collections::BTreeMap<String, f64>, String> {
     let mut found = collections::BTreeMap::new();
     for text in texts.iter().flat_map(|line| line.split(',')) {
         let Some((name, value)) = text.split_once('=') else {
-            return Err(format!("`bounds` holds `{text}`, which is not name=value"));
+            return Err(format!("`bounds` contains `{text}`; expected name=value"));
         };
-        // Bounds that are true or false concern nothing here.
+        // Boolean bounds do not apply to the gateway.
         if let Ok(value) = value.trim().parse() {
             found.insert(name.trim().to_owned(), value);
         }
