--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's store.
+//! Client for the platform's key-value store: range reads, watches, leases and writes over HTTP.
 
 use std::net;
 use std::time;
@@ -12,58 +12,62 @@
 use crate::protocol::{http1, mirror};
 use crate::transport::{socket, upstream};
 
-/// How long connecting may take.
+/// Timeout for connecting.
 const CONNECT: time::Duration = time::Duration::from_millis(500);
 
-/// How long the store may be silent in a call. It answers in a few milliseconds, and from the
-/// farthest region after 0.12 s; a slow one takes fifty times as long and still helps.
+/// Timeout for the response head and for each piece of the body. The store responds within a few
+/// milliseconds, or 0.12 s from the farthest region; a response fifty times slower is still useful.
 const CALL: time::Duration = time::Duration::from_millis(1000);
 
-/// How long an answer may take that has begun to arrive. The longest value is 1.4 MB as text; a
-/// link of 10 Mbit/s that others use as well carries it in two seconds. Given up on after one, it
-/// would be asked for again and never be had.
+/// Timeout for a response body, from the end of the head. The longest value is 1.4 MB as text, which
+/// takes two seconds over a shared 10 Mbit/s link. With a timeout of one second, every retry would
+/// time out as well and the value would never be read.
 const ARRIVE: time::Duration = time::Duration::from_secs(4);
 
-/// Keys that one call may write.
+/// Maximum number of keys that one call may write.
 pub const MOST_PUTS: usize = 32;
 
-/// Why a call did not do what was asked.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No answer came; a write may have been done or may be done later.
-    #[error("the store did not answer; check that it runs and that this VM reaches it")]
+    /// No response; a write may have taken effect or may do so later.
+    #[error("no response from the store; check that it is running and reachable from this VM")]
     NoAnswer,
-    /// The store refused and did nothing.
-    #[error("the store refused with {0}; it is overloaded or turns this VM away")]
+    /// The store refused the call without any effect. Holds the HTTP status.
+    #[error(
+        "the store refused the call with status {0}; it is overloaded or does not accept this VM"
+    )]
     Refused(u16),
-    /// A condition did not hold, or what was named does not exist.
-    #[error("the store answered {0}: the condition does not hold or there is no such thing")]
+    /// A precondition failed, or the lease does not exist. Holds the HTTP status.
+    #[error(
+        "the store responded with status {0}: a precondition failed or the lease does not exist"
+    )]
     Condition(u16),
-    /// The history asked for is gone.
-    #[error("the store no longer has this history; read everything again")]
+    /// The store no longer has the changes after the requested revision.
+    #[error("the store no longer has the requested history; read all records again")]
     Gap,
-    /// The answer cannot be read.
-    #[error("the store's answer cannot be read: {0}")]
+    /// The response cannot be parsed.
+    #[error("cannot parse the store's response: {0}")]
     Json(#[from] serde_json::Error),
-    /// A value of our own cannot be written.
+    /// A value cannot be encoded for the store.
     #[error(transparent)]
     Value(#[from] super::decode::Error),
 }
 
-/// A key with its value, or with the mark that it was removed.
+/// A key with its value, or a tombstone for a removed key.
 #[derive(serde::Deserialize)]
 struct Item {
     key: String,
-    /// In base64.
+    /// Base64.
     value: Option<String>,
     #[serde(default)]
     tombstone: bool,
 }
 
 impl Item {
-    /// A value that is not base64 stands for one without any bytes, which nothing can be read
-    /// from. Failing here would lose the other news of the same answer, again at each call, for as
-    /// long as one value is bad.
+    /// Converts the item. Invalid base64 yields an empty value, which no decoder accepts. An error
+    /// here would discard all other items of the response, in every call, for as long as one value
+    /// is invalid.
     fn record(self) -> mirror::Record {
         let decode = |text: String| data_encoding::BASE64.decode(text.as_bytes());
         let value = self.value.filter(|_| !self.tombstone);
@@ -96,7 +100,7 @@
 
 #[derive(serde::Serialize)]
 struct Ttl {
-    /// Seconds, although the name speaks of a time.
+    /// Duration in seconds.
     ttl_s_time: f64,
 }
 
@@ -120,16 +124,15 @@
     remove: Vec<&'a str>,
 }
 
-/// A list of items.
+/// A range read of one prefix.
 #[derive(Clone, Copy)]
 struct List<'a> {
-    /// What their keys begin with.
     prefix: &'a str,
-    /// Whether a view that may be old will do.
+    /// Whether the store may answer from a view that is some seconds old.
     stale: bool,
 }
 
-/// A connection to the store. One call at a time.
+/// A connection to the store, which carries one call at a time.
 #[derive(Debug)]
 pub struct Client {
     addr: net::SocketAddr,
@@ -137,25 +140,25 @@
 }
 
 impl Client {
-    /// A client that connects with its first call.
+    /// Creates a client that connects on its first call.
     pub fn new(addr: net::SocketAddr) -> Self {
         Self { addr, wire: None }
     }
 
-    /// Connects, so that the next call need not. A failure shows in that call.
+    /// Connects ahead of the next call. If this fails, the next call tries again and reports the error.
     pub async fn connect(&mut self) {
         if self.wire.is_none() {
             self.wire = socket::Wire::connect(self.addr, CONNECT).await.ok();
         }
     }
 
-    /// Gives up the connection.
+    /// Closes the connection.
     pub fn close(&mut self) {
         self.wire = None;
     }
 
-    /// All items under a prefix, and the revision from which to watch. A view that may be some
-    /// seconds old costs a tenth; its revision is as old, so a watch from it brings the rest.
+    /// Reads all items under a prefix and returns them with the revision to watch from. A `stale` read
+    /// may be some seconds old and costs a tenth; a watch from its revision returns what it lacks.
     pub async fn range(
         &mut self,
         prefix: &str,
@@ -180,15 +183,15 @@
         let (first, others) = tokio::try_join!(first, others)?;
         for (part, seen) in std::iter::once(first).chain(others) {
             records.extend(part);
-            // Pages are not a snapshot: what changed since the oldest shows in a watch from its
-            // revision.
+            // The pages are no consistent snapshot. A watch from the oldest page's revision returns
+            // all changes since then.
             revision = revision.min(seen);
         }
         Ok((records, revision))
     }
 
-    /// The items of a list behind a key, up to and including another, and the oldest revision of their
-    /// pages.
+    /// Reads the items with keys after `after`, up to and including `until`. Returns them with the
+    /// oldest revision of their pages.
     async fn rest(
         &mut self,
         list: List<'_>,
@@ -210,7 +213,7 @@
         }
     }
 
-    /// One page of a list, behind a key: its items, its revision, and whether there are more.
+    /// Reads the page that follows the key `after`: its items, its revision, and whether more pages follow.
     async fn page(
         &mut self,
         list: List<'_>,
@@ -232,7 +235,7 @@
         Ok((records.collect(), page.store_revision, more))
     }
 
-    /// What changed under a prefix after a revision, waiting at most so long for it.
+    /// Returns the changes under a prefix after a revision and the new revision; waits for them up to `wait`.
     pub async fn watch(
         &mut self,
         prefix: &str,
@@ -246,7 +249,7 @@
         Ok((records, events.store_revision))
     }
 
-    /// Takes a lease.
+    /// Creates a lease and returns its id.
     pub async fn lease(&mut self, ttl: time::Duration) -> Result<u64, Error> {
         let body = serde_json::to_vec(&Ttl {
             ttl_s_time: ttl.as_secs_f64(),
@@ -262,18 +265,18 @@
         self.call("POST", &target, b"", CALL).await.map(drop)
     }
 
-    /// Ends a lease and removes its keys.
+    /// Revokes a lease, which removes its keys.
     pub async fn end_lease(&mut self, lease: u64) -> Result<(), Error> {
         let target = format!("/kv-lease-end/{lease}");
         self.call("DELETE", &target, b"", CALL).await.map(drop)
     }
 
-    /// Writes a key that goes with a lease.
+    /// Writes a key that is attached to a lease.
     pub async fn put(&mut self, key: &str, value: &[u8], lease: u64) -> Result<(), Error> {
         self.put_all(&[key.to_owned()], value, lease).await
     }
 
-    /// Writes keys with one value that go with a lease, [`MOST_PUTS`] at most.
+    /// Writes one value under up to [`MOST_PUTS`] keys that are attached to a lease.
     pub async fn put_all(
         &mut self,
         keys: &[String],
@@ -312,7 +315,7 @@
         let answered = self.exchange(method, target, body, limit).await;
         count(target, answered.as_ref().map(|(status, _)| *status));
         let Some((status, answer)) = answered else {
-            // A connection on which an answer is missing brings nothing further.
+            // After a missing response the connection cannot be reused.
             self.wire = None;
             return Err(Error::NoAnswer);
         };
@@ -324,7 +327,7 @@
         }
     }
 
-    /// One call; `None` where no answer came within the limit.
+    /// Sends one call and reads its status and body; `None` if no response arrives in time.
     async fn exchange(
         &mut self,
         method: &str,
@@ -342,7 +345,7 @@
         Some((received.head.status, answer))
     }
 
-    /// Sends a call and waits for its answer's head.
+    /// Sends a call and waits for the response head.
     async fn ask(
         &mut self,
         method: &str,
@@ -372,7 +375,7 @@
     }
 }
 
-/// Counts a call by its path's first part and by how it ended.
+/// Counts a call by the first segment of its path and by its outcome.
 fn count(target: &str, status: Option<u16>) {
     let call = target.split(['/', '?']).nth(1).unwrap_or_default();
     let outcome = match status {
@@ -385,7 +388,7 @@
         .increment(1);
 }
 
-/// Reads an answer's body; `None` where it breaks off or falls silent.
+/// Reads a response body; `None` if the connection fails or no piece arrives within the timeout.
 async fn take(wire: &mut socket::Wire, framing: http1::Framing) -> Option<Bytes> {
     let mut reader = http1::BodyReader::new(framing);
     let mut answer = BytesMut::new();
