--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -64,9 +64,7 @@
         match bind_datagrams(addr) {
             Ok(socket) => drop(task::spawn_local(cx.clone().share_quotas(socket))),
             // Other VMs then treat this one as a VM that has never reported quota usage.
-            Err(err) => {
-                slog::warn!(log, "cannot bind the quota usage socket; not exchanging usage with other VMs"; "error" => %err)
-            }
+            Err(err) => slog::warn!(log, "no usage socket; quotas are not shared"; "error" => %err),
         }
     }
     let feed = feed::Feed::new(cx.clone(), settings.store);
