--- a/src/platform/decode.rs
+++ b/src/platform/decode.rs
@@ -35,7 +35,7 @@
     Quota(f64, String),
     /// A customer's key is not a digest.
     #[error("a key of customer `{0}` is not a digest; run the same version on all entry VMs")]
-    Unsealed(String),
+    PlainKey(String),
     /// Two customers have the same name or the same key.
     #[error(transparent)]
     Customers(#[from] customers::Error),
@@ -54,7 +54,7 @@
 #[derive(serde::Deserialize)]
 struct Customer {
     name: String,
-    /// Digests of the customer's keys, as [`seal`] writes them.
+    /// Digests of the customer's keys, as [`hash_keys`] writes them.
     #[serde(default)]
     keys: Vec<String>,
     priority: Option<u32>,
@@ -86,14 +86,14 @@
     sticky: bool,
     service: Option<String>,
     #[serde(default)]
-    split: Vec<Part>,
+    split: Vec<WeightedService>,
     /// Regions that may serve the route; empty: all.
     #[serde(default)]
     residency: Vec<String>,
 }
 
 #[derive(serde::Deserialize)]
-struct Part {
+struct WeightedService {
     service: String,
     weight: f64,
 }
@@ -116,7 +116,7 @@
 /// A backend server's record. Another program may have written something else under its key, so each
 /// field except `born` must be present with its type, including unused ones.
 #[derive(serde::Deserialize)]
-struct Server {
+struct BackendRecord {
     service: String,
     addr: net::SocketAddr,
     zone: String,
@@ -127,7 +127,7 @@
     /// Remaining warm-up time when the record was written.
     cold_left_s: f64,
     #[serde(rename = "seq")]
-    _count: u64,
+    _sequence: u64,
     /// Start time, in milliseconds since the Unix epoch.
     born: Option<u64>,
 }
@@ -159,7 +159,7 @@
 
 /// Replaces each customer key in the operators' configuration by its digest, as entry VMs store and
 /// forward it. Invalid JSON becomes empty, since a key may be anywhere in it.
-pub fn seal(value: &[u8]) -> Vec<u8> {
+pub fn hash_keys(value: &[u8]) -> Vec<u8> {
     let Ok(mut config) = serde_json::from_slice::<serde_json::Value>(value) else {
         return Vec::new();
     };
@@ -179,21 +179,24 @@
 
 fn customer(customer: Customer) -> Result<(customers::Customer, Vec<customers::KeyDigest>), Error> {
     let name = customer.name;
-    let count = |value: f64| match value >= 0.0 && value.is_finite() {
+    let non_negative = |value: f64| match value >= 0.0 && value.is_finite() {
         true => Ok(value),
         false => Err(Error::Quota(value, name.clone())),
     };
-    let (rate, burst) = (count(customer.rate_per_s)?, count(customer.burst)?);
+    let (rate, burst) = (
+        non_negative(customer.rate_per_s)?,
+        non_negative(customer.burst)?,
+    );
     let digest = |text: &String| customers::KeyDigest::parse(text);
     let keys: Option<Vec<_>> = customer.keys.iter().map(digest).collect();
-    let keys = keys.ok_or_else(|| Error::Unsealed(name.clone()))?;
-    let found = customers::Customer {
+    let keys = keys.ok_or_else(|| Error::PlainKey(name.clone()))?;
+    let decoded = customers::Customer {
         name: name.as_str().into(),
         priority: customer.priority,
         quota: (rate > 0.0).then_some(customers::Quota { rate, burst }),
         regions: regions(&customer.residency),
     };
-    Ok((found, keys))
+    Ok((decoded, keys))
 }
 
 fn regions(names: &[String]) -> Vec<id::RegionId> {
@@ -201,14 +204,14 @@
 }
 
 fn route(route: Route) -> Result<routes::Route, Error> {
-    let whole = route.service.map(|service| Part {
+    let unsplit = route.service.map(|service| WeightedService {
         service,
         weight: 1.0,
     });
     let parts = route
         .split
         .into_iter()
-        .chain(whole)
+        .chain(unsplit)
         .map(|part| routes::Part {
             service: part.service.as_str().into(),
             weight: part.weight,
@@ -244,29 +247,29 @@
 
 /// Decodes a backend server's record that was read at `now`. Fails if a field is missing or invalid.
 pub fn backend(value: &[u8], now: policy::Moment) -> Result<backends::Listed, Error> {
-    let server: Server = serde_json::from_slice(value)?;
-    let leaving = match server.state.as_str() {
+    let record: BackendRecord = serde_json::from_slice(value)?;
+    let leaving = match record.state.as_str() {
         "ready" => false,
         "draining" => true,
-        _ => return Err(Error::State(server.state)),
+        _ => return Err(Error::State(record.state)),
     };
-    if server.slots == 0 {
+    if record.slots == 0 {
         return Err(Error::NoSlots);
     }
     Ok(backends::Listed {
-        service: server.service.as_str().into(),
-        addr: server.addr,
-        az: server.zone.as_str().into(),
-        slots: server.slots,
+        service: record.service.as_str().into(),
+        addr: record.addr,
+        az: record.zone.as_str().into(),
+        slots: record.slots,
         leaving,
-        cold_until: now + seconds(server.cold_left_s)?,
-        start: server.born.map(id::Incarnation),
+        cold_until: now + seconds(record.cold_left_s)?,
+        start: record.born.map(id::Incarnation),
     })
 }
 
 /// An entry VM's registration, as stored.
 #[derive(serde::Serialize, serde::Deserialize)]
-struct Registered {
+struct EntryRecord {
     front: net::SocketAddr,
     peers: Option<net::SocketAddr>,
     az: String,
@@ -283,7 +286,7 @@
 
 /// Decodes an entry VM's registration.
 pub fn entry(value: &[u8]) -> Result<entries::Entry, Error> {
-    let entry: Registered = serde_json::from_slice(value)?;
+    let entry: EntryRecord = serde_json::from_slice(value)?;
     Ok(entries::Entry {
         front: entry.front,
         peers: entry.peers,
@@ -296,8 +299,8 @@
 }
 
 /// Encodes an entry VM's registration.
-pub fn put_entry(entry: &entries::Entry) -> Result<Vec<u8>, Error> {
-    Ok(serde_json::to_vec(&Registered {
+pub fn encode_entry(entry: &entries::Entry) -> Result<Vec<u8>, Error> {
+    Ok(serde_json::to_vec(&EntryRecord {
         front: entry.front,
         peers: entry.peers,
         az: entry.az.to_string(),
@@ -309,8 +312,8 @@
 }
 
 /// Decodes a crash record from its key without the prefix; `None` if malformed.
-pub fn crash(rest: &str) -> Option<beliefs::Crash> {
-    let (fingerprint, run) = rest.split_once('/')?;
+pub fn crash(key_suffix: &str) -> Option<beliefs::Crash> {
+    let (fingerprint, run) = key_suffix.split_once('/')?;
     Some(beliefs::Crash {
         fingerprint: u64::from_str_radix(fingerprint, 16).ok()?,
         run: run.to_owned(),
@@ -319,5 +322,10 @@
 
 /// Returns the store key of a crash record.
 pub fn crash_key(crash: &beliefs::Crash) -> String {
-    format!("{}{:016x}/{}", names::CRASHES, crash.fingerprint, crash.run)
+    format!(
+        "{}{:016x}/{}",
+        names::CRASH_PREFIX,
+        crash.fingerprint,
+        crash.run
+    )
 }
--- a/src/platform/calls.rs
+++ b/src/platform/endpoints.rs
@@ -9,7 +9,7 @@
 
 /// Handler for these endpoints.
 #[derive(Clone, Debug)]
-pub struct Calls {
+pub struct Endpoints {
     /// The gateway, for its readiness and its list of entry VMs.
     pub cx: gateway::Gateway,
     /// How long callers may cache a `/resolve` response, in seconds.
@@ -17,12 +17,12 @@
 }
 
 #[derive(serde::Serialize)]
-struct Resolved<'a> {
+struct ResolveResponse<'a> {
     addrs: &'a [std::net::SocketAddr],
     ttl_s: f64,
 }
 
-impl callers::Handler for Calls {
+impl callers::Handler for Endpoints {
     fn limits(&self) -> routes::Limits {
         routes::Limits::default()
     }
@@ -33,7 +33,7 @@
     }
 }
 
-impl Calls {
+impl Endpoints {
     fn reply(&self, head: &http1::RequestHead) -> callers::Answer {
         match head.path() {
             "/ready" => self.ready(),
@@ -51,18 +51,18 @@
     }
 
     fn resolve(&self, target: &str) -> callers::Answer {
-        let addrs = self.cx.entries_for(query(target, "region"));
+        let addrs = self.cx.entries_for(query_parameter(target, "region"));
         if addrs.is_empty() {
             return callers::Answer::bare(503);
         }
-        json(&Resolved {
+        json(&ResolveResponse {
             addrs: &addrs,
             ttl_s: self.ttl_s,
         })
     }
 }
 
-fn query<'a>(target: &'a str, name: &str) -> Option<&'a str> {
+fn query_parameter<'a>(target: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = target.split_once('?')?;
     query.split('&').find_map(|pair| {
         let (key, value) = pair.split_once('=')?;
--- a/src/platform/feed.rs
+++ b/src/platform/feed.rs
@@ -5,7 +5,7 @@
 use std::time;
 
 use crate::coordination::registration;
-use crate::gateway::{beliefs, mirror as following};
+use crate::gateway::{beliefs, mirror as store_mirror};
 use crate::protocol::mirror;
 use crate::state::entries;
 use crate::{gateway, id};
@@ -14,17 +14,21 @@
 
 /// TTL of a crash record, which counts against the requests that were in flight: longer than callers
 /// retry, and short enough that a repaired service soon gets these requests again.
-const CRASH_COUNTS: time::Duration = time::Duration::from_secs(90);
+const CRASH_RECORD_TTL: time::Duration = time::Duration::from_secs(90);
 
 /// Pause before a failed registration is retried.
-const RETRY: time::Duration = time::Duration::from_millis(300);
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(300);
 
 /// Prefix of the watch. All keys in the store concern entry VMs, so a single watch covers them.
-const EVERYTHING: &str = "";
+const WATCH_PREFIX: &str = "";
 
 /// Prefixes that together cover all records. They are read in parallel, since each page costs a round
 /// trip (0.11 s from another region), which would prolong the start after a loss of all VMs.
-const PARTS: [&str; 3] = [names::OWN, names::OPERATORS, names::BACKENDS];
+const READ_PREFIXES: [&str; 3] = [
+    names::ENTRY_VM_PREFIX,
+    names::OPERATOR_PREFIX,
+    names::BACKEND_PREFIX,
+];
 
 /// Source of the records in the platform's store.
 #[derive(Debug)]
@@ -32,7 +36,7 @@
     cx: gateway::Gateway,
     client: store::Client,
     /// Clients for reading the second and the third prefix in parallel.
-    beside: [store::Client; PARTS.len() - 1],
+    parallel_clients: [store::Client; READ_PREFIXES.len() - 1],
 }
 
 impl Feed {
@@ -41,28 +45,33 @@
         Self {
             cx,
             client: store::Client::new(addr),
-            beside: std::array::from_fn(|_| store::Client::new(addr)),
+            parallel_clients: std::array::from_fn(|_| store::Client::new(addr)),
         }
     }
 
-    fn checked(&self, record: &mirror::Record) -> Result<bool, decode::Error> {
+    fn try_apply(&self, record: &mirror::Record) -> Result<bool, decode::Error> {
         let key = record.key.as_str();
         let value = record.value.as_deref();
-        if let Some(name) = key.strip_prefix(names::BACKENDS) {
+        if let Some(name) = key.strip_prefix(names::BACKEND_PREFIX) {
             return self.backend(&name.into(), value);
         }
-        if let Some(az) = key.strip_prefix(names::EVACUATED) {
+        if let Some(az) = key.strip_prefix(names::EVACUATION_PREFIX) {
             return Ok(self.cx.evacuate(&az.into(), value.is_some()));
         }
-        if let Some(entry) = key.strip_prefix(names::ENTRIES) {
+        if let Some(entry) = key.strip_prefix(names::REGISTRATION_PREFIX) {
             let vm = entry.rsplit('/').next().unwrap_or(entry);
             return self.entry(&vm.into(), value);
         }
-        if let Some(crash) = key.strip_prefix(names::CRASHES).and_then(decode::crash) {
+        if let Some(crash) = key
+            .strip_prefix(names::CRASH_PREFIX)
+            .and_then(decode::crash)
+        {
             return Ok(self.cx.learn_crash(&crash, value.is_some()));
         }
         match value {
-            Some(value) if key == names::CONFIG => Ok(self.cx.learn_routes(decode::config(value)?)),
+            Some(value) if key == names::CONFIG_KEY => {
+                Ok(self.cx.learn_routes(decode::config(value)?))
+            }
             _ => Ok(false),
         }
     }
@@ -87,35 +96,40 @@
 }
 
 /// Replaces customer keys in the records by digests, so that no key is kept or sent to other VMs.
-fn sealed(mut records: Vec<mirror::Record>) -> Vec<mirror::Record> {
-    for record in records.iter_mut().filter(|r| r.key == names::CONFIG) {
-        record.value = record.value.as_deref().map(|v| decode::seal(v).into());
+fn with_hashed_keys(mut records: Vec<mirror::Record>) -> Vec<mirror::Record> {
+    for record in records.iter_mut().filter(|r| r.key == names::CONFIG_KEY) {
+        record.value = record.value.as_deref().map(|v| decode::hash_keys(v).into());
     }
     records
 }
 
-impl following::Source for Feed {
+impl store_mirror::Source for Feed {
     type Error = store::Error;
 
     async fn read(&mut self, stale: bool) -> Result<(Vec<mirror::Record>, u64), store::Error> {
-        let [second, third] = &mut self.beside;
-        let [first_part, second_part, third_part] = PARTS;
+        let [second, third] = &mut self.parallel_clients;
+        let [first_prefix, second_prefix, third_prefix] = READ_PREFIXES;
         let parts = tokio::try_join!(
-            self.client.range(first_part, stale),
-            second.range(second_part, stale),
-            third.range(third_part, stale),
+            self.client.range(first_prefix, stale),
+            second.range(second_prefix, stale),
+            third.range(third_prefix, stale),
         );
-        self.beside.iter_mut().for_each(store::Client::close);
+        self.parallel_clients
+            .iter_mut()
+            .for_each(store::Client::close);
         let parts: [(Vec<mirror::Record>, u64); 3] = parts?.into();
         // A watch from the oldest revision returns all changes since any of the reads.
         let revision = parts.iter().map(|(_, revision)| *revision).min();
         let records = parts.into_iter().flat_map(|(records, _)| records);
-        Ok((sealed(records.collect()), revision.unwrap_or_default()))
+        Ok((
+            with_hashed_keys(records.collect()),
+            revision.unwrap_or_default(),
+        ))
     }
 
     async fn read_zone(&mut self) -> Result<Vec<mirror::Record>, store::Error> {
-        let prefix = names::entries_in(&self.cx.cfg.az);
-        let [second, third] = &mut self.beside;
+        let prefix = names::registration_prefix(&self.cx.cfg.az);
+        let [second, third] = &mut self.parallel_clients;
         // Also opens the connections for a full read, in case this VM is the first to start.
         let (records, (), ()) = tokio::join!(
             self.client.range(&prefix, true),
@@ -129,16 +143,16 @@
         &mut self,
         after: u64,
         wait: time::Duration,
-    ) -> Result<(Vec<mirror::Record>, u64), following::ReadError<store::Error>> {
-        match self.client.watch(EVERYTHING, after, wait).await {
-            Ok((records, revision)) => Ok((sealed(records), revision)),
-            Err(store::Error::Gap) => Err(following::ReadError::Gap),
-            Err(err) => Err(following::ReadError::Failed(err)),
+    ) -> Result<(Vec<mirror::Record>, u64), store_mirror::ReadError<store::Error>> {
+        match self.client.watch(WATCH_PREFIX, after, wait).await {
+            Ok((records, revision)) => Ok((with_hashed_keys(records), revision)),
+            Err(store::Error::Gap) => Err(store_mirror::ReadError::Gap),
+            Err(err) => Err(store_mirror::ReadError::Failed(err)),
         }
     }
 
     fn apply(&self, record: &mirror::Record) -> bool {
-        self.checked(record).unwrap_or_else(|err| {
+        self.try_apply(record).unwrap_or_else(|err| {
             slog::warn!(self.cx.log, "record from the store rejected; keeping the previous value"; "key" => &record.key, "error" => %err);
             false
         })
@@ -151,90 +165,101 @@
     /// The gateway.
     pub cx: gateway::Gateway,
     /// Local copy of the store's records.
-    pub mirror: following::Mirror,
+    pub mirror: store_mirror::Mirror,
     /// The process's settings.
     pub settings: rc::Rc<settings::Settings>,
 }
 
 /// A registration that was written to the store.
 #[derive(Clone, Debug)]
-struct Held {
+struct ActiveRegistration {
     lease: u64,
     /// TTL of the lease.
-    lasts: time::Duration,
+    ttl: time::Duration,
     /// Consecutive renewals at which the key was absent from the local copy of the store.
-    unseen: u32,
+    renewals_without_key: u32,
     /// The entry that was written.
-    said: entries::Entry,
+    entry: entries::Entry,
 }
 
 /// Consecutive renewals without the key in the local copy of the store before it is written again.
 /// The copy lags by less than two renewals.
-const UNSEEN: u32 = 2;
+const MAX_RENEWALS_WITHOUT_KEY: u32 = 2;
 
 impl Registration {
     /// Registers this VM once it is ready, and ends the registration on a planned stop.
-    pub async fn keep(self) {
+    pub async fn maintain(self) {
         let mut client = store::Client::new(self.settings.store);
         let mut stop = self.cx.stopping();
-        let mut held = None;
+        let mut active = None;
         while !self.cx.is_stopping() {
-            held = self.round(&mut client, held).await;
-            self.tell_crashes(&mut client).await;
-            let pause = match &held {
-                Some(held) => registration::renewal(held.lasts),
-                None => RETRY,
+            active = self.renew_or_register(&mut client, active).await;
+            self.publish_crashes(&mut client).await;
+            let pause = match &active {
+                Some(active) => registration::renewal(active.ttl),
+                None => RETRY_DELAY,
             };
             tokio::select! {
                 () = tokio::time::sleep(pause) => {}
-                () = self.cx.came(), if held.is_none() => {}
+                () = self.cx.came(), if active.is_none() => {}
                 _ = stop.changed() => {}
             }
         }
-        if let Some(held) = held
-            && let Err(err) = client.end_lease(held.lease).await
+        if let Some(active) = active
+            && let Err(err) = client.end_lease(active.lease).await
         {
             slog::warn!(self.cx.log, "cannot end the registration; its lease expires by itself"; "error" => %err);
         }
     }
 
-    async fn round(&self, client: &mut store::Client, held: Option<Held>) -> Option<Held> {
+    async fn renew_or_register(
+        &self,
+        client: &mut store::Client,
+        active: Option<ActiveRegistration>,
+    ) -> Option<ActiveRegistration> {
         // On the system's first start a VM registers early: no caller is sent to it until it is ready.
-        let starts = self.cx.cfg.first_start && self.cx.table().is_none();
-        if !starts && !self.cx.is_ready() {
-            return held;
+        let first_start = self.cx.cfg.first_start && self.cx.table().is_none();
+        if !first_start && !self.cx.is_ready() {
+            return active;
         }
-        let Some(held) = held else {
+        let Some(active) = active else {
             return self.register(client).await;
         };
-        let lasts = self.lasts();
-        if lasts < held.lasts {
-            return self.register(client).await.or(Some(held));
+        let ttl = self.lease_ttl();
+        if ttl < active.ttl {
+            return self.register(client).await.or(Some(active));
         }
-        let seen = self.mirror.has(&self.key());
-        let unseen = match seen {
+        let key_present = self.mirror.has(&self.key());
+        let renewals_without_key = match key_present {
             true => 0,
-            false => held.unseen + 1,
+            false => active.renewals_without_key + 1,
         };
-        match client.renew(held.lease).await {
+        match client.renew(active.lease).await {
             // The store also renews a lease whose key was removed, without reporting that.
-            Ok(()) if unseen > UNSEEN => self.register(client).await,
-            Ok(()) if held.said != self.entry() => self.say(client, held.lease, held.lasts).await,
-            Ok(()) => Some(Held { unseen, ..held }),
+            Ok(()) if renewals_without_key > MAX_RENEWALS_WITHOUT_KEY => {
+                self.register(client).await
+            }
+            Ok(()) if active.entry != self.entry() => {
+                self.publish_entry(client, active.lease, active.ttl).await
+            }
+            Ok(()) => Some(ActiveRegistration {
+                renewals_without_key,
+                ..active
+            }),
             Err(store::Error::Condition(_)) => self.register(client).await,
-            Err(_) => Some(held),
+            Err(_) => Some(active),
         }
     }
 
     /// Publishes the crashes that this VM has observed to all entry VMs.
-    async fn tell_crashes(&self, client: &mut store::Client) {
-        let untold = self.cx.untold_crashes();
-        if untold.is_empty() {
+    async fn publish_crashes(&self, client: &mut store::Client) {
+        let pending = self.cx.untold_crashes();
+        if pending.is_empty() {
             return;
         }
-        if let Err(err) = self.write_crashes(client, &untold).await {
-            slog::info!(self.cx.log, "cannot publish crashes; will retry"; "crashes" => untold.len(), "error" => %err);
-            self.cx.keep_untold(untold);
+        if let Err(err) = self.write_crashes(client, &pending).await {
+            slog::info!(self.cx.log, "cannot publish crashes; will retry"; "crashes" => pending.len(), "error" => %err);
+            self.cx.keep_untold(pending);
         }
     }
 
@@ -243,10 +268,10 @@
         client: &mut store::Client,
         crashes: &[beliefs::Crash],
     ) -> Result<(), store::Error> {
-        let lease = client.lease(CRASH_COUNTS).await?;
+        let lease = client.lease(CRASH_RECORD_TTL).await?;
         let keys: Vec<String> = crashes.iter().map(decode::crash_key).collect();
-        for some in keys.chunks(store::MOST_PUTS) {
-            client.put_all(some, b"", lease).await?;
+        for batch in keys.chunks(store::MAX_PUTS_PER_CALL) {
+            client.put_all(batch, b"", lease).await?;
         }
         Ok(())
     }
@@ -265,17 +290,21 @@
     }
 
     fn key(&self) -> String {
-        format!("{}{}", names::entries_in(&self.cx.cfg.az), self.cx.cfg.vm)
+        format!(
+            "{}{}",
+            names::registration_prefix(&self.cx.cfg.az),
+            self.cx.cfg.vm
+        )
     }
 
-    fn lasts(&self) -> time::Duration {
-        registration::lease(self.cx.stands_by(), self.settings.dead_named)
+    fn lease_ttl(&self) -> time::Duration {
+        registration::lease(self.cx.stands_by(), self.settings.dead_vm_ttl)
     }
 
-    async fn register(&self, client: &mut store::Client) -> Option<Held> {
-        let lasts = self.lasts();
-        match client.lease(lasts).await {
-            Ok(lease) => self.say(client, lease, lasts).await,
+    async fn register(&self, client: &mut store::Client) -> Option<ActiveRegistration> {
+        let ttl = self.lease_ttl();
+        match client.lease(ttl).await {
+            Ok(lease) => self.publish_entry(client, lease, ttl).await,
             Err(err) => {
                 slog::info!(self.cx.log, "registration in the store failed; will retry"; "error" => %err);
                 None
@@ -284,21 +313,21 @@
     }
 
     /// Writes this VM's current entry under a lease.
-    async fn say(
+    async fn publish_entry(
         &self,
         client: &mut store::Client,
         lease: u64,
-        lasts: time::Duration,
-    ) -> Option<Held> {
-        let said = self.entry();
-        match self.write(client, &said, lease).await {
+        ttl: time::Duration,
+    ) -> Option<ActiveRegistration> {
+        let entry = self.entry();
+        match self.write(client, &entry, lease).await {
             Ok(()) => {
-                slog::info!(self.cx.log, "registered"; "vm" => %self.cx.cfg.vm, "lease" => lease, "lasts_s" => lasts.as_secs_f64());
-                Some(Held {
+                slog::info!(self.cx.log, "registered"; "vm" => %self.cx.cfg.vm, "lease" => lease, "lasts_s" => ttl.as_secs_f64());
+                Some(ActiveRegistration {
                     lease,
-                    lasts,
-                    unseen: 0,
-                    said,
+                    ttl,
+                    renewals_without_key: 0,
+                    entry,
                 })
             }
             Err(err) => {
@@ -314,7 +343,7 @@
         entry: &entries::Entry,
         lease: u64,
     ) -> Result<(), store::Error> {
-        let value = decode::put_entry(entry)?;
+        let value = decode::encode_entry(entry)?;
         client.put(&self.key(), &value, lease).await?;
         Ok(())
     }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -2,8 +2,8 @@
 //! names and endpoints to the crate's own types and back. It makes no routing decisions, and the
 //! platform's names are not used outside this module.
 
-pub mod calls;
 pub mod decode;
+pub mod endpoints;
 pub mod feed;
 pub mod names;
 pub mod settings;
@@ -23,7 +23,7 @@
 use crate::{error, gateway, metrics};
 
 /// A planned stop ends requests that are still in flight this long before the grace period is over.
-const MARGIN: time::Duration = time::Duration::from_millis(400);
+const SHUTDOWN_MARGIN: time::Duration = time::Duration::from_millis(400);
 
 /// Runs an entry VM's process until SIGTERM. Fails if the runtime or a required listener cannot start.
 pub fn run(settings: settings::Settings, log: &slog::Logger) -> Result<(), error::Error> {
@@ -44,17 +44,17 @@
     let cx = gateway::Gateway::new(settings.gateway.clone(), log.clone());
     slog::info!(log, "start"; "vm" => %cx.cfg.vm, "az" => %cx.cfg.az, "front" => %cx.cfg.front, "metrics" => %settings.metrics);
     let mirror = mirror::Mirror::new(cx.clone());
-    let calls = calls::Calls {
+    let endpoints = endpoints::Endpoints {
         cx: cx.clone(),
         ttl_s: settings.lookup_ttl.as_secs_f64(),
     };
     listen(settings.gateway.front, "front", cx.clone(), &cx)?;
-    listen(settings.ready, "ready", calls.clone(), &cx)?;
+    listen(settings.ready, "ready", endpoints.clone(), &cx)?;
     if let Some(addr) = settings.directory {
-        listen(addr, "directory", calls.clone(), &cx)?;
+        listen(addr, "directory", endpoints.clone(), &cx)?;
     }
     // A metrics listener that cannot bind must not keep the VM from serving callers.
-    if let Err(err) = listen(settings.metrics, "metrics", calls, &cx) {
+    if let Err(err) = listen(settings.metrics, "metrics", endpoints, &cx) {
         slog::warn!(log, "cannot serve metrics; continuing without them"; "error" => %err);
     }
     if let Some(addr) = settings.peers {
@@ -74,11 +74,11 @@
         mirror,
         settings: settings.clone(),
     };
-    let registered = task::spawn_local(registration.keep());
+    let registration_task = task::spawn_local(registration.maintain());
     task::spawn_local(cx.clone().upkeep());
-    task::spawn_local(count(cx.clone()));
-    until_told(&cx).await?;
-    leave(&cx, registered).await;
+    task::spawn_local(update_metrics(cx.clone()));
+    wait_for_sigterm(&cx).await?;
+    drain(&cx, registration_task).await;
     slog::info!(log, "stop"; "in_hand" => cx.in_hand());
     Ok(())
 }
@@ -102,29 +102,29 @@
 }
 
 fn bind_datagrams(addr: net::SocketAddr) -> Result<UdpSocket, error::Error> {
-    let failed = |err: io::Error| error::Error::Bind {
+    let bind_error = |err: io::Error| error::Error::Bind {
         addr: addr.to_string(),
         setting: "port_range",
         reason: err.to_string(),
     };
-    let socket = net::UdpSocket::bind(addr).map_err(failed)?;
-    socket.set_nonblocking(true).map_err(failed)?;
-    UdpSocket::from_std(socket).map_err(failed)
+    let socket = net::UdpSocket::bind(addr).map_err(bind_error)?;
+    socket.set_nonblocking(true).map_err(bind_error)?;
+    UdpSocket::from_std(socket).map_err(bind_error)
 }
 
 /// Updates the gauges and aggregates the histograms' samples periodically. Without this, samples
 /// accumulate in memory until the next scrape.
-async fn count(cx: gateway::Gateway) {
-    const EVERY: time::Duration = time::Duration::from_secs(2);
+async fn update_metrics(cx: gateway::Gateway) {
+    const GAUGE_UPDATE_INTERVAL: time::Duration = time::Duration::from_secs(2);
     loop {
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(GAUGE_UPDATE_INTERVAL).await;
         cx.set_gauges();
         metrics::exporter().upkeep();
     }
 }
 
 /// Waits for SIGTERM. SIGHUP is only logged: the listen addresses of a running process cannot change.
-async fn until_told(cx: &gateway::Gateway) -> Result<(), error::Error> {
+async fn wait_for_sigterm(cx: &gateway::Gateway) -> Result<(), error::Error> {
     let signal = |kind| {
         unix::signal(kind)
             .map_err(|err| error::Error::Config(format!("cannot install a signal handler: {err}")))
@@ -140,16 +140,16 @@
 }
 
 /// Deregisters this VM and waits until its requests have ended, at most for the grace period.
-async fn leave(cx: &gateway::Gateway, registered: task::JoinHandle<()>) {
-    let begun = cx.now();
+async fn drain(cx: &gateway::Gateway, registration: task::JoinHandle<()>) {
+    let started = cx.now();
     slog::info!(cx.log, "planned stop"; "in_hand" => cx.in_hand());
     cx.stop();
     // The task logs its own panic; the registration's lease then expires.
-    let _ = registered.await;
-    let end = begun + cx.cfg.grace.saturating_sub(MARGIN);
+    let _ = registration.await;
+    let deadline = started + cx.cfg.grace.saturating_sub(SHUTDOWN_MARGIN);
     loop {
         tokio::time::sleep(time::Duration::from_millis(50)).await;
-        if cx.is_done() || cx.now() >= end {
+        if cx.is_done() || cx.now() >= deadline {
             return;
         }
     }
--- a/src/platform/names.rs
+++ b/src/platform/names.rs
@@ -20,28 +20,28 @@
 pub const SETTINGS: &str = "BULRUSHWIND_SETTINGS";
 
 /// Prefix of the keys that operators write.
-pub const OPERATORS: &str = "op/";
+pub const OPERATOR_PREFIX: &str = "op/";
 
 /// Prefix of the keys that entry VMs write.
-pub const OWN: &str = "bulrushwind/";
+pub const ENTRY_VM_PREFIX: &str = "bulrushwind/";
 
 /// Key of the current route configuration.
-pub const CONFIG: &str = "op/config";
+pub const CONFIG_KEY: &str = "op/config";
 
 /// Prefix of evacuation marks; the availability zone follows.
-pub const EVACUATED: &str = "op/evacuate/";
+pub const EVACUATION_PREFIX: &str = "op/evacuate/";
 
 /// Prefix of backend server records; the name of the server's incarnation follows.
-pub const BACKENDS: &str = "servers/";
+pub const BACKEND_PREFIX: &str = "servers/";
 
 /// Prefix of entry VM registrations; the availability zone, a slash and the VM's name follow.
-pub const ENTRIES: &str = "bulrushwind/entry/";
+pub const REGISTRATION_PREFIX: &str = "bulrushwind/entry/";
 
 /// Prefix of the registrations of the entry VMs in one availability zone.
-pub fn entries_in(az: &id::AzId) -> String {
-    format!("{ENTRIES}{az}/")
+pub fn registration_prefix(az: &id::AzId) -> String {
+    format!("{REGISTRATION_PREFIX}{az}/")
 }
 
 /// Prefix of records of requests that were in flight when a backend server crashed; the request's
 /// fingerprint, a slash and the name of the backend server's incarnation follow.
-pub const CRASHES: &str = "bulrushwind/crash/";
+pub const CRASH_PREFIX: &str = "bulrushwind/crash/";
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -20,7 +20,7 @@
     /// Region of each availability zone.
     zones: collections::BTreeMap<String, String>,
     listen: Listen,
-    platform: Store,
+    platform: StoreAddress,
     #[serde(default)]
     seeds: Vec<net::SocketAddr>,
     /// Whether this is the first start of the whole system.
@@ -55,7 +55,7 @@
 }
 
 #[derive(Clone, Debug, serde::Deserialize)]
-struct Store {
+struct StoreAddress {
     addr: net::SocketAddr,
 }
 
@@ -79,7 +79,7 @@
     /// How long callers may cache the entry VM addresses.
     pub lookup_ttl: time::Duration,
     /// How long callers may still be given the address of an entry VM that died.
-    pub dead_named: time::Duration,
+    pub dead_vm_ttl: time::Duration,
 }
 
 /// Reads and parses the settings file. Fails if it is unreadable or a required field is missing or invalid.
@@ -99,7 +99,7 @@
 /// Parses the text of a settings file. The error names the missing or invalid field.
 pub fn parse(text: &str) -> Result<Settings, String> {
     let file: File = toml::from_str(text).map_err(|err| err.message().to_owned())?;
-    let bounds = bounds(&file.bounds)?;
+    let bounds = parse_bounds(&file.bounds)?;
     let regions = file
         .zones
         .iter()
@@ -157,28 +157,30 @@
         metrics,
         store: file.platform.addr,
         seeds: file.seeds,
-        lookup_ttl: time::Duration::from_secs_f64(bound("ttl_max_s", 5.0).min(LOOKUP_TTL_S)),
-        dead_named: time::Duration::from_secs_f64(bound("stability_window_s", 0.0) + DEAD_NAMED_S),
+        lookup_ttl: time::Duration::from_secs_f64(bound("ttl_max_s", 5.0).min(MAX_LOOKUP_TTL_S)),
+        dead_vm_ttl: time::Duration::from_secs_f64(
+            bound("stability_window_s", 0.0) + DEAD_VM_EXTRA_S,
+        ),
     })
 }
 
 /// Upper limit of the look-up TTL: short enough that callers soon stop using a VM that died, and long
 /// enough that look-ups remain a small share of the requests.
-const LOOKUP_TTL_S: f64 = 2.0;
+const MAX_LOOKUP_TTL_S: f64 = 2.0;
 
 /// Time that a dead entry VM may be listed beyond the platform's stability window.
-const DEAD_NAMED_S: f64 = 3.0;
+const DEAD_VM_EXTRA_S: f64 = 3.0;
 
-fn bounds(texts: &[String]) -> Result<collections::BTreeMap<String, f64>, String> {
-    let mut found = collections::BTreeMap::new();
-    for text in texts.iter().flat_map(|line| line.split(',')) {
+fn parse_bounds(entries: &[String]) -> Result<collections::BTreeMap<String, f64>, String> {
+    let mut bounds = collections::BTreeMap::new();
+    for text in entries.iter().flat_map(|line| line.split(',')) {
         let Some((name, value)) = text.split_once('=') else {
             return Err(format!("`bounds` contains `{text}`; expected name=value"));
         };
         // Boolean bounds do not apply to the gateway.
         if let Ok(value) = value.trim().parse() {
-            found.insert(name.trim().to_owned(), value);
+            bounds.insert(name.trim().to_owned(), value);
         }
     }
-    Ok(found)
+    Ok(bounds)
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -8,24 +8,24 @@
 use serde::de;
 
 use crate::coordination::pages;
-use crate::metrics as known;
+use crate::metrics as metric_names;
 use crate::protocol::{http1, mirror};
 use crate::transport::{socket, upstream};
 
 /// Timeout for connecting.
-const CONNECT: time::Duration = time::Duration::from_millis(500);
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
 /// Timeout for the response head and for each piece of the body. The store responds within a few
 /// milliseconds, or 0.12 s from the farthest region; a response fifty times slower is still useful.
-const CALL: time::Duration = time::Duration::from_millis(1000);
+const RESPONSE_TIMEOUT: time::Duration = time::Duration::from_millis(1000);
 
 /// Timeout for a response body, from the end of the head. The longest value is 1.4 MB as text, which
 /// takes two seconds over a shared 10 Mbit/s link. With a timeout of one second, every retry would
 /// time out as well and the value would never be read.
-const ARRIVE: time::Duration = time::Duration::from_secs(4);
+const BODY_TIMEOUT: time::Duration = time::Duration::from_secs(4);
 
 /// Maximum number of keys that one call may write.
-pub const MOST_PUTS: usize = 32;
+pub const MAX_PUTS_PER_CALL: usize = 32;
 
 /// Why a call failed.
 #[derive(Debug, thiserror::Error)]
@@ -68,7 +68,7 @@
     /// Converts the item. Invalid base64 yields an empty value, which no decoder accepts. An error
     /// here would discard all other items of the response, in every call, for as long as one value
     /// is invalid.
-    fn record(self) -> mirror::Record {
+    fn into_record(self) -> mirror::Record {
         let decode = |text: String| data_encoding::BASE64.decode(text.as_bytes());
         let value = self.value.filter(|_| !self.tombstone);
         mirror::Record {
@@ -126,7 +126,7 @@
 
 /// A range read of one prefix.
 #[derive(Clone, Copy)]
-struct List<'a> {
+struct Range<'a> {
     prefix: &'a str,
     /// Whether the store may answer from a view that is some seconds old.
     stale: bool,
@@ -148,7 +148,7 @@
     /// Connects ahead of the next call. If this fails, the next call tries again and reports the error.
     pub async fn connect(&mut self) {
         if self.wire.is_none() {
-            self.wire = socket::Wire::connect(self.addr, CONNECT).await.ok();
+            self.wire = socket::Wire::connect(self.addr, CONNECT_TIMEOUT).await.ok();
         }
     }
 
@@ -164,8 +164,8 @@
         prefix: &str,
         stale: bool,
     ) -> Result<(Vec<mirror::Record>, u64), Error> {
-        let list = List { prefix, stale };
-        let (mut records, mut revision, more) = self.page(list, "").await?;
+        let range = Range { prefix, stale };
+        let (mut records, mut revision, more) = self.page(range, "").await?;
         if !more {
             return Ok((records, revision));
         }
@@ -176,37 +176,37 @@
         let addr = self.addr;
         let others = beginnings.iter().map(|after| {
             let until = ends.next();
-            async move { Client::new(addr).rest(list, after, until).await }
+            async move { Client::new(addr).remaining_pages(range, after, until).await }
         });
         let others = future::try_join_all(others);
-        let first = self.rest(list, &last, beginnings.first().map(String::as_str));
+        let first = self.remaining_pages(range, &last, beginnings.first().map(String::as_str));
         let (first, others) = tokio::try_join!(first, others)?;
-        for (part, seen) in std::iter::once(first).chain(others) {
+        for (part, part_revision) in std::iter::once(first).chain(others) {
             records.extend(part);
             // The pages are no consistent snapshot. A watch from the oldest page's revision returns
             // all changes since then.
-            revision = revision.min(seen);
+            revision = revision.min(part_revision);
         }
         Ok((records, revision))
     }
 
     /// Reads the items with keys after `after`, up to and including `until`. Returns them with the
     /// oldest revision of their pages.
-    async fn rest(
+    async fn remaining_pages(
         &mut self,
-        list: List<'_>,
+        range: Range<'_>,
         after: &str,
         until: Option<&str>,
     ) -> Result<(Vec<mirror::Record>, u64), Error> {
-        let beyond = |key: &str| until.is_some_and(|until| key > until);
+        let past_end = |key: &str| until.is_some_and(|until| key > until);
         let mut records: Vec<mirror::Record> = Vec::new();
         let mut oldest = u64::MAX;
         loop {
             let from = records.last().map_or(after, |last| last.key.as_str());
-            let (page, revision, more) = self.page(list, from).await?;
+            let (page, revision, more) = self.page(range, from).await?;
             oldest = oldest.min(revision);
-            let ends = page.last().is_none_or(|last| beyond(&last.key));
-            records.extend(page.into_iter().filter(|record| !beyond(&record.key)));
+            let ends = page.last().is_none_or(|last| past_end(&last.key));
+            records.extend(page.into_iter().filter(|record| !past_end(&record.key)));
             if !more || ends {
                 return Ok((records, oldest));
             }
@@ -216,22 +216,22 @@
     /// Reads the page that follows the key `after`: its items, its revision, and whether more pages follow.
     async fn page(
         &mut self,
-        list: List<'_>,
+        range: Range<'_>,
         after: &str,
     ) -> Result<(Vec<mirror::Record>, u64, bool), Error> {
-        let prefix = list.prefix;
+        let prefix = range.prefix;
         let after = match after {
             "" => String::new(),
             key => format!("&after={key}"),
         };
-        let stale = match list.stale {
+        let stale = match range.stale {
             true => "&stale_ok=1",
             false => "",
         };
         let target = format!("/kv-range?prefix={prefix}{after}{stale}");
-        let page: Page = self.read(&target, CALL).await?;
+        let page: Page = self.read(&target, RESPONSE_TIMEOUT).await?;
         let more = page.truncated && !page.items.is_empty();
-        let records = page.items.into_iter().map(Item::record);
+        let records = page.items.into_iter().map(Item::into_record);
         Ok((records.collect(), page.store_revision, more))
     }
 
@@ -244,8 +244,8 @@
     ) -> Result<(Vec<mirror::Record>, u64), Error> {
         let ms = wait.as_millis();
         let target = format!("/kv-watch?prefix={prefix}&after={after}&wait_ms={ms}");
-        let events: Events = self.read(&target, wait + CALL).await?;
-        let records = events.events.into_iter().map(Item::record).collect();
+        let events: Events = self.read(&target, wait + RESPONSE_TIMEOUT).await?;
+        let records = events.events.into_iter().map(Item::into_record).collect();
         Ok((records, events.store_revision))
     }
 
@@ -254,21 +254,27 @@
         let body = serde_json::to_vec(&Ttl {
             ttl_s_time: ttl.as_secs_f64(),
         })?;
-        let answer = self.call("POST", "/kv-lease", &body, CALL).await?;
-        let lease: Lease = serde_json::from_slice(&answer)?;
+        let response = self
+            .call("POST", "/kv-lease", &body, RESPONSE_TIMEOUT)
+            .await?;
+        let lease: Lease = serde_json::from_slice(&response)?;
         Ok(lease.lease)
     }
 
     /// Renews a lease.
     pub async fn renew(&mut self, lease: u64) -> Result<(), Error> {
         let target = format!("/kv-keep/{lease}");
-        self.call("POST", &target, b"", CALL).await.map(drop)
+        self.call("POST", &target, b"", RESPONSE_TIMEOUT)
+            .await
+            .map(drop)
     }
 
     /// Revokes a lease, which removes its keys.
     pub async fn end_lease(&mut self, lease: u64) -> Result<(), Error> {
         let target = format!("/kv-lease-end/{lease}");
-        self.call("DELETE", &target, b"", CALL).await.map(drop)
+        self.call("DELETE", &target, b"", RESPONSE_TIMEOUT)
+            .await
+            .map(drop)
     }
 
     /// Writes a key that is attached to a lease.
@@ -276,7 +282,7 @@
         self.put_all(&[key.to_owned()], value, lease).await
     }
 
-    /// Writes one value under up to [`MOST_PUTS`] keys that are attached to a lease.
+    /// Writes one value under up to [`MAX_PUTS_PER_CALL`] keys that are attached to a lease.
     pub async fn put_all(
         &mut self,
         keys: &[String],
@@ -293,7 +299,9 @@
             ..Txn::default()
         };
         let body = serde_json::to_vec(&txn)?;
-        self.call("POST", "/kv-txn", &body, CALL).await.map(drop)
+        self.call("POST", "/kv-txn", &body, RESPONSE_TIMEOUT)
+            .await
+            .map(drop)
     }
 
     async fn read<T: de::DeserializeOwned>(
@@ -301,8 +309,8 @@
         target: &str,
         limit: time::Duration,
     ) -> Result<T, Error> {
-        let answer = self.call("GET", target, b"", limit).await?;
-        Ok(serde_json::from_slice(&answer)?)
+        let response = self.call("GET", target, b"", limit).await?;
+        Ok(serde_json::from_slice(&response)?)
     }
 
     async fn call(
@@ -312,15 +320,15 @@
         body: &[u8],
         limit: time::Duration,
     ) -> Result<Bytes, Error> {
-        let answered = self.exchange(method, target, body, limit).await;
-        count(target, answered.as_ref().map(|(status, _)| *status));
-        let Some((status, answer)) = answered else {
+        let response = self.exchange(method, target, body, limit).await;
+        count_call(target, response.as_ref().map(|(status, _)| *status));
+        let Some((status, response_body)) = response else {
             // After a missing response the connection cannot be reused.
             self.wire = None;
             return Err(Error::NoAnswer);
         };
         match status {
-            200..300 => Ok(answer),
+            200..300 => Ok(response_body),
             410 => Err(Error::Gap),
             404 | 412 => Err(Error::Condition(status)),
             _ => Err(Error::Refused(status)),
@@ -335,27 +343,30 @@
         body: &[u8],
         limit: time::Duration,
     ) -> Option<(u16, Bytes)> {
-        let asked = tokio::time::timeout(limit, self.ask(method, target, body)).await;
-        let (mut wire, received) = asked.ok()??;
-        let answer = tokio::time::timeout(ARRIVE, take(&mut wire, received.head.framing)).await;
-        let answer = answer.ok()??;
+        let response = tokio::time::timeout(limit, self.send(method, target, body)).await;
+        let (mut wire, received) = response.ok()??;
+        let response_body =
+            tokio::time::timeout(BODY_TIMEOUT, read_body(&mut wire, received.head.framing)).await;
+        let response_body = response_body.ok()??;
         if received.reusable {
             self.wire = Some(wire);
         }
-        Some((received.head.status, answer))
+        Some((received.head.status, response_body))
     }
 
     /// Sends a call and waits for the response head.
-    async fn ask(
+    async fn send(
         &mut self,
         method: &str,
         target: &str,
         body: &[u8],
     ) -> Option<(socket::Wire, upstream::Received)> {
-        let resting = self.wire.take().and_then(socket::Wire::resting);
-        let mut wire = match resting {
+        let idle = self.wire.take().and_then(socket::Wire::resting);
+        let mut wire = match idle {
             Some(wire) => wire,
-            None => socket::Wire::connect(self.addr, CONNECT).await.ok()?,
+            None => socket::Wire::connect(self.addr, CONNECT_TIMEOUT)
+                .await
+                .ok()?,
         };
         let head = format!(
             "{method} {target} HTTP/1.1\r\nHost: {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
@@ -376,7 +387,7 @@
 }
 
 /// Counts a call by the first segment of its path and by its outcome.
-fn count(target: &str, status: Option<u16>) {
+fn count_call(target: &str, status: Option<u16>) {
     let call = target.split(['/', '?']).nth(1).unwrap_or_default();
     let outcome = match status {
         Some(200..300) => "answered",
@@ -384,19 +395,20 @@
         Some(_) => "refused",
         None => "lost",
     };
-    metrics::counter!(known::STORE_CALLS, "call" => call.to_owned(), "outcome" => outcome)
+    metrics::counter!(metric_names::STORE_CALLS, "call" => call.to_owned(), "outcome" => outcome)
         .increment(1);
 }
 
 /// Reads a response body; `None` if the connection fails or no piece arrives within the timeout.
-async fn take(wire: &mut socket::Wire, framing: http1::Framing) -> Option<Bytes> {
+async fn read_body(wire: &mut socket::Wire, framing: http1::Framing) -> Option<Bytes> {
     let mut reader = http1::BodyReader::new(framing);
-    let mut answer = BytesMut::new();
+    let mut body = BytesMut::new();
     loop {
-        let piece = tokio::time::timeout(CALL, upstream::next_piece(wire, &mut reader)).await;
+        let piece =
+            tokio::time::timeout(RESPONSE_TIMEOUT, upstream::next_piece(wire, &mut reader)).await;
         match piece.ok()?.ok()? {
-            Some(piece) => answer.extend_from_slice(&piece),
-            None => return Some(answer.freeze()),
+            Some(piece) => body.extend_from_slice(&piece),
+            None => return Some(body.freeze()),
         }
     }
 }
--- a/tests/platform/decoding.rs
+++ b/tests/platform/decoding.rs
@@ -37,13 +37,13 @@
     assert_eq!(settings.metrics.to_string(), "10.0.0.2:7200");
     assert!(settings.directory.is_none());
     assert!(!settings.gateway.first_start);
-    assert_eq!(settings.dead_named, time::Duration::from_secs(3));
+    assert_eq!(settings.dead_vm_ttl, time::Duration::from_secs(3));
     let more = SETTINGS
         .replace("bounds = [", "bounds = [\"stability_window_s=6\",")
         .replace("seeds =", "bootstrap = true\nseeds =");
     let settings = settings::parse(&more).unwrap();
     assert!(settings.gateway.first_start);
-    assert_eq!(settings.dead_named, time::Duration::from_secs(9));
+    assert_eq!(settings.dead_vm_ttl, time::Duration::from_secs(9));
 }
 
 /// The file is read while the platform writes it, or lacks a field. An operator who reads only
@@ -119,8 +119,8 @@
     config.to_string()
 }
 
-fn sealed(text: &str) -> Result<routes::Table, decode::Error> {
-    decode::config(&decode::seal(text.as_bytes()))
+fn decode_with_hashed_keys(text: &str) -> Result<routes::Table, decode::Error> {
+    decode::config(&decode::hash_keys(text.as_bytes()))
 }
 
 #[test]
@@ -129,7 +129,7 @@
         {"name": "pilots", "keys": ["k1", "k2"], "priority": 1, "rate_per_s": 398, "burst": 20.5, "residency": ["north"]},
         {"name": "herders", "keys": [], "rate_per_s": 0, "burst": 5},
     ]));
-    let table = sealed(&text).unwrap();
+    let table = decode_with_hashed_keys(&text).unwrap();
     let holder = |key: &[u8]| table.customers.holder(customers::KeyDigest::of(key));
     let pilots = holder(b"k2").unwrap();
     assert_eq!(pilots.name.as_str(), "pilots");
@@ -152,13 +152,13 @@
 fn no_key_is_kept_or_passed_on() {
     let text =
         with_customers(&json!([{"name": "pilots", "keys": ["qrh4jcda9rgy35", "xsr7i427eya6"]}]));
-    let kept = String::from_utf8(decode::seal(text.as_bytes())).unwrap();
+    let kept = String::from_utf8(decode::hash_keys(text.as_bytes())).unwrap();
     for key in ["qrh4jcda9rgy35", "xsr7i427eya6"] {
         assert!(!kept.contains(key));
     }
     assert!(kept.contains("pilots"));
     // One that cannot be read may hold a key anywhere.
-    assert!(decode::seal(&text.as_bytes()[..text.len() - 1]).is_empty());
+    assert!(decode::hash_keys(&text.as_bytes()[..text.len() - 1]).is_empty());
     // A key that was not sealed is not taken, nor named in the error.
     let err = decode::config(text.as_bytes()).unwrap_err().to_string();
     assert!(
@@ -184,7 +184,10 @@
         json!({"a": {"keys": ["k"]}}),
     ];
     for tenants in bad {
-        assert!(sealed(&with_customers(&tenants)).is_err(), "{tenants}");
+        assert!(
+            decode_with_hashed_keys(&with_customers(&tenants)).is_err(),
+            "{tenants}"
+        );
     }
 }
 
@@ -203,7 +206,7 @@
             .zip(each)
             .map(|(name, key)| json!({"name": name, "keys": [key], "rate_per_s": rate}))
             .collect();
-        if let Ok(table) = sealed(&with_customers(&json!(tenants))) {
+        if let Ok(table) = decode_with_hashed_keys(&with_customers(&json!(tenants))) {
             for (name, key) in names.iter().zip(keys.iter().cycle()) {
                 let holder = table.customers.holder(customers::KeyDigest::of(key.as_bytes()));
                 assert_eq!(holder.unwrap().name.as_str(), name);
