--- a/tests/platform/decoding.rs
+++ b/tests/platform/decoding.rs
@@ -1,4 +1,4 @@
-//! Settings and records as the platform writes them.
+//! Decoding of the platform's settings file and store records.
 
 use std::time;
 
@@ -46,8 +46,8 @@
     assert_eq!(settings.dead_vm_ttl, time::Duration::from_secs(9));
 }
 
-/// The file is read while the platform writes it, or lacks a field. An operator who reads only
-/// "invalid file" has to guess.
+/// The file is truncated, since the platform is still writing it, or lacks a field. The error must
+/// name the field, so that an operator can find the cause.
 #[test]
 fn settings_that_are_not_whole_say_what_is_missing() {
     let without = |line: &str| SETTINGS.replace(line, "");
@@ -80,7 +80,7 @@
     assert_eq!(table.limits.head, 16384);
 }
 
-/// Guards against downloads that are lost with one backend server though another could send them.
+/// Guards against downloads that fail with one backend server although another could run them again.
 #[test]
 fn downloads_may_run_more_than_once() {
     let idempotent = |kind: &str| {
@@ -97,8 +97,8 @@
     );
 }
 
-/// An operator's configuration cannot be read. Taken in part, routes would be missing and callers
-/// told that their service does not exist.
+/// An invalid configuration must be rejected as a whole. If it were applied in part, routes would be
+/// missing and callers would get 404.
 #[test]
 fn a_configuration_that_cannot_be_read_is_refused_whole() {
     let bad = [
@@ -112,7 +112,7 @@
     }
 }
 
-/// A configuration with customers, and one of its keys.
+/// The configuration with these customers.
 fn with_customers(tenants: &Value) -> String {
     let mut config: Value = serde_json::from_str(CONFIG).unwrap();
     config["tenants"] = tenants.clone();
@@ -146,8 +146,8 @@
     assert!(herders.unwrap().quota.is_none());
 }
 
-/// The configuration is passed from entry VM to entry VM and kept by each. Whoever listens there, or
-/// reads a dump of memory, must not learn a key with which to ask as that customer.
+/// Entry VMs keep the configuration and send it to one another. Neither their traffic nor a memory
+/// dump may reveal a customer's key.
 #[test]
 fn no_key_is_kept_or_passed_on() {
     let text =
@@ -157,9 +157,9 @@
         assert!(!kept.contains(key));
     }
     assert!(kept.contains("pilots"));
-    // One that cannot be read may hold a key anywhere.
+    // Invalid JSON may contain a key anywhere.
     assert!(decode::hash_keys(&text.as_bytes()[..text.len() - 1]).is_empty());
-    // A key that was not sealed is not taken, nor named in the error.
+    // A key that is not a digest is rejected, and the error does not contain it.
     let err = decode::config(text.as_bytes()).unwrap_err().to_string();
     assert!(
         err.contains("pilots") && !err.contains("qrh4jcda9rgy35"),
@@ -167,8 +167,8 @@
     );
 }
 
-/// An operator's configuration contradicts itself or holds something else where customers stand. Taken
-/// in part, a customer would be missing and its callers turned away.
+/// Customers that are contradictory or of the wrong type must be rejected as a whole. If they were
+/// applied in part, a customer would be missing and its callers rejected.
 #[test]
 fn customers_that_cannot_be_read_are_refused_whole() {
     let bad = [
@@ -192,8 +192,7 @@
 }
 
 proptest::proptest! {
-    /// Whatever stands where customers are expected, reading it neither ends the process nor lets one
-    /// key stand for two of them.
+    /// Decoding arbitrary customers must not panic, nor assign one key to two customers.
     #[test]
     fn any_customers_are_read_or_refused(
         names in proptest::collection::vec("[ab]{1,2}", 0..4),
@@ -226,9 +225,8 @@
     assert!(!decode::backend(ready.as_bytes(), now).unwrap().leaving);
 }
 
-/// Something else than a backend server writes under a backend server's name: a field is missing
-/// or of another type, a word is not one of those agreed on. What remains readable would be taken
-/// for an address to send to.
+/// Another program writes under a backend server's key: a field is missing, of the wrong type or has
+/// an unknown value. The rest of the record must not be used as a backend server's address.
 #[test]
 fn an_entry_of_another_writer_is_no_backend_server() {
     let entry = json!({"service": "s1", "addr": "10.1.1.1:80", "zone": "az-a", "version": "v1", "slots": 3,
@@ -266,7 +264,7 @@
     assert!(decode(&idle).is_err());
 }
 
-/// Whatever bytes stand in the store, reading them must not end the process.
+/// Decoding arbitrary bytes from the store must not panic.
 #[test]
 fn no_bytes_end_a_decoder() {
     use rand::{RngExt, SeedableRng};
--- a/tests/platform/entries.rs
+++ b/tests/platform/entries.rs
@@ -1,4 +1,4 @@
-//! Entries of backend servers that cannot be read, from the store to where requests go.
+//! Unreadable backend server records: their effect from the store to backend selection.
 
 use std::time;
 
@@ -18,7 +18,7 @@
         "state": "ready", "cold_left_s": 0, "seq": 1})
 }
 
-/// Whether requests may go to a backend server.
+/// Whether the gateway can select the named backend server.
 fn gets_work(cx: &gateway::Gateway, name: &str) -> bool {
     let service = id::ServiceId::from("svc");
     let others: Vec<id::VmId> = ["i-0", "i-1", "i-2"]
@@ -46,10 +46,9 @@
     }
 }
 
-/// One program overwrites the entries of two backend servers, one with bytes that are no base64 and
-/// one with a list. Requests that still go there reach whatever has the address by then; and if the
-/// bad value made the whole answer of the store unreadable, a change of the routes beside it would
-/// not come into force.
+/// Another program overwrites two backend server records, one with invalid base64 and one with a JSON
+/// list. Requests must not be sent to these addresses, which may now belong to other programs. The bad
+/// values must not make the rest of the store's response, such as a change of routes, unreadable.
 #[test]
 fn an_unreadable_entry_names_no_backend_server_and_hides_no_other_news() {
     play(async || {
@@ -77,8 +76,8 @@
     });
 }
 
-/// One entry VM reads the store for others. If it kept to itself that an entry can no longer be
-/// read, theirs would go on sending there.
+/// An entry VM that reads the store forwards only changes to its followers. An entry that becomes
+/// unreadable must count as a change, or followers would continue to use that backend server.
 #[test]
 fn an_unreadable_entry_is_news_for_those_who_follow() {
     let cx = gateway::Gateway::new(gateway::Config::default(), logging::silent());
@@ -89,7 +88,10 @@
     };
     let apply = |value: &str| following::Source::apply(&source, &record(value));
     assert!(apply(&entry().to_string()));
-    assert!(!apply(&entry().to_string()), "a heartbeat is none");
+    assert!(
+        !apply(&entry().to_string()),
+        "an unchanged record is not a change"
+    );
     assert!(apply("{}"));
     assert!(!gets_work(&cx, "i-0"));
 }
--- a/tests/platform/explaining.rs
+++ b/tests/platform/explaining.rs
@@ -1,5 +1,5 @@
-//! From a request's id to the cause of its failure, by logs alone. docs/OPERATIONS.md walks the same
-//! three ways.
+//! Finds the cause of a failed request from its id and the logs alone, with `bulrushwind explain`.
+//! docs/OPERATIONS.md describes three of these cases.
 
 use std::fs;
 use std::process;
@@ -10,7 +10,7 @@
 use super::processes::{LONG, Scene, ask, ask_with, config, play, until_status};
 use super::support::store;
 
-/// What `bulrushwind explain` prints of a request.
+/// Output of `bulrushwind explain` for a request.
 fn explain(scene: &Scene, request: &str) -> String {
     let out = process::Command::new(env!("CARGO_BIN_EXE_bulrushwind"))
         .current_dir(scene.dir.path())
@@ -20,7 +20,7 @@
     String::from_utf8_lossy(&out.stdout).into_owned()
 }
 
-/// Waits until the story of a request tells all of these in this order.
+/// Waits until the explanation of a request contains all `wanted` texts in this order.
 async fn until_told(scene: &Scene, request: &str, wanted: &[&str]) {
     let begun = time::Instant::now();
     loop {
@@ -40,15 +40,14 @@
         let log = || fs::read_to_string(scene.dir.path().join("vm-1.log")).unwrap_or_default();
         assert!(
             begun.elapsed() < LONG,
-            "{wanted:?} is not told:\n{story}\nof\n{}",
+            "{wanted:?} is not explained:\n{story}\nof\n{}",
             log()
         );
         tokio::time::sleep(time::Duration::from_millis(50)).await;
     }
 }
 
-/// Operators emptied the zones of all backend servers. A caller is refused though none has
-/// anything to do, and somebody asks why.
+/// All availability zones are evacuated, so a request is refused although the backend servers are idle.
 #[test]
 fn a_request_that_was_refused_while_backend_servers_stood_free() {
     play(|| async {
@@ -76,8 +75,7 @@
     });
 }
 
-/// A booking's answer is lost on its way from the backend server. The caller does not know whether
-/// the bay is taken.
+/// The response to a non-idempotent request is lost, so it is unknown whether the request ran.
 #[test]
 fn a_booking_whose_outcome_is_unknown() {
     play(|| async {
@@ -98,8 +96,7 @@
     });
 }
 
-/// The store turned this VM away, so that its list of backend servers is old; the one that has the
-/// object no longer answers, and the read is tried elsewhere late.
+/// The store refuses this VM's calls and all backend servers become slow, so a read completes late.
 #[test]
 fn a_read_that_came_late() {
     play(|| async {
@@ -128,7 +125,7 @@
 
 const KEY: &str = "Bulrushwind-Key: right-secret-1\r\n";
 
-/// A scene whose one customer may ask a few times.
+/// A scene with one customer, whose quota allows a few requests.
 async fn with_customer() -> (Scene, std::net::SocketAddr, impl Sized) {
     let scene = Scene::new();
     let (ports, gateway) = scene.start("vm-1", scene.store.addr, &[]);
@@ -142,8 +139,8 @@
     (scene, ports.front, gateway)
 }
 
-/// A caller was given a key that nobody holds any more and is turned away. Whoever looks for the cause
-/// must find it, and must not find the key: a log is read by many.
+/// A caller is rejected since its key belongs to no customer. The log must name the cause but not
+/// contain the key, since many people can read logs.
 #[test]
 fn a_caller_whose_key_nobody_holds() {
     play(|| async {
@@ -167,8 +164,7 @@
     });
 }
 
-/// A customer has used its quota and its callers are refused. They ask whether the limit is too low or
-/// the count is wrong.
+/// A customer's requests are refused beyond its quota. The explanation must show the limit and the count.
 #[test]
 fn a_request_beyond_its_customers_quota() {
     play(|| async {
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! The platform's adapter: its settings, its store's records, and processes that live on it.
+//! Tests of the platform adapter: settings, store records and gateway processes.
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/tests/platform/processes.rs
+++ b/tests/platform/processes.rs
@@ -1,4 +1,4 @@
-//! Gateway processes with a stand-in store and backend servers.
+//! Gateway processes with a simulated store and backend servers.
 
 use std::cell;
 use std::net;
@@ -25,7 +25,7 @@
     task::LocalSet::new().block_on(&runtime, async {
         tokio::time::timeout(LONG * 2, scene())
             .await
-            .expect("the scene ends");
+            .expect("the scenario did not end in time");
     });
 }
 
@@ -104,12 +104,12 @@
     }
 }
 
-/// The status and body that a request gets, `None` where nothing answers.
+/// Sends a GET request and returns the response's status and body; `None` without a response.
 pub(crate) async fn ask(addr: net::SocketAddr, target: &str, id: &str) -> Option<(u16, String)> {
     ask_with(addr, target, id, "").await
 }
 
-/// The same with further lines in the head.
+/// Like `ask`, with additional header lines.
 pub(crate) async fn ask_with(
     addr: net::SocketAddr,
     target: &str,
@@ -186,8 +186,8 @@
     });
 }
 
-/// The store is away, or refuses, or forgets its history. Callers must not notice the first two,
-/// and what changed meanwhile must be in force afterwards.
+/// The store does not respond or refuses all calls, and then compacts its history. Requests must
+/// succeed during the outage, and changes made meanwhile must take effect afterwards.
 #[test]
 fn a_process_outlives_its_store_and_catches_up() {
     for mode in [store::Mode::Silent, store::Mode::Busy] {
@@ -208,7 +208,7 @@
     }
 }
 
-/// An entry VM starts while the store is away. Another one knows what it needs.
+/// An entry VM starts while it cannot reach the store and reads the records from another entry VM.
 #[test]
 fn a_process_that_starts_without_the_store_learns_from_another() {
     play(|| async {
@@ -225,8 +225,8 @@
     });
 }
 
-/// Two entry VMs of one region: the second follows the first, so that both together ask the store
-/// little more than one. When the first is killed, the second reads by itself.
+/// One of two entry VMs of a region follows the other, which keeps the load on the store low. After
+/// the followed VM is killed, the follower must read the store itself.
 #[test]
 fn one_follows_the_other_and_turns_to_the_store_when_that_dies() {
     play(|| async {
@@ -258,8 +258,8 @@
     });
 }
 
-/// Guards against a VM that asks those that may know what it needs once, and no more when they start
-/// later than it does.
+/// Guards against a VM without the store that contacts its seeds only once and so never reads from a
+/// seed that starts later.
 #[test]
 fn a_process_without_the_store_learns_from_one_that_starts_later() {
     play(|| async {
@@ -275,7 +275,7 @@
     });
 }
 
-/// Guards against a first start at which each VM takes itself for the first and reads the whole list.
+/// Guards against a first start of the system at which every VM reads all records from the store.
 #[test]
 fn vms_that_start_for_the_first_time_wait_for_the_first_of_them() {
     play(|| async {
@@ -297,7 +297,7 @@
             log.lines()
                 .any(|line| line.contains("\"following\"") && line.contains("\"whole\":true"))
         };
-        // Two read the store side by side.
+        // Two VMs read the store in parallel.
         let begun = time::Instant::now();
         while names.iter().filter(heard_all).count() < names.len() - 2 {
             assert!(begun.elapsed() < LONG, "they do not follow the first");
@@ -306,8 +306,8 @@
     });
 }
 
-/// A backend server's entry is removed while the store is slow, and the backend server ends a
-/// little later. A caller must notice neither.
+/// A backend server's record is removed while the store is slow, and the server stops once the VM no
+/// longer uses it. No request may fail.
 #[test]
 fn a_backend_server_that_leaves_while_the_store_is_slow_is_left_in_time() {
     play(|| async {
@@ -332,8 +332,8 @@
     });
 }
 
-/// Operators add thousands of routes at once, and the VM's link is narrow: the list takes seconds to
-/// arrive. Given up on and asked for anew it never arrives, and callers of the new routes get 404.
+/// A configuration with thousands of routes takes seconds over a slow link. With too short a timeout
+/// each retry fails as well, and callers of the new routes get 404.
 #[test]
 fn a_long_configuration_arrives_over_a_narrow_link() {
     play(|| async {
@@ -349,8 +349,8 @@
     });
 }
 
-/// Whoever reads the logs stops reading, and the pipe is full. Held up by its lines, the process
-/// would stop to answer callers.
+/// The reader of the log pipe stops and the pipe fills up. A process that blocks on log writes would
+/// no longer respond to callers.
 #[test]
 fn a_process_whose_log_nobody_reads_goes_on_serving() {
     play(|| async {
@@ -358,7 +358,7 @@
         let start = scene.starting("vm-1", scene.store.addr, &[]);
         let _gateway = start.spawn_to(std::process::Stdio::piped()).unwrap();
         until_status(start.ports.front, "/read/a", 200).await;
-        // A line for each, 600 KB in all: more than a pipe and the process's own buffer hold.
+        // One log line per record, 600 KB in total: more than the pipe and the process's buffer hold.
         for n in 0..3000 {
             let entry = json!({"service": "other", "addr": "127.0.0.1:9", "zone": "az-a", "slots": 1,
                 "state": "ready", "cold_left_s": 0.0});
@@ -375,8 +375,8 @@
     });
 }
 
-/// A write's answer is lost, so nobody knows whether the registration stands. The VM must not stay
-/// out of use for it, nor register twice.
+/// The responses to the registration's writes are lost, so their outcome is unknown. The VM must still
+/// serve requests, and must end up registered exactly once.
 #[test]
 fn a_registration_whose_answer_is_lost_is_made_good() {
     play(|| async {
--- a/tests/support/backend.rs
+++ b/tests/support/backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers that keep the platform's promises and remember what they ran.
+//! Simulated backend servers that follow the platform's protocol and record the requests that they run.
 
 use std::cell;
 use std::collections;
@@ -16,12 +16,12 @@
 
 use super::store;
 
-/// What all backend servers have seen.
+/// Requests recorded by all backend servers.
 #[derive(Debug, Default)]
 pub(crate) struct Log {
-    /// How often each request ran, by its id.
+    /// Number of runs of each request, by request id.
     pub(crate) runs: collections::BTreeMap<String, u32>,
-    /// Requests that arrived at a backend server that had said long before that it leaves.
+    /// Requests that arrived later than [`DRAIN`] after their backend server began to drain.
     pub(crate) late: Vec<String>,
 }
 
@@ -35,18 +35,18 @@
     work: rc::Rc<cell::Cell<time::Duration>>,
     running: rc::Rc<cell::Cell<u32>>,
     log: rc::Rc<cell::RefCell<Log>>,
-    /// From when on requests count as late.
+    /// When draining began.
     left: rc::Rc<cell::Cell<Option<time::Instant>>>,
-    /// Whether answers are lost.
+    /// Whether responses are dropped.
     pub(crate) loses: rc::Rc<cell::Cell<bool>>,
     accepting: rc::Rc<cell::RefCell<Option<task::JoinHandle<()>>>>,
 }
 
-/// Requests that one works on at once, and that wait.
+/// Concurrent requests and queued requests per backend server.
 const SLOTS: u32 = 3;
 const QUEUE: u32 = 9;
 
-/// How long after its leaving was written a backend server may still get requests.
+/// How long after its draining state was written a backend server may still receive requests.
 pub(crate) const DRAIN: time::Duration = time::Duration::from_millis(2500);
 
 impl Backend {
@@ -81,7 +81,7 @@
         backend
     }
 
-    /// Writes its entry.
+    /// Writes the server's record with a state to the store.
     pub(crate) fn register(&self, store: &store::Store, state: &str) {
         let entry = json!({
             "service": self.service, "addr": self.addr, "zone": self.zone, "version": "v1",
@@ -93,12 +93,12 @@
         }
     }
 
-    /// Works so long on each request from now on.
+    /// Sets how long each further request runs.
     pub(crate) fn delay(&self, work: time::Duration) {
         self.work.set(work);
     }
 
-    /// Takes no further connections.
+    /// Stops accepting connections.
     pub(crate) fn close(&self) {
         if let Some(accepting) = self.accepting.borrow_mut().take() {
             accepting.abort();
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what surrounds a gateway process: the platform's store, backend servers, the
-//! process itself. Shared by the tests of the platform's adapter and the soak.
+//! Test doubles for the platform's store, backend servers and the network, and a handle for a gateway
+//! process. Shared by the tests of the platform adapter and of the gateway, and by the soak.
 
 pub(crate) mod backend;
 pub(crate) mod process;
@@ -11,9 +11,9 @@
 
 use tokio::net::TcpListener;
 
-/// Binds a port of this run. Ports that the system hands out by itself go from one run to the
-/// next within moments, and a gateway of another run that still dials its old store would reach
-/// a backend server of this one.
+/// Binds a port from this test process's own range. The system reuses ephemeral ports within
+/// moments, so a gateway of another test process that still dials its old store could reach a
+/// backend server of this one.
 pub(crate) fn bind() -> net::TcpListener {
     const FIRST: u32 = 11_000;
     const RUNS: u32 = 80;
@@ -29,7 +29,7 @@
     }
 }
 
-/// Listens on a port of this run.
+/// Listens on a port from this test process's own range.
 pub(crate) fn listen() -> TcpListener {
     let bound = bind();
     bound.set_nonblocking(true).unwrap();
--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -1,4 +1,4 @@
-//! The gateway as a process of its own.
+//! Starts and signals a gateway process.
 
 use std::fs;
 use std::io;
@@ -6,7 +6,7 @@
 use std::path;
 use std::process;
 
-/// Where a process listens.
+/// Listen addresses of a process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ports {
     pub(crate) front: net::SocketAddr,
@@ -17,7 +17,7 @@
 }
 
 impl Ports {
-    /// Five ports that are free now.
+    /// Picks five ports that are currently free.
     pub(crate) fn free() -> Self {
         let held: Vec<net::TcpListener> = (0..5).map(|_| super::bind()).collect();
         let addr = |n: usize| held[n].local_addr().unwrap();
@@ -31,7 +31,7 @@
     }
 }
 
-/// What a process is started with.
+/// Settings of a process to start.
 #[derive(Clone, Debug)]
 pub(crate) struct Start {
     pub(crate) program: path::PathBuf,
@@ -41,7 +41,7 @@
     pub(crate) ports: Ports,
     pub(crate) store: net::SocketAddr,
     pub(crate) seeds: Vec<net::SocketAddr>,
-    /// Whether all start for the first time.
+    /// Whether this is the first start of the whole system.
     pub(crate) bootstrap: bool,
 }
 
@@ -89,7 +89,7 @@
         )
     }
 
-    /// Starts the process. Its lines go to a file named after it.
+    /// Starts the process with its log in `<node>.log`.
     pub(crate) fn spawn(&self) -> io::Result<Gateway> {
         let log = fs::OpenOptions::new()
             .create(true)
@@ -98,7 +98,7 @@
         self.spawn_to(log.into())
     }
 
-    /// Starts the process with its lines going there.
+    /// Starts the process with its log sent to `lines`.
     pub(crate) fn spawn_to(&self, lines: process::Stdio) -> io::Result<Gateway> {
         let settings = self.dir.join(format!("{}.toml", self.node));
         fs::write(&settings, self.settings())?;
@@ -111,7 +111,7 @@
     }
 }
 
-/// A running process, ended when dropped.
+/// A running process, killed on drop.
 #[derive(Debug)]
 pub(crate) struct Gateway {
     pub(crate) child: process::Child,
@@ -121,7 +121,7 @@
     pub(crate) fn signal(&self, signal: rustix::process::Signal) {
         let id = i32::try_from(self.child.id()).unwrap();
         let pid = rustix::process::Pid::from_raw(id).unwrap();
-        // A process that has just ended by itself cannot be signalled, and need not be.
+        // Fails if the process has already exited, which is fine.
         let _ = rustix::process::kill_process(pid, signal);
     }
 
@@ -132,7 +132,7 @@
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        // Both fail only where it has ended already.
+        // Both fail only if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on the loopback interface that delays, cuts, silences or resets what passes through.
+//! A TCP proxy on the loopback interface that delays or drops data or resets connections.
 
 use std::cell;
 use std::net;
@@ -9,23 +9,23 @@
 use tokio::net::TcpStream;
 use tokio::task;
 
-/// What a proxy does to what passes.
+/// Fault that a proxy injects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Harm {
-    /// Nothing.
+    /// Forwards unchanged.
     #[default]
     None,
-    /// Each piece waits so long.
+    /// Delays each piece of data.
     Delay(time::Duration),
-    /// What comes from the dialler is dropped.
+    /// Drops data from the client.
     DropsRequests,
-    /// What comes from the other side is dropped.
+    /// Drops data from the server.
     DropsAnswers,
-    /// Connections are reset.
+    /// Resets connections.
     Resets,
 }
 
-/// A proxy in front of one address.
+/// A proxy in front of one server address.
 #[derive(Clone, Debug)]
 pub(crate) struct Proxy {
     pub(crate) addr: net::SocketAddr,
@@ -75,7 +75,7 @@
 }
 
 fn reset(stream: &TcpStream) {
-    // A socket that is gone already needs no reset.
+    // Fails only if the socket is already closed.
     let _ = socket2::SockRef::from(stream).set_linger(Some(time::Duration::ZERO));
 }
 
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store as its published protocol describes it, with the ways in which it fails.
+//! A simulated platform store that implements the published protocol, with fault injection.
 
 use std::cell;
 use std::collections;
@@ -13,17 +13,17 @@
 use tokio::sync::{Notify, watch};
 use tokio::task;
 
-/// How the store serves.
+/// How the store responds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// As it should.
+    /// Responds normally.
     #[default]
     Up,
-    /// It does not answer.
+    /// Never responds.
     Silent,
-    /// It refuses everything.
+    /// Refuses every call with 503.
     Busy,
-    /// It does what it is asked, and the answer is lost.
+    /// Performs writes but drops their responses.
     LosesAnswers,
 }
 
@@ -45,7 +45,7 @@
     items: collections::BTreeMap<String, Item>,
     events: Vec<(u64, String, Option<Item>)>,
     revision: u64,
-    /// History up to here is gone.
+    /// Events up to this revision were discarded.
     forgotten: u64,
     leases: collections::BTreeMap<u64, Lease>,
     next_lease: u64,
@@ -96,7 +96,7 @@
     }
 }
 
-/// The store.
+/// A running store.
 #[derive(Clone, Debug)]
 pub(crate) struct Store {
     inner: rc::Rc<cell::RefCell<Inner>>,
@@ -105,7 +105,7 @@
 }
 
 impl Store {
-    /// Starts one on the current thread.
+    /// Starts a store on the current thread.
     pub(crate) fn start() -> Self {
         let listener = super::listen();
         let store = Self {
@@ -140,7 +140,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Drops all history, so that watches from before must begin anew.
+    /// Discards all past events, so that watches from earlier revisions fail with 410.
     pub(crate) fn forget_history(&self) {
         let mut inner = self.inner.borrow_mut();
         inner.forgotten = inner.revision;
@@ -163,7 +163,7 @@
             .collect()
     }
 
-    /// Writes as operators and backend servers do.
+    /// Writes a JSON value without a lease, as operators and backend servers do.
     pub(crate) fn write(&self, key: &str, value: &Value) {
         self.write_text(
             key,
@@ -171,7 +171,7 @@
         );
     }
 
-    /// Writes a value as it is to stand on the wire.
+    /// Writes a value in its wire form, without encoding it.
     pub(crate) fn write_text(&self, key: &str, text: String) {
         self.inner.borrow_mut().put(key, text, 0);
         self.changed.notify_waiters();
@@ -225,7 +225,7 @@
     }
 
     fn range(&self, target: &str) -> callers::Answer {
-        /// So few that a list needs several pages.
+        /// Items per page; small, so that a range read takes several pages.
         const PAGE: usize = 4;
         let inner = self.inner.borrow();
         let prefix = query(target, "prefix").unwrap_or_default();
@@ -270,7 +270,7 @@
                     );
                 }
             }
-            // Whether told or out of time, the loop looks again.
+            // The loop checks again after a change as well as after the timeout.
             let _ = tokio::time::timeout_at(until.into(), changed).await;
         }
     }
