--- a/tests/platform/decoding.rs
+++ b/tests/platform/decoding.rs
@@ -26,7 +26,7 @@
 "#;
 
 #[test]
-fn settings_become_our_own() {
+fn settings_are_parsed() {
     let settings = settings::parse(SETTINGS).unwrap();
     assert_eq!(settings.gateway.vm.as_str(), "vm-1");
     assert_eq!(settings.gateway.regions.len(), 2);
@@ -38,10 +38,10 @@
     assert!(settings.directory.is_none());
     assert!(!settings.gateway.first_start);
     assert_eq!(settings.dead_vm_ttl, time::Duration::from_secs(3));
-    let more = SETTINGS
+    let with_first_start = SETTINGS
         .replace("bounds = [", "bounds = [\"stability_window_s=6\",")
         .replace("seeds =", "bootstrap = true\nseeds =");
-    let settings = settings::parse(&more).unwrap();
+    let settings = settings::parse(&with_first_start).unwrap();
     assert!(settings.gateway.first_start);
     assert_eq!(settings.dead_vm_ttl, time::Duration::from_secs(9));
 }
@@ -49,7 +49,7 @@
 /// The file is truncated, since the platform is still writing it, or lacks a field. The error must
 /// name the field, so that an operator can find the cause.
 #[test]
-fn settings_that_are_not_whole_say_what_is_missing() {
+fn errors_of_incomplete_settings_name_the_missing_field() {
     let without = |line: &str| SETTINGS.replace(line, "");
     let err = settings::parse(&without("zone = \"az-a\"\n")).unwrap_err();
     assert!(err.contains("zone"), "{err}");
@@ -67,7 +67,7 @@
 "limits":{"header_bytes":16384,"body_bytes":67108864,"header_timeout_s":3,"idle_timeout_s":15}}"#;
 
 #[test]
-fn a_configuration_becomes_a_table_of_routes() {
+fn a_configuration_decodes_to_a_route_table() {
     let table = decode::config(CONFIG.as_bytes()).unwrap();
     assert_eq!(table.version, 0x1c);
     let long = table.select("a.example:80", "/x/y/z").unwrap();
@@ -100,7 +100,7 @@
 /// An invalid configuration must be rejected as a whole. If it were applied in part, routes would be
 /// missing and callers would get 404.
 #[test]
-fn a_configuration_that_cannot_be_read_is_refused_whole() {
+fn an_invalid_configuration_is_rejected_as_a_whole() {
     let bad = [
         CONFIG.replace("0000001c", "vier"),
         CONFIG.replace("\"timeout_s\":2,", "\"timeout_s\":-2,"),
@@ -149,14 +149,14 @@
 /// Entry VMs keep the configuration and send it to one another. Neither their traffic nor a memory
 /// dump may reveal a customer's key.
 #[test]
-fn no_key_is_kept_or_passed_on() {
+fn keys_are_neither_kept_nor_forwarded() {
     let text =
         with_customers(&json!([{"name": "pilots", "keys": ["qrh4jcda9rgy35", "xsr7i427eya6"]}]));
-    let kept = String::from_utf8(decode::hash_keys(text.as_bytes())).unwrap();
+    let hashed = String::from_utf8(decode::hash_keys(text.as_bytes())).unwrap();
     for key in ["qrh4jcda9rgy35", "xsr7i427eya6"] {
-        assert!(!kept.contains(key));
+        assert!(!hashed.contains(key));
     }
-    assert!(kept.contains("pilots"));
+    assert!(hashed.contains("pilots"));
     // Invalid JSON may contain a key anywhere.
     assert!(decode::hash_keys(&text.as_bytes()[..text.len() - 1]).is_empty());
     // A key that is not a digest is rejected, and the error does not contain it.
@@ -170,7 +170,7 @@
 /// Customers that are contradictory or of the wrong type must be rejected as a whole. If they were
 /// applied in part, a customer would be missing and its callers rejected.
 #[test]
-fn customers_that_cannot_be_read_are_refused_whole() {
+fn invalid_customers_are_rejected_as_a_whole() {
     let bad = [
         json!([{"name": "a", "keys": ["k"]}, {"name": "b", "keys": ["k"]}]),
         json!([{"name": "a", "keys": []}, {"name": "a", "keys": []}]),
@@ -228,7 +228,7 @@
 /// Another program writes under a backend server's key: a field is missing, of the wrong type or has
 /// an unknown value. The rest of the record must not be used as a backend server's address.
 #[test]
-fn an_entry_of_another_writer_is_no_backend_server() {
+fn a_record_of_another_program_is_rejected() {
     let entry = json!({"service": "s1", "addr": "10.1.1.1:80", "zone": "az-a", "version": "v1", "slots": 3,
         "state": "ready", "cold_left_s": 1.5, "seq": 9, "born": 1_790_000_000_123_u64});
     let decode =
@@ -266,7 +266,7 @@
 
 /// Decoding arbitrary bytes from the store must not panic.
 #[test]
-fn no_bytes_end_a_decoder() {
+fn arbitrary_bytes_do_not_panic_a_decoder() {
     use rand::{RngExt, SeedableRng};
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(11);
     let entry = r#"{"service":"s1","addr":"10.1.1.1:80","zone":"z","version":"v1","slots":3,"state":"ready","cold_left_s":0,"seq":1}"#;
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn the_platforms_names_are_those_of_its_pages() {
+fn wire_names_match_the_platforms_documentation() {
     assert_eq!(names::FIELDS.id, "Bulrushwind-Try-Id");
     assert_eq!(names::SETTINGS, "BULRUSHWIND_SETTINGS");
 }
--- a/tests/platform/entries.rs
+++ b/tests/platform/entries.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use bulrushwind::gateway::{self, mirror as following, place};
+use bulrushwind::gateway::{self, mirror as store_mirror, place};
 use bulrushwind::id;
 use bulrushwind::logging;
 use bulrushwind::platform::feed;
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 use tokio::task;
 
-use super::processes::{LONG, config, play};
+use super::processes::{TEST_TIMEOUT, config, run_scenario};
 use super::support::store;
 
 fn entry() -> Value {
@@ -19,7 +19,7 @@
 }
 
 /// Whether the gateway can select the named backend server.
-fn gets_work(cx: &gateway::Gateway, name: &str) -> bool {
+fn is_selectable(cx: &gateway::Gateway, name: &str) -> bool {
     let service = id::ServiceId::from("svc");
     let others: Vec<id::VmId> = ["i-0", "i-1", "i-2"]
         .into_iter()
@@ -38,10 +38,10 @@
     cx.place(&need).is_ok()
 }
 
-async fn until(what: &str, holds: impl Fn() -> bool) {
+async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let begun = time::Instant::now();
-    while !holds() {
-        assert!(begun.elapsed() < LONG, "never: {what}");
+    while !condition() {
+        assert!(begun.elapsed() < TEST_TIMEOUT, "never: {what}");
         tokio::time::sleep(time::Duration::from_millis(20)).await;
     }
 }
@@ -50,8 +50,8 @@
 /// list. Requests must not be sent to these addresses, which may now belong to other programs. The bad
 /// values must not make the rest of the store's response, such as a change of routes, unreadable.
 #[test]
-fn an_unreadable_entry_names_no_backend_server_and_hides_no_other_news() {
-    play(async || {
+fn an_unreadable_record_disables_its_backend_server_and_hides_no_other_change() {
+    run_scenario(async || {
         let store = store::Store::start();
         store.write("op/config", &config(1, &["/read/"]));
         for name in ["i-0", "i-1", "i-2"] {
@@ -59,39 +59,39 @@
         }
         let cx = gateway::Gateway::new(gateway::Config::default(), logging::silent());
         let source = feed::Feed::new(cx.clone(), store.addr);
-        task::spawn_local(following::Mirror::new(cx.clone()).run(source, Vec::new()));
-        until("all are known", || gets_work(&cx, "i-2")).await;
+        task::spawn_local(store_mirror::Mirror::new(cx.clone()).run(source, Vec::new()));
+        wait_until("all are known", || is_selectable(&cx, "i-2")).await;
         store.write_text("servers/i-0", "%%%".to_owned());
         store.write("servers/i-1", &json!(["other"]));
         store.write("op/config", &config(2, &["/read/", "/more/"]));
-        until("the routes change", || {
+        wait_until("the routes change", || {
             cx.table().is_some_and(|table| table.version == 2)
         })
         .await;
-        assert!(!gets_work(&cx, "i-0"));
-        assert!(!gets_work(&cx, "i-1"));
-        assert!(gets_work(&cx, "i-2"));
+        assert!(!is_selectable(&cx, "i-0"));
+        assert!(!is_selectable(&cx, "i-1"));
+        assert!(is_selectable(&cx, "i-2"));
         store.write("servers/i-0", &entry());
-        until("it is listed again", || gets_work(&cx, "i-0")).await;
+        wait_until("it is listed again", || is_selectable(&cx, "i-0")).await;
     });
 }
 
 /// An entry VM that reads the store forwards only changes to its followers. An entry that becomes
 /// unreadable must count as a change, or followers would continue to use that backend server.
 #[test]
-fn an_unreadable_entry_is_news_for_those_who_follow() {
+fn an_unreadable_record_counts_as_a_change_for_followers() {
     let cx = gateway::Gateway::new(gateway::Config::default(), logging::silent());
     let source = feed::Feed::new(cx.clone(), "127.0.0.1:1".parse().unwrap());
     let record = |value: &str| mirror::Record {
         key: "servers/i-0".to_owned(),
         value: Some(value.to_owned().into()),
     };
-    let apply = |value: &str| following::Source::apply(&source, &record(value));
+    let apply = |value: &str| store_mirror::Source::apply(&source, &record(value));
     assert!(apply(&entry().to_string()));
     assert!(
         !apply(&entry().to_string()),
         "an unchanged record is not a change"
     );
     assert!(apply("{}"));
-    assert!(!gets_work(&cx, "i-0"));
+    assert!(!is_selectable(&cx, "i-0"));
 }
--- a/tests/platform/explaining.rs
+++ b/tests/platform/explaining.rs
@@ -7,7 +7,9 @@
 
 use serde_json::json;
 
-use super::processes::{LONG, Scene, ask, ask_with, config, play, until_status};
+use super::processes::{
+    Scene, TEST_TIMEOUT, config, get, get_with_headers, run_scenario, wait_for_status,
+};
 use super::support::store;
 
 /// Output of `bulrushwind explain` for a request.
@@ -21,26 +23,26 @@
 }
 
 /// Waits until the explanation of a request contains all `wanted` texts in this order.
-async fn until_told(scene: &Scene, request: &str, wanted: &[&str]) {
+async fn wait_for_explanation(scene: &Scene, request: &str, wanted: &[&str]) {
     let begun = time::Instant::now();
     loop {
-        let story = explain(scene, request);
-        let mut rest = story.as_str();
-        let told = wanted.iter().all(|text| match rest.find(text) {
+        let explanation = explain(scene, request);
+        let mut remaining = explanation.as_str();
+        let all_found = wanted.iter().all(|text| match remaining.find(text) {
             Some(at) => {
-                rest = &rest[at..];
+                remaining = &remaining[at..];
                 true
             }
             None => false,
         });
-        if told {
-            println!("{story}");
+        if all_found {
+            println!("{explanation}");
             return;
         }
         let log = || fs::read_to_string(scene.dir.path().join("vm-1.log")).unwrap_or_default();
         assert!(
-            begun.elapsed() < LONG,
-            "{wanted:?} is not explained:\n{story}\nof\n{}",
+            begun.elapsed() < TEST_TIMEOUT,
+            "{wanted:?} is not explained:\n{explanation}\nof\n{}",
             log()
         );
         tokio::time::sleep(time::Duration::from_millis(50)).await;
@@ -49,19 +51,19 @@
 
 /// All availability zones are evacuated, so a request is refused although the backend servers are idle.
 #[test]
-fn a_request_that_was_refused_while_backend_servers_stood_free() {
-    play(|| async {
+fn a_request_refused_while_backend_servers_were_idle() {
+    run_scenario(|| async {
         let scene = Scene::new();
         let (ports, _gateway) = scene.start("vm-1", scene.store.addr, &[]);
-        until_status(ports.front, "/read/a", 200).await;
+        wait_for_status(ports.front, "/read/a", 200).await;
         for az in ["az-a", "az-b", "az-c"] {
             scene
                 .store
                 .write(&format!("op/evacuate/{az}"), &serde_json::json!({}));
         }
-        until_status(ports.front, "/read/a", 503).await;
+        wait_for_status(ports.front, "/read/a", 503).await;
         assert_eq!(
-            ask(ports.front, "/read/a", "refused-1").await.unwrap().0,
+            get(ports.front, "/read/a", "refused-1").await.unwrap().0,
             503
         );
         let wanted = [
@@ -71,19 +73,19 @@
             "fate=not_run",
             "why=no usable backend server",
         ];
-        until_told(&scene, "refused-1", &wanted).await;
+        wait_for_explanation(&scene, "refused-1", &wanted).await;
     });
 }
 
 /// The response to a non-idempotent request is lost, so it is unknown whether the request ran.
 #[test]
 fn a_booking_whose_outcome_is_unknown() {
-    play(|| async {
+    run_scenario(|| async {
         let scene = Scene::new();
         let (ports, _gateway) = scene.start("vm-1", scene.store.addr, &[]);
-        until_status(ports.front, "/read/a", 200).await;
+        wait_for_status(ports.front, "/read/a", 200).await;
         scene.backends.iter().for_each(|b| b.loses.set(true));
-        let (status, _) = ask(ports.front, "/book/a", "unknown-1").await.unwrap();
+        let (status, _) = get(ports.front, "/book/a", "unknown-1").await.unwrap();
         assert_eq!(status, 504);
         let wanted = [
             "request: ",
@@ -92,61 +94,63 @@
             "sends=1",
             "why=time is up",
         ];
-        until_told(&scene, "unknown-1", &wanted).await;
+        wait_for_explanation(&scene, "unknown-1", &wanted).await;
     });
 }
 
 /// The store refuses this VM's calls and all backend servers become slow, so a read completes late.
 #[test]
-fn a_read_that_came_late() {
-    play(|| async {
+fn a_late_read() {
+    run_scenario(|| async {
         let scene = Scene::new();
         let (ports, _gateway) = scene.start("vm-1", scene.store.addr, &[]);
-        until_status(ports.front, "/read/a", 200).await;
+        wait_for_status(ports.front, "/read/a", 200).await;
         scene.store.set_mode(store::Mode::Busy);
         let begun = time::Instant::now();
         while !fs::read_to_string(scene.dir.path().join("vm-1.log"))
             .unwrap()
             .contains("store does not serve")
         {
-            assert!(begun.elapsed() < LONG);
+            assert!(begun.elapsed() < TEST_TIMEOUT);
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
         scene
             .backends
             .iter()
             .for_each(|b| b.delay(time::Duration::from_millis(1300)));
-        let (status, _) = ask(ports.front, "/read/a", "late-1").await.unwrap();
+        let (status, _) = get(ports.front, "/read/a", "late-1").await.unwrap();
         assert_eq!(status, 200);
         let wanted = ["store does not serve: ", "request: ", "fate=late"];
-        until_told(&scene, "late-1", &wanted).await;
+        wait_for_explanation(&scene, "late-1", &wanted).await;
     });
 }
 
-const KEY: &str = "Bulrushwind-Key: right-secret-1\r\n";
+const KEY_HEADER: &str = "Bulrushwind-Key: right-secret-1\r\n";
 
 /// A scene with one customer, whose quota allows a few requests.
-async fn with_customer() -> (Scene, std::net::SocketAddr, impl Sized) {
+async fn scene_with_customer() -> (Scene, std::net::SocketAddr, impl Sized) {
     let scene = Scene::new();
     let (ports, gateway) = scene.start("vm-1", scene.store.addr, &[]);
-    until_status(ports.front, "/read/a", 200).await;
+    wait_for_status(ports.front, "/read/a", 200).await;
     let mut config = config(9, &["/read/"]);
     config["tenants"] = json!([
         {"name": "pilots", "keys": ["right-secret-1"], "rate_per_s": 0.2, "burst": 1},
     ]);
     scene.store.write("op/config", &config);
-    until_status(ports.front, "/read/a", 401).await;
+    wait_for_status(ports.front, "/read/a", 401).await;
     (scene, ports.front, gateway)
 }
 
 /// A caller is rejected since its key belongs to no customer. The log must name the cause but not
 /// contain the key, since many people can read logs.
 #[test]
-fn a_caller_whose_key_nobody_holds() {
-    play(|| async {
-        let (scene, front, _gateway) = with_customer().await;
-        let wrong = "Bulrushwind-Key: wrong-secret-1\r\n";
-        let (status, _) = ask_with(front, "/read/a", "away-1", wrong).await.unwrap();
+fn a_caller_with_an_unknown_key() {
+    run_scenario(|| async {
+        let (scene, front, _gateway) = scene_with_customer().await;
+        let wrong_key_header = "Bulrushwind-Key: wrong-secret-1\r\n";
+        let (status, _) = get_with_headers(front, "/read/a", "away-1", wrong_key_header)
+            .await
+            .unwrap();
         assert_eq!(status, 401);
         let wanted = [
             "routes: ",
@@ -154,9 +158,12 @@
             "turned away: ",
             "why=no customer has the key",
         ];
-        until_told(&scene, "away-1", &wanted).await;
+        wait_for_explanation(&scene, "away-1", &wanted).await;
         assert_eq!(
-            ask_with(front, "/read/a", "in-1", KEY).await.unwrap().0,
+            get_with_headers(front, "/read/a", "in-1", KEY_HEADER)
+                .await
+                .unwrap()
+                .0,
             200
         );
         let log = fs::read_to_string(scene.dir.path().join("vm-1.log")).unwrap();
@@ -167,15 +174,15 @@
 /// A customer's requests are refused beyond its quota. The explanation must show the limit and the count.
 #[test]
 fn a_request_beyond_its_customers_quota() {
-    play(|| async {
-        let (scene, front, _gateway) = with_customer().await;
+    run_scenario(|| async {
+        let (scene, front, _gateway) = scene_with_customer().await;
         let begun = time::Instant::now();
-        while ask_with(front, "/read/a", "beyond-1", KEY)
+        while get_with_headers(front, "/read/a", "beyond-1", KEY_HEADER)
             .await
             .map(|(s, _)| s)
             != Some(429)
         {
-            assert!(begun.elapsed() < LONG, "never refused");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "never refused");
         }
         let wanted = [
             "beyond quota: ",
@@ -184,6 +191,6 @@
             "own=1",
             "version=9",
         ];
-        until_told(&scene, "beyond-1", &wanted).await;
+        wait_for_explanation(&scene, "beyond-1", &wanted).await;
     });
 }
--- a/tests/platform/processes.rs
+++ b/tests/platform/processes.rs
@@ -15,15 +15,15 @@
 
 use super::support::{backend, process, proxy, store};
 
-pub(crate) const LONG: time::Duration = time::Duration::from_secs(30);
+pub(crate) const TEST_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-pub(crate) fn play<F: Future<Output = ()>>(scene: impl FnOnce() -> F) {
+pub(crate) fn run_scenario<F: Future<Output = ()>>(scene: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     task::LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(LONG * 2, scene())
+        tokio::time::timeout(TEST_TIMEOUT * 2, scene())
             .await
             .expect("the scenario did not end in time");
     });
@@ -75,7 +75,7 @@
         }
     }
 
-    fn starting(
+    fn options(
         &self,
         node: &str,
         store: net::SocketAddr,
@@ -99,28 +99,28 @@
         store: net::SocketAddr,
         seeds: &[net::SocketAddr],
     ) -> (process::Ports, process::Gateway) {
-        let start = self.starting(node, store, seeds);
-        (start.ports, start.spawn().unwrap())
+        let options = self.options(node, store, seeds);
+        (options.ports, options.spawn().unwrap())
     }
 }
 
 /// Sends a GET request and returns the response's status and body; `None` without a response.
-pub(crate) async fn ask(addr: net::SocketAddr, target: &str, id: &str) -> Option<(u16, String)> {
-    ask_with(addr, target, id, "").await
+pub(crate) async fn get(addr: net::SocketAddr, target: &str, id: &str) -> Option<(u16, String)> {
+    get_with_headers(addr, target, id, "").await
 }
 
-/// Like `ask`, with additional header lines.
-pub(crate) async fn ask_with(
+/// Like `get`, with additional header lines.
+pub(crate) async fn get_with_headers(
     addr: net::SocketAddr,
     target: &str,
     id: &str,
-    lines: &str,
+    headers: &str,
 ) -> Option<(u16, String)> {
     let text = format!(
-        "GET {target} HTTP/1.1\r\nHost: example.test\r\n{}: {id}\r\n{}: 4000\r\n{lines}\r\n",
+        "GET {target} HTTP/1.1\r\nHost: example.test\r\n{}: {id}\r\n{}: 4000\r\n{headers}\r\n",
         FIELDS.id, FIELDS.timeout_ms
     );
-    let mut wire = socket::Wire::connect(addr, LONG).await.ok()?;
+    let mut wire = socket::Wire::connect(addr, TEST_TIMEOUT).await.ok()?;
     let mut payload = upstream::Payload::Whole(bytes::Bytes::new());
     let tag = upstream::Tag {
         field: FIELDS.id,
@@ -141,29 +141,32 @@
     ))
 }
 
-pub(crate) async fn until_status(addr: net::SocketAddr, target: &str, status: u16) {
+pub(crate) async fn wait_for_status(addr: net::SocketAddr, target: &str, status: u16) {
     let begun = time::Instant::now();
-    while ask(addr, target, "r").await.map(|(s, _)| s) != Some(status) {
-        assert!(begun.elapsed() < LONG, "{target} never answers {status}");
+    while get(addr, target, "r").await.map(|(s, _)| s) != Some(status) {
+        assert!(
+            begun.elapsed() < TEST_TIMEOUT,
+            "{target} never answers {status}"
+        );
         tokio::time::sleep(time::Duration::from_millis(30)).await;
     }
 }
 
 #[test]
-fn a_process_registers_serves_follows_the_configuration_and_leaves() {
-    play(|| async {
+fn a_process_registers_serves_follows_the_configuration_and_deregisters() {
+    run_scenario(|| async {
         let scene = Scene::new();
         let (ports, mut gateway) = scene.start("vm-1", scene.store.addr, &[]);
-        until_status(ports.ready, "/ready", 200).await;
-        let (status, body) = ask(ports.front, "/read/a", "r1").await.unwrap();
+        wait_for_status(ports.ready, "/ready", 200).await;
+        let (status, body) = get(ports.front, "/read/a", "r1").await.unwrap();
         assert_eq!((status, body.as_str()), (200, "answer to r1"));
-        assert_eq!(ask(ports.front, "/new/a", "r2").await.unwrap().0, 404);
+        assert_eq!(get(ports.front, "/new/a", "r2").await.unwrap().0, 404);
         scene
             .store
             .write("op/config", &config(2, &["/read/", "/new/"]));
-        until_status(ports.front, "/new/a", 200).await;
-        assert_eq!(ask(ports.front, "/book/a", "r3").await.unwrap().0, 404);
-        let (status, body) = ask(
+        wait_for_status(ports.front, "/new/a", 200).await;
+        assert_eq!(get(ports.front, "/book/a", "r3").await.unwrap().0, 404);
+        let (status, body) = get(
             ports.directory,
             "/resolve?name=x&region=north&zone=az-a",
             "d",
@@ -174,13 +177,13 @@
         assert!(body.contains(&ports.front.to_string()), "{body}");
         let begun = time::Instant::now();
         while scene.store.keys("bulrushwind/entry/").is_empty() {
-            assert!(begun.elapsed() < LONG, "never registered");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "never registered");
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
         gateway.signal(rustix::process::Signal::TERM);
-        until_status(ports.ready, "/ready", 503).await;
+        wait_for_status(ports.ready, "/ready", 503).await;
         while !scene.store.keys("bulrushwind/entry/").is_empty() || !gateway.has_ended() {
-            assert!(begun.elapsed() < LONG, "never left");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "never left");
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
     });
@@ -189,52 +192,52 @@
 /// The store does not respond or refuses all calls, and then compacts its history. Requests must
 /// succeed during the outage, and changes made meanwhile must take effect afterwards.
 #[test]
-fn a_process_outlives_its_store_and_catches_up() {
+fn a_process_serves_during_a_store_outage_and_catches_up() {
     for mode in [store::Mode::Silent, store::Mode::Busy] {
-        play(|| async {
+        run_scenario(|| async {
             let scene = Scene::new();
             let (ports, _gateway) = scene.start("vm-1", scene.store.addr, &[]);
-            until_status(ports.ready, "/ready", 200).await;
+            wait_for_status(ports.ready, "/ready", 200).await;
             scene.store.set_mode(mode);
             scene.store.write("op/config", &config(2, &["/new/"]));
             scene.store.forget_history();
             for n in 0..20 {
-                let (status, _) = ask(ports.front, "/read/a", &format!("r{n}")).await.unwrap();
+                let (status, _) = get(ports.front, "/read/a", &format!("r{n}")).await.unwrap();
                 assert_eq!(status, 200);
             }
             scene.store.set_mode(store::Mode::Up);
-            until_status(ports.front, "/new/a", 200).await;
+            wait_for_status(ports.front, "/new/a", 200).await;
         });
     }
 }
 
 /// An entry VM starts while it cannot reach the store and reads the records from another entry VM.
 #[test]
-fn a_process_that_starts_without_the_store_learns_from_another() {
-    play(|| async {
+fn a_process_that_starts_without_the_store_reads_from_another_vm() {
+    run_scenario(|| async {
         let scene = Scene::new();
         let (first, _gateway) = scene.start("vm-1", scene.store.addr, &[]);
-        until_status(first.ready, "/ready", 200).await;
-        let cut = proxy::Proxy::start(scene.store.addr);
-        cut.set(proxy::Harm::Resets);
-        let (second, _other) = scene.start("vm-2", cut.addr, &[first.control]);
-        until_status(second.front, "/read/a", 200).await;
-        cut.set(proxy::Harm::None);
+        wait_for_status(first.ready, "/ready", 200).await;
+        let store_proxy = proxy::Proxy::start(scene.store.addr);
+        store_proxy.set(proxy::Harm::Resets);
+        let (second, _other) = scene.start("vm-2", store_proxy.addr, &[first.control]);
+        wait_for_status(second.front, "/read/a", 200).await;
+        store_proxy.set(proxy::Harm::None);
         scene.store.write("op/config", &config(2, &["/new/"]));
-        until_status(second.front, "/new/a", 200).await;
+        wait_for_status(second.front, "/new/a", 200).await;
     });
 }
 
 /// One of two entry VMs of a region follows the other, which keeps the load on the store low. After
 /// the followed VM is killed, the follower must read the store itself.
 #[test]
-fn one_follows_the_other_and_turns_to_the_store_when_that_dies() {
-    play(|| async {
+fn a_follower_reads_the_store_when_the_followed_vm_dies() {
+    run_scenario(|| async {
         let scene = Scene::new();
         let (first, gateway) = scene.start("vm-1", scene.store.addr, &[]);
         let (second, other) = scene.start("vm-2", scene.store.addr, &[]);
-        until_status(first.ready, "/ready", 200).await;
-        until_status(second.ready, "/ready", 200).await;
+        wait_for_status(first.ready, "/ready", 200).await;
+        wait_for_status(second.ready, "/ready", 200).await;
         let follows = |node: &str| {
             let log = std::fs::read_to_string(scene.dir.path().join(format!("{node}.log")))
                 .unwrap_or_default();
@@ -242,18 +245,18 @@
         };
         let begun = time::Instant::now();
         while !follows("vm-1") && !follows("vm-2") {
-            assert!(begun.elapsed() < LONG, "neither follows the other");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "neither follows the other");
             tokio::time::sleep(time::Duration::from_millis(50)).await;
         }
-        let (left, follower) = match follows("vm-1") {
+        let (followed, follower) = match follows("vm-1") {
             true => (other, first),
             false => (gateway, second),
         };
         scene.store.write("op/config", &config(2, &["/two/"]));
-        until_status(follower.front, "/two/a", 200).await;
-        drop(left);
+        wait_for_status(follower.front, "/two/a", 200).await;
+        drop(followed);
         scene.store.write("op/config", &config(3, &["/three/"]));
-        until_status(follower.front, "/three/a", 200).await;
+        wait_for_status(follower.front, "/three/a", 200).await;
         assert!(scene.store.calls() > 0);
     });
 }
@@ -261,37 +264,37 @@
 /// Guards against a VM without the store that contacts its seeds only once and so never reads from a
 /// seed that starts later.
 #[test]
-fn a_process_without_the_store_learns_from_one_that_starts_later() {
-    play(|| async {
+fn a_process_without_the_store_reads_from_a_seed_that_starts_later() {
+    run_scenario(|| async {
         let scene = Scene::new();
-        let cut = proxy::Proxy::start(scene.store.addr);
-        cut.set(proxy::Harm::Resets);
-        let first = scene.starting("vm-1", scene.store.addr, &[]);
-        let (second, _other) = scene.start("vm-2", cut.addr, &[first.ports.control]);
-        until_status(second.ready, "/ready", 503).await;
+        let store_proxy = proxy::Proxy::start(scene.store.addr);
+        store_proxy.set(proxy::Harm::Resets);
+        let first = scene.options("vm-1", scene.store.addr, &[]);
+        let (second, _other) = scene.start("vm-2", store_proxy.addr, &[first.ports.control]);
+        wait_for_status(second.ready, "/ready", 503).await;
         let _gateway = first.spawn().unwrap();
-        until_status(first.ports.ready, "/ready", 200).await;
-        until_status(second.front, "/read/a", 200).await;
+        wait_for_status(first.ports.ready, "/ready", 200).await;
+        wait_for_status(second.front, "/read/a", 200).await;
     });
 }
 
 /// Guards against a first start of the system at which every VM reads all records from the store.
 #[test]
-fn vms_that_start_for_the_first_time_wait_for_the_first_of_them() {
-    play(|| async {
+fn vms_follow_the_first_of_them_on_a_first_start() {
+    run_scenario(|| async {
         let scene = Scene::new();
         let names = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5", "vm-6"];
         let started = names.map(|node| {
-            let start = process::Start {
+            let options = process::Start {
                 bootstrap: true,
-                ..scene.starting(node, scene.store.addr, &[])
+                ..scene.options(node, scene.store.addr, &[])
             };
-            (start.ports, start.spawn().unwrap())
+            (options.ports, options.spawn().unwrap())
         });
         for (ports, _) in &started {
-            until_status(ports.front, "/read/a", 200).await;
+            wait_for_status(ports.front, "/read/a", 200).await;
         }
-        let heard_all = |node: &&&str| {
+        let follows_completely = |node: &&&str| {
             let log = scene.dir.path().join(format!("{node}.log"));
             let log = std::fs::read_to_string(log).unwrap_or_default();
             log.lines()
@@ -299,8 +302,11 @@
         };
         // Two VMs read the store in parallel.
         let begun = time::Instant::now();
-        while names.iter().filter(heard_all).count() < names.len() - 2 {
-            assert!(begun.elapsed() < LONG, "they do not follow the first");
+        while names.iter().filter(follows_completely).count() < names.len() - 2 {
+            assert!(
+                begun.elapsed() < TEST_TIMEOUT,
+                "they do not follow the first"
+            );
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
     });
@@ -309,24 +315,27 @@
 /// A backend server's record is removed while the store is slow, and the server stops once the VM no
 /// longer uses it. No request may fail.
 #[test]
-fn a_backend_server_that_leaves_while_the_store_is_slow_is_left_in_time() {
-    play(|| async {
+fn a_backend_server_removed_while_the_store_is_slow_is_dropped_in_time() {
+    run_scenario(|| async {
         let scene = Scene::new();
-        let slow = proxy::Proxy::start(scene.store.addr);
-        slow.set(proxy::Harm::Delay(time::Duration::from_millis(100)));
-        let (ports, _gateway) = scene.start("vm-1", slow.addr, &[]);
-        until_status(ports.front, "/read/a", 200).await;
-        let gone = &scene.backends[0];
-        scene.store.remove(&format!("servers/{}", gone.id));
+        let store_proxy = proxy::Proxy::start(scene.store.addr);
+        store_proxy.set(proxy::Harm::Delay(time::Duration::from_millis(100)));
+        let (ports, _gateway) = scene.start("vm-1", store_proxy.addr, &[]);
+        wait_for_status(ports.front, "/read/a", 200).await;
+        let removed = &scene.backends[0];
+        scene.store.remove(&format!("servers/{}", removed.id));
         let log = || std::fs::read_to_string(scene.dir.path().join("vm-1.log")).unwrap_or_default();
         let begun = time::Instant::now();
         while !log().contains("\"backend server gone\"") {
-            assert!(begun.elapsed() < LONG, "the backend server is still in use");
+            assert!(
+                begun.elapsed() < TEST_TIMEOUT,
+                "the backend server is still in use"
+            );
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
-        gone.close();
+        removed.close();
         for n in 0..20 {
-            let (status, _) = ask(ports.front, "/read/a", &format!("r{n}")).await.unwrap();
+            let (status, _) = get(ports.front, "/read/a", &format!("r{n}")).await.unwrap();
             assert_eq!(status, 200);
         }
     });
@@ -335,29 +344,29 @@
 /// A configuration with thousands of routes takes seconds over a slow link. With too short a timeout
 /// each retry fails as well, and callers of the new routes get 404.
 #[test]
-fn a_long_configuration_arrives_over_a_narrow_link() {
-    play(|| async {
+fn a_long_configuration_is_read_over_a_slow_link() {
+    run_scenario(|| async {
         let scene = Scene::new();
         let many: Vec<String> = (0..2_000).map(|n| format!("/read/{n}/")).collect();
         let mut prefixes: Vec<&str> = many.iter().map(String::as_str).collect();
         prefixes.push("/late/");
         scene.store.write("op/config", &config(2, &prefixes));
-        let narrow = proxy::Proxy::start(scene.store.addr);
-        narrow.set(proxy::Harm::Delay(time::Duration::from_millis(20)));
-        let (ports, _gateway) = scene.start("vm-1", narrow.addr, &[]);
-        until_status(ports.front, "/late/a", 200).await;
+        let store_proxy = proxy::Proxy::start(scene.store.addr);
+        store_proxy.set(proxy::Harm::Delay(time::Duration::from_millis(20)));
+        let (ports, _gateway) = scene.start("vm-1", store_proxy.addr, &[]);
+        wait_for_status(ports.front, "/late/a", 200).await;
     });
 }
 
 /// The reader of the log pipe stops and the pipe fills up. A process that blocks on log writes would
 /// no longer respond to callers.
 #[test]
-fn a_process_whose_log_nobody_reads_goes_on_serving() {
-    play(|| async {
+fn a_process_with_a_full_log_pipe_continues_to_serve() {
+    run_scenario(|| async {
         let scene = Scene::new();
-        let start = scene.starting("vm-1", scene.store.addr, &[]);
-        let _gateway = start.spawn_to(std::process::Stdio::piped()).unwrap();
-        until_status(start.ports.front, "/read/a", 200).await;
+        let options = scene.options("vm-1", scene.store.addr, &[]);
+        let _gateway = options.spawn_to(std::process::Stdio::piped()).unwrap();
+        wait_for_status(options.ports.front, "/read/a", 200).await;
         // One log line per record, 600 KB in total: more than the pipe and the process's buffer hold.
         for n in 0..3000 {
             let entry = json!({"service": "other", "addr": "127.0.0.1:9", "zone": "az-a", "slots": 1,
@@ -365,9 +374,9 @@
             scene.store.write(&format!("servers/other-{n}"), &entry);
         }
         scene.store.write("op/config", &config(2, &["/new/"]));
-        until_status(start.ports.front, "/new/a", 200).await;
+        wait_for_status(options.ports.front, "/new/a", 200).await;
         for n in 0..20 {
-            let (status, _) = ask(start.ports.front, "/new/a", &format!("r{n}"))
+            let (status, _) = get(options.ports.front, "/new/a", &format!("r{n}"))
                 .await
                 .unwrap();
             assert_eq!(status, 200);
@@ -378,16 +387,16 @@
 /// The responses to the registration's writes are lost, so their outcome is unknown. The VM must still
 /// serve requests, and must end up registered exactly once.
 #[test]
-fn a_registration_whose_answer_is_lost_is_made_good() {
-    play(|| async {
+fn a_registration_with_lost_responses_is_repaired() {
+    run_scenario(|| async {
         let scene = Scene::new();
         scene.store.set_mode(store::Mode::LosesAnswers);
         let (ports, _gateway) = scene.start("vm-1", scene.store.addr, &[]);
-        until_status(ports.front, "/read/a", 200).await;
+        wait_for_status(ports.front, "/read/a", 200).await;
         scene.store.set_mode(store::Mode::Up);
         let begun = time::Instant::now();
         while scene.store.keys("bulrushwind/entry/") != ["bulrushwind/entry/az-a/vm-1"] {
-            assert!(begun.elapsed() < LONG, "never registered");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "never registered");
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
         assert!(scene.backends.iter().all(|b| !b.loses.get()));
--- a/tests/support/backend.rs
+++ b/tests/support/backend.rs
@@ -32,19 +32,19 @@
     pub(crate) service: &'static str,
     pub(crate) zone: &'static str,
     pub(crate) addr: net::SocketAddr,
-    work: rc::Rc<cell::Cell<time::Duration>>,
+    service_time: rc::Rc<cell::Cell<time::Duration>>,
     running: rc::Rc<cell::Cell<u32>>,
     log: rc::Rc<cell::RefCell<Log>>,
     /// When draining began.
-    left: rc::Rc<cell::Cell<Option<time::Instant>>>,
+    drain_started: rc::Rc<cell::Cell<Option<time::Instant>>>,
     /// Whether responses are dropped.
     pub(crate) loses: rc::Rc<cell::Cell<bool>>,
-    accepting: rc::Rc<cell::RefCell<Option<task::JoinHandle<()>>>>,
+    accept_task: rc::Rc<cell::RefCell<Option<task::JoinHandle<()>>>>,
 }
 
 /// Concurrent requests and queued requests per backend server.
 const SLOTS: u32 = 3;
-const QUEUE: u32 = 9;
+const QUEUE_LENGTH: u32 = 9;
 
 /// How long after its draining state was written a backend server may still receive requests.
 pub(crate) const DRAIN: time::Duration = time::Duration::from_millis(2500);
@@ -54,7 +54,7 @@
         id: &str,
         service: &'static str,
         zone: &'static str,
-        work: time::Duration,
+        service_time: time::Duration,
         log: rc::Rc<cell::RefCell<Log>>,
     ) -> Self {
         let listener = super::listen();
@@ -63,21 +63,21 @@
             service,
             zone,
             addr: listener.local_addr().unwrap(),
-            work: rc::Rc::new(cell::Cell::new(work)),
+            service_time: rc::Rc::new(cell::Cell::new(service_time)),
             running: rc::Rc::default(),
             log,
-            left: rc::Rc::default(),
+            drain_started: rc::Rc::default(),
             loses: rc::Rc::default(),
-            accepting: rc::Rc::default(),
+            accept_task: rc::Rc::default(),
         };
         let served = backend.clone();
-        let accepting = task::spawn_local(async move {
+        let accept_task = task::spawn_local(async move {
             let (_stop, stop) = watch::channel(false);
             while let Ok((stream, _)) = listener.accept().await {
                 task::spawn_local(callers::serve(stream, served.clone(), stop.clone()));
             }
         });
-        *backend.accepting.borrow_mut() = Some(accepting);
+        *backend.accept_task.borrow_mut() = Some(accept_task);
         backend
     }
 
@@ -89,19 +89,19 @@
         });
         store.write(&format!("servers/{}", self.id), &entry);
         if state != "ready" {
-            self.left.set(Some(time::Instant::now()));
+            self.drain_started.set(Some(time::Instant::now()));
         }
     }
 
     /// Sets how long each further request runs.
-    pub(crate) fn delay(&self, work: time::Duration) {
-        self.work.set(work);
+    pub(crate) fn delay(&self, service_time: time::Duration) {
+        self.service_time.set(service_time);
     }
 
     /// Stops accepting connections.
     pub(crate) fn close(&self) {
-        if let Some(accepting) = self.accepting.borrow_mut().take() {
-            accepting.abort();
+        if let Some(accept_task) = self.accept_task.borrow_mut().take() {
+            accept_task.abort();
         }
     }
 
@@ -111,21 +111,25 @@
         if fields.text(FIELDS.instance).is_some_and(|i| i != self.id) {
             return self.not_run(421, &id);
         }
-        if self.running.get() >= SLOTS + QUEUE {
+        if self.running.get() >= SLOTS + QUEUE_LENGTH {
             return self.not_run(503, &id);
         }
-        if self.left.get().is_some_and(|at| at.elapsed() > DRAIN) {
-            let what = format!("{id} {}", req.head.target());
-            self.log.borrow_mut().late.push(what);
+        if self
+            .drain_started
+            .get()
+            .is_some_and(|at| at.elapsed() > DRAIN)
+        {
+            let late_request = format!("{id} {}", req.head.target());
+            self.log.borrow_mut().late.push(late_request);
         }
         *self.log.borrow_mut().runs.entry(id.clone()).or_default() += 1;
-        let _running = Running::new(&self.running);
-        tokio::time::sleep(self.work.get()).await;
+        let _running = RunningGuard::new(&self.running);
+        tokio::time::sleep(self.service_time.get()).await;
         if self.loses.get() {
             return std::future::pending().await;
         }
         let mut answer = callers::Answer::bare(200);
-        self.mark(&mut answer, &id);
+        self.put_id_and_load(&mut answer, &id);
         http1::put_field(
             &mut answer.fields,
             FIELDS.proof.as_bytes(),
@@ -137,12 +141,12 @@
 
     fn not_run(&self, status: u16, id: &str) -> callers::Answer {
         let mut answer = callers::Answer::bare(status);
-        self.mark(&mut answer, id);
+        self.put_id_and_load(&mut answer, id);
         http1::put_field(&mut answer.fields, FIELDS.not_run.as_bytes(), b"1");
         answer
     }
 
-    fn mark(&self, answer: &mut callers::Answer, id: &str) {
+    fn put_id_and_load(&self, answer: &mut callers::Answer, id: &str) {
         http1::put_field(&mut answer.fields, FIELDS.id.as_bytes(), id.as_bytes());
         let load = format!("{},0,{SLOTS}", self.running.get());
         http1::put_field(&mut answer.fields, FIELDS.load.as_bytes(), load.as_bytes());
@@ -159,16 +163,16 @@
     }
 }
 
-struct Running(rc::Rc<cell::Cell<u32>>);
+struct RunningGuard(rc::Rc<cell::Cell<u32>>);
 
-impl Running {
+impl RunningGuard {
     fn new(count: &rc::Rc<cell::Cell<u32>>) -> Self {
         count.set(count.get() + 1);
         Self(count.clone())
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -15,14 +15,14 @@
 /// moments, so a gateway of another test process that still dials its old store could reach a
 /// backend server of this one.
 pub(crate) fn bind() -> net::TcpListener {
-    const FIRST: u32 = 11_000;
-    const RUNS: u32 = 80;
-    const EACH: u32 = 250;
-    static NEXT: atomic::AtomicU32 = atomic::AtomicU32::new(0);
-    let base = FIRST + std::process::id() % RUNS * EACH;
+    const FIRST_PORT: u32 = 11_000;
+    const PORT_RANGE_COUNT: u32 = 80;
+    const PORTS_PER_RANGE: u32 = 250;
+    static NEXT_OFFSET: atomic::AtomicU32 = atomic::AtomicU32::new(0);
+    let base = FIRST_PORT + std::process::id() % PORT_RANGE_COUNT * PORTS_PER_RANGE;
     loop {
-        let n = NEXT.fetch_add(1, atomic::Ordering::Relaxed);
-        let port = u16::try_from(base + n % EACH).unwrap();
+        let n = NEXT_OFFSET.fetch_add(1, atomic::Ordering::Relaxed);
+        let port = u16::try_from(base + n % PORTS_PER_RANGE).unwrap();
         if let Ok(bound) = net::TcpListener::bind(("127.0.0.1", port)) {
             return bound;
         }
--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -19,8 +19,8 @@
 impl Ports {
     /// Picks five ports that are currently free.
     pub(crate) fn free() -> Self {
-        let held: Vec<net::TcpListener> = (0..5).map(|_| super::bind()).collect();
-        let addr = |n: usize| held[n].local_addr().unwrap();
+        let listeners: Vec<net::TcpListener> = (0..5).map(|_| super::bind()).collect();
+        let addr = |n: usize| listeners[n].local_addr().unwrap();
         Self {
             front: addr(0),
             ready: addr(1),
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -46,7 +46,7 @@
     events: Vec<(u64, String, Option<Item>)>,
     revision: u64,
     /// Events up to this revision were discarded.
-    forgotten: u64,
+    discarded_revision: u64,
     leases: collections::BTreeMap<u64, Lease>,
     next_lease: u64,
     mode: Mode,
@@ -84,15 +84,15 @@
         keys.iter().for_each(|key| self.remove(key));
     }
 
-    fn lapse(&mut self) {
+    fn expire_leases(&mut self) {
         let now = time::Instant::now();
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, lease)| lease.ends <= now)
             .map(|(id, _)| *id)
             .collect();
-        over.into_iter().for_each(|id| self.end_lease(id));
+        expired.into_iter().for_each(|id| self.end_lease(id));
     }
 }
 
@@ -121,14 +121,14 @@
                 task::spawn_local(callers::serve(stream, served.clone(), stop.clone()));
             }
         });
-        let lapsing = store.clone();
+        let expiring = store.clone();
         task::spawn_local(async move {
             loop {
                 tokio::time::sleep(time::Duration::from_millis(50)).await;
-                let paused = lapsing.inner.borrow().mode == Mode::Silent;
+                let paused = expiring.inner.borrow().mode == Mode::Silent;
                 if !paused {
-                    lapsing.inner.borrow_mut().lapse();
-                    lapsing.changed.notify_waiters();
+                    expiring.inner.borrow_mut().expire_leases();
+                    expiring.changed.notify_waiters();
                 }
             }
         });
@@ -143,7 +143,7 @@
     /// Discards all past events, so that watches from earlier revisions fail with 410.
     pub(crate) fn forget_history(&self) {
         let mut inner = self.inner.borrow_mut();
-        inner.forgotten = inner.revision;
+        inner.discarded_revision = inner.revision;
         inner.events.clear();
         drop(inner);
         self.changed.notify_waiters();
@@ -193,7 +193,7 @@
             Mode::Busy => return callers::Answer::bare(503),
             Mode::Up | Mode::LosesAnswers => {}
         }
-        let answer = self.act(&req).await;
+        let answer = self.handle(&req).await;
         let write = req.head.method() != b"GET";
         if mode == Mode::LosesAnswers && write {
             return std::future::pending().await;
@@ -201,7 +201,7 @@
         answer
     }
 
-    async fn act(&self, req: &callers::Request) -> callers::Answer {
+    async fn handle(&self, req: &callers::Request) -> callers::Answer {
         let path = req.head.path();
         let target = req.head.target();
         let body: Value = match &req.payload {
@@ -226,21 +226,21 @@
 
     fn range(&self, target: &str) -> callers::Answer {
         /// Items per page; small, so that a range read takes several pages.
-        const PAGE: usize = 4;
+        const PAGE_ITEM_COUNT: usize = 4;
         let inner = self.inner.borrow();
         let prefix = query(target, "prefix").unwrap_or_default();
         let after = query(target, "after").unwrap_or_default();
-        let mut found: Vec<Value> = inner
+        let mut items: Vec<Value> = inner
             .items
             .iter()
             .filter(|(key, _)| key.starts_with(&prefix) && **key > after)
-            .take(PAGE + 1)
-            .map(|(key, item)| shown(key, item))
+            .take(PAGE_ITEM_COUNT + 1)
+            .map(|(key, item)| item_json(key, item))
             .collect();
-        let truncated = found.len() > PAGE;
-        found.truncate(PAGE);
+        let truncated = items.len() > PAGE_ITEM_COUNT;
+        items.truncate(PAGE_ITEM_COUNT);
         json_answer(
-            &json!({"items": found, "truncated": truncated, "store_revision": inner.revision}),
+            &json!({"items": items, "truncated": truncated, "store_revision": inner.revision}),
         )
     }
 
@@ -252,7 +252,7 @@
             let changed = self.changed.notified();
             {
                 let inner = self.inner.borrow();
-                if after < inner.forgotten {
+                if after < inner.discarded_revision {
                     return callers::Answer::bare(410);
                 }
                 let events: Vec<Value> = inner
@@ -260,7 +260,7 @@
                     .iter()
                     .filter(|(rev, _, _)| *rev > after)
                     .map(|(rev, key, item)| match item {
-                        Some(item) => shown(key, item),
+                        Some(item) => item_json(key, item),
                         None => json!({"key": key, "rev": rev, "tombstone": true}),
                     })
                     .collect();
@@ -336,7 +336,7 @@
     }
 }
 
-fn shown(key: &str, item: &Item) -> Value {
+fn item_json(key: &str, item: &Item) -> Value {
     json!({"key": key, "value": item.value, "rev": item.rev, "created_rev": item.rev, "lease": item.lease})
 }
 
