--- a/src/platform/feed.rs
+++ b/src/platform/feed.rs
@@ -16,7 +16,7 @@
 /// retry, and short enough that a repaired service soon gets these requests again.
 const CRASH_RECORD_TTL: time::Duration = time::Duration::from_secs(90);
 
-/// Pause before a failed registration is retried.
+/// Pause between attempts while this VM is not registered.
 const RETRY_DELAY: time::Duration = time::Duration::from_millis(300);
 
 /// Prefix of the watch. All keys in the store concern entry VMs, so a single watch covers them.
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -29,7 +29,7 @@
     /// Limits as `name=value`, one or several separated by commas.
     #[serde(default)]
     bounds: Vec<String>,
-    /// First and last port that the gateway may use for its own purposes.
+    /// First and last port of the range that the gateway may use.
     port_range: [u16; 2],
     #[serde(default)]
     limits: Limits,
@@ -50,7 +50,9 @@
 struct Listen {
     front: net::SocketAddr,
     ready: net::SocketAddr,
+    /// For callers that look up entry VMs.
     directory: Option<net::SocketAddr>,
+    /// For other entry VMs.
     control: Option<net::SocketAddr>,
 }
 
@@ -82,7 +84,7 @@
     pub dead_vm_ttl: time::Duration,
 }
 
-/// Reads and parses the settings file. Fails if it is unreadable or a required field is missing or invalid.
+/// Reads and parses the settings file. Fails if it is unreadable or a field is missing or invalid.
 pub fn read(path: &path::Path) -> Result<Settings, error::Error> {
     let text = fs::read_to_string(path).map_err(|source| error::Error::Read {
         path: path.to_owned(),
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -158,7 +158,7 @@
     }
 
     /// Reads all items under a prefix and returns them with the revision to watch from. A `stale` read
-    /// may be some seconds old and costs a tenth; a watch from its revision returns what it lacks.
+    /// may be some seconds old and costs a tenth of another; a watch from its revision returns the rest.
     pub async fn range(
         &mut self,
         prefix: &str,
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Reads the page that follows the key `after`: its items, its revision, and whether more pages follow.
+    /// Reads the page after the key `after`: its items, its revision, and whether more pages follow.
     async fn page(
         &mut self,
         range: Range<'_>,
@@ -235,7 +235,7 @@
         Ok((records.collect(), page.store_revision, more))
     }
 
-    /// Returns the changes under a prefix after a revision and the new revision; waits for them up to `wait`.
+    /// Waits up to `wait` for changes under a prefix after a revision; returns them and the new revision.
     pub async fn watch(
         &mut self,
         prefix: &str,
--- a/tests/platform/explaining.rs
+++ b/tests/platform/explaining.rs
@@ -171,7 +171,7 @@
     });
 }
 
-/// A customer's requests are refused beyond its quota. The explanation must show the limit and the count.
+/// A customer's requests are refused beyond its quota. The explanation must show limit and count.
 #[test]
 fn a_request_beyond_its_customers_quota() {
     run_scenario(|| async {
