--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,9 +1,10 @@
-//! The process on an entry VM that brings requests to backend servers by routes.
+//! The gateway process on an entry VM: accepts callers' requests and forwards each to a backend
+//! server according to the routes.
 //!
-//! One thread does everything: on a VM with a part of a core, a hand-over between threads costs
-//! more than the work handed over. What is believed (routes, backend servers, entry VMs) is told
-//! to [`Gateway`] by whoever reads the platform; requests come in through [`front`]; decisions are
-//! made in [`crate::decisions`].
+//! All work runs on one thread, because on a VM with a fraction of a core a hand-over between
+//! threads costs more than the work itself. The reader of the platform's store reports routes,
+//! backend servers and entry VMs to [`Gateway`]; requests arrive through [`front`];
+//! [`crate::decisions`] holds the decision logic.
 
 pub mod attempt;
 pub mod beliefs;
@@ -37,11 +38,11 @@
 use crate::state::{backends, entries};
 use crate::{id, logging, metrics};
 
-/// How long a planned stop goes on taking requests: callers learn within the time that an answer
-/// about where to connect is kept, and until then some still come here.
+/// How long a planned stop still accepts requests: callers cache where to connect, and some connect
+/// here until their cached answer expires.
 const LEAVING: time::Duration = time::Duration::from_millis(2500);
 
-/// What a gateway is told at its start.
+/// Settings of a gateway.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The name of this VM.
@@ -50,24 +51,24 @@
     pub az: id::AzId,
     /// The region of each availability zone.
     pub regions: collections::BTreeMap<id::AzId, id::RegionId>,
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub front: net::SocketAddr,
-    /// What it can carry.
+    /// Capacity of this VM's processor and link.
     pub capacity: nearby::Capacity,
-    /// The names of the fields of requests and answers.
+    /// Names of the header fields of requests and answers.
     pub names: names::Names,
-    /// The bound on second sends over all entry VMs.
+    /// Bound on resends, summed over all entry VMs.
     pub resend: resend::Bound,
-    /// The largest part of a region's requests that may run in another region than two seconds before.
+    /// Largest share of a region's requests that may run in a different region than 2 s earlier.
     pub shift_most: f64,
-    /// The bound on a customer's requests over all entry VMs.
+    /// Bound on a customer's requests, summed over all entry VMs.
     pub quota: quota::Bound,
-    /// Where entry VMs tell one another what they let in; `None`: they do not. The port is the same on
-    /// all.
+    /// Address for usage reports between entry VMs; `None` disables them. The port is the same on
+    /// all VMs.
     pub usage: Option<net::SocketAddr>,
-    /// Thresholds of decisions about requests.
+    /// Thresholds of request decisions.
     pub thresholds: thresholds::Thresholds,
-    /// How long a planned stop may take.
+    /// Maximum duration of a planned stop.
     pub grace: time::Duration,
     /// Whether all VMs start for the first time, so that none is registered yet.
     pub first_start: bool,
@@ -93,28 +94,28 @@
     }
 }
 
-/// What is kept for one service.
+/// Per-service state.
 #[derive(Debug, Default)]
 pub struct Desk {
-    /// Its requests and second sends.
+    /// Counts of requests and resends.
     pub resends: resend::Resends,
-    /// The share that other regions serve.
+    /// The share of requests that other regions serve.
     pub share: regions::Share,
-    /// What its less urgent requests leave to the more urgent.
+    /// Decides when less urgent requests yield to more urgent ones.
     pub precedence: precedence::Precedence,
-    /// How often its backend servers refuse though they have room.
+    /// How often backend servers decline requests although they have free slots.
     pub declines: declines::Declines,
-    /// How often answers for objects that are new to this VM are late.
+    /// How often answers for objects that are new to the chosen backend server are late.
     pub late: warming::Late,
-    /// Requests since the last step of that share, decaying.
+    /// Decaying count of requests, for updates of the remote share.
     pub traffic: f64,
-    /// How long answers take, in seconds.
+    /// Mean time from send to answer, in seconds.
     pub work: f64,
 }
 
 impl Desk {
-    /// How long until there is room for those that are refused now: what is worked on must end first,
-    /// unless there is room already.
+    /// How long a refused caller should wait: running requests must end first, unless the backend
+    /// servers decline although they have free slots.
     pub fn backlog(&self) -> time::Duration {
         match self.declines.are_everywhere() {
             true => time::Duration::ZERO,
@@ -122,9 +123,9 @@
         }
     }
 
-    /// An answer took so long.
+    /// Updates the mean latency with that of one answer.
     pub fn took(&mut self, took: time::Duration) {
-        /// What one answer counts: the mean is over about the last 20.
+        /// Weight of one answer: the mean covers about the last 20.
         const NEW: f64 = 0.05;
         let took = took.as_secs_f64();
         self.work = match self.work {
@@ -134,14 +135,12 @@
     }
 }
 
-/// What the process shares.
+/// The state shared by all tasks of the process.
 #[derive(Debug)]
 pub struct Cx {
-    /// What it was told at its start.
     pub cfg: Config,
-    /// Its own region.
+    /// The region of this VM.
     pub region: Option<id::RegionId>,
-    /// Where its lines go.
     pub log: slog::Logger,
     start: time::Instant,
     own_hash: u64,
@@ -152,39 +151,39 @@
     carried: cell::Cell<carried::Carried>,
     told: cell::RefCell<carried::Told>,
     busy: cell::Cell<nearby::Busy>,
-    /// Whether the callers of its region are told this VM and no other.
+    /// Whether this is the only entry VM advertised to the callers of its region.
     alone: cell::Cell<bool>,
     listing: cell::RefCell<listing::Listing>,
     desks: cell::RefCell<collections::HashMap<id::ServiceId, Desk>>,
     splits: cell::RefCell<collections::HashMap<String, split::Split>>,
     pool: cell::RefCell<pool::Pool>,
-    /// What this VM lets in of each customer, and what it knows of the others.
+    /// Requests admitted here for each customer, and the usage that other VMs reported.
     quotas: cell::RefCell<quota::Ledger<quota::ByDemand>>,
-    /// The version of the entry VMs from which those were taken that callers are sent to.
+    /// The version of the entry VM list from which the ledger's expected VMs were last set.
     expected_by: cell::Cell<Option<u64>>,
-    /// The latest datagram of each other VM, and how many this one has sent.
+    /// Sequence number of the latest datagram from each other VM, and the count of those sent.
     heard_usage: cell::RefCell<collections::HashMap<quota::Name, quotas::Latest>>,
     told_usage: cell::Cell<u64>,
-    /// When the process started, in milliseconds of the time of day, so that what it tells is later than
-    /// what the process before it told.
+    /// When the process started, in milliseconds since the Unix epoch. It orders this process's
+    /// reports after those of its predecessor.
     started_ms: u64,
     departures: cell::RefCell<departures::Departures>,
     crashes: cell::RefCell<crashes::Crashes>,
-    /// Crashes seen here that others have not been told of.
+    /// Crashes seen here and not yet reported to other entry VMs.
     untold: cell::RefCell<Vec<beliefs::Crash>>,
     lines: logging::Limiter,
     labels: metrics::Bounded,
     stop: watch::Sender<bool>,
-    /// Told when the first routes or backend servers are known.
+    /// Notified when the first routes or backend servers are known.
     came: sync::Notify,
-    /// Told when a customer asks for something after a rest.
+    /// Notified when a customer sends a request after an idle period.
     asked: sync::Notify,
-    /// From when on a planned stop takes no further request.
+    /// When a planned stop stops accepting requests.
     closed: cell::Cell<Option<policy::Moment>>,
     in_hand: cell::Cell<usize>,
 }
 
-/// A handle on the process's state.
+/// A reference-counted handle to the process's state.
 #[derive(Clone, Debug)]
 pub struct Gateway(rc::Rc<Cx>);
 
@@ -198,12 +197,12 @@
 
 fn started_ms() -> u64 {
     let since = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
-    // A clock before 1970 tells nothing; others then take what comes for what came before.
+    // With a clock before 1970 other VMs cannot order the reports and ignore them as old.
     since.map_or(0, |since| since.as_millis() as u64)
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// A gateway without routes, backend servers or entry VMs.
     pub fn new(cfg: Config, log: slog::Logger) -> Self {
         let region = cfg.regions.get(&cfg.az).cloned();
         let known = backends::Backends::new(region.clone());
@@ -248,17 +247,17 @@
 }
 
 impl Cx {
-    /// The time on this process's clock.
+    /// The time since the process started.
     pub fn now(&self) -> policy::Moment {
         self.start.elapsed()
     }
 
-    /// An instant on this process's clock.
+    /// Converts an instant to the process's clock.
     pub fn moment(&self, at: time::Instant) -> policy::Moment {
         at.saturating_duration_since(self.start)
     }
 
-    /// A moment as an instant to sleep until.
+    /// Converts a moment to an instant to sleep until.
     fn instant(&self, at: policy::Moment) -> tokio::time::Instant {
         (self.start + at).into()
     }
@@ -273,49 +272,49 @@
         *self.stop.borrow()
     }
 
-    /// Whether callers may come: there are routes and backend servers, and no stop has begun.
+    /// Whether callers can be served: routes and backend servers are known, and no stop has begun.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && self.table.borrow().is_some() && !self.backends.borrow().is_empty()
     }
 
-    /// Waits until something came without which callers could not be served.
+    /// Waits until the first routes or the first backend server are known.
     pub async fn came(&self) {
         self.came.notified().await;
     }
 
-    /// Begins a planned stop: callers are told to go elsewhere, and what is in hand ends.
+    /// Begins a planned stop: connections are closed after their running requests are answered.
     pub fn stop(&self) {
         self.closed.set(Some(self.now() + LEAVING));
         self.stop.send_replace(true);
     }
 
-    /// Whether a planned stop takes no further request. Taken later, one could still be worked on
-    /// when the grace time ends, and would be cut.
+    /// Whether a planned stop no longer accepts requests. A request accepted later could still be
+    /// running when the grace time ends, and would be cut off.
     pub fn is_closed(&self) -> bool {
         self.closed.get().is_some_and(|at| self.now() >= at)
     }
 
-    /// Whether a planned stop is done: callers know, and nothing is in hand.
+    /// Whether a planned stop is complete: it accepts no requests, and none is running.
     pub fn is_done(&self) -> bool {
         self.is_closed() && self.in_hand.get() == 0
     }
 
-    /// Tells when a planned stop begins.
+    /// Subscribes to the start of a planned stop.
     pub fn stopping(&self) -> watch::Receiver<bool> {
         self.stop.subscribe()
     }
 
-    /// Requests that are worked on.
+    /// Number of requests in progress.
     pub fn in_hand(&self) -> usize {
         self.in_hand.get()
     }
 
-    /// A number between 0 and 1, to spread what would happen at once.
+    /// A random number in `0.0..1.0` that spreads simultaneous events.
     fn jitter(&self) -> f64 {
         rand::rng().random()
     }
 
-    /// Uses a service's desk.
+    /// Calls a function on a service's state, which is created on first use.
     fn with_desk<T>(&self, service: &id::ServiceId, f: impl FnOnce(&mut Desk) -> T) -> T {
         let mut desks = self.desks.borrow_mut();
         if let Some(desk) = desks.get_mut(service) {
