--- a/src/gateway/beliefs.rs
+++ b/src/gateway/beliefs.rs
@@ -1,5 +1,5 @@
-//! What the process is told about routes, backend servers and entry VMs, and what it concludes
-//! from how sends end. Each change of belief writes one line.
+//! Applies updates about routes, backend servers and entry VMs, infers the health of backend
+//! servers from the outcomes of sends, and logs each change of state.
 
 use std::rc;
 use std::time;
@@ -13,22 +13,22 @@
 use crate::state::{backends, entries};
 use crate::transport::upstream;
 
-/// How long after an evacuation's end a zone's backend servers count as cold unless the list says
-/// otherwise: the list lags by a heartbeat and its way.
+/// How long after the end of an evacuation a zone's backend servers count as cold, unless their
+/// entries say otherwise: entries lag by a heartbeat and the propagation delay.
 const UNSURE: time::Duration = time::Duration::from_secs(3);
 
 /// A request that was in flight when a backend server crashed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Crash {
-    /// What marks the request.
+    /// The request's fingerprint.
     pub fingerprint: u64,
-    /// The name of the backend server's run that crashed, see [`backends::Backend::run_name`].
+    /// The run of the backend server that crashed, see [`backends::Backend::run_name`].
     pub run: String,
 }
 
 impl Gateway {
-    /// Learns of a crash from another entry VM, or that it is long ago. Returns whether that is
-    /// news.
+    /// Records a crash report, or drops an expired one if `counts` is false. Returns whether this
+    /// changed anything.
     pub fn learn_crash(&self, crash: &Crash, counts: bool) -> bool {
         let mut crashes = self.crashes.borrow_mut();
         if !counts {
@@ -36,26 +36,26 @@
         }
         let news = crashes.learn(crash.fingerprint, &crash.run);
         if news && crashes.is_banned(crash.fingerprint) {
-            slog::warn!(self.log, "request refused from now on, it crashes backend servers"; "fingerprint" => format!("{:016x}", crash.fingerprint), "backend" => &crash.run);
+            slog::warn!(self.log, "request crashes backend servers; refusing equal requests"; "fingerprint" => format!("{:016x}", crash.fingerprint), "backend" => &crash.run);
         }
         news
     }
 
-    /// Crashes seen here that others are to be told of.
+    /// Takes the crashes seen here that are not yet reported to other entry VMs.
     pub fn untold_crashes(&self) -> Vec<Crash> {
         self.untold.take()
     }
 
-    /// Those that could not be told are kept for the next time.
+    /// Queues crash reports for the next attempt to write them.
     pub fn keep_untold(&self, crashes: Vec<Crash>) {
-        /// More tell nothing new: a lost zone breaks this many requests of one VM.
+        /// More add no information: a lost availability zone breaks this many requests of one VM.
         const MOST: usize = 128;
         let mut untold = self.untold.borrow_mut();
         untold.extend(crashes);
         untold.truncate(MOST);
     }
 
-    /// Learns from a send whether its backend server crashed.
+    /// Infers from a send's outcome whether the backend server crashed.
     fn judge_crash(&self, job: &attempt::Job, run: &str, outcome: &attempt::Outcome) {
         match outcome {
             attempt::Outcome::Unknown(upstream::Failure::Lost) => {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A run of a backend server crashed while these requests were in flight there.
+    /// Records that a run of a backend server crashed with these requests in flight.
     fn crashed(&self, run: &str, fingerprints: Vec<u64>) {
         let crashed: Vec<Crash> = fingerprints
             .into_iter()
@@ -85,7 +85,7 @@
         self.keep_untold(crashed);
     }
 
-    /// Takes a version of the routes. An older one than that in force changes nothing.
+    /// Applies a version of the routes. Returns false if it is not newer than the one in force.
     pub fn learn_routes(&self, table: routes::Table) -> bool {
         let known = self.table().map(|t| t.version);
         if known == Some(table.version) {
@@ -104,14 +104,14 @@
         true
     }
 
-    /// Takes what the list says of a backend server. Returns whether it is more than a heartbeat.
+    /// Applies a backend server's entry. Returns whether it is more than a heartbeat.
     pub fn learn_backend(&self, id: &id::VmId, listed: backends::Listed) -> bool {
         self.listing.borrow_mut().found(id);
         let region = self.cfg.regions.get(&listed.az).cloned();
         let service = listed.service.clone();
         let mut before = self.backends.borrow().get(id).map(|b| b.listed.clone());
         if before.as_ref().is_some_and(|b| b.started_after(&listed)) {
-            slog::debug!(self.log, "backend server's entry not taken"; "backend" => %id, "why" => "it is of an earlier start");
+            slog::debug!(self.log, "backend server's entry ignored"; "backend" => %id, "why" => "it is of an earlier start");
             return false;
         }
         if before.take_if(|b| listed.started_after(b)).is_some() {
@@ -133,7 +133,7 @@
             self.came.notify_one();
         }
         if before.is_none() {
-            // A start takes a list of thousands, which would push all other lines out of the log.
+            // At start thousands of entries arrive, whose lines would flood the log.
             if let Some(left_out) = self.lines.admit("listed", now) {
                 slog::info!(self.log, "backend server listed"; "backend" => %id, "service" => %service, "cold" => cold, "start" => start.map(|s| s.0), "left_out" => left_out);
             }
@@ -144,19 +144,18 @@
         news
     }
 
-    /// The list no longer has a backend server.
+    /// Handles the removal of a backend server's entry.
     pub fn lose_backend(&self, id: &id::VmId) {
         let at_once = self.listing.borrow_mut().lost(self.now(), id);
         if at_once {
             self.forget(id, "not listed");
         } else {
-            slog::info!(self.log, "backend server missing, kept for now"; "backend" => %id, "hold_ms" => listing::HOLD.as_millis() as u64);
+            slog::info!(self.log, "backend server's entry missing; keeping the backend server for now"; "backend" => %id, "hold_ms" => listing::HOLD.as_millis() as u64);
         }
     }
 
-    /// What the list says of a backend server cannot be read, so it names none: whatever wrote
-    /// there, what was known before need no longer hold, and requests would go on to an address
-    /// that nobody vouches for. Returns whether it was known.
+    /// Removes a backend server whose entry cannot be read: its earlier entry need not hold any
+    /// more, and requests would go to an unconfirmed address. Returns whether it was known.
     pub fn disown_backend(&self, id: &id::VmId, why: &impl std::fmt::Display) -> bool {
         if let Some(left_out) = self.lines.admit("entry", self.now()) {
             slog::warn!(self.log, "backend server's entry cannot be read"; "backend" => %id, "error" => %why, "left_out" => left_out);
@@ -165,9 +164,9 @@
         self.forget(id, "entry cannot be read")
     }
 
-    /// A backend server has started again under its name. What ran there is lost and what was
-    /// seen of it says nothing of the new run: kept, its failures would keep the new one out,
-    /// and requests would wait to their deadlines for answers that cannot come.
+    /// Handles a restart of a backend server under its name. Requests in flight there are lost, and
+    /// the state of the old run is discarded: its failures would keep the new run ejected, and
+    /// requests would wait until their deadlines for answers that cannot come.
     fn end_run(&self, id: &id::VmId) {
         let Some(old) = self.backends.borrow_mut().remove(id) else {
             return;
@@ -191,7 +190,7 @@
         known
     }
 
-    /// The store answered.
+    /// Notes an answer from the store.
     pub fn heard_store(&self) {
         let away = self.listing.borrow_mut().heard(self.now());
         if let Some(away) = away {
@@ -199,17 +198,18 @@
         }
     }
 
-    /// A call to the store failed. Returns whether it is the first in a row.
+    /// Notes a failed call to the store. Returns whether it is the first in a row.
     pub fn lost_store(&self) -> bool {
         self.listing.borrow_mut().failed()
     }
 
-    /// How long ago the store answered last.
+    /// Time since the store last answered; `None` if it never did.
     pub fn store_age(&self) -> Option<time::Duration> {
         self.listing.borrow().age(self.now())
     }
 
-    /// Nothing more goes to the backend servers of an availability zone, or it may again.
+    /// Starts or ends an availability zone's evacuation, during which its backend servers get no
+    /// requests. Returns whether this changed anything.
     pub fn evacuate(&self, az: &id::AzId, evacuated: bool) -> bool {
         let changed = match evacuated {
             true => self.evacuated.borrow_mut().insert(az.clone()),
@@ -230,7 +230,7 @@
         true
     }
 
-    /// Takes in an entry VM. Returns whether that is news.
+    /// Adds or updates an entry VM. Returns whether this changed anything.
     pub fn learn_entry(&self, vm: &id::VmId, entry: entries::Entry) -> bool {
         let az = entry.az.clone();
         self.quotas
@@ -243,7 +243,7 @@
         news
     }
 
-    /// Takes out an entry VM. Returns whether it was known.
+    /// Removes an entry VM. Returns whether it was known.
     pub fn lose_entry(&self, vm: &id::VmId) -> bool {
         let news = self.entries.borrow_mut().remove(vm);
         if news && let Some(left_out) = self.lines.admit("entry gone", self.now()) {
@@ -252,7 +252,7 @@
         news
     }
 
-    /// Learns from how a send ended.
+    /// Updates the state of the backend server and its service after a send.
     pub(super) fn judge(
         &self,
         job: &attempt::Job,
@@ -265,7 +265,7 @@
         let cfg = &self.cfg.thresholds.ejection;
         let everywhere = self.judge_service(job, outcome);
         let mut backends = self.backends.borrow_mut();
-        // What one run did says nothing of the next.
+        // The outcome of one run must not count against the next.
         let Some(backend) = backends.get_mut(id).filter(|b| at.is_of(b)) else {
             return;
         };
@@ -302,8 +302,8 @@
         }
     }
 
-    /// Learns from a send how its service does. Returns whether its backend servers refuse though they
-    /// have room.
+    /// Updates the service's rate of declined sends. Returns whether backend servers across the
+    /// service decline requests although they have free slots.
     fn judge_service(&self, job: &attempt::Job, outcome: &attempt::Outcome) -> bool {
         let declined = match outcome {
             attempt::Outcome::Answer { failed: false, .. } => false,
@@ -316,12 +316,12 @@
             (before, desk.declines.are_everywhere())
         });
         if before != now {
-            slog::info!(self.log, "service refuses with room"; "service" => %job.service, "everywhere" => now);
+            slog::info!(self.log, "backend servers decline requests despite free slots"; "service" => %job.service, "everywhere" => now);
         }
         now
     }
 
-    /// A backend server has kept a request beyond all measure.
+    /// Counts a failure against a backend server that has not answered within the hedge delay.
     pub(super) fn hangs(&self, job: &attempt::Job, id: &id::VmId) {
         let now = self.now();
         let cfg = &self.cfg.thresholds.ejection;
@@ -346,7 +346,7 @@
         ejection::room(&self.cfg.thresholds.ejection, members, out)
     }
 
-    /// Writes and counts that a backend server gets no work for a while.
+    /// Logs and counts the ejection of a backend server.
     fn ejected(&self, job: &attempt::Job, id: &id::VmId, down: bool, why: &'static str) {
         slog::info!(self.log, "backend server ejected"; "backend" => %id, "down" => down, "why" => why);
         let service = self.labels.label(job.service.as_str());
@@ -356,7 +356,7 @@
         }
     }
 
-    /// What is due from time to time.
+    /// Runs the periodic tasks until the process ends.
     pub async fn upkeep(self) {
         let mut every = tokio::time::interval(self.cfg.thresholds.regions.every);
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -373,9 +373,9 @@
         }
     }
 
-    /// Lets the share of each service that other regions serve take a step.
+    /// Updates for each service the share of requests that other regions serve.
     fn step_shares(&self) {
-        /// What is left of the count of requests after each step.
+        /// Factor by which the request count decays in each step.
         const KEPT: f64 = 0.9;
         let Some(table) = self.table() else {
             return;
