--- a/src/gateway/carried.rs
+++ b/src/gateway/carried.rs
@@ -1,4 +1,4 @@
-//! What this VM carries, and which entry VMs callers are told for it.
+//! Measures this VM's load and selects the entry VMs that are advertised to callers.
 
 use std::collections;
 use std::net;
@@ -9,7 +9,7 @@
 use crate::id;
 use crate::transport::callers;
 
-/// What this VM carried since a moment.
+/// Requests and bytes answered since a moment.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Carried {
     requests: u64,
@@ -17,9 +17,9 @@
     since: policy::Moment,
 }
 
-/// Which entry VMs callers are told, by their region, worked out anew when anything changes.
+/// The entry VMs advertised to callers, by the callers' region.
 ///
-/// Sorting all VMs for each look-up would cost more with each VM.
+/// Cached until an input changes: sorting all VMs at each look-up would cost more with each VM.
 #[derive(Debug, Default)]
 pub(super) struct Told {
     seen: Seen,
@@ -27,10 +27,10 @@
     hashes: collections::HashMap<Option<id::RegionId>, rc::Rc<[u64]>>,
 }
 
-/// What the lists were worked out from.
+/// The inputs from which the cached lists were computed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Seen {
-    /// The version of the entry VMs that are known.
+    /// The version of the entry VM list.
     version: u64,
     /// Whether this VM is busy, and whether it can serve callers.
     busy: bool,
@@ -49,7 +49,7 @@
 }
 
 impl Gateway {
-    /// Where a caller of a region connects.
+    /// The addresses advertised to a caller of a region.
     pub fn entries_for(&self, region: Option<&str>) -> rc::Rc<[net::SocketAddr]> {
         let mut regions = self.cfg.regions.values();
         let region = region.and_then(|text| regions.find(|r| r.as_str() == text));
@@ -77,8 +77,8 @@
         let others = entries
             .to_tell(near, |vm, _, entry| (vm.clone(), entry.front))
             .filter(|entry| entry.told.0 != self.cfg.vm);
-        // This VM answers, so it runs, whatever the store can say of it at the moment. Until it knows
-        // what to do with requests, callers that keep its name would be refused for as long.
+        // This VM is running even if the store's entry for it is missing. Until it is ready it is
+        // left out: callers that cache its address would be refused for as long.
         let own = self.is_ready().then(|| nearby::Entry {
             near: near(&self.cfg.az),
             az: &self.cfg.az,
@@ -91,7 +91,7 @@
         told.into_iter().map(|(_, front)| front).collect()
     }
 
-    /// The hashes of the names of the entry VMs that the callers of a region are told.
+    /// Hashes of the names of the entry VMs advertised to a region's callers.
     pub(super) fn told_in(&self, region: Option<&id::RegionId>) -> rc::Rc<[u64]> {
         let mut told = self.told.borrow_mut();
         told.refresh(self.seen());
@@ -103,7 +103,7 @@
         hashes
     }
 
-    /// The same with so many more that are next in line.
+    /// The same with `more` further VMs in the order of selection.
     pub(super) fn hashes_in(&self, region: Option<&id::RegionId>, more: usize) -> Vec<u64> {
         let near = |az: &id::AzId| self.cfg.regions.get(az) == region;
         let entries = self.entries.borrow();
@@ -111,20 +111,22 @@
         nearby::told(self.cfg.thresholds.told + more, all)
     }
 
-    /// Whether callers of its region are sent to others, and would be to further ones before this VM.
+    /// Whether this VM is neither advertised to its region's callers nor among the next ones in the
+    /// order of selection.
     pub fn stands_by(&self) -> bool {
-        /// How many are next in line: they must be registered no longer than those before them.
+        /// VMs next in the order, whose registrations must expire as soon as those of advertised
+        /// VMs.
         const NEXT: usize = 6;
         let in_line = self.hashes_in(self.region.as_ref(), NEXT);
         !in_line.contains(&self.own_hash)
     }
 
-    /// Whether this VM has little room for more callers.
+    /// Whether this VM has little capacity left for more callers.
     pub fn is_busy(&self) -> bool {
         self.busy.get().get()
     }
 
-    /// Counts an answer.
+    /// Counts an answer and its bytes.
     pub(super) fn carried(&self, answer: &callers::Answer) {
         let bytes = match &answer.body {
             callers::Body::Whole(body) => body.len() as u64,
@@ -136,7 +138,7 @@
         self.carried.set(carried);
     }
 
-    /// Works out whether this VM is busy, and whether it has the callers of its region alone.
+    /// Updates whether this VM is busy, and whether it is the only one advertised in its region.
     pub(super) fn step_carried(&self) {
         let now = self.now();
         let carried = self.carried.take();
