--- a/src/gateway/facts.rs
+++ b/src/gateway/facts.rs
@@ -1,4 +1,4 @@
-//! What a request's head says, held against the routes in force, and answers of our own.
+//! Matches a request's head with the routes in force, and builds the gateway's own answers.
 
 use std::rc;
 use std::time;
@@ -11,23 +11,23 @@
 use crate::protocol::{customers, http1, names, routes};
 use crate::transport::{callers, upstream};
 
-/// The longest time that a caller who names none is taken to wait.
+/// Timeout of callers that state none.
 const NO_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-/// When a caller may come back whom this VM no longer takes: at once, to another.
+/// Retry delay during a planned stop: the caller can connect to another VM at once.
 const ELSEWHERE: time::Duration = time::Duration::from_millis(20);
 
-/// When a caller may come back to a VM that knows no routes yet. In another region than the store a
-/// start takes three round trips, and a list through a small window. Callers who come back too early have
-/// no further try.
+/// Retry delay until the first routes are known. In a region without the store, a start takes three
+/// round trips and the transfer of a list through a small TCP window. A caller that returns too
+/// early has no attempt left.
 const UNREADY: time::Duration = time::Duration::from_millis(700);
 
-/// How old what is known may be for a key that is not known to be wrong. One that was just given out
-/// is unknown to a VM that the store does not serve: told that it is wrong, its caller would not ask
-/// again, though another VM knows it.
+/// Maximum age of the store's last answer for an unknown key to be rejected. A VM that the store
+/// does not serve lacks newly issued keys: after a rejection the caller would not retry, although
+/// another VM knows its key.
 const KEYS_FRESH: time::Duration = time::Duration::from_millis(2500);
 
-/// Why nobody is known to ask.
+/// Why no customer could be identified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Nobody {
     NoKey,
@@ -47,7 +47,7 @@
     }
 }
 
-/// The digest of a request's key.
+/// The digest of the request's only key; an error unless there is exactly one valid key.
 fn key_of(fields: &http1::Fields, name: &str) -> Result<customers::KeyDigest, Nobody> {
     let mut keys = fields
         .iter()
@@ -63,29 +63,29 @@
     Ok(customers::KeyDigest::of(key))
 }
 
-/// Who asks, and by which key.
+/// The customer that sent a request, and the digest of its key.
 #[derive(Clone, Debug)]
 pub(super) struct Asker {
     pub(super) customer: rc::Rc<customers::Customer>,
     key: customers::KeyDigest,
 }
 
-/// What a request's head and the routes in force say.
+/// The data of a request's head and of its route.
 #[derive(Debug)]
 pub(super) struct Facts {
     pub(super) table: rc::Rc<routes::Table>,
     pub(super) route: rc::Rc<routes::Route>,
-    /// Who asks; `None` where the route serves everybody.
+    /// The customer that sent the request; `None` on routes that need no key.
     pub(super) asker: Option<Asker>,
     pub(super) key: Option<u64>,
     pub(super) id: Bytes,
     pub(super) received: policy::Moment,
-    /// When the caller, or the route, gives up.
+    /// When the caller or the route times out.
     pub(super) deadline: policy::Moment,
 }
 
 impl Facts {
-    /// Where the request may run.
+    /// The regions where the request may run.
     pub(super) fn homes(&self) -> routes::Homes<'_> {
         routes::Homes {
             route: &self.route.regions,
@@ -93,24 +93,24 @@
         }
     }
 
-    /// Its rank; 0 goes first.
+    /// The request's priority rank; 0 is the most urgent.
     pub(super) fn rank(&self) -> u32 {
         self.route.rank(self.customer())
     }
 
-    /// The customer who asks, where one must be known.
+    /// The customer that sent the request; `None` on routes that need no key.
     pub(super) fn customer(&self) -> Option<&customers::Customer> {
         self.asker.as_ref().map(|asker| &*asker.customer)
     }
 
-    /// The customer's name, for logs.
+    /// The customer's name for logs, or an empty text.
     pub(super) fn customer_name(&self) -> &str {
         self.customer().map_or("", |c| c.name.as_str())
     }
 }
 
 impl Gateway {
-    /// Where a request with these homes may run, seen from this VM's region.
+    /// Where a request with these homes may run, relative to this VM's region.
     pub(super) fn reach(&self, homes: &routes::Homes<'_>) -> regions::Reach {
         if homes.are_open() {
             return regions::Reach::Anywhere;
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Reads a request's head; an error is the answer that it gets.
+    /// Reads a request's head. An error is the answer to a request that is refused.
     pub(super) fn facts(&self, req: &callers::Request) -> Result<Facts, callers::Answer> {
         let fields = &req.head.fields;
         let received = self.moment(req.received);
@@ -178,7 +178,7 @@
         })
     }
 
-    /// Who asks, by the key that the request carries.
+    /// Identifies the customer by the request's key; `None` on routes that need no key.
     fn asker(
         &self,
         table: &routes::Table,
@@ -196,7 +196,7 @@
         }))
     }
 
-    /// Answers a request of nobody that is known.
+    /// Refuses a request whose customer is not known.
     fn turn_away(&self, id: &[u8], why: Nobody) -> callers::Answer {
         let fresh = self.store_age().is_some_and(|age| age <= KEYS_FRESH);
         if why == Nobody::Unknown && !fresh {
@@ -206,7 +206,7 @@
         self.own_answer(401, Some(id))
     }
 
-    /// Who asks by the configuration in force now; an error where the key was taken away meanwhile.
+    /// The customer that holds the request's key now; an error if the key was revoked meanwhile.
     pub(super) fn still(&self, facts: &Facts) -> Result<Option<Asker>, ()> {
         let (Some(asker), Some(table)) = (&facts.asker, self.table()) else {
             return Ok(facts.asker.clone());
@@ -221,7 +221,7 @@
         }))
     }
 
-    /// The service that serves a request.
+    /// The service that serves a request, chosen by the weights of the route's parts.
     pub(super) fn service_for(&self, facts: &Facts) -> id::ServiceId {
         let parts = &facts.route.parts;
         if let [only] = parts.as_slice() {
@@ -234,7 +234,7 @@
         parts[split.pick(&weights, point)].service.clone()
     }
 
-    /// This VM cannot take the request just now; another may.
+    /// Refuses a request that this VM cannot serve now but another VM may.
     pub(super) fn not_here(&self, id: &[u8], after: time::Duration, why: &str) -> callers::Answer {
         if let Some(left_out) = self.lines.admit("not here", self.now()) {
             slog::info!(self.log, "refused"; "request" => %String::from_utf8_lossy(id), "why" => why, "left_out" => left_out);
@@ -245,7 +245,7 @@
         answer
     }
 
-    /// An answer of our own.
+    /// An answer with a status and no body, made by the gateway itself.
     pub(super) fn own_answer(&self, status: u16, id: Option<&[u8]>) -> callers::Answer {
         let mut answer = callers::Answer::bare(status);
         if let Some(id) = id {
@@ -255,7 +255,7 @@
     }
 }
 
-/// What is the same in requests that are sent again: target, object and body.
+/// A hash of target, host, cookie and body, which are the same when a request is sent again.
 pub(super) fn fingerprint(req: &callers::Request) -> u64 {
     let head = affinity::hash(req.head.target().as_bytes());
     let host = affinity::hash(req.head.fields.get("host").unwrap_or_default());
@@ -267,7 +267,7 @@
     [host, object, body].into_iter().fold(head, affinity::mix)
 }
 
-/// Tells a refused caller when to come back.
+/// Adds the header that states when a refused caller may retry.
 pub(super) fn put_retry_after(fields: &mut BytesMut, after: time::Duration) {
     let text = format!("{:.3}", after.as_secs_f64());
     http1::put_field(fields, b"Retry-After", text.as_bytes());
