--- a/src/gateway/fanout.rs
+++ b/src/gateway/fanout.rs
@@ -1,4 +1,4 @@
-//! Feeding followers: other entry VMs hear from this one what is known of the platform's store.
+//! Sends the records of the platform's store to followers: other entry VMs that do not read it.
 
 use std::time;
 
@@ -12,20 +12,20 @@
 use crate::protocol::mirror;
 use crate::transport;
 
-/// The pause after a connection could not be accepted.
+/// Pause after a failed `accept`.
 const RETRY: time::Duration = time::Duration::from_millis(250);
 
 impl Mirror {
-    /// Feeds followers until the process ends.
+    /// Serves followers until the process ends.
     pub async fn serve(self, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     let mirror = self.clone();
                     task::spawn_local(async move {
-                        // A follower that leaves or is too slow dials again, or another VM.
+                        // A disconnected or slow follower reconnects, here or to another VM.
                         if let Err(err) = mirror.feed(stream).await {
-                            slog::debug!(mirror.cx.log, "follower lost"; "why" => %err);
+                            slog::debug!(mirror.cx.log, "follower disconnected"; "why" => %err);
                         }
                     });
                 }
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Waits until what is known is current, for as long as the follower waits. Refused at once, it would
-    /// ask again and again and be late by half of that pause.
+    /// Waits for current records, at most as long as the follower waits. If refused at once, the
+    /// follower would retry repeatedly and be late by half its retry pause.
     async fn await_current(
         &self,
         news: &mut broadcast::Receiver<Bytes>,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// What changed since a revision, or a snapshot where that is no longer known.
+    /// The changes since a revision, or a snapshot if removals since then are no longer known.
     fn delta_since(&self, since: u64) -> Result<Bytes, mirror::Error> {
         let delta = self.records.borrow().delta_since(since);
         match delta {
@@ -67,9 +67,9 @@
         }
     }
 
-    /// All that is known, encoded once for all followers that come before it changes.
+    /// All records, encoded once for all followers that connect before the next change.
     ///
-    /// When all VMs start at once, a copy for each follower would fill a small VM's memory.
+    /// When all VMs start at once, a copy per follower would fill a small VM's memory.
     fn snapshot(&self) -> Result<Bytes, mirror::Error> {
         let records = self.records.borrow();
         let mut snapshot = self.snapshot.borrow_mut();
