--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -1,4 +1,4 @@
-//! Where callers' requests come in.
+//! Accepts callers' connections.
 
 use std::io;
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// Takes connections and serves them until the process ends.
+/// Accepts connections and serves them until the process ends.
 pub async fn accept<H: callers::Handler>(listener: TcpListener, handler: H, cx: Gateway) {
     loop {
         match listener.accept().await {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Without descriptors, accepting again at once would fail again at once.
+/// Pauses after an error: without free descriptors an immediate retry would fail too.
 async fn rest(err: &io::Error) {
     const REST: std::time::Duration = std::time::Duration::from_millis(20);
     if err.kind() != io::ErrorKind::ConnectionAborted {
