--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -1,4 +1,4 @@
-//! Finding a backend server for a request, or a place in line, or that neither is worth it.
+//! Reserves a backend server for a request, or says why none can take it now.
 
 use std::rc;
 
@@ -10,29 +10,29 @@
 use crate::protocol::routes;
 use crate::state::backends;
 
-/// What a request needs of a backend server.
+/// What a request requires of a backend server.
 #[derive(Debug)]
 pub struct Need<'a> {
     /// The service.
     pub service: &'a id::ServiceId,
-    /// The hash of its object.
+    /// The hash of the request's object, if it has one.
     pub key: Option<u64>,
-    /// Whether another region serves it.
+    /// Whether the request is to run in another region.
     pub away: bool,
-    /// Where it may run.
+    /// The regions where the request may run.
     pub homes: routes::Homes<'a>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether it ranks behind others of the service.
+    /// Whether other requests of the service have a higher priority.
     pub behind: bool,
-    /// Backend servers that it has been sent to.
+    /// Backend servers that the request was already sent to.
     pub tried: &'a [id::VmId],
 }
 
-/// One run of a backend server, from a start to the next under the same name.
+/// One run of a backend server, from a start until the next under the same name.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The backend server.
+    /// The backend server's name.
     pub id: id::VmId,
     /// The name of the run, see [`backends::Backend::run_name`].
     pub name: String,
@@ -40,30 +40,30 @@
 }
 
 impl Run {
-    /// Whether it is the one that is known now.
+    /// Whether this is the backend server's current run.
     pub fn is_of(&self, known: &backends::Backend) -> bool {
         rc::Rc::ptr_eq(&self.ended, known.ended())
     }
 
-    /// Waits until another run of it is known to have begun.
+    /// Waits until a newer run of the backend server is known.
     pub async fn ended(&self) {
         self.ended.notified().await;
     }
 }
 
-/// A request's hold on a backend server, given up when dropped.
+/// A request's slot at a backend server, released on drop.
 #[derive(Debug)]
 pub struct Seat {
     cx: Gateway,
-    /// The run of the backend server that it is with.
+    /// The reserved backend server's run.
     pub run: Run,
-    /// Its address.
+    /// The backend server's address.
     pub addr: std::net::SocketAddr,
-    /// Whether it lies in another region.
+    /// Whether the backend server is in another region.
     pub far: bool,
     /// Whether the request's object is new there, as far as this VM knows.
     pub new: bool,
-    /// Requests that ran or waited there before it, as far as known.
+    /// Requests running or queued there at the time, as far as this VM knows.
     pub ahead: f64,
 }
 
@@ -80,19 +80,19 @@
     }
 }
 
-/// Why there is no backend server.
+/// Why no backend server takes the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Nowhere {
-    /// None is usable at all.
+    /// No backend server is usable.
     NoBackend,
-    /// Those that may have the object warm are full, so that it would be late.
+    /// The backend servers that may have the object cached are full; others would answer late.
     Full,
-    /// Its object is new there, and others that are hold the slots that these may have.
+    /// The object is new there, and other new objects use the slots allowed for them.
     Cold,
 }
 
 impl Nowhere {
-    /// A short name, for logs.
+    /// The reason as a log and metric value.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoBackend => "no usable backend server",
@@ -104,14 +104,14 @@
 
 /// Backend servers that may get a request.
 struct InOrder<'a> {
-    /// Whether any can serve it, now or soon.
+    /// Whether any can serve the request, now or soon.
     usable: bool,
-    /// Those that have a place in the order of objects.
+    /// Those to choose from now.
     in_order: Vec<&'a backends::Backend>,
 }
 
 impl Gateway {
-    /// A backend server that takes the request now.
+    /// Reserves a slot at a backend server that takes the request now.
     pub fn place(&self, need: &Need<'_>) -> Result<Seat, Nowhere> {
         let now = self.now();
         let chosen = self.choose(need, now);
@@ -158,8 +158,7 @@
 
 impl Gateway {
     fn choose(&self, need: &Need<'_>, now: policy::Moment) -> Result<id::VmId, Nowhere> {
-        // A region without any usable backend server has its callers served elsewhere, and so
-        // has a share whose regions elsewhere are all out.
+        // If one side has no usable backend server, the next side serves the request.
         let mut sides = match need.homes.are_open() {
             true => vec![backends::Side::Far],
             false => self.homes_elsewhere(&need.homes),
@@ -172,9 +171,9 @@
         chosen.unwrap_or(Err(Nowhere::NoBackend))
     }
 
-    /// The other regions in which a request may run. Each has an order of its own for each object, with
-    /// as many places as the region is large: taken for a part of all other regions, a small one would
-    /// be asked to keep each object at many backend servers, and none of its caches would hold any.
+    /// The other regions where a request may run. Each region has its own order of backend servers
+    /// for each object, whose length follows from the region's size. In one order for all other
+    /// regions, a small region would cache each object at many backend servers and fill its caches.
     fn homes_elsewhere<'a>(&'a self, homes: &routes::Homes<'a>) -> Vec<backends::Side<'a>> {
         let own = self.region.as_ref();
         let named = match homes.route.is_empty() {
@@ -188,7 +187,7 @@
             .collect()
     }
 
-    /// The backend server on one side; `None` where none there is usable.
+    /// Chooses a backend server on one side; `None` if none there is usable.
     fn choose_on(
         &self,
         side: backends::Side<'_>,
@@ -208,8 +207,7 @@
             .then(|| self.pick(&all.in_order, among, need, now))
     }
 
-    /// Those among which the choice lies as a rule: the first of the object's order, or some drawn
-    /// at random.
+    /// The shortlist to choose from first: the head of the object's order, or a random sample.
     fn few(&self, side: backends::Side<'_>, need: &Need<'_>) -> Vec<id::VmId> {
         let by_object = self.cfg.thresholds.placement.by_object;
         let mut backends = self.backends.borrow_mut();
@@ -219,7 +217,7 @@
         }
     }
 
-    /// Those that have a place in the order of objects now.
+    /// Filters the backend servers to choose from now.
     fn in_order<'a>(
         &self,
         backends: impl Iterator<Item = &'a backends::Backend>,
@@ -265,7 +263,7 @@
             .ok_or(Nowhere::Full)
     }
 
-    /// Whether a backend server counts as one that can serve the request, now or soon.
+    /// Whether a backend server can serve the request, now or soon.
     fn may_serve(&self, b: &backends::Backend, need: &Need<'_>, now: policy::Moment) -> bool {
         if b.listed.leaving || self.evacuated.borrow().contains(&b.listed.az) {
             return false;
@@ -280,8 +278,8 @@
         !out || (b.health.due(now) && need.idempotent)
     }
 
-    /// Whether it has a place in the order of objects just now. One that is cold or on trial has
-    /// one only for a request that it takes at once: its objects go elsewhere meanwhile.
+    /// Whether a backend server can be chosen now. One that is cold or on trial counts only if it
+    /// takes the request at once; meanwhile other backend servers serve its objects.
     fn has_place(&self, b: &backends::Backend, need: &Need<'_>, now: policy::Moment) -> bool {
         let on_trial = b.health.state() != ejection::State::In;
         if on_trial && (b.in_flight > 0 || !need.idempotent) {
@@ -290,14 +288,14 @@
         !b.is_cold(now) || (b.pace.ready(now) && self.owns_cold(b))
     }
 
-    /// Whether this VM is the one that sends to a cold backend server. Only those that callers of
-    /// its region are told have requests for it.
+    /// Whether this VM is the one that sends to a cold backend server. Only VMs advertised to
+    /// callers of that region have requests for it.
     fn owns_cold(&self, b: &backends::Backend) -> bool {
         cold::owns(b.hash, self.own_hash, &self.told_in(b.region.as_ref()))
     }
 
     fn cold_rate(&self, service: &id::ServiceId) -> f64 {
-        /// Where the routes do not say: one each second does no harm to any backend server.
+        /// Requests per second if the routes state no rate; one harms no backend server.
         const UNKNOWN: f64 = 1.0;
         self.table
             .borrow()
