--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers that rest between requests.
+//! Pool of idle connections to backend servers.
 
 use std::collections;
 use std::time;
@@ -7,37 +7,37 @@
 use crate::id;
 use crate::transport::socket;
 
-/// Connections that rest for one backend server, at most. It works on few requests at once, and
-/// each connection counts against its limit.
+/// Idle connections per backend server. It works on few requests at once, and each connection
+/// counts against its connection limit.
 const EACH: usize = 4;
 
 #[derive(Debug)]
 struct Idle {
     wire: socket::Wire,
     since: time::Instant,
-    /// How long its backend server says that it keeps it.
+    /// The keep-alive timeout that the backend server stated.
     stated: Option<time::Duration>,
 }
 
-/// A connection that rested, to be used again.
+/// An idle connection taken from the pool for reuse.
 #[derive(Debug)]
 pub struct Rested {
     /// The connection.
     pub wire: socket::Wire,
-    /// How long it rested.
+    /// How long it was idle.
     pub rested: time::Duration,
 }
 
-/// The resting connections by backend server.
+/// The idle connections by backend server.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: collections::HashMap<id::VmId, Vec<Idle>>,
-    /// How long they may rest.
+    /// Limits how long connections may stay idle.
     pub rest: rest::Rest,
 }
 
 impl Pool {
-    /// A connection that has rested no longer than `limit`, the most recent first.
+    /// Takes the most recently used connection that was idle for less than `limit`.
     pub fn take(&mut self, id: &id::VmId, limit: time::Duration) -> Option<Rested> {
         let idle = self.idle.get_mut(id)?;
         while let Some(mut last) = idle.pop() {
@@ -50,7 +50,7 @@
         None
     }
 
-    /// Keeps a connection. `stated` is how long the backend server says that it keeps it.
+    /// Adds an idle connection. `stated` is the keep-alive timeout that the backend server stated.
     pub fn put(&mut self, id: &id::VmId, wire: socket::Wire, stated: Option<time::Duration>) {
         if self.rest.limit(stated).is_zero() {
             return;
@@ -66,7 +66,7 @@
         });
     }
 
-    /// Closes what has rested too long.
+    /// Closes connections that were idle for too long.
     pub fn sweep(&mut self) {
         let rest = self.rest;
         self.idle.retain(|_, idle| {
@@ -75,7 +75,7 @@
         });
     }
 
-    /// Closes the connections to one backend server.
+    /// Closes all idle connections to one backend server.
     pub fn drop_all(&mut self, id: &id::VmId) {
         self.idle.remove(id);
     }
