--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -1,8 +1,7 @@
-//! Customers' quotas: what this VM lets in, and what it tells the others and hears of them.
+//! Enforces customers' quotas and exchanges usage reports with other entry VMs.
 //!
-//! Each VM that callers may be sent to hears what every other lets in, without a link that has to be
-//! kept: datagrams, sent when something differs from what was told, and twice a second at
-//! least.
+//! Each VM that callers may be sent to receives what every other VM admits, in datagrams without a
+//! connection: sent when something differs from the last report, and at least twice a second.
 
 use std::collections;
 use std::io;
@@ -19,26 +18,26 @@
 use crate::protocol::{customers, usage};
 use crate::transport::callers;
 
-/// How often this VM looks whether there is something to tell.
+/// Interval of checks for usage to report.
 const LOOK: time::Duration = time::Duration::from_millis(100);
 
-/// How often it looks where no customer asks for anything.
+/// Interval of checks while no customer sends requests.
 const LOOK_IDLE: time::Duration = time::Duration::from_millis(500);
 
-/// How often it speaks at the least, so that the others know that it serves.
+/// Longest time between two reports, which also show the other VMs that this one serves.
 const SPEAK: time::Duration = time::Duration::from_millis(500);
 
-/// How often it tells everything, for those that missed a message.
+/// Interval of full reports, for VMs that missed a datagram.
 const WHOLE: time::Duration = time::Duration::from_millis(2000);
 
-/// How many VMs of a region that are next in line hear what is let in: as many as callers are told, which
-/// may all become busy at once.
+/// How many VMs of a region beyond the advertised ones get reports: as many as are advertised,
+/// since all of those may become busy at once.
 const NEXT: usize = nearby::LEAST;
 
-/// Datagrams of one time, at the most: customers far from their limits are left out beyond it.
+/// Datagrams per report; customers far from their limits are left out beyond that.
 const DATAGRAMS: usize = 8;
 
-/// A request that counts against its customer's quota until it is known not to have run.
+/// A request counted against its customer's quota until it is known not to have run.
 #[derive(Debug)]
 pub(super) struct Charge {
     customer: quota::Name,
@@ -46,14 +45,14 @@
     at: policy::Moment,
 }
 
-/// When this VM spoke last, and when it told everything.
+/// When this VM sent its last report, and its last full report.
 #[derive(Clone, Copy, Debug, Default)]
 struct Spoken {
     last: Option<policy::Moment>,
     whole: Option<policy::Moment>,
 }
 
-/// What this VM has heard of another's datagrams.
+/// The position of another VM's latest datagram.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub(super) struct Latest {
     start: u64,
@@ -72,7 +71,7 @@
 }
 
 impl Gateway {
-    /// Counts a request against its customer's quota; `None`: it has none.
+    /// Counts a request against its customer's quota; `None` if the customer has none.
     pub(super) fn charge(
         &self,
         customer: Option<&customers::Customer>,
@@ -95,7 +94,7 @@
         }))
     }
 
-    /// Counts one more send of a request. Returns whether the quota leaves one.
+    /// Counts a resend. Returns whether the quota allows it.
     pub(super) fn charge_again(&self, charge: &mut Charge) -> bool {
         let at = self.now();
         let mut quotas = self.quotas.borrow_mut();
@@ -104,13 +103,13 @@
         taken.is_ok()
     }
 
-    /// A request that was counted has not run.
+    /// Refunds the charge of a request that has not run.
     pub(super) fn give_back(&self, charge: &Charge) {
         let mut quotas = self.quotas.borrow_mut();
         quotas.give_back(self.now(), charge.customer, charge.at);
     }
 
-    /// Tells the other VMs what this one lets in, and hears them, until the process ends.
+    /// Sends and receives usage reports until the process ends.
     pub async fn share_quotas(self, socket: UdpSocket) {
         let mut buf = vec![0; usage::LONGEST];
         let mut next = tokio::time::Instant::now();
@@ -119,10 +118,10 @@
             tokio::select! {
                 received = socket.recv_from(&mut buf) => match received {
                     Ok((len, from)) => self.hear_usage(&buf[..len], from),
-                    // A datagram that somebody's machine refused; the next ones may arrive.
-                    Err(err) => slog::debug!(self.log, "usage not heard"; "error" => %err),
+                    // Another machine refused an earlier datagram; later ones may arrive.
+                    Err(err) => slog::debug!(self.log, "cannot receive usage reports"; "error" => %err),
                 },
-                // What is let in after a rest is told as soon as what is let in amid work.
+                // Usage after an idle period is reported as soon as during steady use.
                 () = self.asked.notified() => next = next.min(tokio::time::Instant::now() + LOOK),
                 () = tokio::time::sleep_until(next) => {
                     let idle = !self.tell_usage(&socket, &mut spoken).await;
@@ -133,7 +132,7 @@
         }
     }
 
-    /// Tells the others what they do not know yet. Returns whether any customer asked for anything.
+    /// Sends usage that the other VMs do not know yet. Returns whether any customer is active.
     async fn tell_usage(&self, socket: &UdpSocket, spoken: &mut Spoken) -> bool {
         let now = self.now();
         let over =
@@ -166,8 +165,8 @@
         active
     }
 
-    /// Whether customers' callers are sent here. Others count on what such a VM may let in, until it
-    /// says that it lets in nothing.
+    /// Whether customers' callers are sent here. Other VMs reserve a share of the quotas for such a
+    /// VM until it reports that it admits nothing.
     fn awaits_customers(&self) -> bool {
         let customers = self
             .table()
@@ -175,13 +174,13 @@
         customers && self.told_in(self.region.as_ref()).contains(&self.own_hash)
     }
 
-    /// Customers that have nearly used their quotas, which outlive this process where it registers.
+    /// Customers that have nearly used their quotas, for this VM's registration, which outlives it.
     pub fn near_limits(&self) -> Vec<quota::Name> {
         self.quotas.borrow_mut().near_limits(self.now())
     }
 
     fn datagrams(&self, rows: &[(quota::Name, quota::Told)], whole: bool) -> Vec<Vec<u8>> {
-        // What a large VM let in of one customer in a window stays far below the type's bound.
+        // The count of one customer in a window at a large VM stays far below `u32::MAX`.
         let count = |n: f64| n.round() as u32;
         let row = |(customer, told): &(quota::Name, quota::Told)| usage::Row {
             customer: *customer,
@@ -196,7 +195,7 @@
         if parts.is_empty() {
             parts.push(Vec::new());
         }
-        // Only one that holds everything says that there is nothing else.
+        // Only a datagram with all rows can say that there are no others.
         let whole = whole && parts.len() == 1;
         let encoded = parts.into_iter().map(|rows| {
             let number = self.told_usage.get() + 1;
@@ -213,7 +212,7 @@
             .filter_map(|datagram| match datagram {
                 Ok(datagram) => Some(datagram),
                 Err(err) => {
-                    slog::error!(self.log, "usage not told"; "error" => %err);
+                    slog::error!(self.log, "cannot encode a usage report"; "error" => %err);
                     None
                 }
             })
@@ -229,12 +228,12 @@
 
     fn usage_unsent(&self, to: net::SocketAddr, err: &io::Error) {
         if let Some(left_out) = self.lines.admit("usage unsent", self.now()) {
-            slog::info!(self.log, "usage not told"; "to" => %to, "error" => %err, "left_out" => left_out);
+            slog::info!(self.log, "cannot send a usage report"; "to" => %to, "error" => %err, "left_out" => left_out);
         }
     }
 
-    /// The VMs that must know what this one lets in: those that callers are told, and those that spoke
-    /// lately.
+    /// The VMs that need this VM's usage: those advertised to callers, and those that reported
+    /// recently.
     fn audience(&self) -> Vec<net::SocketAddr> {
         let Some(own) = self.cfg.usage else {
             return Vec::new();
@@ -254,9 +253,9 @@
             .collect()
     }
 
-    /// Takes in which VMs callers are sent to, where that has changed. A VM that has just started and
-    /// let requests in before it knew of the others would take all that is left for itself, as each of
-    /// them would.
+    /// Updates the VMs that callers are sent to, if the list has changed. A VM that admits requests
+    /// before it knows the other VMs would take all that is left of a quota, and so would each of
+    /// them.
     fn expect_others(&self) {
         let version = Some(self.entries.borrow().version());
         if self.expected_by.replace(version) == version {
@@ -273,7 +272,7 @@
         self.quotas.borrow_mut().expect(told, next, vms);
     }
 
-    /// Each of these VMs once, but for this one.
+    /// The VMs without this one and without duplicates.
     fn others(&self, vms: impl Iterator<Item = quota::Name>) -> Vec<quota::Name> {
         let mut others: Vec<quota::Name> = vms.filter(|hash| *hash != self.own_hash).collect();
         others.sort_unstable();
@@ -281,7 +280,7 @@
         others
     }
 
-    /// Forgets VMs that are gone.
+    /// Forgets the usage of VMs that are no longer registered.
     fn forget_others(&self, now: policy::Moment) {
         let entries = self.entries.borrow();
         let serving: collections::HashSet<u64> = entries.iter().map(|(_, h, _)| h).collect();
@@ -289,18 +288,18 @@
         quotas.forget(now, |vm| serving.contains(&vm));
     }
 
-    /// Hears what another VM lets in. Only one that is listed, and from its own address: anybody else
-    /// could have a customer refused everywhere.
+    /// Handles a usage report. It must come from a listed VM's own address: otherwise anybody could
+    /// have a customer refused everywhere.
     fn hear_usage(&self, bytes: &[u8], from: net::SocketAddr) {
         counter!(known::PEER_BYTES, "direction" => "in").increment(bytes.len() as u64);
         let why = match usage::decode(bytes) {
             Ok(usage) if self.is_listed(&usage.vm, from) => return self.take_usage(usage),
-            Ok(_) => "it is of no entry VM that is listed".to_owned(),
+            Ok(_) => "the sender is not a listed entry VM".to_owned(),
             Err(err) => err.to_string(),
         };
         counter!(known::PEER_REFUSED).increment(1);
         if let Some(left_out) = self.lines.admit("usage", self.now()) {
-            slog::info!(self.log, "usage not taken"; "from" => %from, "why" => why, "left_out" => left_out);
+            slog::info!(self.log, "usage report rejected"; "from" => %from, "why" => why, "left_out" => left_out);
         }
     }
 
@@ -335,7 +334,7 @@
         quotas.heard(self.now(), vm, usage.start, rows, usage.whole);
     }
 
-    /// Refuses a request that is beyond its customer's quota.
+    /// Refuses a request that exceeds its customer's quota.
     pub(super) fn beyond_quota(
         &self,
         facts: &facts::Facts,
