--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -1,9 +1,8 @@
-//! What is written and counted of each request, so that one can be explained afterwards from logs
-//! and metrics alone.
+//! Logs and counts requests, so that each can be explained afterwards from logs and metrics alone.
 //!
-//! A request that was not answered in time leaves a line, up to a rate; of the others those whose id
-//! falls into a fixed share leave one, the same on all entry VMs. What the rate left out is said
-//! in the next line of its kind.
+//! Each request that was not answered in time is logged, up to a rate limit. Of the others a fixed
+//! share is logged, selected by request id and the same on all entry VMs. Each line states how many
+//! lines of its kind were suppressed before it.
 
 use std::time;
 
@@ -15,17 +14,17 @@
 use crate::metrics as known;
 use crate::protocol::routes;
 
-/// Lines of each kind. At 250 bytes a line this is 10 KB a second, and under 1 of 100 of the
-/// processor of a VM with a fifth of a core.
+/// Rate limit for each kind of line. At 250 bytes per line this is 10 KB per second, and costs less
+/// than 1 % of the processor of a VM with a fifth of a core.
 pub(super) const RATE: logging::Rate = logging::Rate {
     burst: 60.0,
     a_second: 40.0,
 };
 
-/// Within this the store counts as heard: a reader hears it twice a second.
+/// Maximum age of the store's last answer while it counts as up; a reader gets two per second.
 const STORE_HEARD: time::Duration = time::Duration::from_secs(2);
 
-/// Of the requests that were answered in time, one in so many leaves a line.
+/// One in this many requests answered in time is logged.
 const SAMPLED: u64 = 64;
 
 /// How a request ended.
@@ -33,24 +32,24 @@
 pub(super) struct Ended<'a> {
     pub(super) id: &'a [u8],
     pub(super) route: &'a routes::Route,
-    /// The name of the customer who asked, where one must be known.
+    /// The customer's name; empty on routes that need no key.
     pub(super) customer: &'a str,
     pub(super) service: &'a str,
-    /// Whether another region serves its object.
+    /// Whether the request was to run in another region.
     pub(super) away: bool,
-    /// Whether its object was new, as far as this VM knows, where it was sent last.
+    /// Whether its object was new at the last backend server, as far as this VM knows.
     pub(super) new: bool,
-    /// Requests that ran or waited there before it, as far as this VM knew.
+    /// Requests running or queued there before it, as far as this VM knew.
     pub(super) ahead: f64,
     pub(super) status: u16,
-    /// What became of it.
+    /// The fate as a metric label.
     pub(super) fate: &'static str,
-    /// Why, where it was not answered well.
+    /// The reason for any other fate than `answered`.
     pub(super) why: &'static str,
-    /// Backend servers that it was sent to, the last last.
+    /// Backend servers that it was sent to, in order.
     pub(super) tried: &'a [crate::id::VmId],
     pub(super) sends: u32,
-    /// When it had come, and when it was first sent.
+    /// When it arrived, and when it was first sent.
     pub(super) received: policy::Moment,
     pub(super) first_sent: Option<policy::Moment>,
     pub(super) deadline: policy::Moment,
@@ -61,7 +60,7 @@
 }
 
 impl Gateway {
-    /// Writes and counts how a request ended.
+    /// Logs and counts how a request ended.
     pub(super) fn record(&self, ended: &Ended<'_>) {
         let now = self.now();
         let took = now.saturating_sub(ended.received);
@@ -104,7 +103,7 @@
             "store_age_ms" => self.store_age().map(ms), "left_out" => left_out);
     }
 
-    /// Writes and counts a request whose caller is not known, without what it gave as its key.
+    /// Logs and counts a request whose customer is not known, without the given key.
     pub(super) fn record_turned_away(&self, id: &[u8], why: &'static str) {
         counter!(known::REQUESTS, "service" => "", "operation" => "", "fate" => "turned_away", "why" => why)
             .increment(1);
@@ -114,7 +113,7 @@
         }
     }
 
-    /// Writes and counts a request that was beyond its customer's quota, with what was known of it here.
+    /// Logs and counts a request beyond its customer's quota, with this VM's view of the usage.
     pub(super) fn record_beyond(&self, facts: &facts::Facts, refused: &quota::Refused) {
         counter!(known::REQUESTS, "service" => "", "operation" => self.labels.label(&facts.route.name),
             "fate" => "beyond_quota", "why" => "")
@@ -134,7 +133,7 @@
             "version" => facts.table.version, "left_out" => left_out);
     }
 
-    /// Writes that a request's caller left before its answer.
+    /// Logs and counts a request whose caller left before the answer.
     pub(super) fn record_left(&self, id: &[u8]) {
         counter!(known::REQUESTS, "service" => "", "operation" => "", "fate" => "left", "why" => "")
             .increment(1);
@@ -143,7 +142,7 @@
         }
     }
 
-    /// Sets the gauges to what is now.
+    /// Sets the gauges to their current values.
     pub fn set_gauges(&self) {
         let now = self.now();
         let backends = self.backends.borrow();
@@ -162,7 +161,7 @@
         gauge!(known::UPTIME_SECONDS).set(now.as_secs_f64());
     }
 
-    /// Writes how one send of a request failed, with what was believed of its backend server.
+    /// Logs and counts a failed send, with this VM's view of the backend server.
     pub(super) fn record_send(
         &self,
         id: &[u8],
