--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -1,4 +1,6 @@
-//! A caller's request from its first line to its answer.
+//! Handles one request from its head to its answer: chooses backend servers, sends, hedges and
+//! resends within the deadline, the retry budget and the customer's quota. A request that is not
+//! idempotent is sent again only if it has not run.
 
 use std::rc;
 use std::time;
@@ -13,19 +15,18 @@
 use crate::protocol::{http1, routes};
 use crate::transport::{callers, upstream};
 
-/// How much longer than the caller's time a backend server's own answer is awaited: it stops by
-/// itself at the time that it was given, and its word is better than ours.
+/// Extra time beyond the caller's deadline to wait for a backend server's answer. The backend
+/// server stops at the deadline itself, and its answer says more than a timeout.
 const AFTER: time::Duration = time::Duration::from_millis(120);
 
-/// When a caller may come back whose request crashes backend servers: it will not be served for a
-/// minute at least.
+/// Retry delay for requests that crash backend servers, which are refused for at least a minute.
 const BANNED: time::Duration = time::Duration::from_secs(60);
 
-/// When a caller may come back whose request must run elsewhere while too many more do: by then more
-/// may.
+/// Retry delay for requests that must run in another region while the cap on such requests is
+/// reached: by then the cap allows more.
 const STAYS_AWAY: time::Duration = time::Duration::from_secs(1);
 
-/// Counts the requests in hand, however they end, and tells of those whose callers left.
+/// Counts a request in progress, however it ends, and records it if its caller left.
 struct InHand {
     cx: Gateway,
     id: Bytes,
@@ -54,7 +55,7 @@
 }
 
 impl Gateway {
-    /// Answers a request.
+    /// Handles a request and returns its answer.
     pub(super) async fn handle(self, mut req: callers::Request) -> callers::Answer {
         let mut in_hand = InHand::new(&self, &req.head);
         let facts = match self.facts(&req) {
@@ -154,7 +155,7 @@
 }
 
 impl Gateway {
-    /// Whether a request may leave its caller's region, if it must; then it counts.
+    /// Whether a request may run outside its caller's region if it must. Counts it if it may run.
     fn may_leave(&self, reach: regions::Reach) -> bool {
         let now = self.now();
         let leaves = reach == regions::Reach::Elsewhere;
@@ -166,14 +167,14 @@
         true
     }
 
-    /// A request that was let in at this moment has run nowhere.
+    /// Takes a request that has not run back from the count of those that leave the region.
     fn ran_nowhere(&self, reach: regions::Reach, let_in: policy::Moment) {
         let leaves = reach == regions::Reach::Elsewhere;
         let mut departures = self.departures.borrow_mut();
         departures.take_back(self.now(), let_in, leaves);
     }
 
-    /// Refuses a request that must run elsewhere while too many more do than just before.
+    /// Refuses a request that must run in another region while the cap on such requests is reached.
     fn stays_away(&self, facts: &facts::Facts) -> callers::Answer {
         let left = facts.deadline.saturating_sub(self.now());
         let after = comeback::after(STAYS_AWAY, left, self.jitter());
@@ -183,14 +184,14 @@
     }
 }
 
-/// What happens next to a request whose sends are out.
+/// The next event for a request with sends in flight.
 enum Next {
     Ended(id::VmId, attempt::Outcome),
     Hedge,
     TimeUp,
 }
 
-/// A request on its way.
+/// A request in progress.
 struct Run<'a> {
     cx: &'a Gateway,
     facts: &'a facts::Facts,
@@ -198,21 +199,21 @@
     away: bool,
     payload: Option<upstream::Payload>,
     tried: Vec<id::VmId>,
-    /// How often it was sent.
+    /// Number of sends.
     sends: u32,
-    /// At how many backend servers it may have run.
+    /// Number of sends that may have run.
     ran: u32,
     first_sent: Option<policy::Moment>,
-    /// Whether its object was new where it was sent last.
+    /// Whether the request's object was new at the latest backend server.
     new: bool,
-    /// Requests that ran or waited there before it.
+    /// Requests running or queued there at the time of the send.
     ahead: f64,
-    /// What became of it, and why.
+    /// The request's fate and the reason, as metric labels.
     fate: (&'static str, &'static str),
     bond: &'a callers::Bond,
-    /// Whether its key was taken away while it was under way.
+    /// Whether its key was revoked while the request was in progress.
     revoked: bool,
-    /// What counts against its customer's quota for the last send.
+    /// The quota charge of the latest send.
     charge: Option<quotas::Charge>,
 }
 
@@ -337,11 +338,11 @@
         Some(self.cx.now() + hedge.after(usual, self.facts.route.aim))
     }
 
-    /// Whether one more send is allowed, and then takes it from the budget.
+    /// Whether one more send is allowed; if so, takes it from the retry budget.
     fn may_send(&self) -> bool {
         let more = self.ran < self.facts.route.attempts && self.sends <= self.facts.route.attempts;
         let fresh = self.payload.is_some();
-        // A caller that has left waits for nothing; what it wanted must not begin anew without it.
+        // Without a waiting caller, the request must not start at another backend server.
         let over = self.bond.left.get() || self.cx.now() >= self.facts.deadline;
         if !more || !fresh || over {
             return false;
@@ -352,7 +353,7 @@
             .with_desk(&self.job.service, |desk| desk.resends.take(bound, now, vms))
     }
 
-    /// One more send while another is still out, which may run as this one may.
+    /// One more send while another is in flight. Both may run, so two attempts must remain.
     fn beside(&mut self) -> Option<(upstream::Payload, place::Seat)> {
         if self.ran + 2 > self.facts.route.attempts {
             return None;
@@ -360,7 +361,7 @@
         self.again()
     }
 
-    /// One more send after the last has failed.
+    /// One more send after the previous one failed.
     fn after_failure(&mut self) -> Option<(upstream::Payload, place::Seat)> {
         if self.ran > 0 && !self.facts.route.idempotent {
             return None;
@@ -382,8 +383,8 @@
         Some((payload, seat))
     }
 
-    /// Whether its key is still held. One that was taken away while the request was under way must
-    /// start nothing more; one that was given to another customer asks for that one from now on.
+    /// Whether a customer still holds the request's key. A revoked key allows no further send;
+    /// after a key has moved to another customer, further sends carry the new customer's name.
     fn is_still_allowed(&mut self) -> bool {
         let Ok(asker) = self.cx.still(self.facts) else {
             self.revoked = true;
@@ -396,13 +397,13 @@
         true
     }
 
-    /// Whether its customer's quota leaves one more send.
+    /// Whether the customer's quota allows one more send.
     fn charge_again(&mut self) -> bool {
         let charge = self.charge.as_mut();
         charge.is_none_or(|charge| self.cx.charge_again(charge))
     }
 
-    /// What was counted for the last send has not run.
+    /// Refunds the quota charge of the latest send, which has not run.
     fn give_back(&self) {
         if let Some(charge) = &self.charge {
             self.cx.give_back(charge);
@@ -448,7 +449,7 @@
         self.facts.deadline.saturating_sub(self.cx.now())
     }
 
-    /// No answer could be had, and no further send is possible.
+    /// The answer when all sends failed and no further send is possible.
     fn ended(&mut self) -> callers::Answer {
         match self.ran {
             0 if self.revoked => self.turn_away(),
@@ -457,13 +458,13 @@
         }
     }
 
-    /// It has not run, and nobody that is known asks for it any more.
+    /// The answer to a request whose key was revoked before it ran.
     fn turn_away(&mut self) -> callers::Answer {
         self.fate = ("turned_away", "the key was taken away");
         self.cx.own_answer(401, Some(&self.facts.id))
     }
 
-    /// It has not run and will not.
+    /// The answer to a request that has not run and will not.
     fn refuse(&mut self, why: &'static str) -> callers::Answer {
         self.fate = ("not_run", why);
         let backlog = self.cx.with_desk(&self.job.service, |desk| desk.backlog());
@@ -473,7 +474,7 @@
         answer
     }
 
-    /// It may have run, and its caller gets no answer of a backend server.
+    /// The answer to a request that may have run and got no answer from a backend server.
     fn give_up(&mut self, why: &'static str) -> callers::Answer {
         self.fate = ("unknown", why);
         let status = match self.left().is_zero() {
