--- a/src/gateway/thresholds.rs
+++ b/src/gateway/thresholds.rs
@@ -1,7 +1,6 @@
-//! Thresholds of the decisions about a request, and the file in which operators may change them.
+//! Thresholds of request decisions, and the file in which operators may change them.
 //!
-//! The file holds what differs from the defaults, for trials
-//! and to switch a mechanism off.
+//! The file holds only values that differ from the defaults, for trials and to disable a mechanism.
 
 use std::fs;
 use std::path;
@@ -13,21 +12,21 @@
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Thresholds {
-    /// How many entry VMs that are not busy callers are told.
+    /// Number of non-busy entry VMs advertised to callers.
     pub told: usize,
-    /// Of what operators allow, the part of second sends that is used.
+    /// The share of the operators' bound on resends that is used, from 0 to 1.
     pub second_sends: f64,
-    /// Placement by object.
+    /// Placement of requests by object.
     pub placement: affinity::Config,
-    /// The share that other regions serve.
+    /// Shift of requests to other regions.
     pub regions: regions::Config,
-    /// Ejection of backend servers that fail.
+    /// Ejection of failing backend servers.
     pub ejection: ejection::Config,
-    /// The limit at a backend server.
+    /// Limit on requests in flight per backend server.
     pub limit: limit::Config,
-    /// Objects that are handled for the first time.
+    /// Objects that are new to a backend server.
     pub warming: warming::Config,
-    /// Second sends of a read beside the first.
+    /// Hedging of reads.
     pub hedge: hedge::Config,
 }
 
@@ -39,8 +38,9 @@
             placement: affinity::Config::default(),
             regions: regions::Config::default(),
             ejection: ejection::Config {
-                // An object stays with its backend server, so a broken one is noticed by its own
-                // failures and not by its share of the load: ten answers and no more.
+                // Requests for an object stay with its backend server, so a broken one is noticed
+                // by its own failures rather than by its share of the load. Ten answers suffice for
+                // that.
                 in_a_row: 3,
                 broken_in_a_row: 1,
                 share: 0.4,
@@ -56,7 +56,9 @@
 }
 
 impl Thresholds {
-    /// Reads a TOML file; what does not stand there keeps its default.
+    /// Reads a TOML file. Values that it does not name keep their defaults.
+    ///
+    /// Fails if the file cannot be read, names an unknown threshold or has a value out of range.
     pub fn read(path: &path::Path) -> Result<Self, error::Error> {
         let text = fs::read_to_string(path).map_err(|source| error::Error::Read {
             path: path.to_owned(),
@@ -65,7 +67,7 @@
         Self::parse(&text).map_err(|why| error::Error::Config(format!("{}: {why}", path.display())))
     }
 
-    /// Reads the file's text.
+    /// Parses the file's text.
     pub fn parse(text: &str) -> Result<Self, String> {
         let message = |err: toml::de::Error| err.message().to_owned();
         let given: toml::Table = toml::from_str(text).map_err(message)?;
