--- a/src/bin/bulrushwind-gateway.rs
+++ b/src/bin/bulrushwind-gateway.rs
@@ -1,4 +1,4 @@
-//! The process on each entry VM of the users' platform.
+//! Runs the gateway process on an entry VM of the users' platform.
 
 use std::path;
 use std::process;
@@ -7,9 +7,9 @@
 use bulrushwind::{error, exit_codes, logging, platform};
 use clap::Parser;
 
-/// Brings callers' requests to backend servers by the routes in the platform's store.
+/// Forwards callers' requests to backend servers by the routes in the platform's store.
 ///
-/// Stops as planned on SIGTERM. Logs are JSON lines on standard output.
+/// Finishes requests in progress and exits on SIGTERM. Logs are JSON lines on standard output.
 #[derive(Debug, clap::Parser)]
 #[command(name = "bulrushwind-gateway", version, after_help = exit_codes::HELP, max_term_width = 100)]
 struct Args {
@@ -19,7 +19,7 @@
     /// Port of this VM for metrics [default: the first of the ports that are free for us]
     #[arg(long, value_name = "PORT")]
     metrics_port: Option<u16>,
-    /// A TOML file with thresholds of decisions that differ from the defaults
+    /// TOML file with the decision thresholds that differ from the defaults
     #[arg(long, value_name = "FILE")]
     thresholds: Option<path::PathBuf>,
     /// Check the files and exit
