--- a/tests/gateway/again.rs
+++ b/tests/gateway/again.rs
@@ -1,4 +1,4 @@
-//! Backend servers that start again under their name.
+//! Backend servers that restart under the same name.
 
 use bulrushwind::gateway::place;
 use bulrushwind::id;
@@ -6,9 +6,9 @@
 
 use super::stage::{Act, Stage, get, play, post};
 
-/// A backend server is cut off with a read and a booking at work, crashes behind the cut and starts
-/// again under its name. Their answers cannot come any more: a user who reads waits to the deadline
-/// although others could answer, and one who books learns as late that the outcome is not known.
+/// A backend server is partitioned with a read and a booking in flight, crashes and restarts under
+/// its name. Their answers can no longer come; without the restart being noticed both callers wait
+/// until their deadlines, although another backend server can answer the read.
 #[test]
 fn what_was_open_at_the_run_before_ends_when_the_next_is_listed() {
     play(async || {
@@ -32,9 +32,9 @@
     });
 }
 
-/// A backend server ends, refuses connections and is left alone for a while; then it starts again,
-/// sound. Judged by what the run before did, it stays without work, and where it is the only one
-/// users are refused.
+/// A backend server stops, refuses connections and is ejected, then restarts healthy. If the old
+/// run's failures count against the new one, it stays ejected, and callers of the only backend
+/// server are refused.
 #[test]
 fn the_next_run_is_not_judged_by_the_one_before() {
     play(async || {
@@ -54,8 +54,8 @@
     });
 }
 
-/// A page of the list that was read before the restart arrives after it. Taken, it would send
-/// requests to an address at which nothing runs any more.
+/// A page of the list that was read before a restart arrives after it. If applied, requests go to
+/// an address where nothing listens.
 #[test]
 fn an_entry_of_an_earlier_start_changes_nothing() {
     play(async || {
@@ -69,8 +69,8 @@
     });
 }
 
-/// Each run counts what it holds. If the end of a request at the run before freed a slot of the
-/// next one, that would get more than it works on.
+/// Each run counts its own requests. If the end of an old run's request freed a slot of the new
+/// run, that would get more requests than it has slots.
 #[test]
 fn a_request_of_the_run_before_frees_no_slot_of_the_next() {
     play(async || {
@@ -86,9 +86,9 @@
     });
 }
 
-/// One request crashes the backend server that runs it, which starts again under its name some
-/// seconds later, and the user's program asks again. Counted by name that is one crash however
-/// often it comes, and everybody else's requests are lost with each.
+/// One request crashes its backend server, which restarts under its name, and the caller retries.
+/// If crashes are counted by name instead of run, the request is never banned, and other callers'
+/// requests are lost with each crash.
 #[test]
 fn a_request_that_crashes_three_runs_of_one_backend_server_is_refused() {
     play(async || {
--- a/tests/gateway/answers.rs
+++ b/tests/gateway/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of backend servers that are not what they ought to be.
+//! Unusual and broken answers of backend servers.
 
 use super::stage::{Act, Stage, get, play, post};
 
@@ -16,7 +16,7 @@
     });
 }
 
-/// A backend server breaks off its answer. A caller who gets the part would take it for the whole.
+/// A backend server truncates its answer. A caller that gets a part would take it for the whole.
 #[test]
 fn a_read_whose_answer_breaks_off_is_had_from_another_backend_server() {
     for act in [
@@ -47,8 +47,8 @@
     });
 }
 
-/// A second answer to an earlier request arrives where the next one's is due. Passed on, one
-/// caller reads what belongs to another.
+/// A second answer to an earlier request arrives before the next one's answer. If passed on, a
+/// caller reads data that belongs to another.
 #[test]
 fn an_answer_to_another_request_is_passed_over() {
     play(|| async {
@@ -71,8 +71,7 @@
     });
 }
 
-/// A backend server's own failure at a booking. Changed by us into another status, its caller
-/// would draw wrong conclusions.
+/// A backend server fails a booking. With a changed status the caller would misjudge the outcome.
 #[test]
 fn a_failure_of_a_backend_server_at_a_booking_is_passed_on_as_it_is() {
     play(|| async {
--- a/tests/gateway/bodies.rs
+++ b/tests/gateway/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests, short and long.
+//! Request bodies, short and long.
 
 use super::stage::{Act, Stage, play, post, route, table};
 
@@ -16,8 +16,8 @@
     });
 }
 
-/// A body in chunks does not say how long it is. One that passes the limit on the way is refused,
-/// and nothing of it runs.
+/// A chunked body does not state its length. If it exceeds the limit it is refused, and the request
+/// does not run.
 #[test]
 fn a_body_in_chunks_that_passes_the_limit_is_refused() {
     play(|| async {
@@ -37,7 +37,7 @@
     });
 }
 
-/// A body of megabytes on a small VM. Held whole, a few at once would end the process.
+/// Long bodies on a small VM: buffered whole, a few at once would exhaust its memory.
 #[test]
 fn a_long_body_is_passed_on_whole_and_the_connection_goes_on() {
     play(|| async {
@@ -66,7 +66,7 @@
     });
 }
 
-/// A caller breaks off in the middle of a long body. What its backend server has of it is no
+/// A caller disconnects in the middle of a long body. The backend server must not run the partial
 /// request.
 #[test]
 fn a_body_that_breaks_off_ends_at_its_backend_server() {
--- a/tests/gateway/callers.rs
+++ b/tests/gateway/callers.rs
@@ -1,11 +1,9 @@
-//! Callers' connections: several requests at once, callers that leave, requests that are no
-//! requests.
+//! Callers' connections: pipelined requests, disconnects and malformed requests.
 
 use super::stage::{Act, Stage, get, play, post};
 
-/// A caller sends several reads at once, and the first takes longest. Worked on one after the
-/// other, the last would be given up before it is read; answered as they end, each caller would
-/// read another's answer.
+/// A caller pipelines several reads, and the first takes longest. Run in sequence, the last would
+/// time out; answered as they end, each answer would go to the wrong request.
 #[test]
 fn requests_sent_together_run_side_by_side_and_are_answered_in_order() {
     play(|| async {
@@ -26,7 +24,7 @@
     });
 }
 
-/// A caller gives up on a read. Worked on all the same, its slot is lost to others.
+/// A caller disconnects during a read. If the read continued, it would hold a slot for nobody.
 #[test]
 fn when_its_caller_leaves_a_read_ends_at_its_backend_server() {
     play(|| async {
@@ -41,7 +39,8 @@
     });
 }
 
-/// A caller gives up on a booking that has begun. Cut then, nobody knows whether the bay is taken.
+/// A caller disconnects during a booking. If the booking were cut off, its outcome would be
+/// unknown.
 #[test]
 fn when_its_caller_leaves_a_booking_goes_on() {
     play(|| async {
@@ -59,8 +58,8 @@
     });
 }
 
-/// A booking waits in a full backend server's queue, and its caller gives up. When the backend server
-/// says at last that it did not run it, sending it on would take a bay that nobody waits for.
+/// A booking is queued at a full backend server when its caller disconnects. The backend server
+/// then reports that it did not run; a resend would book for nobody.
 #[test]
 fn a_booking_whose_caller_has_left_is_not_sent_on() {
     play(|| async {
@@ -71,7 +70,7 @@
             .until("the booking arrives", |seen| seen.arrived == 1)
             .await;
         drop(caller);
-        // The gateway has to notice that the caller is gone before the backend server answers.
+        // The gateway must notice the disconnect before the backend server answers.
         tokio::time::sleep(std::time::Duration::from_millis(100)).await;
         let mut other = stage.caller().await;
         for n in 0..20 {
@@ -83,7 +82,7 @@
     });
 }
 
-/// Messages whose length can be read in two ways let one caller put words into another's mouth.
+/// Ambiguous message lengths allow request smuggling.
 #[test]
 fn what_is_no_request_is_refused_and_its_connection_ends() {
     let bad = [
@@ -134,10 +133,9 @@
     });
 }
 
-/// The link to a backend server is cut one way while a read is on its way, and the caller leaves or
-/// is answered by another. Closed in order, the connection would keep the read, and the network
-/// delivers it when the link is whole again: seconds later a backend server of a zone that has been
-/// emptied meanwhile works for nobody. A reset takes back what has not arrived.
+/// The link to a backend server is cut one way while a read is in transit, and the read is
+/// abandoned. After an orderly close, the network delivers the read when the link recovers,
+/// possibly to a backend server of an evacuated zone. A reset discards it.
 #[test]
 fn a_send_that_is_given_up_leaves_nothing_on_its_way() {
     play(async || {
--- a/tests/gateway/customers.rs
+++ b/tests/gateway/customers.rs
@@ -1,4 +1,4 @@
-//! Callers' keys, the customers behind them, and where their requests may run.
+//! Callers' keys, their customers, and the regions where their requests may run.
 
 use bulrushwind::gateway::place;
 use bulrushwind::id;
@@ -33,7 +33,7 @@
     table(version, routes).with_customers(customers)
 }
 
-/// A stage on which the store was just heard and `pilots` hold the keys `k1` and `k2`.
+/// A harness with a recent answer from the store, where `pilots` hold the keys `k1` and `k2`.
 async fn stage(script: &[Act]) -> Stage {
     let stage = Stage::new(2, script).await;
     stage
@@ -43,13 +43,13 @@
     stage
 }
 
-/// A request with further lines in its head.
+/// A request with additional header lines.
 fn with(request: &str, lines: &str) -> String {
     request.replacen("x-id:", &format!("{lines}x-id:"), 1)
 }
 
-/// Somebody asks without a key, with two, or with one that nobody holds. Served, anybody reads what
-/// customers pay for; refused without an answer, an honest caller looks for a fault of the network.
+/// A request has no key, two keys or an unknown one. Served, it would get data without
+/// authorisation; without an answer, its caller would suspect the network.
 #[test]
 fn who_is_not_known_is_turned_away_at_once() {
     play(async || {
@@ -82,8 +82,8 @@
     });
 }
 
-/// Several reads come on one connection before the first is answered, one of them with a key that
-/// nobody holds. Its answer must not take another's place.
+/// Several reads are pipelined, one with an unknown key. Its refusal must not take the place of
+/// another answer.
 #[test]
 fn one_that_is_turned_away_keeps_its_place_among_others() {
     play(async || {
@@ -104,7 +104,7 @@
     });
 }
 
-/// Guards against cutting reads that are under way behind one that this VM cannot take.
+/// A temporary refusal must not cut off reads pipelined after it.
 #[test]
 fn one_that_is_not_taken_here_cuts_none_of_those_behind_it() {
     play(async || {
@@ -130,8 +130,8 @@
     });
 }
 
-/// A caller writes another customer's name into the field that backend servers trust, spelt in ways
-/// that some of them take for it. They would show it that customer's bookings.
+/// A caller sends another customer's name in the header that backend servers trust, in spellings
+/// that some servers accept. They would return that customer's bookings.
 #[test]
 fn backend_servers_hear_who_asks_from_us_alone() {
     play(async || {
@@ -148,8 +148,8 @@
     });
 }
 
-/// A caller hides another customer's name behind the end of a body in chunks. Passed on there, a
-/// backend server may take it like a field of the head.
+/// A caller puts another customer's name into the trailer of a chunked body. Some backend servers
+/// would treat it as a header.
 #[test]
 fn what_follows_a_body_in_chunks_says_nothing_of_who_asks() {
     play(async || {
@@ -166,8 +166,8 @@
     });
 }
 
-/// A route is open to everybody. Asked for a key there, a caller that has none is lost; and a name
-/// of a customer would be taken from whoever writes it.
+/// On a public route, a required key would exclude callers without one, and a forged customer name
+/// must not be forwarded.
 #[test]
 fn an_open_route_asks_nobody_for_a_key() {
     play(async || {
@@ -182,8 +182,8 @@
     });
 }
 
-/// A VM has just started and knows no customers yet, or has lost the store and does not know the
-/// latest keys. Told that its key is wrong, a caller gives up for good although other VMs know it.
+/// A VM has just started, or has lost the store and lacks the latest keys. If it rejected an
+/// unknown key, the caller would give up although other VMs know the key.
 #[test]
 fn a_vm_that_does_not_know_says_so() {
     play(async || {
@@ -199,15 +199,15 @@
     });
 }
 
-/// The status of a read with these lines, and whether the answer says when to come back.
+/// The status of a read with these lines, and whether the answer has a retry delay.
 async fn ask(stage: &Stage, lines: &str) -> (u16, bool) {
     let mut caller: Caller = stage.caller().await;
     let got = caller.ask(&with(&get("/read/a", "r1"), lines)).await;
     (got.status, got.head.fields.get("retry-after").is_some())
 }
 
-/// A customer's key is taken away while one of its requests waits at a backend server, which then
-/// does not run it. Sent on to another, it would run for somebody who may no longer ask.
+/// A key is revoked while one of its requests is queued at a backend server, which then does not
+/// run it. A resend would run it without authorisation.
 #[test]
 fn a_key_that_is_taken_away_starts_nothing_more() {
     play(async || {
@@ -229,8 +229,8 @@
     });
 }
 
-/// A key is given to another customer while a request with it is under way. The second send speaks
-/// for the one who holds it now.
+/// A key moves to another customer while a request is in progress. The resend carries the new
+/// holder's name.
 #[test]
 fn a_key_that_changes_hands_asks_for_its_new_holder() {
     play(async || {
@@ -257,7 +257,7 @@
     names.iter().map(|name| id::RegionId::from(*name)).collect()
 }
 
-/// Whether a request with these homes finds a backend server at all.
+/// Finds a backend server for a request with these homes; returns whether it is in another region.
 fn finds_one(stage: &Stage, homes: routes::Homes<'_>) -> Option<bool> {
     let service = id::ServiceId::from("svc");
     let need = place::Need {
@@ -272,8 +272,8 @@
     stage.cx.place(&need).ok().map(|seat| seat.far)
 }
 
-/// A customer's records may lie in one region only, and so may a route's. Where the two have none in
-/// common nothing may run; run somewhere all the same, the records have left their region.
+/// Both customer and route may be restricted to regions. Without a common region the request must
+/// not run, or data would leave its region.
 #[test]
 fn the_homes_of_route_and_customer_both_bind() {
     play(async || {
@@ -303,8 +303,8 @@
     });
 }
 
-/// The region in which a customer is at home is lost. Its callers are refused at once, with a word
-/// that nothing ran and when to ask again; held to their deadline they would learn it too late.
+/// A customer's home region is lost. Its callers must be refused at once with a retry delay,
+/// instead of at their deadlines.
 #[test]
 fn a_customer_whose_home_is_lost_is_refused_at_once() {
     play(async || {
@@ -321,7 +321,8 @@
     });
 }
 
-/// Two customers are at home in one region and one in two. How much each asks follows from its quota.
+/// Two customers have one home region and one has two. The share of each region follows from the
+/// quotas.
 #[test]
 fn what_must_run_in_a_region_follows_from_quotas() {
     let with = |name: &str, rate: f64, homes: &[&str]| customers::Customer {
@@ -343,9 +344,8 @@
     assert_eq!(all.homed().part(None), 0.0);
 }
 
-/// All VMs have just started, know of one another and have not spoken yet, while a customer asks for
-/// far more than its quota everywhere. If each took the whole quota for itself, several times as much
-/// would run.
+/// All VMs have just started and exchanged no reports, while a customer exceeds its quota
+/// everywhere. If each VM admitted the whole quota, several times as much would run.
 #[test]
 fn a_vm_that_has_heard_nobody_leaves_the_others_their_part() {
     play(async || {
@@ -378,12 +378,12 @@
             assert!(status == 200 || (status == 429 && says_when), "{status}");
             let_in += usize::from(status == 200);
         }
-        // Of 60 that the quota allows in a window, and 26 beyond, for four VMs.
+        // The quota allows 60 in a window, with 26 beyond it, for four VMs.
         assert!((1..=86 / 4).contains(&let_in), "{let_in}");
     });
 }
 
-/// Two customers with one key: whoever holds it would be taken for the other.
+/// If two customers had one key, each could be taken for the other.
 #[test]
 fn customers_that_contradict_one_another_are_refused() {
     let key = customers::KeyDigest::of(b"k1");
@@ -399,8 +399,8 @@
     assert_eq!(customers::Customers::new(list).unwrap().len(), 2);
 }
 
-/// A customer ranks before others on the same route. Judged by the route's rank alone, all of its
-/// requests would be refused as early as anybody's.
+/// A customer has a higher priority than its route. By the route's rank alone its requests would be
+/// refused as early as any others.
 #[test]
 fn a_customers_rank_goes_before_its_routes() {
     let urgent = customers::Customer {
--- a/tests/gateway/following.rs
+++ b/tests/gateway/following.rs
@@ -1,4 +1,4 @@
-//! Entry VMs that follow one another.
+//! Entry VMs that follow other entry VMs for the store's records.
 
 use std::cell;
 use std::convert;
@@ -14,7 +14,7 @@
 use super::stage::{LONG, play};
 use super::support::proxy;
 
-/// A store that answers until it is told to fall silent.
+/// A store that answers until it is silenced.
 #[derive(Clone, Default)]
 struct Silenced(rc::Rc<cell::Cell<bool>>);
 
@@ -70,8 +70,8 @@
     }
 }
 
-/// A reader's call to the store hangs, and it does not know yet. Others that begin to follow it then
-/// take old routes for new ones, and callers meet services that have moved.
+/// A reader's call to the store hangs. VMs that begin to follow it would take outdated routes for
+/// current ones.
 #[test]
 fn one_that_has_not_heard_the_store_lately_says_that_it_does_not_read() {
     play(|| async {
@@ -92,7 +92,7 @@
 
 const SILENCE: time::Duration = time::Duration::from_millis(500);
 
-/// The far end of a link that sends what it is told, through a proxy that lets 8 KB pass at a time.
+/// Serves frames through a proxy that passes 8 KB at a time with this pause.
 fn narrow(pause: time::Duration, frames: Vec<Vec<u8>>) -> std::net::SocketAddr {
     let listener = socket::listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let proxy = proxy::Proxy::start(listener.local_addr().unwrap());
@@ -126,9 +126,8 @@
     }
 }
 
-/// A list of 1,900 routes comes over a link of 10 Mbit/s, which takes longer than a reader may be
-/// silent. All who follow the reader leave it at once, turn to the store together and are late with
-/// what changes meanwhile: requests reach a backend server that has ended.
+/// A list of 1,900 routes takes longer over a 10 Mbit/s link than the silence timeout. If all
+/// followers dropped the reader, they would read the store at once and get later changes late.
 #[test]
 fn a_message_that_is_long_on_its_way_is_no_silence() {
     play(|| async {
@@ -141,8 +140,8 @@
     });
 }
 
-/// A link brings a few bytes now and then and never a whole message. Whoever waits for it believes
-/// what was true minutes ago.
+/// A link delivers a few bytes now and then but never a whole message. A follower that keeps
+/// waiting would use outdated records.
 #[test]
 fn a_message_that_never_becomes_whole_ends_the_link() {
     play(|| async {
@@ -170,8 +169,8 @@
     assert_eq!(back, message);
 }
 
-/// Another version, or a broken link, sends bytes that are no message. A decoder that panics ends
-/// the process, and with it all requests in hand.
+/// A peer of another version or a faulty link sends invalid bytes. A panic in the decoder would end
+/// the process and all its requests.
 #[test]
 fn no_bytes_end_the_decoder_of_messages() {
     use rand::{RngExt, SeedableRng};
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! A gateway with backend servers that misbehave, over real sockets on the loopback interface.
+//! A gateway with misbehaving backend servers, over loopback sockets.
 
 mod again;
 mod answers;
--- a/tests/gateway/once.rs
+++ b/tests/gateway/once.rs
@@ -1,4 +1,4 @@
-//! Requests that must not run twice, and words that must be true.
+//! At-most-once execution of bookings, and truthful reports of whether a request ran.
 
 use std::time;
 
@@ -6,8 +6,8 @@
 
 use super::stage::{Act, Stage, get, play, post, route, table};
 
-/// The connection breaks after a booking was sent. Sent again, a bay is billed to two members; told
-/// "not run", its caller sends it again with the same effect.
+/// The connection breaks after a booking was sent. A resend could book twice; if reported as not
+/// run, the caller would resend it with the same effect.
 #[test]
 fn a_booking_whose_answer_is_lost_is_not_sent_again_nor_called_not_run() {
     for act in [Act::Lose, Act::Truncate, Act::Garbage, Act::UnframedReset] {
@@ -24,8 +24,8 @@
     }
 }
 
-/// A full backend server says that it has not run a booking. Given up, a slot next door stays
-/// empty while a member is told to come back.
+/// A full backend server reports that it did not run a booking. It must be sent to another backend
+/// server instead of being refused.
 #[test]
 fn a_booking_that_was_not_run_goes_to_another_backend_server() {
     play(|| async {
@@ -41,7 +41,7 @@
     });
 }
 
-/// All backend servers refuse. The caller learns that nothing ran and when to come back.
+/// All backend servers refuse. The caller must be told that nothing ran, and a retry delay.
 #[test]
 fn a_booking_that_ran_nowhere_is_refused_with_a_time_to_come_back() {
     play(|| async {
@@ -65,8 +65,8 @@
     });
 }
 
-/// A read hangs and is tried elsewhere as well; then all backend servers say that they did not run
-/// it. Told that its outcome is unknown, its caller would not dare to believe that nothing ran.
+/// A read hangs and is hedged; then all backend servers report that they did not run it. It must
+/// not be reported as an unknown outcome.
 #[test]
 fn a_read_that_two_backend_servers_refuse_is_called_not_run() {
     play(|| async {
@@ -95,8 +95,8 @@
     });
 }
 
-/// Versions arrive out of order. Were an older one taken, requests would go where operators no
-/// longer want them.
+/// Versions arrive out of order. An older one must not replace a newer one, or requests go to
+/// withdrawn targets.
 #[test]
 fn an_operators_older_configuration_changes_nothing() {
     play(|| async {
@@ -110,7 +110,7 @@
     });
 }
 
-/// Its backend server is about to leave. New work there would be cut at its end.
+/// New requests at a leaving backend server would be cut off when it stops.
 #[test]
 fn a_leaving_backend_server_gets_no_new_work() {
     play(|| async {
@@ -132,7 +132,7 @@
         let mut caller = stage.caller().await;
         assert_eq!(caller.ask(&get("/read/a", "r1")).await.status, 503);
         stage.cx.evacuate(&"az".into(), false);
-        // What returns counts as cold and gets a few requests at least.
+        // After an evacuation backend servers count as cold and get a few requests at least.
         assert_eq!(caller.ask(&get("/read/a", "r2")).await.status, 200);
     });
 }
--- a/tests/gateway/stage.rs
+++ b/tests/gateway/stage.rs
@@ -1,4 +1,4 @@
-//! A gateway, scripted backend servers and a caller, all on one thread.
+//! A test harness with a gateway, scripted backend servers and a caller on one thread.
 
 use std::cell;
 use std::collections;
@@ -16,7 +16,7 @@
 use tokio::net::TcpListener;
 use tokio::task;
 
-/// Far longer than anything takes here: reaching it means that something hangs.
+/// A timeout far above any expected duration: reaching it means a hang.
 pub(crate) const LONG: time::Duration = time::Duration::from_secs(20);
 
 pub(crate) const NAMES: names::Names = names::Names {
@@ -31,22 +31,22 @@
     customer: "x-customer",
 };
 
-/// What a backend server does with a request.
+/// A scripted reaction of a backend server to a request.
 #[derive(Clone, Debug)]
 pub(crate) enum Act {
     /// Answers with this body.
     Answer(&'static str),
-    /// Answers with this body after another request has begun.
+    /// Answers with this body after another request has started.
     AfterNext(&'static str),
-    /// Says that it did not run the request.
+    /// Reports that it did not run the request.
     Shed,
-    /// Says so once another request has begun.
+    /// Reports so after another request has started.
     ShedAfterNext,
-    /// Answers a failure of its own.
+    /// Answers with a server error.
     Fail,
-    /// Closes without an answer, having run the request.
+    /// Runs the request and closes without an answer.
     Lose,
-    /// Promises more bytes than it sends.
+    /// Sends less than the stated length.
     Truncate,
     /// Sends a body without a length and closes in order.
     Unframed(&'static str),
@@ -54,24 +54,24 @@
     UnframedReset,
     /// Sends an answer to another request first, then its own.
     StrayFirst(&'static str),
-    /// Sends bytes that are no answer.
+    /// Sends bytes that are not an HTTP answer.
     Garbage,
-    /// Answers a success that it did not sign.
+    /// Answers with an unsigned success.
     Unsigned,
-    /// Answers without having read the body.
+    /// Answers without reading the body.
     Early(&'static str),
     /// Answers in chunks.
     Chunks(Vec<&'static str>),
-    /// Answers with so many bytes.
+    /// Answers with this many bytes.
     Long(usize),
     /// Never answers.
     Hang,
 }
 
-/// What backend servers have seen.
+/// What backend servers have received.
 #[derive(Debug, Default)]
 pub(crate) struct Seen {
-    /// Requests that ran, by id, with the backend server.
+    /// Ids of requests that ran, each with its backend server.
     pub(crate) ran: Vec<(String, String)>,
     /// Requests that arrived.
     pub(crate) arrived: usize,
@@ -79,7 +79,7 @@
     pub(crate) bodies: Vec<usize>,
     /// Fields of the last request.
     pub(crate) fields: collections::BTreeMap<String, String>,
-    /// Connections that the other side closed while a request was worked on.
+    /// Connections that the gateway closed during a request.
     pub(crate) dropped: usize,
     /// Those of them that it reset.
     pub(crate) reset: usize,
@@ -95,7 +95,7 @@
     begun: rc::Rc<tokio::sync::Notify>,
 }
 
-/// Runs a scene to its end.
+/// Runs an asynchronous test to its end.
 pub(crate) fn play<F: Future<Output = ()>>(scene: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -142,8 +142,8 @@
 }
 
 impl Stage {
-    /// A gateway with so many backend servers, which all follow one script; what is not in it is
-    /// answered with `ok`.
+    /// Starts a gateway with this many backend servers, which share one script; requests beyond it
+    /// are answered with `ok`.
     pub(crate) async fn new(backend_count: usize, script: &[Act]) -> Self {
         let cfg = gateway::Config {
             names: NAMES,
@@ -189,7 +189,7 @@
         self.start_backend(name, None).await;
     }
 
-    /// Starts a backend server, or starts it again, and lists it.
+    /// Starts or restarts a backend server and lists it.
     pub(crate) async fn start_backend(&self, name: &str, start: Option<u64>) -> backends::Listed {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
@@ -225,7 +225,7 @@
         }
     }
 
-    /// How often a request ran.
+    /// Number of runs of a request.
     pub(crate) fn runs(&self, id: &str) -> usize {
         self.seen
             .borrow()
@@ -235,7 +235,7 @@
             .count()
     }
 
-    /// Waits until something holds.
+    /// Waits until a condition holds.
     pub(crate) async fn until(&self, what: &str, holds: impl Fn(&Seen) -> bool) {
         let begun = time::Instant::now();
         while !holds(&self.seen.borrow()) {
@@ -245,7 +245,7 @@
     }
 }
 
-/// What a backend server says that did not run a request.
+/// The answer of a backend server that did not run a request.
 const SHED: &str = "HTTP/1.1 503 Busy\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n";
 
 struct Backend {
@@ -300,7 +300,7 @@
         Some(len)
     }
 
-    /// Does one request. Returns whether the connection goes on.
+    /// Handles one request. Returns whether the connection stays open.
     async fn act(&self, wire: &mut socket::Wire, head: &http1::RequestHead, act: Act) -> bool {
         let id = head.fields.text(NAMES.id).unwrap_or_default().to_owned();
         if !matches!(act, Act::Early(_)) && self.read_body(wire, head).await.is_none() {
@@ -375,7 +375,7 @@
     }
 }
 
-/// What a caller got.
+/// An answer that a caller received.
 #[derive(Debug)]
 pub(crate) struct Got {
     pub(crate) status: u16,
@@ -413,7 +413,7 @@
         self.wire.send(text.as_bytes()).await.unwrap();
     }
 
-    /// The next answer; an error where the connection ended before it was whole.
+    /// Receives the next answer; an error if the connection ended before it was whole.
     pub(crate) async fn receive(&mut self) -> Result<Got, upstream::Failure> {
         let head = loop {
             let taken = http1::ResponseHead::take(&mut self.wire.buf, 64 << 10, false);
@@ -441,7 +441,7 @@
         self.receive().await.unwrap()
     }
 
-    /// Whether the other side has closed.
+    /// Whether the gateway has closed the connection.
     pub(crate) async fn is_closed(&mut self) -> bool {
         matches!(self.wire.fill().await, Ok(0) | Err(_))
     }
--- a/tests/gateway/stop.rs
+++ b/tests/gateway/stop.rs
@@ -1,9 +1,8 @@
-//! A planned stop.
+//! Planned stops of an entry VM.
 
 use super::stage::{Act, Stage, get, play};
 
-/// An entry VM is stopped as planned. Requests in hand are answered, and callers are told to
-/// connect elsewhere.
+/// An entry VM stops as planned. Running requests must be answered, and callers sent elsewhere.
 #[test]
 fn a_planned_stop_answers_what_is_in_hand_and_closes_after_it() {
     play(|| async {
@@ -26,8 +25,7 @@
     });
 }
 
-/// A request that comes late in a planned stop would be cut at its end. Refused, it runs on
-/// another entry VM.
+/// A request late in a planned stop would be cut off at its end. Refused, it can run on another VM.
 #[test]
 fn late_in_a_planned_stop_requests_are_refused_and_nothing_is_sent() {
     play(|| async {
--- a/tests/gateway/thresholds.rs
+++ b/tests/gateway/thresholds.rs
@@ -21,8 +21,8 @@
     );
 }
 
-/// An operator mistypes a name or writes a value that makes no sense. Taken in silence, the default
-/// would stay in force, or callers be refused for no reason that anybody finds.
+/// An operator mistypes a name or sets an invalid value. If ignored, the default would stay in
+/// force unnoticed, or callers would be refused for no visible reason.
 #[test]
 fn a_name_or_value_that_makes_no_sense_is_refused_by_name() {
     for (text, named) in [
