--- a/benches/capacity/gateway.rs
+++ b/benches/capacity/gateway.rs
@@ -70,7 +70,7 @@
                     let need = place::Need {
                         service: &"archive".into(),
                         key: Some(affinity::hash(&object.to_le_bytes())),
-                        away: false,
+                        remote: false,
                         homes: routes::Homes::default(),
                         idempotent: true,
                         behind: false,
--- a/src/bin/bulrushwind-gateway.rs
+++ b/src/bin/bulrushwind-gateway.rs
@@ -44,7 +44,7 @@
         None => thresholds::Thresholds::default(),
     };
     let mut settings = platform::settings::read(&args.settings)?;
-    settings.gateway.resend.used = thresholds.second_sends;
+    settings.gateway.resend.used = thresholds.resend_budget_share;
     settings.gateway.thresholds = thresholds;
     if let Some(port) = args.metrics_port {
         settings.metrics.set_port(port);
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -16,18 +16,18 @@
 
 /// Answers up to this size are buffered whole before they go to the caller. If a buffered answer is
 /// truncated, another backend server can still answer.
-const HELD: usize = 256 << 10;
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
 /// Pieces of a long answer that may wait for a slow caller.
-const PIECES: usize = 8;
+const RELAY_QUEUE_PIECES: usize = 8;
 
 /// Connect timeout. A round trip across the widest link takes 0.11 s; the rest is margin.
-const CONNECT: time::Duration = time::Duration::from_millis(350);
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(350);
 
 /// Longest idle time of a connection that carries a non-idempotent request. If the backend server
 /// closes the connection as the request is sent, the outcome is unknown, so only a recently used
 /// connection is safe.
-const RESTED: time::Duration = time::Duration::from_millis(1500);
+const MAX_IDLE_NON_IDEMPOTENT: time::Duration = time::Duration::from_millis(1500);
 
 /// What a send needs to know of its request.
 #[derive(Clone, Debug)]
@@ -67,7 +67,7 @@
 }
 
 /// The result of sending on one connection.
-struct Sent {
+struct SendResult {
     received: Result<upstream::Received, upstream::Failure>,
     /// Whether the connection broke so early that it was probably closed before the send.
     broke_at_once: bool,
@@ -111,43 +111,54 @@
         self,
         job: rc::Rc<Job>,
         mut payload: upstream::Payload,
-        seat: place::Seat,
+        reservation: place::Reservation,
     ) -> (id::VmId, Outcome) {
-        let (run, new) = (seat.run.clone(), seat.new);
-        let begun = self.now();
-        let outcome = self.send(&job, &mut payload, seat).await;
-        self.judge(&job, &run, begun, &outcome);
-        if new && let Outcome::Answer { failed: false, .. } = outcome {
-            let late = self.now().saturating_sub(begun) > job.aim;
-            self.with_desk(&job.service, |desk| desk.late.answered(late));
+        let (run, new_object) = (reservation.run.clone(), reservation.new_object);
+        let started = self.now();
+        let outcome = self.send(&job, &mut payload, reservation).await;
+        self.record_outcome(&job, &run, started, &outcome);
+        if new_object && let Outcome::Answer { failed: false, .. } = outcome {
+            let late = self.now().saturating_sub(started) > job.aim;
+            self.with_service(&job.service, |state| state.cold_lateness.answered(late));
         }
         (run.id, outcome)
     }
 
-    async fn send(&self, job: &Job, payload: &mut upstream::Payload, seat: place::Seat) -> Outcome {
-        let rested = match job.idempotent {
+    async fn send(
+        &self,
+        job: &Job,
+        payload: &mut upstream::Payload,
+        reservation: place::Reservation,
+    ) -> Outcome {
+        let max_idle = match job.idempotent {
             true => time::Duration::MAX,
-            false => RESTED,
+            false => MAX_IDLE_NON_IDEMPOTENT,
         };
-        let pooled = self.pool.borrow_mut().take(&seat.run.id, rested);
+        let pooled = self.pool.borrow_mut().take(&reservation.run.id, max_idle);
         let received = match pooled {
-            Some(pooled) => self.exchange_again(job, pooled, payload, &seat).await,
+            Some(pooled) => {
+                self.exchange_pooled(job, pooled, payload, &reservation)
+                    .await
+            }
             None => None,
         };
         let (wire, received) = match received {
             Some(received) => received,
             None => {
-                let mut wire = match connect(&seat).await {
+                let mut wire = match connect(&reservation).await {
                     Ok(wire) => wire,
                     Err(outcome) => return outcome,
                 };
-                let sent = self.exchange(job, &mut wire, payload, &seat).await;
-                self.pool.borrow_mut().rest.dialled(sent.broke_at_once);
+                let sent = self.exchange(job, &mut wire, payload, &reservation).await;
+                self.pool
+                    .borrow_mut()
+                    .idle_limit
+                    .dialled(sent.broke_at_once);
                 (wire, sent.received)
             }
         };
         match received {
-            Ok(received) => self.finish(wire, received, seat).await,
+            Ok(received) => self.finish(wire, received, reservation).await,
             Err(upstream::Failure::Unsent) => Outcome::NotRun(NotRun::NoConnection),
             Err(failure) => Outcome::Unknown(failure),
         }
@@ -155,18 +166,18 @@
 
     /// Sends on an idle connection. Returns `None` if the connection was already closed and nothing
     /// was sent, so that a new connection can be used.
-    async fn exchange_again(
+    async fn exchange_pooled(
         &self,
         job: &Job,
-        pooled: pool::Rested,
+        pooled: pool::IdleConnection,
         payload: &mut upstream::Payload,
-        seat: &place::Seat,
+        reservation: &place::Reservation,
     ) -> Option<(socket::Wire, Result<upstream::Received, upstream::Failure>)> {
         let mut wire = pooled.wire;
-        let sent = self.exchange(job, &mut wire, payload, seat).await;
+        let sent = self.exchange(job, &mut wire, payload, reservation).await;
         match sent.broke_at_once {
-            true => self.broke_at_rest(seat, pooled.rested),
-            false => self.pool.borrow_mut().rest.held(pooled.rested),
+            true => self.record_idle_break(reservation, pooled.idle_for),
+            false => self.pool.borrow_mut().idle_limit.held(pooled.idle_for),
         }
         let received = sent.received;
         let unsent = matches!(received, Err(upstream::Failure::Unsent));
@@ -176,12 +187,12 @@
         }
     }
 
-    fn broke_at_rest(&self, seat: &place::Seat, rested: time::Duration) {
-        if !self.pool.borrow_mut().rest.broke(rested) {
+    fn record_idle_break(&self, reservation: &place::Reservation, idle_for: time::Duration) {
+        if !self.pool.borrow_mut().idle_limit.broke(idle_for) {
             return;
         }
-        if let Some(left_out) = self.lines.admit("rest", self.now()) {
-            slog::info!(self.log, "idle connections break; shortening the idle time"; "backend" => %seat.run.id, "rested_ms" => rested.as_millis() as u64, "left_out" => left_out);
+        if let Some(left_out) = self.log_limiter.admit("rest", self.now()) {
+            slog::info!(self.log, "idle connections break; shortening the idle time"; "backend" => %reservation.run.id, "rested_ms" => idle_for.as_millis() as u64, "left_out" => left_out);
         }
     }
 
@@ -190,10 +201,10 @@
         job: &Job,
         wire: &mut socket::Wire,
         payload: &mut upstream::Payload,
-        seat: &place::Seat,
-    ) -> Sent {
-        let begun = self.now();
-        let head = self.head_for(job, payload, &seat.run.id);
+        reservation: &place::Reservation,
+    ) -> SendResult {
+        let started = self.now();
+        let head = self.head_for(job, payload, &reservation.run.id);
         let tag = upstream::Tag {
             field: self.cfg.names.id,
             id: &job.id,
@@ -203,14 +214,14 @@
             biased;
             received = upstream::exchange(wire, &head, payload, tag) => received,
             // The backend server's run that had the request has ended and cannot answer.
-            () = seat.run.ended() => Err(upstream::Failure::Lost),
+            () = reservation.run.ended() => Err(upstream::Failure::Lost),
         };
-        let after = self.now().saturating_sub(begun);
+        let after = self.now().saturating_sub(started);
         let broke = matches!(
             received,
             Err(upstream::Failure::Unsent | upstream::Failure::Lost)
         );
-        Sent {
+        SendResult {
             received,
             broke_at_once: broke && rest::at_once(after, wire.round_trip),
         }
@@ -258,11 +269,11 @@
         &self,
         mut wire: socket::Wire,
         received: upstream::Received,
-        seat: place::Seat,
+        reservation: place::Reservation,
     ) -> Outcome {
         let head = received.head;
         let names = &self.cfg.names;
-        let refusal = match self.note_load(&seat.run.id, &head) {
+        let refusal = match self.note_load(&reservation.run.id, &head) {
             true => NotRun::Declined,
             false => NotRun::Shed,
         };
@@ -278,13 +289,15 @@
                 Err(_) if not_run => return Outcome::NotRun(refusal),
                 Err(failure) => return Outcome::Unknown(failure),
             }
-            if body.len() > HELD {
-                return self.relay(wire, head, reader, body, seat);
+            if body.len() > MAX_BUFFERED_BYTES {
+                return self.relay(wire, head, reader, body, reservation);
             }
         }
         if received.reusable && wire.rests() {
-            let stated = stated_rest(&head.fields);
-            self.pool.borrow_mut().put(&seat.run.id, wire, stated);
+            let stated = stated_keep_alive(&head.fields);
+            self.pool
+                .borrow_mut()
+                .put(&reservation.run.id, wire, stated);
         }
         if misdirected {
             return Outcome::NotRun(NotRun::Misdirected);
@@ -314,7 +327,7 @@
         head: http1::ResponseHead,
         mut reader: http1::BodyReader,
         body: BytesMut,
-        seat: place::Seat,
+        reservation: place::Reservation,
     ) -> Outcome {
         let length = match head.framing {
             http1::Framing::Length(n) => Some(n),
@@ -326,9 +339,9 @@
             body: callers::Body::Whole(Bytes::new()),
             close: false,
         };
-        let (tx, rx) = mpsc::channel(PIECES);
+        let (tx, rx) = mpsc::channel(RELAY_QUEUE_PIECES);
         task::spawn_local(async move {
-            let _seat = seat;
+            let _reservation = reservation;
             let mut next = Ok(Some(body.freeze()));
             // A caller that leaves closes the channel, which closes the backend connection. A
             // truncated answer gets no `End`, so the caller's connection is dropped too.
@@ -365,8 +378,8 @@
     }
 }
 
-async fn connect(seat: &place::Seat) -> Result<socket::Wire, Outcome> {
-    let wire = socket::Wire::connect(seat.addr, CONNECT)
+async fn connect(reservation: &place::Reservation) -> Result<socket::Wire, Outcome> {
+    let wire = socket::Wire::connect(reservation.addr, CONNECT_TIMEOUT)
         .await
         .map_err(|_| Outcome::NotRun(NotRun::NoConnection))?;
     // The bytes of an abandoned send may still be in transit behind a network partition. After an
@@ -385,7 +398,7 @@
 }
 
 /// The keep-alive timeout that the backend server's answer states.
-fn stated_rest(fields: &http1::Fields) -> Option<time::Duration> {
+fn stated_keep_alive(fields: &http1::Fields) -> Option<time::Duration> {
     let text = fields.text("keep-alive")?;
     let seconds = text
         .split(',')
--- a/src/gateway/beliefs.rs
+++ b/src/gateway/beliefs.rs
@@ -8,14 +8,14 @@
 use crate::coordination::listing;
 use crate::decisions::{ejection, policy, regions};
 use crate::id;
-use crate::metrics as known;
+use crate::metrics as metric_names;
 use crate::protocol::routes;
 use crate::state::{backends, entries};
 use crate::transport::upstream;
 
 /// How long after the end of an evacuation a zone's backend servers count as cold, unless their
 /// entries say otherwise: entries lag by a heartbeat and the propagation delay.
-const UNSURE: time::Duration = time::Duration::from_secs(3);
+const POST_EVACUATION_COLD_PERIOD: time::Duration = time::Duration::from_secs(3);
 
 /// A request that was in flight when a backend server crashed.
 #[derive(Clone, Debug, PartialEq)]
@@ -29,34 +29,34 @@
 impl Gateway {
     /// Records a crash report, or drops an expired one if `counts` is false. Returns whether this
     /// changed anything.
-    pub fn learn_crash(&self, crash: &Crash, counts: bool) -> bool {
+    pub fn learn_crash(&self, crash: &Crash, active: bool) -> bool {
         let mut crashes = self.crashes.borrow_mut();
-        if !counts {
+        if !active {
             return crashes.forget(crash.fingerprint, &crash.run);
         }
-        let news = crashes.learn(crash.fingerprint, &crash.run);
-        if news && crashes.is_banned(crash.fingerprint) {
+        let changed = crashes.learn(crash.fingerprint, &crash.run);
+        if changed && crashes.is_banned(crash.fingerprint) {
             slog::warn!(self.log, "request crashes backend servers; refusing equal requests"; "fingerprint" => format!("{:016x}", crash.fingerprint), "backend" => &crash.run);
         }
-        news
+        changed
     }
 
     /// Takes the crashes seen here that are not yet reported to other entry VMs.
     pub fn untold_crashes(&self) -> Vec<Crash> {
-        self.untold.take()
+        self.pending_crashes.take()
     }
 
     /// Queues crash reports for the next attempt to write them.
     pub fn keep_untold(&self, crashes: Vec<Crash>) {
         /// More add no information: a lost availability zone breaks this many requests of one VM.
-        const MOST: usize = 128;
-        let mut untold = self.untold.borrow_mut();
-        untold.extend(crashes);
-        untold.truncate(MOST);
+        const MAX_PENDING_CRASH_REPORTS: usize = 128;
+        let mut pending_crashes = self.pending_crashes.borrow_mut();
+        pending_crashes.extend(crashes);
+        pending_crashes.truncate(MAX_PENDING_CRASH_REPORTS);
     }
 
     /// Infers from a send's outcome whether the backend server crashed.
-    fn judge_crash(&self, job: &attempt::Job, run: &str, outcome: &attempt::Outcome) {
+    fn detect_crash(&self, job: &attempt::Job, run: &str, outcome: &attempt::Outcome) {
         match outcome {
             attempt::Outcome::Unknown(upstream::Failure::Lost) => {
                 let mut crashes = self.crashes.borrow_mut();
@@ -64,14 +64,14 @@
             }
             attempt::Outcome::NotRun(attempt::NotRun::NoConnection) => {
                 let crashed = self.crashes.borrow_mut().refused(self.now(), run);
-                self.crashed(run, crashed);
+                self.record_run_crash(run, crashed);
             }
             _ => {}
         }
     }
 
     /// Records that a run of a backend server crashed with these requests in flight.
-    fn crashed(&self, run: &str, fingerprints: Vec<u64>) {
+    fn record_run_crash(&self, run: &str, fingerprints: Vec<u64>) {
         let crashed: Vec<Crash> = fingerprints
             .into_iter()
             .map(|fingerprint| Crash {
@@ -99,7 +99,7 @@
             "customers" => table.customers.len(), "keys" => table.customers.keys(), "homed" => table.customers.homed().to_text());
         *self.table.borrow_mut() = Some(rc::Rc::new(table));
         if known.is_none() {
-            self.came.notify_one();
+            self.data_arrived.notify_one();
         }
         true
     }
@@ -121,7 +121,7 @@
         let leaving = listed.leaving && before.as_ref().is_none_or(|b| !b.leaving);
         let now = self.now();
         let cold = listed.cold_until > now;
-        let news = before.as_ref().is_none_or(|b| {
+        let changed = before.as_ref().is_none_or(|b| {
             let same = backends::Listed {
                 cold_until: b.cold_until,
                 ..listed.clone()
@@ -130,25 +130,25 @@
         });
         self.backends.borrow_mut().put(id, listed, region);
         if self.backends.borrow().len() == 1 {
-            self.came.notify_one();
+            self.data_arrived.notify_one();
         }
         if before.is_none() {
             // At start thousands of entries arrive, whose lines would flood the log.
-            if let Some(left_out) = self.lines.admit("listed", now) {
+            if let Some(left_out) = self.log_limiter.admit("listed", now) {
                 slog::info!(self.log, "backend server listed"; "backend" => %id, "service" => %service, "cold" => cold, "start" => start.map(|s| s.0), "left_out" => left_out);
             }
         }
         if leaving {
             slog::info!(self.log, "backend server leaves"; "backend" => %id, "service" => %service);
         }
-        news
+        changed
     }
 
     /// Handles the removal of a backend server's entry.
     pub fn lose_backend(&self, id: &id::VmId) {
         let at_once = self.listing.borrow_mut().lost(self.now(), id);
         if at_once {
-            self.forget(id, "not listed");
+            self.drop_backend(id, "not listed");
         } else {
             slog::info!(self.log, "backend server's entry missing; keeping the backend server for now"; "backend" => %id, "hold_ms" => listing::HOLD.as_millis() as u64);
         }
@@ -157,11 +157,11 @@
     /// Removes a backend server whose entry cannot be read: its earlier entry need not hold any
     /// more, and requests would go to an unconfirmed address. Returns whether it was known.
     pub fn disown_backend(&self, id: &id::VmId, why: &impl std::fmt::Display) -> bool {
-        if let Some(left_out) = self.lines.admit("entry", self.now()) {
+        if let Some(left_out) = self.log_limiter.admit("entry", self.now()) {
             slog::warn!(self.log, "backend server's entry cannot be read"; "backend" => %id, "error" => %why, "left_out" => left_out);
         }
         self.listing.borrow_mut().found(id);
-        self.forget(id, "entry cannot be read")
+        self.drop_backend(id, "entry cannot be read")
     }
 
     /// Handles a restart of a backend server under its name. Requests in flight there are lost, and
@@ -176,14 +176,14 @@
         old.ended().notify_waiters();
         let run = old.run_name();
         let crashed = self.crashes.borrow_mut().started_again(self.now(), &run);
-        self.crashed(&run, crashed);
+        self.record_run_crash(&run, crashed);
     }
 
-    fn forget(&self, id: &id::VmId, why: &'static str) -> bool {
+    fn drop_backend(&self, id: &id::VmId, why: &'static str) -> bool {
         let known = self.backends.borrow_mut().remove(id).is_some();
         if known {
             self.pool.borrow_mut().drop_all(id);
-            if let Some(left_out) = self.lines.admit("gone", self.now()) {
+            if let Some(left_out) = self.log_limiter.admit("gone", self.now()) {
                 slog::info!(self.log, "backend server gone"; "backend" => %id, "why" => why, "left_out" => left_out);
             }
         }
@@ -192,9 +192,9 @@
 
     /// Notes an answer from the store.
     pub fn heard_store(&self) {
-        let away = self.listing.borrow_mut().heard(self.now());
-        if let Some(away) = away {
-            slog::info!(self.log, "store is back"; "away_ms" => away.as_millis() as u64);
+        let outage = self.listing.borrow_mut().heard(self.now());
+        if let Some(outage) = outage {
+            slog::info!(self.log, "store is back"; "away_ms" => outage.as_millis() as u64);
         }
     }
 
@@ -222,7 +222,7 @@
         if evacuated {
             return true;
         }
-        let until = self.now() + UNSURE;
+        let until = self.now() + POST_EVACUATION_COLD_PERIOD;
         let mut backends = self.backends.borrow_mut();
         for backend in backends.iter_mut().filter(|b| b.listed.az == *az) {
             backend.listed.cold_until = backend.listed.cold_until.max(until);
@@ -236,34 +236,34 @@
         self.quotas
             .borrow_mut()
             .inherit(self.now(), &entry.near_limits);
-        let news = self.entries.borrow_mut().put(vm.clone(), entry);
-        if news && let Some(left_out) = self.lines.admit("entry listed", self.now()) {
+        let changed = self.entries.borrow_mut().put(vm.clone(), entry);
+        if changed && let Some(left_out) = self.log_limiter.admit("entry listed", self.now()) {
             slog::info!(self.log, "entry VM listed"; "vm" => %vm, "az" => %az, "left_out" => left_out);
         }
-        news
+        changed
     }
 
     /// Removes an entry VM. Returns whether it was known.
     pub fn lose_entry(&self, vm: &id::VmId) -> bool {
-        let news = self.entries.borrow_mut().remove(vm);
-        if news && let Some(left_out) = self.lines.admit("entry gone", self.now()) {
+        let changed = self.entries.borrow_mut().remove(vm);
+        if changed && let Some(left_out) = self.log_limiter.admit("entry gone", self.now()) {
             slog::info!(self.log, "entry VM gone"; "vm" => %vm, "left_out" => left_out);
         }
-        news
+        changed
     }
 
     /// Updates the state of the backend server and its service after a send.
-    pub(super) fn judge(
+    pub(super) fn record_outcome(
         &self,
         job: &attempt::Job,
         at: &place::Run,
-        begun: policy::Moment,
+        started: policy::Moment,
         outcome: &attempt::Outcome,
     ) {
-        self.judge_crash(job, &at.name, outcome);
+        self.detect_crash(job, &at.name, outcome);
         let (now, id) = (self.now(), &at.id);
         let cfg = &self.cfg.thresholds.ejection;
-        let everywhere = self.judge_service(job, outcome);
+        let everywhere = self.update_declines(job, outcome);
         let mut backends = self.backends.borrow_mut();
         // The outcome of one run must not count against the next.
         let Some(backend) = backends.get_mut(id).filter(|b| at.is_of(b)) else {
@@ -297,32 +297,32 @@
             self.ejected(job, id, down, outcome.as_str());
         }
         if let attempt::Outcome::Answer { failed: false, .. } = outcome {
-            let took = now.saturating_sub(begun);
-            self.with_desk(&job.service, |desk| desk.took(took));
+            let took = now.saturating_sub(started);
+            self.with_service(&job.service, |state| state.record_latency(took));
         }
     }
 
     /// Updates the service's rate of declined sends. Returns whether backend servers across the
     /// service decline requests although they have free slots.
-    fn judge_service(&self, job: &attempt::Job, outcome: &attempt::Outcome) -> bool {
+    fn update_declines(&self, job: &attempt::Job, outcome: &attempt::Outcome) -> bool {
         let declined = match outcome {
             attempt::Outcome::Answer { failed: false, .. } => false,
             attempt::Outcome::NotRun(attempt::NotRun::Declined) => true,
             _ => return false,
         };
-        let (before, now) = self.with_desk(&job.service, |desk| {
-            let before = desk.declines.are_everywhere();
-            desk.declines.sent(declined);
-            (before, desk.declines.are_everywhere())
+        let (was_everywhere, is_everywhere) = self.with_service(&job.service, |state| {
+            let was_everywhere = state.declines.are_everywhere();
+            state.declines.sent(declined);
+            (was_everywhere, state.declines.are_everywhere())
         });
-        if before != now {
-            slog::info!(self.log, "backend servers decline requests despite free slots"; "service" => %job.service, "everywhere" => now);
+        if was_everywhere != is_everywhere {
+            slog::info!(self.log, "backend servers decline requests despite free slots"; "service" => %job.service, "everywhere" => is_everywhere);
         }
-        now
+        is_everywhere
     }
 
     /// Counts a failure against a backend server that has not answered within the hedge delay.
-    pub(super) fn hangs(&self, job: &attempt::Job, id: &id::VmId) {
+    pub(super) fn record_hang(&self, job: &attempt::Job, id: &id::VmId) {
         let now = self.now();
         let cfg = &self.cfg.thresholds.ejection;
         let mut backends = self.backends.borrow_mut();
@@ -350,7 +350,7 @@
     fn ejected(&self, job: &attempt::Job, id: &id::VmId, down: bool, why: &'static str) {
         slog::info!(self.log, "backend server ejected"; "backend" => %id, "down" => down, "why" => why);
         let service = self.labels.label(job.service.as_str());
-        metrics::counter!(known::EJECTIONS, "service" => service).increment(1);
+        metrics::counter!(metric_names::EJECTIONS, "service" => service).increment(1);
         if down {
             self.pool.borrow_mut().drop_all(id);
         }
@@ -366,24 +366,24 @@
             let known = self.backends.borrow().len();
             let overdue = self.listing.borrow_mut().overdue(self.now(), known);
             for id in &overdue {
-                self.forget(id, "not listed");
+                self.drop_backend(id, "not listed");
             }
-            self.step_shares();
-            self.step_carried();
+            self.update_shares();
+            self.update_busy();
         }
     }
 
     /// Updates for each service the share of requests that other regions serve.
-    fn step_shares(&self) {
+    fn update_shares(&self) {
         /// Factor by which the request count decays in each step.
-        const KEPT: f64 = 0.9;
+        const TRAFFIC_DECAY_FACTOR: f64 = 0.9;
         let Some(table) = self.table() else {
             return;
         };
         let now = self.now();
         let mut services: Vec<id::ServiceId> = table.services.keys().cloned().collect();
         services.sort_unstable();
-        let views: Vec<regions::View> = services.iter().map(|s| self.view_of(s, now)).collect();
+        let views: Vec<regions::View> = services.iter().map(|s| self.region_view(s, now)).collect();
         let total: f64 = views.iter().map(|v| v.traffic).sum::<f64>().max(1.0);
         let views: Vec<regions::View> = views
             .into_iter()
@@ -394,18 +394,18 @@
             .collect();
         let mut shares: Vec<regions::Share> = services
             .iter()
-            .map(|s| self.with_desk(s, |desk| desk.share))
+            .map(|s| self.with_service(s, |state| state.remote_share))
             .collect();
         regions::step(&self.cfg.thresholds.regions, &views, &mut shares);
         for (service, share) in services.iter().zip(shares) {
-            self.with_desk(service, |desk| {
-                desk.share = share;
-                desk.traffic *= KEPT;
+            self.with_service(service, |state| {
+                state.remote_share = share;
+                state.traffic *= TRAFFIC_DECAY_FACTOR;
             });
         }
     }
 
-    fn view_of(&self, service: &id::ServiceId, now: policy::Moment) -> regions::View {
+    fn region_view(&self, service: &id::ServiceId, now: policy::Moment) -> regions::View {
         let backends = self.backends.borrow();
         let evacuated = self.evacuated.borrow();
         let usable = |b: &&backends::Backend| {
@@ -436,7 +436,7 @@
             all_slots: all,
             callers: in_region / zones,
             load: load / f64::max(own, 1.0),
-            traffic: self.with_desk(service, |desk| desk.traffic),
+            traffic: self.with_service(service, |state| state.traffic),
             homed_here: homed.map_or(0.0, |h| h.part(self.region.as_ref())),
             homed: homed.map_or(0.0, |h| h.all()),
         }
--- a/src/gateway/carried.rs
+++ b/src/gateway/entry_selection.rs
@@ -11,7 +11,7 @@
 
 /// Requests and bytes answered since a moment.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Carried {
+pub(super) struct TrafficCounts {
     requests: u64,
     bytes: u64,
     since: policy::Moment,
@@ -21,15 +21,15 @@
 ///
 /// Cached until an input changes: sorting all VMs at each look-up would cost more with each VM.
 #[derive(Debug, Default)]
-pub(super) struct Told {
-    seen: Seen,
+pub(super) struct AdvertisedCache {
+    inputs: CacheInputs,
     fronts: collections::HashMap<Option<id::RegionId>, rc::Rc<[net::SocketAddr]>>,
     hashes: collections::HashMap<Option<id::RegionId>, rc::Rc<[u64]>>,
 }
 
 /// The inputs from which the cached lists were computed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Seen {
+struct CacheInputs {
     /// The version of the entry VM list.
     version: u64,
     /// Whether this VM is busy, and whether it can serve callers.
@@ -37,11 +37,11 @@
     ready: bool,
 }
 
-impl Told {
-    fn refresh(&mut self, seen: Seen) {
-        if self.seen != seen {
+impl AdvertisedCache {
+    fn refresh(&mut self, inputs: CacheInputs) {
+        if self.inputs != inputs {
             *self = Self {
-                seen,
+                inputs,
                 ..Self::default()
             };
         }
@@ -53,25 +53,25 @@
     pub fn entries_for(&self, region: Option<&str>) -> rc::Rc<[net::SocketAddr]> {
         let mut regions = self.cfg.regions.values();
         let region = region.and_then(|text| regions.find(|r| r.as_str() == text));
-        let mut told = self.told.borrow_mut();
-        told.refresh(self.seen());
-        if let Some(fronts) = told.fronts.get(&region.cloned()) {
+        let mut cache = self.advertised.borrow_mut();
+        cache.refresh(self.cache_inputs());
+        if let Some(fronts) = cache.fronts.get(&region.cloned()) {
             return fronts.clone();
         }
-        let fronts = self.fronts_in(region);
-        told.fronts.insert(region.cloned(), fronts.clone());
+        let fronts = self.select_fronts(region);
+        cache.fronts.insert(region.cloned(), fronts.clone());
         fronts
     }
 
-    fn seen(&self) -> Seen {
-        Seen {
+    fn cache_inputs(&self) -> CacheInputs {
+        CacheInputs {
             version: self.entries.borrow().version(),
             busy: self.is_busy(),
             ready: self.is_ready(),
         }
     }
 
-    fn fronts_in(&self, region: Option<&id::RegionId>) -> rc::Rc<[net::SocketAddr]> {
+    fn select_fronts(&self, region: Option<&id::RegionId>) -> rc::Rc<[net::SocketAddr]> {
         let near = |az: &id::AzId| region.is_some() && self.cfg.regions.get(az) == region;
         let entries = self.entries.borrow();
         let others = entries
@@ -87,28 +87,28 @@
             hash: self.own_hash,
             told: (self.cfg.vm.clone(), self.cfg.front),
         });
-        let told = nearby::told(self.cfg.thresholds.told, others.chain(own));
-        told.into_iter().map(|(_, front)| front).collect()
+        let selected = nearby::told(self.cfg.thresholds.advertised_vms, others.chain(own));
+        selected.into_iter().map(|(_, front)| front).collect()
     }
 
     /// Hashes of the names of the entry VMs advertised to a region's callers.
-    pub(super) fn told_in(&self, region: Option<&id::RegionId>) -> rc::Rc<[u64]> {
-        let mut told = self.told.borrow_mut();
-        told.refresh(self.seen());
-        if let Some(hashes) = told.hashes.get(&region.cloned()) {
+    pub(super) fn advertised_hashes(&self, region: Option<&id::RegionId>) -> rc::Rc<[u64]> {
+        let mut cache = self.advertised.borrow_mut();
+        cache.refresh(self.cache_inputs());
+        if let Some(hashes) = cache.hashes.get(&region.cloned()) {
             return hashes.clone();
         }
-        let hashes: rc::Rc<[u64]> = self.hashes_in(region, 0).into();
-        told.hashes.insert(region.cloned(), hashes.clone());
+        let hashes: rc::Rc<[u64]> = self.selection_hashes(region, 0).into();
+        cache.hashes.insert(region.cloned(), hashes.clone());
         hashes
     }
 
     /// The same with `more` further VMs in the order of selection.
-    pub(super) fn hashes_in(&self, region: Option<&id::RegionId>, more: usize) -> Vec<u64> {
+    pub(super) fn selection_hashes(&self, region: Option<&id::RegionId>, more: usize) -> Vec<u64> {
         let near = |az: &id::AzId| self.cfg.regions.get(az) == region;
         let entries = self.entries.borrow();
         let all = entries.to_tell(near, |_, hash, _| hash);
-        nearby::told(self.cfg.thresholds.told + more, all)
+        nearby::told(self.cfg.thresholds.advertised_vms + more, all)
     }
 
     /// Whether this VM is neither advertised to its region's callers nor among the next ones in the
@@ -116,9 +116,9 @@
     pub fn stands_by(&self) -> bool {
         /// VMs next in the order, whose registrations must expire as soon as those of advertised
         /// VMs.
-        const NEXT: usize = 6;
-        let in_line = self.hashes_in(self.region.as_ref(), NEXT);
-        !in_line.contains(&self.own_hash)
+        const STANDBY_COUNT: usize = 6;
+        let selected = self.selection_hashes(self.region.as_ref(), STANDBY_COUNT);
+        !selected.contains(&self.own_hash)
     }
 
     /// Whether this VM has little capacity left for more callers.
@@ -127,34 +127,34 @@
     }
 
     /// Counts an answer and its bytes.
-    pub(super) fn carried(&self, answer: &callers::Answer) {
+    pub(super) fn count_answer(&self, answer: &callers::Answer) {
         let bytes = match &answer.body {
             callers::Body::Whole(body) => body.len() as u64,
             callers::Body::Pieces { length, .. } => length.unwrap_or_default(),
         };
-        let mut carried = self.carried.get();
-        carried.requests += 1;
-        carried.bytes += bytes;
-        self.carried.set(carried);
+        let mut counts = self.traffic_counts.get();
+        counts.requests += 1;
+        counts.bytes += bytes;
+        self.traffic_counts.set(counts);
     }
 
     /// Updates whether this VM is busy, and whether it is the only one advertised in its region.
-    pub(super) fn step_carried(&self) {
+    pub(super) fn update_busy(&self) {
         let now = self.now();
-        let carried = self.carried.take();
-        let span = now.saturating_sub(carried.since).as_secs_f64().max(0.01);
-        self.carried.set(Carried {
+        let counts = self.traffic_counts.take();
+        let span = now.saturating_sub(counts.since).as_secs_f64().max(0.01);
+        self.traffic_counts.set(TrafficCounts {
             since: now,
-            ..Carried::default()
+            ..TrafficCounts::default()
         });
-        let a_second = |count: u64| count as f64 / span;
-        let used = (self.cfg.capacity).used(a_second(carried.requests), a_second(carried.bytes));
+        let per_second = |count: u64| count as f64 / span;
+        let used = (self.cfg.capacity).used(per_second(counts.requests), per_second(counts.bytes));
         let mut busy = self.busy.get();
         if busy.step(used) {
-            slog::info!(self.log, "capacity in use"; "busy" => busy.get(), "used" => used, "requests" => carried.requests, "bytes" => carried.bytes, "span_s" => span);
+            slog::info!(self.log, "capacity in use"; "busy" => busy.get(), "used" => used, "requests" => counts.requests, "bytes" => counts.bytes, "span_s" => span);
         }
         self.busy.set(busy);
-        self.alone
-            .set(self.told_in(self.region.as_ref())[..] == [self.own_hash]);
+        self.is_sole_entry
+            .set(self.advertised_hashes(self.region.as_ref())[..] == [self.own_hash]);
     }
 }
--- a/src/gateway/facts.rs
+++ b/src/gateway/facts.rs
@@ -12,60 +12,60 @@
 use crate::transport::{callers, upstream};
 
 /// Timeout of callers that state none.
-const NO_TIMEOUT: time::Duration = time::Duration::from_secs(30);
+const DEFAULT_CALLER_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
 /// Retry delay during a planned stop: the caller can connect to another VM at once.
-const ELSEWHERE: time::Duration = time::Duration::from_millis(20);
+const STOPPING_RETRY_DELAY: time::Duration = time::Duration::from_millis(20);
 
 /// Retry delay until the first routes are known. In a region without the store, a start takes three
 /// round trips and the transfer of a list through a small TCP window. A caller that returns too
 /// early has no attempt left.
-const UNREADY: time::Duration = time::Duration::from_millis(700);
+const NOT_READY_RETRY_DELAY: time::Duration = time::Duration::from_millis(700);
 
 /// Maximum age of the store's last answer for an unknown key to be rejected. A VM that the store
 /// does not serve lacks newly issued keys: after a rejection the caller would not retry, although
 /// another VM knows its key.
-const KEYS_FRESH: time::Duration = time::Duration::from_millis(2500);
+const KEY_REJECTION_MAX_STORE_AGE: time::Duration = time::Duration::from_millis(2500);
 
 /// Why no customer could be identified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Nobody {
+enum Unidentified {
     NoKey,
     TwoKeys,
-    NotAKey,
-    Unknown,
+    InvalidKey,
+    UnknownKey,
 }
 
-impl Nobody {
+impl Unidentified {
     fn as_str(self) -> &'static str {
         match self {
             Self::NoKey => "no key",
             Self::TwoKeys => "more than one key",
-            Self::NotAKey => "the key is empty or too long",
-            Self::Unknown => "no customer has the key",
+            Self::InvalidKey => "the key is empty or too long",
+            Self::UnknownKey => "no customer has the key",
         }
     }
 }
 
 /// The digest of the request's only key; an error unless there is exactly one valid key.
-fn key_of(fields: &http1::Fields, name: &str) -> Result<customers::KeyDigest, Nobody> {
+fn key_of(fields: &http1::Fields, name: &str) -> Result<customers::KeyDigest, Unidentified> {
     let mut keys = fields
         .iter()
         .filter(|(field, _)| field.eq_ignore_ascii_case(name.as_bytes()))
         .map(|(_, value)| value.trim_ascii());
-    let (key, second) = (keys.next().ok_or(Nobody::NoKey)?, keys.next());
+    let (key, second) = (keys.next().ok_or(Unidentified::NoKey)?, keys.next());
     if second.is_some() {
-        return Err(Nobody::TwoKeys);
+        return Err(Unidentified::TwoKeys);
     }
     if key.is_empty() || key.len() > customers::LONGEST_KEY {
-        return Err(Nobody::NotAKey);
+        return Err(Unidentified::InvalidKey);
     }
     Ok(customers::KeyDigest::of(key))
 }
 
 /// The customer that sent a request, and the digest of its key.
 #[derive(Clone, Debug)]
-pub(super) struct Asker {
+pub(super) struct KeyHolder {
     pub(super) customer: rc::Rc<customers::Customer>,
     key: customers::KeyDigest,
 }
@@ -76,7 +76,7 @@
     pub(super) table: rc::Rc<routes::Table>,
     pub(super) route: rc::Rc<routes::Route>,
     /// The customer that sent the request; `None` on routes that need no key.
-    pub(super) asker: Option<Asker>,
+    pub(super) key_holder: Option<KeyHolder>,
     pub(super) key: Option<u64>,
     pub(super) id: Bytes,
     pub(super) received: policy::Moment,
@@ -100,7 +100,9 @@
 
     /// The customer that sent the request; `None` on routes that need no key.
     pub(super) fn customer(&self) -> Option<&customers::Customer> {
-        self.asker.as_ref().map(|asker| &*asker.customer)
+        self.key_holder
+            .as_ref()
+            .map(|key_holder| &*key_holder.customer)
     }
 
     /// The customer's name for logs, or an empty text.
@@ -129,7 +131,7 @@
         let fields = &req.head.fields;
         let received = self.moment(req.received);
         let id = fields.get(self.cfg.names.id).map(Bytes::copy_from_slice);
-        let refuse = |status| Err(self.own_answer(status, id.as_deref()));
+        let refuse = |status| Err(self.gateway_answer(status, id.as_deref()));
         let (Some(host), Some(id)) = (fields.text("host"), id.clone()) else {
             return refuse(400);
         };
@@ -137,26 +139,26 @@
             return refuse(400);
         }
         if self.is_closed() {
-            return Err(self.not_here(&id, ELSEWHERE, "planned stop"));
+            return Err(self.refuse_temporarily(&id, STOPPING_RETRY_DELAY, "planned stop"));
         }
         let Some(table) = self.table() else {
-            return Err(self.not_here(&id, UNREADY, "no routes yet"));
+            return Err(self.refuse_temporarily(&id, NOT_READY_RETRY_DELAY, "no routes yet"));
         };
         let Some(route) = table.select(host, req.head.path()) else {
             slog::trace!(self.log, "no route"; "request" => %String::from_utf8_lossy(&id), "host" => host, "path" => req.head.path(), "version" => table.version);
             return refuse(404);
         };
-        let asker = match self.asker(&table, route, fields) {
-            Ok(asker) => asker,
-            Err(why) => return Err(self.turn_away(&id, why)),
+        let key_holder = match self.key_holder(&table, route, fields) {
+            Ok(key_holder) => key_holder,
+            Err(why) => return Err(self.refuse_unidentified(&id, why)),
         };
         let stated = fields.text(self.cfg.names.timeout_ms);
-        let patience = match stated.map(str::parse::<f64>) {
+        let timeout = match stated.map(str::parse::<f64>) {
             Some(Ok(ms)) if ms >= 0.0 && ms.is_finite() => {
                 time::Duration::from_secs_f64((ms / 1000.0).min(3600.0))
             }
             Some(_) => return refuse(400),
-            None => NO_TIMEOUT,
+            None => DEFAULT_CALLER_TIMEOUT,
         };
         let object = fields
             .text("cookie")
@@ -171,53 +173,62 @@
             key,
             id,
             received,
-            deadline: received + patience.min(route.timeout),
+            deadline: received + timeout.min(route.timeout),
             route: route.clone(),
-            asker,
+            key_holder,
             table,
         })
     }
 
     /// Identifies the customer by the request's key; `None` on routes that need no key.
-    fn asker(
+    fn key_holder(
         &self,
         table: &routes::Table,
         route: &routes::Route,
         fields: &http1::Fields,
-    ) -> Result<Option<Asker>, Nobody> {
+    ) -> Result<Option<KeyHolder>, Unidentified> {
         if !table.needs_key(route) {
             return Ok(None);
         }
         let key = key_of(fields, self.cfg.names.key)?;
-        let customer = table.customers.holder(key).ok_or(Nobody::Unknown)?;
-        Ok(Some(Asker {
+        let customer = table
+            .customers
+            .holder(key)
+            .ok_or(Unidentified::UnknownKey)?;
+        Ok(Some(KeyHolder {
             customer: customer.clone(),
             key,
         }))
     }
 
     /// Refuses a request whose customer is not known.
-    fn turn_away(&self, id: &[u8], why: Nobody) -> callers::Answer {
-        let fresh = self.store_age().is_some_and(|age| age <= KEYS_FRESH);
-        if why == Nobody::Unknown && !fresh {
-            return self.not_here(id, UNREADY, "the key may be newer than what is known here");
+    fn refuse_unidentified(&self, id: &[u8], why: Unidentified) -> callers::Answer {
+        let is_recent = self
+            .store_age()
+            .is_some_and(|age| age <= KEY_REJECTION_MAX_STORE_AGE);
+        if why == Unidentified::UnknownKey && !is_recent {
+            return self.refuse_temporarily(
+                id,
+                NOT_READY_RETRY_DELAY,
+                "the key may be newer than what is known here",
+            );
         }
         self.record_turned_away(id, why.as_str());
-        self.own_answer(401, Some(id))
+        self.gateway_answer(401, Some(id))
     }
 
     /// The customer that holds the request's key now; an error if the key was revoked meanwhile.
-    pub(super) fn still(&self, facts: &Facts) -> Result<Option<Asker>, ()> {
-        let (Some(asker), Some(table)) = (&facts.asker, self.table()) else {
-            return Ok(facts.asker.clone());
+    pub(super) fn current_key_holder(&self, facts: &Facts) -> Result<Option<KeyHolder>, ()> {
+        let (Some(key_holder), Some(table)) = (&facts.key_holder, self.table()) else {
+            return Ok(facts.key_holder.clone());
         };
         if table.version == facts.table.version {
-            return Ok(Some(asker.clone()));
+            return Ok(Some(key_holder.clone()));
         }
-        let customer = table.customers.holder(asker.key).ok_or(())?.clone();
-        Ok(Some(Asker {
+        let customer = table.customers.holder(key_holder.key).ok_or(())?.clone();
+        Ok(Some(KeyHolder {
             customer,
-            ..asker.clone()
+            ..key_holder.clone()
         }))
     }
 
@@ -235,18 +246,23 @@
     }
 
     /// Refuses a request that this VM cannot serve now but another VM may.
-    pub(super) fn not_here(&self, id: &[u8], after: time::Duration, why: &str) -> callers::Answer {
-        if let Some(left_out) = self.lines.admit("not here", self.now()) {
+    pub(super) fn refuse_temporarily(
+        &self,
+        id: &[u8],
+        after: time::Duration,
+        why: &str,
+    ) -> callers::Answer {
+        if let Some(left_out) = self.log_limiter.admit("not here", self.now()) {
             slog::info!(self.log, "refused"; "request" => %String::from_utf8_lossy(id), "why" => why, "left_out" => left_out);
         }
-        let mut answer = self.own_answer(503, Some(id));
+        let mut answer = self.gateway_answer(503, Some(id));
         answer.close = true;
         put_retry_after(&mut answer.fields, after);
         answer
     }
 
     /// An answer with a status and no body, made by the gateway itself.
-    pub(super) fn own_answer(&self, status: u16, id: Option<&[u8]>) -> callers::Answer {
+    pub(super) fn gateway_answer(&self, status: u16, id: Option<&[u8]>) -> callers::Answer {
         let mut answer = callers::Answer::bare(status);
         if let Some(id) = id {
             http1::put_field(&mut answer.fields, self.cfg.names.id.as_bytes(), id);
--- a/src/gateway/fanout.rs
+++ b/src/gateway/fanout.rs
@@ -8,12 +8,12 @@
 use tokio::task;
 
 use super::mirror::Mirror;
-use crate::coordination::mirror as order;
+use crate::coordination::mirror as follow_order;
 use crate::protocol::mirror;
 use crate::transport;
 
 /// Pause after a failed `accept`.
-const RETRY: time::Duration = time::Duration::from_millis(250);
+const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(250);
 
 impl Mirror {
     /// Serves followers until the process ends.
@@ -24,14 +24,14 @@
                     let mirror = self.clone();
                     task::spawn_local(async move {
                         // A disconnected or slow follower reconnects, here or to another VM.
-                        if let Err(err) = mirror.feed(stream).await {
+                        if let Err(err) = mirror.serve_follower(stream).await {
                             slog::debug!(mirror.cx.log, "follower disconnected"; "why" => %err);
                         }
                     });
                 }
                 Err(err) => {
                     slog::warn!(self.cx.log, "cannot accept a connection"; "error" => %err);
-                    tokio::time::sleep(RETRY).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -41,14 +41,14 @@
     /// follower would retry repeatedly and be late by half its retry pause.
     async fn await_current(
         &self,
-        news: &mut broadcast::Receiver<Bytes>,
+        updates: &mut broadcast::Receiver<Bytes>,
         wait_ms: u64,
         link: &mut transport::mirror::Link,
     ) {
         let until = tokio::time::Instant::now() + time::Duration::from_millis(wait_ms);
         loop {
             tokio::select! {
-                _ = news.recv() => {}
+                _ = updates.recv() => {}
                 () = link.closed() => return,
                 () = tokio::time::sleep_until(until) => return,
             }
@@ -84,15 +84,19 @@
 
     fn is_fresh(&self) -> bool {
         let age = self.cx.store_age();
-        self.current.get() && age.is_some_and(|age| age <= order::FRESH)
+        self.current.get() && age.is_some_and(|age| age <= follow_order::FRESH)
     }
 
-    async fn feed(&self, stream: tokio::net::TcpStream) -> Result<(), transport::mirror::Error> {
+    async fn serve_follower(
+        &self,
+        stream: tokio::net::TcpStream,
+    ) -> Result<(), transport::mirror::Error> {
         let mut link = transport::mirror::Link::accept(stream).await?;
-        let ask: mirror::Ask = link.receive(order::SILENCE).await?;
-        let mut news = self.news.subscribe();
+        let ask: mirror::Ask = link.receive(follow_order::SILENCE).await?;
+        let mut updates = self.updates.subscribe();
         if ask.fresh && !self.is_fresh() {
-            self.await_current(&mut news, ask.wait_ms, &mut link).await;
+            self.await_current(&mut updates, ask.wait_ms, &mut link)
+                .await;
         }
         if ask.fresh && !self.is_fresh() {
             link.send(mirror::encode(&mirror::Message::NotReading)?.into())
@@ -107,7 +111,7 @@
         }
         loop {
             let message = tokio::select! {
-                message = news.recv() => message,
+                message = updates.recv() => message,
                 () = link.closed() => return Ok(()),
             };
             let Ok(message) = message else {
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -29,16 +29,16 @@
             }
             Err(err) => {
                 slog::warn!(cx.log, "cannot accept a connection"; "error" => %err);
-                rest(&err).await;
+                pause_after_error(&err).await;
             }
         }
     }
 }
 
 /// Pauses after an error: without free descriptors an immediate retry would fail too.
-async fn rest(err: &io::Error) {
-    const REST: std::time::Duration = std::time::Duration::from_millis(20);
+async fn pause_after_error(err: &io::Error) {
+    const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(20);
     if err.kind() != io::ErrorKind::ConnectionAborted {
-        tokio::time::sleep(REST).await;
+        tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
     }
 }
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -9,25 +9,25 @@
 use tokio::sync::broadcast;
 
 use super::Gateway;
-use crate::coordination::mirror as order;
+use crate::coordination::mirror as follow_order;
 use crate::coordination::turns;
 use crate::decisions::policy;
 use crate::id;
-use crate::metrics as known;
+use crate::metrics as metric_names;
 use crate::protocol::mirror;
 use crate::state::entries;
 use crate::transport;
 
 /// Timeout of a watch call. Each answer is also the heartbeat for followers, so it must arrive well
 /// within [`order::SILENCE`].
-const WAIT: time::Duration = time::Duration::from_millis(600);
+const WATCH_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 
 /// Pause after an answer with changes. During a release, a call for each change would be costly. A
 /// backend server that leaves serves requests for 2 s more, which bounds the pause.
-const PACE: time::Duration = time::Duration::from_millis(400);
+const PAUSE_AFTER_CHANGES: time::Duration = time::Duration::from_millis(400);
 
 /// Messages queued for a slow follower before it is disconnected and must start over.
-const BEHIND: usize = 64;
+const MAX_QUEUED_MESSAGES: usize = 64;
 
 /// Why a watch call failed.
 #[derive(Debug)]
@@ -65,33 +65,33 @@
 
 /// Timeouts for following one entry VM.
 #[derive(Clone, Copy, Debug)]
-struct Patience {
+struct Timeouts {
     /// To open the link.
     open: time::Duration,
     /// For the first message beyond `silence`: the followed VM may still be reading the store.
-    wait: time::Duration,
+    first_message: time::Duration,
     /// Between two messages.
     silence: time::Duration,
 }
 
 /// How following one entry VM ended.
-struct Ended {
+struct FollowResult {
     /// Whether any message arrived.
-    told: bool,
+    received: bool,
     /// Whether it timed out, as it does when the other machine loses power.
-    silent: bool,
+    timed_out: bool,
 }
 
 /// The store's records, shared by the tasks of a process that follows or reads for its region.
 #[derive(Clone, Debug)]
 pub struct Mirror {
     pub(super) cx: Gateway,
-    pub(super) records: rc::Rc<cell::RefCell<order::Records>>,
-    pub(super) news: broadcast::Sender<Bytes>,
+    pub(super) records: rc::Rc<cell::RefCell<follow_order::Records>>,
+    pub(super) updates: broadcast::Sender<Bytes>,
     /// Whether the records come from the store, read here or by the followed VM.
     pub(super) current: rc::Rc<cell::Cell<bool>>,
     /// The entry VMs of the region, and the version of the list that they were computed from.
-    near: rc::Rc<cell::RefCell<(u64, rc::Rc<[order::Place]>)>>,
+    region_entries: rc::Rc<cell::RefCell<(u64, rc::Rc<[follow_order::Place]>)>>,
     /// An encoded snapshot, and the version of the records in it.
     pub(super) snapshot: rc::Rc<cell::RefCell<(u64, Bytes)>>,
 }
@@ -102,9 +102,9 @@
         Self {
             cx,
             records: rc::Rc::default(),
-            news: broadcast::channel(BEHIND).0,
+            updates: broadcast::channel(MAX_QUEUED_MESSAGES).0,
             current: rc::Rc::default(),
-            near: rc::Rc::new(cell::RefCell::new((0, rc::Rc::from([])))),
+            region_entries: rc::Rc::new(cell::RefCell::new((0, rc::Rc::from([])))),
             snapshot: rc::Rc::default(),
         }
     }
@@ -116,60 +116,64 @@
 
     /// Keeps the records current until the process ends.
     pub async fn run<S: Source>(self, mut source: S, seeds: Vec<net::SocketAddr>) {
-        let mut order = order::Order::default();
-        let begun = self.cx.now();
+        let mut order = follow_order::Order::default();
+        let started = self.cx.now();
         let zone = source.read_zone().await;
-        let mut turns = turns::Turns::at_start(self.cx.now().saturating_sub(begun));
+        let mut turns = turns::Turns::at_start(self.cx.now().saturating_sub(started));
         match zone {
             // VMs that were killed together are still registered. All but the first in the order
             // wait for those before them.
             Ok(records) => {
-                drop(self.take(&source, &records, 0));
-                self.meet(&mut source).await;
+                drop(self.apply_changes(&source, &records, 0));
+                self.wait_for_zone(&mut source).await;
             }
             Err(err) => {
                 slog::warn!(self.cx.log, "store does not serve"; "error" => %err);
                 self.cx.lost_store();
-                self.learn_from_any(&source, &seeds).await;
+                self.load_from_any(&source, &seeds).await;
             }
         }
         loop {
-            let wait = turns.wait(self.cx.now(), self.place());
-            let own_turn = self.cx.now() + wait;
+            let wait = turns.wait(self.cx.now(), self.rank());
+            let read_at = self.cx.now() + wait;
             // Without records, the first VM in the order does not wait for VMs that may be dead.
             let at_once = wait.is_zero() && self.records.borrow().revision() == 0;
-            if !at_once && self.follow_any(&source, &mut order, own_turn).await {
+            if !at_once && self.follow_any(&source, &mut order, read_at).await {
                 turns.found();
                 continue;
             }
-            let wait = turns.wait(self.cx.now(), self.place());
+            let wait = turns.wait(self.cx.now(), self.rank());
             if wait.is_zero() {
                 self.read(&mut source, &mut order, &mut turns).await;
                 if self.records.borrow().revision() == 0 {
                     // VMs that have records may have started later, or answered too slowly before.
-                    self.learn_from_any(&source, &seeds).await;
+                    self.load_from_any(&source, &seeds).await;
                 }
             } else {
-                tokio::time::sleep(order::AGAIN.min(wait)).await;
+                tokio::time::sleep(follow_order::AGAIN.min(wait)).await;
             }
         }
     }
 
     /// Waits at the first start of all VMs until the availability zone's others are registered.
     /// Otherwise each would consider itself the first, and all would read the whole list at once.
-    async fn meet<S: Source>(&self, source: &mut S) {
+    async fn wait_for_zone<S: Source>(&self, source: &mut S) {
         /// Time between two looks at the list, and their number; registering takes this long.
-        const MEET: time::Duration = time::Duration::from_millis(600);
-        const LOOKS: usize = 4;
+        const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(600);
+        const MAX_CHECKS: usize = 4;
         let is_listed = || self.cx.entries.borrow().get(&self.cx.cfg.vm).is_some();
-        let looks = if self.cx.cfg.first_start { LOOKS } else { 0 };
-        for _ in 0..looks {
+        let checks = if self.cx.cfg.first_start {
+            MAX_CHECKS
+        } else {
+            0
+        };
+        for _ in 0..checks {
             if is_listed() {
                 return;
             }
-            tokio::time::sleep(MEET).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
             match source.read_zone().await {
-                Ok(records) => drop(self.take(source, &records, 0)),
+                Ok(records) => drop(self.apply_changes(source, &records, 0)),
                 Err(err) => {
                     slog::info!(self.cx.log, "cannot list the availability zone's entry VMs; not waiting for them"; "error" => %err);
                     return;
@@ -179,8 +183,8 @@
     }
 
     /// This VM's position in the order of its region: how many registered entry VMs precede it.
-    fn place(&self) -> usize {
-        order::Order::place(&self.own(), &self.near())
+    fn rank(&self) -> usize {
+        follow_order::Order::place(&self.own_place(), &self.region_entries())
     }
 
     /// Follows the first VM that can be followed, until that ends. Returns whether one could be
@@ -188,45 +192,45 @@
     async fn follow_any<S: Source>(
         &self,
         source: &S,
-        order: &mut order::Order,
-        own_turn: policy::Moment,
+        order: &mut follow_order::Order,
+        read_at: policy::Moment,
     ) -> bool {
-        for first in order.ask(self.cx.now(), &self.own(), &self.near()) {
-            let Some(addr) = first.peers else {
+        for candidate in order.ask(self.cx.now(), &self.own_place(), &self.region_entries()) {
+            let Some(addr) = candidate.peers else {
                 continue;
             };
-            let (hops, open) = match first.az == self.cx.cfg.az {
+            let (hops, open) = match candidate.az == self.cx.cfg.az {
                 true => (
-                    1 + order::Order::depth(&first, &self.near()),
+                    1 + follow_order::Order::depth(&candidate, &self.region_entries()),
                     transport::mirror::OPEN_NEAR,
                 ),
                 false => (0, transport::mirror::OPEN),
             };
-            let silence = order::SILENCE + order::TURN * hops;
-            let wait = own_turn.saturating_sub(self.cx.now());
-            let patience = Patience {
+            let silence = follow_order::SILENCE + follow_order::TURN * hops;
+            let first_message = read_at.saturating_sub(self.cx.now());
+            let timeouts = Timeouts {
                 open,
-                wait,
+                first_message,
                 silence,
             };
-            let ended = self.follow(source, &first.vm, addr, patience).await;
-            if ended.told {
+            let ended = self.follow(source, &candidate.vm, addr, timeouts).await;
+            if ended.received {
                 self.current.set(false);
             }
-            let left_alone = match ended.silent {
-                true => order::AVOID,
-                false => order::AGAIN,
+            let avoid_for = match ended.timed_out {
+                true => follow_order::AVOID,
+                false => follow_order::AGAIN,
             };
-            order.avoid(self.cx.now(), &first.vm, left_alone);
-            if ended.told {
+            order.avoid(self.cx.now(), &candidate.vm, avoid_for);
+            if ended.received {
                 return true;
             }
         }
         false
     }
 
-    fn own(&self) -> order::Place {
-        order::Place {
+    fn own_place(&self) -> follow_order::Place {
+        follow_order::Place {
             hash: self.cx.own_hash,
             vm: self.cx.cfg.vm.clone(),
             az: self.cx.cfg.az.clone(),
@@ -236,21 +240,21 @@
     }
 
     /// The registered entry VMs of this VM's region, recomputed when the list changes.
-    fn near(&self) -> rc::Rc<[order::Place]> {
+    fn region_entries(&self) -> rc::Rc<[follow_order::Place]> {
         let entries = self.cx.entries.borrow();
-        let mut near = self.near.borrow_mut();
-        if near.0 != entries.version() {
-            *near = (entries.version(), self.places(&entries));
+        let mut region_entries = self.region_entries.borrow_mut();
+        if region_entries.0 != entries.version() {
+            *region_entries = (entries.version(), self.region_places(&entries));
         }
-        near.1.clone()
+        region_entries.1.clone()
     }
 
-    fn places(&self, entries: &entries::Entries) -> rc::Rc<[order::Place]> {
+    fn region_places(&self, entries: &entries::Entries) -> rc::Rc<[follow_order::Place]> {
         let region = self.cx.region.as_ref();
         entries
             .iter()
             .filter(|(_, _, entry)| self.cx.cfg.regions.get(&entry.az) == region)
-            .map(|(vm, hash, entry)| order::Place {
+            .map(|(vm, hash, entry)| follow_order::Place {
                 hash,
                 vm: vm.clone(),
                 az: entry.az.clone(),
@@ -266,19 +270,22 @@
         source: &S,
         vm: &id::VmId,
         addr: net::SocketAddr,
-        patience: Patience,
-    ) -> Ended {
-        let mut told = false;
+        timeouts: Timeouts,
+    ) -> FollowResult {
+        let mut received = false;
         let ended = self
-            .follow_link(source, vm, addr, patience, &mut told)
+            .follow_link(source, vm, addr, timeouts, &mut received)
             .await;
-        let silent = matches!(ended, Err(transport::mirror::Error::Timeout));
+        let timed_out = matches!(ended, Err(transport::mirror::Error::Timeout));
         let why = match ended {
             Ok(()) => "it does not read the store".to_owned(),
             Err(err) => err.to_string(),
         };
-        slog::info!(self.cx.log, "not following"; "vm" => %vm, "why" => why, "followed" => told);
-        Ended { told, silent }
+        slog::info!(self.cx.log, "not following"; "vm" => %vm, "why" => why, "followed" => received);
+        FollowResult {
+            received,
+            timed_out,
+        }
     }
 
     async fn follow_link<S: Source>(
@@ -286,41 +293,41 @@
         source: &S,
         vm: &id::VmId,
         addr: net::SocketAddr,
-        patience: Patience,
-        told: &mut bool,
+        timeouts: Timeouts,
+        received: &mut bool,
     ) -> Result<(), transport::mirror::Error> {
-        let mut link = transport::mirror::Link::open(addr, patience.open).await?;
+        let mut link = transport::mirror::Link::open(addr, timeouts.open).await?;
         let ask = mirror::Ask {
             fresh: true,
-            wait_ms: patience.wait.as_millis() as u64,
+            wait_ms: timeouts.first_message.as_millis() as u64,
             since: self.records.borrow().revision(),
         };
         link.send(mirror::encode(&ask)?.into()).await?;
-        let mut limit = patience.wait + patience.silence;
+        let mut limit = timeouts.first_message + timeouts.silence;
         loop {
             let bytes = link.receive_bytes(limit).await?;
-            limit = patience.silence;
+            limit = timeouts.silence;
             let message: mirror::Message = mirror::decode(&bytes)?;
             let whole = matches!(message, mirror::Message::Whole { .. });
             let len = bytes.len();
-            let (news, revision) = match message {
+            let (updates, revision) = match message {
                 mirror::Message::NotReading => return Ok(()),
                 mirror::Message::Whole { records, revision } => {
-                    let news = self.replace(source, &records, revision);
+                    let updates = self.replace_all(source, &records, revision);
                     // Cached as received, so that a long list is not encoded again at each hop.
                     *self.snapshot.borrow_mut() = (self.records.borrow().version(), bytes);
-                    (news, revision)
+                    (updates, revision)
                 }
                 mirror::Message::Changes { records, revision } => {
-                    (self.take(source, &records, revision), revision)
+                    (self.apply_changes(source, &records, revision), revision)
                 }
             };
-            if !std::mem::replace(told, true) {
+            if !std::mem::replace(received, true) {
                 slog::info!(self.cx.log, "following"; "vm" => %vm, "revision" => revision, "whole" => whole, "bytes" => len);
             }
             self.current.set(true);
             self.cx.heard_store();
-            self.publish(news, revision);
+            self.publish(updates, revision);
         }
     }
 
@@ -328,18 +335,18 @@
     async fn read<S: Source>(
         &self,
         source: &mut S,
-        order: &mut order::Order,
+        order: &mut follow_order::Order,
         turns: &mut turns::Turns,
     ) {
-        let until = self.cx.now() + order::RECHECK;
+        let until = self.cx.now() + follow_order::RECHECK;
         let mut pause = time::Duration::ZERO;
         slog::debug!(self.cx.log, "reading the store"; "revision" => self.records.borrow().revision());
         loop {
-            let begun = self.cx.now();
+            let started = self.cx.now();
             // The pause counts as part of the wait, so that answers arrive at a steady rate.
             // Followers wait until records read from an old view are current.
             let wait = match self.current.get() {
-                true => WAIT.saturating_sub(pause),
+                true => WATCH_TIMEOUT.saturating_sub(pause),
                 false => time::Duration::ZERO,
             };
             match self.read_once(source, wait).await {
@@ -349,14 +356,14 @@
                     if self.cx.lost_store() {
                         slog::warn!(self.cx.log, "store does not serve"; "error" => %err);
                     }
-                    turns.failed(begun, self.place());
+                    turns.failed(started, self.rank());
                     return;
                 }
             }
             turns.found();
             tokio::time::sleep(pause).await;
             let may_follow = !order
-                .ask(self.cx.now(), &self.own(), &self.near())
+                .ask(self.cx.now(), &self.own_place(), &self.region_entries())
                 .is_empty();
             if may_follow && self.cx.now() >= until {
                 // This VM still serves followers: if it refused, VMs that look for one to follow at
@@ -377,8 +384,8 @@
         if revision == 0 {
             self.read_all(source, true).await?;
             // If no VM was registered, others are starting too and can soon be followed.
-            return Ok(match self.near().len() {
-                0 => order::RECHECK,
+            return Ok(match self.region_entries().len() {
+                0 => follow_order::RECHECK,
                 _ => time::Duration::ZERO,
             });
         }
@@ -386,12 +393,12 @@
             Ok((records, revision)) => {
                 let pause = match records.is_empty() {
                     true => time::Duration::ZERO,
-                    false => PACE,
+                    false => PAUSE_AFTER_CHANGES,
                 };
                 self.cx.heard_store();
                 self.current.set(true);
-                let news = self.take(source, &records, revision);
-                self.publish(news, revision);
+                let updates = self.apply_changes(source, &records, revision);
+                self.publish(updates, revision);
                 Ok(pause)
             }
             Err(ReadError::Gap) => {
@@ -406,61 +413,65 @@
     async fn read_all<S: Source>(&self, source: &mut S, stale: bool) -> Result<(), S::Error> {
         let (records, revision) = source.read(stale).await?;
         self.cx.heard_store();
-        let news = self.replace(source, &records, revision);
-        self.publish(news, revision);
+        let updates = self.replace_all(source, &records, revision);
+        self.publish(updates, revision);
         Ok(())
     }
 
     /// Applies changed records. Returns those that changed the gateway's state.
-    fn take<S: Source>(
+    fn apply_changes<S: Source>(
         &self,
         source: &S,
         records: &[mirror::Record],
         revision: u64,
     ) -> Vec<mirror::Record> {
-        let mut known = self.records.borrow_mut();
+        let mut stored = self.records.borrow_mut();
         records
             .iter()
-            .for_each(|record| known.put(record, revision));
-        known.reached(revision);
-        drop(known);
-        self.apply(source, records)
+            .for_each(|record| stored.put(record, revision));
+        stored.reached(revision);
+        drop(stored);
+        self.apply_records(source, records)
     }
 
     /// Applies records to the gateway. Returns those that changed its state.
-    fn apply<S: Source>(&self, source: &S, records: &[mirror::Record]) -> Vec<mirror::Record> {
-        let news = records.iter().filter(|record| source.apply(record));
-        news.cloned().collect()
+    fn apply_records<S: Source>(
+        &self,
+        source: &S,
+        records: &[mirror::Record],
+    ) -> Vec<mirror::Record> {
+        let updates = records.iter().filter(|record| source.apply(record));
+        updates.cloned().collect()
     }
 
     /// Replaces all records; missing ones are removed. Returns the changes for followers, which are
     /// none if this VM had no complete records, since then it has no followers.
-    fn replace<S: Source>(
+    fn replace_all<S: Source>(
         &self,
         source: &S,
         records: &[mirror::Record],
         revision: u64,
     ) -> Vec<mirror::Record> {
-        let gone = self.records.borrow().missing(records);
-        let mut known = self.records.borrow_mut();
-        let knew_nothing = !known.is_complete();
+        let removed = self.records.borrow().missing(records);
+        let mut stored = self.records.borrow_mut();
+        let was_incomplete = !stored.is_complete();
         for record in records {
-            if !known.knows(record) {
-                known.put(record, revision);
+            if !stored.knows(record) {
+                stored.put(record, revision);
             }
         }
-        known.complete(revision);
-        known.reached(revision);
-        drop(known);
-        if knew_nothing {
+        stored.complete(revision);
+        stored.reached(revision);
+        drop(stored);
+        if was_incomplete {
             slog::info!(self.cx.log, "list taken"; "records" => records.len(), "revision" => revision);
         }
-        let mut news = self.apply(source, records);
-        news.extend(self.take(source, &gone, revision));
-        if knew_nothing {
-            news.clear();
+        let mut updates = self.apply_records(source, records);
+        updates.extend(self.apply_changes(source, &removed, revision));
+        if was_incomplete {
+            updates.clear();
         }
-        news
+        updates
     }
 
     fn publish(&self, records: Vec<mirror::Record>, revision: u64) {
@@ -470,21 +481,23 @@
             *snapshot = Default::default();
         }
         drop(snapshot);
-        metrics::gauge!(known::FOLLOWERS).set(self.news.receiver_count() as f64);
+        metrics::gauge!(metric_names::FOLLOWERS).set(self.updates.receiver_count() as f64);
         match mirror::encode(&mirror::Message::Changes { records, revision }) {
             // Sending fails if there is no follower.
-            Ok(message) => drop(self.news.send(message.into())),
-            Err(err) => slog::error!(self.cx.log, "cannot encode changes for followers"; "error" => %err),
+            Ok(message) => drop(self.updates.send(message.into())),
+            Err(err) => {
+                slog::error!(self.cx.log, "cannot encode changes for followers"; "error" => %err)
+            }
         }
     }
 
     /// Loads the records, however old, of any given entry VM while the store is unavailable.
-    async fn learn_from_any<S: Source>(&self, source: &S, seeds: &[net::SocketAddr]) {
+    async fn load_from_any<S: Source>(&self, source: &S, seeds: &[net::SocketAddr]) {
         for seed in seeds {
-            match self.learn_from(source, *seed).await {
+            match self.load_from(source, *seed).await {
                 Ok(0) => {}
-                Ok(known) => {
-                    slog::info!(self.cx.log, "records loaded from an entry VM"; "addr" => %seed, "records" => known);
+                Ok(count) => {
+                    slog::info!(self.cx.log, "records loaded from an entry VM"; "addr" => %seed, "records" => count);
                     return;
                 }
                 Err(err) => {
@@ -494,7 +507,7 @@
         }
     }
 
-    async fn learn_from<S: Source>(
+    async fn load_from<S: Source>(
         &self,
         source: &S,
         addr: net::SocketAddr,
@@ -506,9 +519,9 @@
             since: 0,
         };
         link.send(mirror::encode(&ask)?.into()).await?;
-        match link.receive(order::SILENCE).await? {
+        match link.receive(follow_order::SILENCE).await? {
             mirror::Message::Whole { records, revision } => {
-                self.replace(source, &records, revision);
+                self.replace_all(source, &records, revision);
                 Ok(records.len())
             }
             mirror::Message::Changes { .. } | mirror::Message::NotReading => Ok(0),
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -8,7 +8,7 @@
 
 pub mod attempt;
 pub mod beliefs;
-mod carried;
+mod entry_selection;
 mod facts;
 mod fanout;
 pub mod front;
@@ -40,7 +40,7 @@
 
 /// How long a planned stop still accepts requests: callers cache where to connect, and some connect
 /// here until their cached answer expires.
-const LEAVING: time::Duration = time::Duration::from_millis(2500);
+const STOP_ACCEPT_PERIOD: time::Duration = time::Duration::from_millis(2500);
 
 /// Settings of a gateway.
 #[derive(Clone, Debug)]
@@ -96,41 +96,41 @@
 
 /// Per-service state.
 #[derive(Debug, Default)]
-pub struct Desk {
+pub struct ServiceState {
     /// Counts of requests and resends.
     pub resends: resend::Resends,
     /// The share of requests that other regions serve.
-    pub share: regions::Share,
+    pub remote_share: regions::Share,
     /// Decides when less urgent requests yield to more urgent ones.
     pub precedence: precedence::Precedence,
     /// How often backend servers decline requests although they have free slots.
     pub declines: declines::Declines,
     /// How often answers for objects that are new to the chosen backend server are late.
-    pub late: warming::Late,
+    pub cold_lateness: warming::Late,
     /// Decaying count of requests, for updates of the remote share.
     pub traffic: f64,
     /// Mean time from send to answer, in seconds.
-    pub work: f64,
+    pub mean_latency_s: f64,
 }
 
-impl Desk {
+impl ServiceState {
     /// How long a refused caller should wait: running requests must end first, unless the backend
     /// servers decline although they have free slots.
-    pub fn backlog(&self) -> time::Duration {
+    pub fn retry_delay(&self) -> time::Duration {
         match self.declines.are_everywhere() {
             true => time::Duration::ZERO,
-            false => time::Duration::from_secs_f64(self.work),
+            false => time::Duration::from_secs_f64(self.mean_latency_s),
         }
     }
 
     /// Updates the mean latency with that of one answer.
-    pub fn took(&mut self, took: time::Duration) {
+    pub fn record_latency(&mut self, elapsed: time::Duration) {
         /// Weight of one answer: the mean covers about the last 20.
-        const NEW: f64 = 0.05;
-        let took = took.as_secs_f64();
-        self.work = match self.work {
-            0.0 => took,
-            old => old + (took - old) * NEW,
+        const SAMPLE_WEIGHT: f64 = 0.05;
+        let elapsed = elapsed.as_secs_f64();
+        self.mean_latency_s = match self.mean_latency_s {
+            0.0 => elapsed,
+            old => old + (elapsed - old) * SAMPLE_WEIGHT,
         };
     }
 }
@@ -138,9 +138,11 @@
 /// The state shared by all tasks of the process.
 #[derive(Debug)]
 pub struct Cx {
+    /// Settings of the process.
     pub cfg: Config,
     /// The region of this VM.
     pub region: Option<id::RegionId>,
+    /// Logger of the process.
     pub log: slog::Logger,
     start: time::Instant,
     own_hash: u64,
@@ -148,39 +150,39 @@
     backends: cell::RefCell<backends::Backends>,
     evacuated: cell::RefCell<collections::BTreeSet<id::AzId>>,
     entries: cell::RefCell<entries::Entries>,
-    carried: cell::Cell<carried::Carried>,
-    told: cell::RefCell<carried::Told>,
+    traffic_counts: cell::Cell<entry_selection::TrafficCounts>,
+    advertised: cell::RefCell<entry_selection::AdvertisedCache>,
     busy: cell::Cell<nearby::Busy>,
     /// Whether this is the only entry VM advertised to the callers of its region.
-    alone: cell::Cell<bool>,
+    is_sole_entry: cell::Cell<bool>,
     listing: cell::RefCell<listing::Listing>,
-    desks: cell::RefCell<collections::HashMap<id::ServiceId, Desk>>,
+    services: cell::RefCell<collections::HashMap<id::ServiceId, ServiceState>>,
     splits: cell::RefCell<collections::HashMap<String, split::Split>>,
     pool: cell::RefCell<pool::Pool>,
     /// Requests admitted here for each customer, and the usage that other VMs reported.
     quotas: cell::RefCell<quota::Ledger<quota::ByDemand>>,
     /// The version of the entry VM list from which the ledger's expected VMs were last set.
-    expected_by: cell::Cell<Option<u64>>,
+    expected_version: cell::Cell<Option<u64>>,
     /// Sequence number of the latest datagram from each other VM, and the count of those sent.
-    heard_usage: cell::RefCell<collections::HashMap<quota::Name, quotas::Latest>>,
-    told_usage: cell::Cell<u64>,
+    peer_usage: cell::RefCell<collections::HashMap<quota::Name, quotas::SequenceNumber>>,
+    usage_sent: cell::Cell<u64>,
     /// When the process started, in milliseconds since the Unix epoch. It orders this process's
     /// reports after those of its predecessor.
     started_ms: u64,
     departures: cell::RefCell<departures::Departures>,
     crashes: cell::RefCell<crashes::Crashes>,
     /// Crashes seen here and not yet reported to other entry VMs.
-    untold: cell::RefCell<Vec<beliefs::Crash>>,
-    lines: logging::Limiter,
+    pending_crashes: cell::RefCell<Vec<beliefs::Crash>>,
+    log_limiter: logging::Limiter,
     labels: metrics::Bounded,
     stop: watch::Sender<bool>,
     /// Notified when the first routes or backend servers are known.
-    came: sync::Notify,
+    data_arrived: sync::Notify,
     /// Notified when a customer sends a request after an idle period.
-    asked: sync::Notify,
+    customer_active: sync::Notify,
     /// When a planned stop stops accepting requests.
-    closed: cell::Cell<Option<policy::Moment>>,
-    in_hand: cell::Cell<usize>,
+    closes_at: cell::Cell<Option<policy::Moment>>,
+    in_progress: cell::Cell<usize>,
 }
 
 /// A reference-counted handle to the process's state.
@@ -219,29 +221,29 @@
             backends: cell::RefCell::new(known),
             evacuated: cell::RefCell::default(),
             entries: cell::RefCell::default(),
-            carried: cell::Cell::default(),
-            told: cell::RefCell::default(),
+            traffic_counts: cell::Cell::default(),
+            advertised: cell::RefCell::default(),
             busy: cell::Cell::default(),
-            alone: cell::Cell::default(),
+            is_sole_entry: cell::Cell::default(),
             listing: cell::RefCell::default(),
-            desks: cell::RefCell::default(),
+            services: cell::RefCell::default(),
             splits: cell::RefCell::default(),
             pool: cell::RefCell::default(),
             quotas: cell::RefCell::new(quota::Ledger::new(quota, policy::Moment::ZERO, started_ms)),
-            expected_by: cell::Cell::default(),
-            heard_usage: cell::RefCell::default(),
-            told_usage: cell::Cell::default(),
+            expected_version: cell::Cell::default(),
+            peer_usage: cell::RefCell::default(),
+            usage_sent: cell::Cell::default(),
             started_ms,
             departures: cell::RefCell::default(),
             crashes: cell::RefCell::default(),
-            untold: cell::RefCell::default(),
-            lines: logging::Limiter::new(record::RATE),
+            pending_crashes: cell::RefCell::default(),
+            log_limiter: logging::Limiter::new(record::LOG_RATE),
             labels: metrics::Bounded::default(),
             stop: watch::channel(false).0,
-            came: sync::Notify::new(),
-            asked: sync::Notify::new(),
-            closed: cell::Cell::new(None),
-            in_hand: cell::Cell::new(0),
+            data_arrived: sync::Notify::new(),
+            customer_active: sync::Notify::new(),
+            closes_at: cell::Cell::new(None),
+            in_progress: cell::Cell::new(0),
         }))
     }
 }
@@ -279,24 +281,24 @@
 
     /// Waits until the first routes or the first backend server are known.
     pub async fn came(&self) {
-        self.came.notified().await;
+        self.data_arrived.notified().await;
     }
 
     /// Begins a planned stop: connections are closed after their running requests are answered.
     pub fn stop(&self) {
-        self.closed.set(Some(self.now() + LEAVING));
+        self.closes_at.set(Some(self.now() + STOP_ACCEPT_PERIOD));
         self.stop.send_replace(true);
     }
 
     /// Whether a planned stop no longer accepts requests. A request accepted later could still be
     /// running when the grace time ends, and would be cut off.
     pub fn is_closed(&self) -> bool {
-        self.closed.get().is_some_and(|at| self.now() >= at)
+        self.closes_at.get().is_some_and(|at| self.now() >= at)
     }
 
     /// Whether a planned stop is complete: it accepts no requests, and none is running.
     pub fn is_done(&self) -> bool {
-        self.is_closed() && self.in_hand.get() == 0
+        self.is_closed() && self.in_progress.get() == 0
     }
 
     /// Subscribes to the start of a planned stop.
@@ -306,7 +308,7 @@
 
     /// Number of requests in progress.
     pub fn in_hand(&self) -> usize {
-        self.in_hand.get()
+        self.in_progress.get()
     }
 
     /// A random number in `0.0..1.0` that spreads simultaneous events.
@@ -315,11 +317,15 @@
     }
 
     /// Calls a function on a service's state, which is created on first use.
-    fn with_desk<T>(&self, service: &id::ServiceId, f: impl FnOnce(&mut Desk) -> T) -> T {
-        let mut desks = self.desks.borrow_mut();
-        if let Some(desk) = desks.get_mut(service) {
-            return f(desk);
+    fn with_service<T>(
+        &self,
+        service: &id::ServiceId,
+        f: impl FnOnce(&mut ServiceState) -> T,
+    ) -> T {
+        let mut services = self.services.borrow_mut();
+        if let Some(state) = services.get_mut(service) {
+            return f(state);
         }
-        f(desks.entry(service.clone()).or_default())
+        f(services.entry(service.clone()).or_default())
     }
 }
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -18,7 +18,7 @@
     /// The hash of the request's object, if it has one.
     pub key: Option<u64>,
     /// Whether the request is to run in another region.
-    pub away: bool,
+    pub remote: bool,
     /// The regions where the request may run.
     pub homes: routes::Homes<'a>,
     /// Whether the request may run more than once.
@@ -53,27 +53,27 @@
 
 /// A request's slot at a backend server, released on drop.
 #[derive(Debug)]
-pub struct Seat {
+pub struct Reservation {
     cx: Gateway,
     /// The reserved backend server's run.
     pub run: Run,
     /// The backend server's address.
     pub addr: std::net::SocketAddr,
     /// Whether the backend server is in another region.
-    pub far: bool,
+    pub remote: bool,
     /// Whether the request's object is new there, as far as this VM knows.
-    pub new: bool,
+    pub new_object: bool,
     /// Requests running or queued there at the time, as far as this VM knows.
     pub ahead: f64,
 }
 
-impl Drop for Seat {
+impl Drop for Reservation {
     fn drop(&mut self) {
         let mut backends = self.cx.backends.borrow_mut();
         let known = backends.get_mut(&self.run.id);
         if let Some(backend) = known.filter(|b| self.run.is_of(b)) {
             backend.in_flight = backend.in_flight.saturating_sub(1);
-            if self.new {
+            if self.new_object {
                 backend.warming.ended();
             }
         }
@@ -82,7 +82,7 @@
 
 /// Why no backend server takes the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Nowhere {
+pub enum PlacementError {
     /// No backend server is usable.
     NoBackend,
     /// The backend servers that may have the object cached are full; others would answer late.
@@ -91,7 +91,7 @@
     Cold,
 }
 
-impl Nowhere {
+impl PlacementError {
     /// The reason as a log and metric value.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -103,34 +103,34 @@
 }
 
 /// Backend servers that may get a request.
-struct InOrder<'a> {
+struct Eligible<'a> {
     /// Whether any can serve the request, now or soon.
-    usable: bool,
+    any_usable: bool,
     /// Those to choose from now.
-    in_order: Vec<&'a backends::Backend>,
+    backends: Vec<&'a backends::Backend>,
 }
 
 impl Gateway {
     /// Reserves a slot at a backend server that takes the request now.
-    pub fn place(&self, need: &Need<'_>) -> Result<Seat, Nowhere> {
+    pub fn place(&self, need: &Need<'_>) -> Result<Reservation, PlacementError> {
         let now = self.now();
         let chosen = self.choose(need, now);
-        if chosen == Err(Nowhere::Full) && !need.behind {
-            self.with_desk(need.service, |desk| desk.precedence.refused(now));
+        if chosen == Err(PlacementError::Full) && !need.behind {
+            self.with_service(need.service, |state| state.precedence.refused(now));
         }
         let chosen = chosen?;
         let cfg = &self.cfg.thresholds.warming;
-        let cold = self.with_desk(need.service, |desk| desk.late.are_cold(cfg));
+        let cold = self.with_service(need.service, |state| state.cold_lateness.are_cold(cfg));
         let mut backends = self.backends.borrow_mut();
         let Some(backend) = backends.get_mut(&chosen) else {
-            return Err(Nowhere::NoBackend);
+            return Err(PlacementError::NoBackend);
         };
         let slots = f64::from(backend.listed.slots);
         let takes = |key| backend.warming.takes(cfg, slots, key);
         if cold && !need.key.is_none_or(takes) {
-            return Err(Nowhere::Cold);
+            return Err(PlacementError::Cold);
         }
-        let new = need.key.is_some_and(|key| backend.warming.begun(now, key));
+        let new_object = need.key.is_some_and(|key| backend.warming.begun(now, key));
         let ahead = backend.load(now);
         backend.in_flight += 1;
         if backend.health.due(now) {
@@ -141,7 +141,7 @@
         if backend.is_cold(now) {
             backend.pace.sent(now, self.cold_rate(need.service));
         }
-        Ok(Seat {
+        Ok(Reservation {
             cx: self.clone(),
             run: Run {
                 id: chosen,
@@ -149,32 +149,32 @@
                 ended: backend.ended().clone(),
             },
             addr: backend.listed.addr,
-            far: backend.region != self.region,
-            new,
+            remote: backend.region != self.region,
+            new_object,
             ahead,
         })
     }
 }
 
 impl Gateway {
-    fn choose(&self, need: &Need<'_>, now: policy::Moment) -> Result<id::VmId, Nowhere> {
+    fn choose(&self, need: &Need<'_>, now: policy::Moment) -> Result<id::VmId, PlacementError> {
         // If one side has no usable backend server, the next side serves the request.
         let mut sides = match need.homes.are_open() {
             true => vec![backends::Side::Far],
-            false => self.homes_elsewhere(&need.homes),
+            false => self.other_allowed_regions(&need.homes),
         };
-        let near = if need.away { sides.len() } else { 0 };
+        let near = if need.remote { sides.len() } else { 0 };
         sides.insert(near, backends::Side::Near);
         let chosen = sides
             .into_iter()
             .find_map(|side| self.choose_on(side, need, now));
-        chosen.unwrap_or(Err(Nowhere::NoBackend))
+        chosen.unwrap_or(Err(PlacementError::NoBackend))
     }
 
     /// The other regions where a request may run. Each region has its own order of backend servers
     /// for each object, whose length follows from the region's size. In one order for all other
     /// regions, a small region would cache each object at many backend servers and fill its caches.
-    fn homes_elsewhere<'a>(&'a self, homes: &routes::Homes<'a>) -> Vec<backends::Side<'a>> {
+    fn other_allowed_regions<'a>(&'a self, homes: &routes::Homes<'a>) -> Vec<backends::Side<'a>> {
         let own = self.region.as_ref();
         let named = match homes.route.is_empty() {
             true => homes.customer,
@@ -193,22 +193,22 @@
         side: backends::Side<'_>,
         need: &Need<'_>,
         now: policy::Moment,
-    ) -> Option<Result<id::VmId, Nowhere>> {
-        let few = self.few(side, need);
+    ) -> Option<Result<id::VmId, PlacementError>> {
+        let shortlist = self.shortlist(side, need);
         let backends = self.backends.borrow();
         let among = backends.count_on(need.service, side);
-        let listed = few.iter().filter_map(|name| backends.get(name));
-        let in_order = self.in_order(listed, need, now).in_order;
-        if in_order.len() >= affinity::HELD {
-            return Some(self.pick(&in_order, among, need, now));
+        let listed = shortlist.iter().filter_map(|name| backends.get(name));
+        let eligible = self.eligible(listed, need, now).backends;
+        if eligible.len() >= affinity::HELD {
+            return Some(self.pick(&eligible, among, need, now));
         }
-        let all = self.in_order(backends.on(need.service, side), need, now);
-        all.usable
-            .then(|| self.pick(&all.in_order, among, need, now))
+        let all = self.eligible(backends.on(need.service, side), need, now);
+        all.any_usable
+            .then(|| self.pick(&all.backends, among, need, now))
     }
 
     /// The shortlist to choose from first: the head of the object's order, or a random sample.
-    fn few(&self, side: backends::Side<'_>, need: &Need<'_>) -> Vec<id::VmId> {
+    fn shortlist(&self, side: backends::Side<'_>, need: &Need<'_>) -> Vec<id::VmId> {
         let by_object = self.cfg.thresholds.placement.by_object;
         let mut backends = self.backends.borrow_mut();
         match need.key.filter(|_| by_object) {
@@ -218,36 +218,39 @@
     }
 
     /// Filters the backend servers to choose from now.
-    fn in_order<'a>(
+    fn eligible<'a>(
         &self,
         backends: impl Iterator<Item = &'a backends::Backend>,
         need: &Need<'_>,
         now: policy::Moment,
-    ) -> InOrder<'a> {
-        let mut usable = false;
-        let in_order = backends
+    ) -> Eligible<'a> {
+        let mut any_usable = false;
+        let eligible = backends
             .filter(|b| self.may_serve(b, need, now))
-            .inspect(|_| usable = true)
-            .filter(|b| self.has_place(b, need, now))
+            .inspect(|_| any_usable = true)
+            .filter(|b| self.is_eligible(b, need, now))
             .collect();
-        InOrder { usable, in_order }
+        Eligible {
+            any_usable,
+            backends: eligible,
+        }
     }
 
     fn pick(
         &self,
-        in_order: &[&backends::Backend],
+        eligible: &[&backends::Backend],
         among: usize,
         need: &Need<'_>,
         now: policy::Moment,
-    ) -> Result<id::VmId, Nowhere> {
+    ) -> Result<id::VmId, PlacementError> {
         let limit = &self.cfg.thresholds.limit;
-        let candidates: Vec<affinity::Candidate> = in_order
+        let candidates: Vec<affinity::Candidate> = eligible
             .iter()
             .map(|b| affinity::Candidate {
                 hash: b.hash,
                 slots: f64::from(b.listed.slots),
                 load: b.load(now),
-                full: b.in_flight as usize >= b.limit.shared(limit, now, self.alone.get()),
+                full: b.in_flight as usize >= b.limit.shared(limit, now, self.is_sole_entry.get()),
                 known: need.key.is_some_and(|key| b.warming.has(now, key)),
                 objects: b.warming.objects(),
             })
@@ -256,11 +259,12 @@
             key: need.key,
             tie: self.jitter().to_bits(),
             among,
-            behind: need.behind && self.with_desk(need.service, |desk| desk.precedence.yields(now)),
+            behind: need.behind
+                && self.with_service(need.service, |state| state.precedence.yields(now)),
         };
         affinity::pick(&self.cfg.thresholds.placement, &want, &candidates)
-            .map(|i| in_order[i].id.clone())
-            .ok_or(Nowhere::Full)
+            .map(|i| eligible[i].id.clone())
+            .ok_or(PlacementError::Full)
     }
 
     /// Whether a backend server can serve the request, now or soon.
@@ -280,28 +284,32 @@
 
     /// Whether a backend server can be chosen now. One that is cold or on trial counts only if it
     /// takes the request at once; meanwhile other backend servers serve its objects.
-    fn has_place(&self, b: &backends::Backend, need: &Need<'_>, now: policy::Moment) -> bool {
+    fn is_eligible(&self, b: &backends::Backend, need: &Need<'_>, now: policy::Moment) -> bool {
         let on_trial = b.health.state() != ejection::State::In;
         if on_trial && (b.in_flight > 0 || !need.idempotent) {
             return false;
         }
-        !b.is_cold(now) || (b.pace.ready(now) && self.owns_cold(b))
+        !b.is_cold(now) || (b.pace.ready(now) && self.sends_to_cold(b))
     }
 
     /// Whether this VM is the one that sends to a cold backend server. Only VMs advertised to
     /// callers of that region have requests for it.
-    fn owns_cold(&self, b: &backends::Backend) -> bool {
-        cold::owns(b.hash, self.own_hash, &self.told_in(b.region.as_ref()))
+    fn sends_to_cold(&self, b: &backends::Backend) -> bool {
+        cold::owns(
+            b.hash,
+            self.own_hash,
+            &self.advertised_hashes(b.region.as_ref()),
+        )
     }
 
     fn cold_rate(&self, service: &id::ServiceId) -> f64 {
         /// Requests per second if the routes state no rate; one harms no backend server.
-        const UNKNOWN: f64 = 1.0;
+        const DEFAULT_RATE_PER_S: f64 = 1.0;
         self.table
             .borrow()
             .as_ref()
             .and_then(|table| Some(table.services.get(service)?.cold_rate))
             .filter(|rate| *rate > 0.0)
-            .unwrap_or(UNKNOWN)
+            .unwrap_or(DEFAULT_RATE_PER_S)
     }
 }
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -9,7 +9,7 @@
 
 /// Idle connections per backend server. It works on few requests at once, and each connection
 /// counts against its connection limit.
-const EACH: usize = 4;
+const MAX_IDLE_PER_BACKEND: usize = 4;
 
 #[derive(Debug)]
 struct Idle {
@@ -21,11 +21,11 @@
 
 /// An idle connection taken from the pool for reuse.
 #[derive(Debug)]
-pub struct Rested {
+pub struct IdleConnection {
     /// The connection.
     pub wire: socket::Wire,
     /// How long it was idle.
-    pub rested: time::Duration,
+    pub idle_for: time::Duration,
 }
 
 /// The idle connections by backend server.
@@ -33,18 +33,18 @@
 pub struct Pool {
     idle: collections::HashMap<id::VmId, Vec<Idle>>,
     /// Limits how long connections may stay idle.
-    pub rest: rest::Rest,
+    pub idle_limit: rest::Rest,
 }
 
 impl Pool {
     /// Takes the most recently used connection that was idle for less than `limit`.
-    pub fn take(&mut self, id: &id::VmId, limit: time::Duration) -> Option<Rested> {
+    pub fn take(&mut self, id: &id::VmId, limit: time::Duration) -> Option<IdleConnection> {
         let idle = self.idle.get_mut(id)?;
         while let Some(mut last) = idle.pop() {
-            let rested = last.since.elapsed();
-            if rested < self.rest.limit(last.stated).min(limit) && last.wire.rests() {
+            let idle_for = last.since.elapsed();
+            if idle_for < self.idle_limit.limit(last.stated).min(limit) && last.wire.rests() {
                 let wire = last.wire;
-                return Some(Rested { wire, rested });
+                return Some(IdleConnection { wire, idle_for });
             }
         }
         None
@@ -52,11 +52,11 @@
 
     /// Adds an idle connection. `stated` is the keep-alive timeout that the backend server stated.
     pub fn put(&mut self, id: &id::VmId, wire: socket::Wire, stated: Option<time::Duration>) {
-        if self.rest.limit(stated).is_zero() {
+        if self.idle_limit.limit(stated).is_zero() {
             return;
         }
         let idle = self.idle.entry(id.clone()).or_default();
-        if idle.len() >= EACH {
+        if idle.len() >= MAX_IDLE_PER_BACKEND {
             idle.remove(0);
         }
         idle.push(Idle {
@@ -68,9 +68,9 @@
 
     /// Closes connections that were idle for too long.
     pub fn sweep(&mut self) {
-        let rest = self.rest;
+        let idle_limit = self.idle_limit;
         self.idle.retain(|_, idle| {
-            idle.retain(|one| one.since.elapsed() < rest.limit(one.stated));
+            idle.retain(|one| one.since.elapsed() < idle_limit.limit(one.stated));
             !idle.is_empty()
         });
     }
--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -14,28 +14,28 @@
 use super::{Gateway, facts};
 use crate::decisions::{affinity, comeback, nearby, policy, quota};
 use crate::id;
-use crate::metrics as known;
+use crate::metrics as metric_names;
 use crate::protocol::{customers, usage};
 use crate::transport::callers;
 
 /// Interval of checks for usage to report.
-const LOOK: time::Duration = time::Duration::from_millis(100);
+const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// Interval of checks while no customer sends requests.
-const LOOK_IDLE: time::Duration = time::Duration::from_millis(500);
+const IDLE_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
 /// Longest time between two reports, which also show the other VMs that this one serves.
-const SPEAK: time::Duration = time::Duration::from_millis(500);
+const MAX_REPORT_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
 /// Interval of full reports, for VMs that missed a datagram.
-const WHOLE: time::Duration = time::Duration::from_millis(2000);
+const FULL_REPORT_INTERVAL: time::Duration = time::Duration::from_millis(2000);
 
 /// How many VMs of a region beyond the advertised ones get reports: as many as are advertised,
 /// since all of those may become busy at once.
-const NEXT: usize = nearby::LEAST;
+const STANDBY_COUNT: usize = nearby::LEAST;
 
 /// Datagrams per report; customers far from their limits are left out beyond that.
-const DATAGRAMS: usize = 8;
+const MAX_DATAGRAMS_PER_REPORT: usize = 8;
 
 /// A request counted against its customer's quota until it is known not to have run.
 #[derive(Debug)]
@@ -47,14 +47,14 @@
 
 /// When this VM sent its last report, and its last full report.
 #[derive(Clone, Copy, Debug, Default)]
-struct Spoken {
+struct LastReports {
     last: Option<policy::Moment>,
     whole: Option<policy::Moment>,
 }
 
 /// The position of another VM's latest datagram.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
-pub(super) struct Latest {
+pub(super) struct SequenceNumber {
     start: u64,
     number: u64,
 }
@@ -66,7 +66,7 @@
     })
 }
 
-fn name_of(customer: &customers::Customer) -> quota::Name {
+fn quota_name(customer: &customers::Customer) -> quota::Name {
     affinity::hash(customer.name.as_str().as_bytes())
 }
 
@@ -76,15 +76,15 @@
         &self,
         customer: Option<&customers::Customer>,
     ) -> Result<Option<Charge>, quota::Refused> {
-        let Some((customer, limit)) = customer.and_then(|c| Some((name_of(c), limit_of(c)?)))
+        let Some((customer, limit)) = customer.and_then(|c| Some((quota_name(c), limit_of(c)?)))
         else {
             return Ok(None);
         };
         let at = self.now();
-        self.expect_others();
+        self.update_expected_vms();
         let mut quotas = self.quotas.borrow_mut();
         if !quotas.is_active() {
-            self.asked.notify_one();
+            self.customer_active.notify_one();
         }
         quotas.ask(at, customer, limit, self.jitter())?;
         Ok(Some(Charge {
@@ -95,7 +95,7 @@
     }
 
     /// Counts a resend. Returns whether the quota allows it.
-    pub(super) fn charge_again(&self, charge: &mut Charge) -> bool {
+    pub(super) fn charge_resend(&self, charge: &mut Charge) -> bool {
         let at = self.now();
         let mut quotas = self.quotas.borrow_mut();
         let taken = quotas.take(at, charge.customer, charge.limit, self.jitter());
@@ -104,7 +104,7 @@
     }
 
     /// Refunds the charge of a request that has not run.
-    pub(super) fn give_back(&self, charge: &Charge) {
+    pub(super) fn refund(&self, charge: &Charge) {
         let mut quotas = self.quotas.borrow_mut();
         quotas.give_back(self.now(), charge.customer, charge.at);
     }
@@ -113,19 +113,19 @@
     pub async fn share_quotas(self, socket: UdpSocket) {
         let mut buf = vec![0; usage::LONGEST];
         let mut next = tokio::time::Instant::now();
-        let mut spoken = Spoken::default();
+        let mut last_reports = LastReports::default();
         loop {
             tokio::select! {
                 received = socket.recv_from(&mut buf) => match received {
-                    Ok((len, from)) => self.hear_usage(&buf[..len], from),
+                    Ok((len, from)) => self.receive_usage(&buf[..len], from),
                     // Another machine refused an earlier datagram; later ones may arrive.
                     Err(err) => slog::debug!(self.log, "cannot receive usage reports"; "error" => %err),
                 },
                 // Usage after an idle period is reported as soon as during steady use.
-                () = self.asked.notified() => next = next.min(tokio::time::Instant::now() + LOOK),
+                () = self.customer_active.notified() => next = next.min(tokio::time::Instant::now() + CHECK_INTERVAL),
                 () = tokio::time::sleep_until(next) => {
-                    let idle = !self.tell_usage(&socket, &mut spoken).await;
-                    let pause = if idle { LOOK_IDLE } else { LOOK };
+                    let idle = !self.report_usage(&socket, &mut last_reports).await;
+                    let pause = if idle { IDLE_CHECK_INTERVAL } else { CHECK_INTERVAL };
                     next = tokio::time::Instant::now() + pause;
                 }
             }
@@ -133,30 +133,33 @@
     }
 
     /// Sends usage that the other VMs do not know yet. Returns whether any customer is active.
-    async fn tell_usage(&self, socket: &UdpSocket, spoken: &mut Spoken) -> bool {
+    async fn report_usage(&self, socket: &UdpSocket, last_reports: &mut LastReports) -> bool {
         let now = self.now();
-        let over =
+        let has_elapsed =
             |at: Option<policy::Moment>, span| at.is_none_or(|at| now.saturating_sub(at) >= span);
-        let (speak, whole) = (over(spoken.last, SPEAK), over(spoken.whole, WHOLE));
-        if speak {
-            self.expect_others();
-            self.forget_others(now);
+        let (is_report_due, whole) = (
+            has_elapsed(last_reports.last, MAX_REPORT_INTERVAL),
+            has_elapsed(last_reports.whole, FULL_REPORT_INTERVAL),
+        );
+        if is_report_due {
+            self.update_expected_vms();
+            self.forget_departed_vms(now);
         }
         let (rows, active, whole) = {
             let mut quotas = self.quotas.borrow_mut();
             let whole = quotas.owes_whole() || whole;
-            let rows = quotas.news(now, whole, DATAGRAMS * usage::ROWS);
+            let rows = quotas.news(now, whole, MAX_DATAGRAMS_PER_REPORT * usage::ROWS);
             (rows, quotas.is_active(), whole)
         };
-        let speaks = active || self.awaits_customers();
-        if !speaks || (rows.is_empty() && !speak) {
+        let may_report = active || self.expects_customers();
+        if !may_report || (rows.is_empty() && !is_report_due) {
             return active;
         }
-        spoken.last = Some(now);
+        last_reports.last = Some(now);
         if whole {
-            spoken.whole = Some(now);
+            last_reports.whole = Some(now);
         }
-        let to = self.audience();
+        let to = self.report_recipients();
         for datagram in self.datagrams(&rows, whole) {
             for addr in &to {
                 self.send_usage(socket, &datagram, *addr).await;
@@ -167,11 +170,14 @@
 
     /// Whether customers' callers are sent here. Other VMs reserve a share of the quotas for such a
     /// VM until it reports that it admits nothing.
-    fn awaits_customers(&self) -> bool {
+    fn expects_customers(&self) -> bool {
         let customers = self
             .table()
             .is_some_and(|table| !table.customers.is_empty());
-        customers && self.told_in(self.region.as_ref()).contains(&self.own_hash)
+        customers
+            && self
+                .advertised_hashes(self.region.as_ref())
+                .contains(&self.own_hash)
     }
 
     /// Customers that have nearly used their quotas, for this VM's registration, which outlives it.
@@ -182,11 +188,11 @@
     fn datagrams(&self, rows: &[(quota::Name, quota::Told)], whole: bool) -> Vec<Vec<u8>> {
         // The count of one customer in a window at a large VM stays far below `u32::MAX`.
         let count = |n: f64| n.round() as u32;
-        let row = |(customer, told): &(quota::Name, quota::Told)| usage::Row {
+        let row = |(customer, reported): &(quota::Name, quota::Told)| usage::Row {
             customer: *customer,
-            used: count(told.used),
-            pace: count(told.pace),
-            asked: count(told.asked),
+            used: count(reported.used),
+            pace: count(reported.pace),
+            asked: count(reported.asked),
         };
         let mut parts: Vec<Vec<usage::Row>> = rows
             .chunks(usage::ROWS)
@@ -198,8 +204,8 @@
         // Only a datagram with all rows can say that there are no others.
         let whole = whole && parts.len() == 1;
         let encoded = parts.into_iter().map(|rows| {
-            let number = self.told_usage.get() + 1;
-            self.told_usage.set(number);
+            let number = self.usage_sent.get() + 1;
+            self.usage_sent.set(number);
             usage::encode(&usage::Usage {
                 vm: self.cfg.vm.clone(),
                 start: self.started_ms,
@@ -221,21 +227,23 @@
 
     async fn send_usage(&self, socket: &UdpSocket, datagram: &[u8], to: net::SocketAddr) {
         match socket.send_to(datagram, to).await {
-            Ok(len) => counter!(known::PEER_BYTES, "direction" => "out").increment(len as u64),
-            Err(err) => self.usage_unsent(to, &err),
+            Ok(len) => {
+                counter!(metric_names::PEER_BYTES, "direction" => "out").increment(len as u64)
+            }
+            Err(err) => self.log_send_failure(to, &err),
         }
     }
 
-    fn usage_unsent(&self, to: net::SocketAddr, err: &io::Error) {
-        if let Some(left_out) = self.lines.admit("usage unsent", self.now()) {
+    fn log_send_failure(&self, to: net::SocketAddr, err: &io::Error) {
+        if let Some(left_out) = self.log_limiter.admit("usage unsent", self.now()) {
             slog::info!(self.log, "cannot send a usage report"; "to" => %to, "error" => %err, "left_out" => left_out);
         }
     }
 
     /// The VMs that need this VM's usage: those advertised to callers, and those that reported
     /// recently.
-    fn audience(&self) -> Vec<net::SocketAddr> {
-        let Some(own) = self.cfg.usage else {
+    fn report_recipients(&self) -> Vec<net::SocketAddr> {
+        let Some(own_addr) = self.cfg.usage else {
             return Vec::new();
         };
         let now = self.now();
@@ -249,39 +257,41 @@
         ips.sort_unstable();
         ips.dedup();
         ips.into_iter()
-            .map(|ip| net::SocketAddr::new(ip, own.port()))
+            .map(|ip| net::SocketAddr::new(ip, own_addr.port()))
             .collect()
     }
 
     /// Updates the VMs that callers are sent to, if the list has changed. A VM that admits requests
     /// before it knows the other VMs would take all that is left of a quota, and so would each of
     /// them.
-    fn expect_others(&self) {
+    fn update_expected_vms(&self) {
         let version = Some(self.entries.borrow().version());
-        if self.expected_by.replace(version) == version {
+        if self.expected_version.replace(version) == version {
             return;
         }
         let mut regions: Vec<Option<&id::RegionId>> = self.cfg.regions.values().map(Some).collect();
         regions.sort_unstable();
         regions.dedup();
-        let told = regions.iter().map(|region| self.told_in(*region));
-        let told = self.others(told.flat_map(|hashes| hashes.to_vec()));
-        let next = regions.iter().map(|region| self.hashes_in(*region, NEXT));
-        let next = self.others(next.flatten());
+        let advertised = regions.iter().map(|region| self.advertised_hashes(*region));
+        let advertised = self.distinct_others(advertised.flat_map(|hashes| hashes.to_vec()));
+        let next = regions
+            .iter()
+            .map(|region| self.selection_hashes(*region, STANDBY_COUNT));
+        let next = self.distinct_others(next.flatten());
         let vms = self.entries.borrow().len();
-        self.quotas.borrow_mut().expect(told, next, vms);
+        self.quotas.borrow_mut().expect(advertised, next, vms);
     }
 
     /// The VMs without this one and without duplicates.
-    fn others(&self, vms: impl Iterator<Item = quota::Name>) -> Vec<quota::Name> {
-        let mut others: Vec<quota::Name> = vms.filter(|hash| *hash != self.own_hash).collect();
-        others.sort_unstable();
-        others.dedup();
-        others
+    fn distinct_others(&self, vms: impl Iterator<Item = quota::Name>) -> Vec<quota::Name> {
+        let mut distinct: Vec<quota::Name> = vms.filter(|hash| *hash != self.own_hash).collect();
+        distinct.sort_unstable();
+        distinct.dedup();
+        distinct
     }
 
     /// Forgets the usage of VMs that are no longer registered.
-    fn forget_others(&self, now: policy::Moment) {
+    fn forget_departed_vms(&self, now: policy::Moment) {
         let entries = self.entries.borrow();
         let serving: collections::HashSet<u64> = entries.iter().map(|(_, h, _)| h).collect();
         let mut quotas = self.quotas.borrow_mut();
@@ -290,15 +300,15 @@
 
     /// Handles a usage report. It must come from a listed VM's own address: otherwise anybody could
     /// have a customer refused everywhere.
-    fn hear_usage(&self, bytes: &[u8], from: net::SocketAddr) {
-        counter!(known::PEER_BYTES, "direction" => "in").increment(bytes.len() as u64);
+    fn receive_usage(&self, bytes: &[u8], from: net::SocketAddr) {
+        counter!(metric_names::PEER_BYTES, "direction" => "in").increment(bytes.len() as u64);
         let why = match usage::decode(bytes) {
-            Ok(usage) if self.is_listed(&usage.vm, from) => return self.take_usage(usage),
+            Ok(usage) if self.is_listed(&usage.vm, from) => return self.apply_usage(usage),
             Ok(_) => "the sender is not a listed entry VM".to_owned(),
             Err(err) => err.to_string(),
         };
-        counter!(known::PEER_REFUSED).increment(1);
-        if let Some(left_out) = self.lines.admit("usage", self.now()) {
+        counter!(metric_names::PEER_REFUSED).increment(1);
+        if let Some(left_out) = self.log_limiter.admit("usage", self.now()) {
             slog::info!(self.log, "usage report rejected"; "from" => %from, "why" => why, "left_out" => left_out);
         }
     }
@@ -310,25 +320,25 @@
             .is_some_and(|entry| entry.front.ip() == from.ip())
     }
 
-    fn take_usage(&self, usage: usage::Usage) {
+    fn apply_usage(&self, usage: usage::Usage) {
         let vm = affinity::hash(usage.vm.as_str().as_bytes());
-        let latest = Latest {
+        let sequence = SequenceNumber {
             start: usage.start,
             number: usage.number,
         };
-        let mut heard = self.heard_usage.borrow_mut();
-        let before = heard.entry(vm).or_default();
-        if *before >= latest {
+        let mut sequences = self.peer_usage.borrow_mut();
+        let before = sequences.entry(vm).or_default();
+        if *before >= sequence {
             return;
         }
-        *before = latest;
+        *before = sequence;
         let rows = usage.rows.iter().map(|row| {
-            let told = quota::Told {
+            let reported = quota::Told {
                 used: f64::from(row.used),
                 pace: f64::from(row.pace),
                 asked: f64::from(row.asked),
             };
-            (row.customer, told)
+            (row.customer, reported)
         });
         let mut quotas = self.quotas.borrow_mut();
         quotas.heard(self.now(), vm, usage.start, rows, usage.whole);
@@ -341,9 +351,9 @@
         refused: &quota::Refused,
         left: time::Duration,
     ) -> callers::Answer {
-        self.record_beyond(facts, refused);
+        self.record_beyond_quota(facts, refused);
         let after = comeback::after(refused.after, left, self.jitter());
-        let mut answer = self.own_answer(429, Some(&facts.id));
+        let mut answer = self.gateway_answer(429, Some(&facts.id));
         facts::put_retry_after(&mut answer.fields, after);
         answer
     }
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -11,34 +11,34 @@
 use super::{Gateway, facts};
 use crate::decisions::{affinity, policy, quota};
 use crate::logging;
-use crate::metrics as known;
+use crate::metrics as metric_names;
 use crate::protocol::routes;
 
 /// Rate limit for each kind of line. At 250 bytes per line this is 10 KB per second, and costs less
 /// than 1 % of the processor of a VM with a fifth of a core.
-pub(super) const RATE: logging::Rate = logging::Rate {
+pub(super) const LOG_RATE: logging::Rate = logging::Rate {
     burst: 60.0,
     a_second: 40.0,
 };
 
 /// Maximum age of the store's last answer while it counts as up; a reader gets two per second.
-const STORE_HEARD: time::Duration = time::Duration::from_secs(2);
+const STORE_UP_MAX_AGE: time::Duration = time::Duration::from_secs(2);
 
 /// One in this many requests answered in time is logged.
-const SAMPLED: u64 = 64;
+const SAMPLED_ONE_IN: u64 = 64;
 
 /// How a request ended.
 #[derive(Debug)]
-pub(super) struct Ended<'a> {
+pub(super) struct RequestOutcome<'a> {
     pub(super) id: &'a [u8],
     pub(super) route: &'a routes::Route,
     /// The customer's name; empty on routes that need no key.
     pub(super) customer: &'a str,
     pub(super) service: &'a str,
     /// Whether the request was to run in another region.
-    pub(super) away: bool,
+    pub(super) remote: bool,
     /// Whether its object was new at the last backend server, as far as this VM knows.
-    pub(super) new: bool,
+    pub(super) new_object: bool,
     /// Requests running or queued there before it, as far as this VM knew.
     pub(super) ahead: f64,
     pub(super) status: u16,
@@ -61,67 +61,67 @@
 
 impl Gateway {
     /// Logs and counts how a request ended.
-    pub(super) fn record(&self, ended: &Ended<'_>) {
+    pub(super) fn record(&self, outcome: &RequestOutcome<'_>) {
         let now = self.now();
-        let took = now.saturating_sub(ended.received);
-        let service = self.labels.label(ended.service);
-        counter!(known::REQUESTS, "service" => service.clone(), "operation" => self.labels.label(&ended.route.name),
-            "fate" => ended.fate, "why" => ended.why)
+        let took = now.saturating_sub(outcome.received);
+        let service = self.labels.label(outcome.service);
+        counter!(metric_names::REQUESTS, "service" => service.clone(), "operation" => self.labels.label(&outcome.route.name),
+            "fate" => outcome.fate, "why" => outcome.why)
         .increment(1);
-        histogram!(known::LATENCY, "service" => service.clone()).record(took.as_secs_f64());
-        if ended.sends > 1 {
-            counter!(known::RETRIES, "service" => service.clone())
-                .increment(u64::from(ended.sends - 1));
+        histogram!(metric_names::LATENCY, "service" => service.clone()).record(took.as_secs_f64());
+        if outcome.sends > 1 {
+            counter!(metric_names::RETRIES, "service" => service.clone())
+                .increment(u64::from(outcome.sends - 1));
         }
-        let in_time = ended.fate == "answered" && took <= ended.route.aim;
+        let in_time = outcome.fate == "answered" && took <= outcome.route.aim;
         if in_time {
-            counter!(known::IN_TIME, "service" => service).increment(1);
+            counter!(metric_names::IN_TIME, "service" => service).increment(1);
         }
-        let kind = match ended.fate {
+        let kind = match outcome.fate {
             "answered" if !in_time => "late",
             fate => fate,
         };
-        if in_time && !affinity::hash(ended.id).is_multiple_of(SAMPLED) {
+        if in_time && !affinity::hash(outcome.id).is_multiple_of(SAMPLED_ONE_IN) {
             return;
         }
-        let Some(left_out) = self.lines.admit(kind, now) else {
-            counter!(known::LOG_SUPPRESSED, "event" => kind).increment(1);
+        let Some(left_out) = self.log_limiter.admit(kind, now) else {
+            counter!(metric_names::LOG_SUPPRESSED, "event" => kind).increment(1);
             return;
         };
-        let waited = ended
+        let waited = outcome
             .first_sent
             .unwrap_or(now)
-            .saturating_sub(ended.received);
-        let backends: Vec<&str> = ended.tried.iter().map(|id| id.as_str()).collect();
+            .saturating_sub(outcome.received);
+        let backends: Vec<&str> = outcome.tried.iter().map(|id| id.as_str()).collect();
         slog::info!(self.log, "request";
-            "request" => %String::from_utf8_lossy(ended.id), "fate" => kind, "why" => ended.why,
-            "status" => ended.status, "route" => &ended.route.name, "customer" => ended.customer, "service" => ended.service,
-            "away" => ended.away, "new" => ended.new, "ahead" => ended.ahead.round() as u64, "backends" => backends.join(","), "sends" => ended.sends,
+            "request" => %String::from_utf8_lossy(outcome.id), "fate" => kind, "why" => outcome.why,
+            "status" => outcome.status, "route" => &outcome.route.name, "customer" => outcome.customer, "service" => outcome.service,
+            "away" => outcome.remote, "new" => outcome.new_object, "ahead" => outcome.ahead.round() as u64, "backends" => backends.join(","), "sends" => outcome.sends,
             "waited_ms" => ms(waited), "took_ms" => ms(took),
-            "left_ms" => ms(ended.deadline.saturating_sub(now)),
+            "left_ms" => ms(outcome.deadline.saturating_sub(now)),
             "version" => self.table().map(|t| t.version),
             "store_age_ms" => self.store_age().map(ms), "left_out" => left_out);
     }
 
     /// Logs and counts a request whose customer is not known, without the given key.
     pub(super) fn record_turned_away(&self, id: &[u8], why: &'static str) {
-        counter!(known::REQUESTS, "service" => "", "operation" => "", "fate" => "turned_away", "why" => why)
+        counter!(metric_names::REQUESTS, "service" => "", "operation" => "", "fate" => "turned_away", "why" => why)
             .increment(1);
-        if let Some(left_out) = self.lines.admit("turned away", self.now()) {
+        if let Some(left_out) = self.log_limiter.admit("turned away", self.now()) {
             slog::info!(self.log, "turned away"; "request" => %String::from_utf8_lossy(id), "why" => why,
                 "version" => self.table().map(|t| t.version), "store_age_ms" => self.store_age().map(ms), "left_out" => left_out);
         }
     }
 
     /// Logs and counts a request beyond its customer's quota, with this VM's view of the usage.
-    pub(super) fn record_beyond(&self, facts: &facts::Facts, refused: &quota::Refused) {
-        counter!(known::REQUESTS, "service" => "", "operation" => self.labels.label(&facts.route.name),
+    pub(super) fn record_beyond_quota(&self, facts: &facts::Facts, refused: &quota::Refused) {
+        counter!(metric_names::REQUESTS, "service" => "", "operation" => self.labels.label(&facts.route.name),
             "fate" => "beyond_quota", "why" => "")
         .increment(1);
-        counter!(known::BEYOND_QUOTA, "customer" => self.labels.label(facts.customer_name()))
+        counter!(metric_names::BEYOND_QUOTA, "customer" => self.labels.label(facts.customer_name()))
             .increment(1);
-        let Some(left_out) = self.lines.admit("beyond quota", self.now()) else {
-            counter!(known::LOG_SUPPRESSED, "event" => "beyond quota").increment(1);
+        let Some(left_out) = self.log_limiter.admit("beyond quota", self.now()) else {
+            counter!(metric_names::LOG_SUPPRESSED, "event" => "beyond quota").increment(1);
             return;
         };
         let standing = &refused.standing;
@@ -134,10 +134,10 @@
     }
 
     /// Logs and counts a request whose caller left before the answer.
-    pub(super) fn record_left(&self, id: &[u8]) {
-        counter!(known::REQUESTS, "service" => "", "operation" => "", "fate" => "left", "why" => "")
+    pub(super) fn record_caller_left(&self, id: &[u8]) {
+        counter!(metric_names::REQUESTS, "service" => "", "operation" => "", "fate" => "left", "why" => "")
             .increment(1);
-        if let Some(left_out) = self.lines.admit("left", self.now()) {
+        if let Some(left_out) = self.log_limiter.admit("left", self.now()) {
             slog::info!(self.log, "caller left"; "request" => %String::from_utf8_lossy(id), "left_out" => left_out);
         }
     }
@@ -151,14 +151,15 @@
                 let service = self.labels.label(name.as_str());
                 let in_flight: u32 = backends.of(name).map(|b| b.in_flight).sum();
                 let slots: u32 = backends.of(name).map(|b| b.listed.slots).sum();
-                gauge!(known::IN_FLIGHT, "service" => service.clone()).set(f64::from(in_flight));
-                gauge!(known::SLOTS, "service" => service).set(f64::from(slots));
+                gauge!(metric_names::IN_FLIGHT, "service" => service.clone())
+                    .set(f64::from(in_flight));
+                gauge!(metric_names::SLOTS, "service" => service).set(f64::from(slots));
             }
         }
-        let heard = self.store_age().is_some_and(|age| age < STORE_HEARD);
-        gauge!(known::STORE_UP).set(f64::from(u8::from(heard)));
-        gauge!(known::PEERS).set(self.entries.borrow().len() as f64);
-        gauge!(known::UPTIME_SECONDS).set(now.as_secs_f64());
+        let is_store_up = self.store_age().is_some_and(|age| age < STORE_UP_MAX_AGE);
+        gauge!(metric_names::STORE_UP).set(f64::from(u8::from(is_store_up)));
+        gauge!(metric_names::PEERS).set(self.entries.borrow().len() as f64);
+        gauge!(metric_names::UPTIME_SECONDS).set(now.as_secs_f64());
     }
 
     /// Logs and counts a failed send, with this VM's view of the backend server.
@@ -171,10 +172,10 @@
         sends: u32,
     ) {
         let now = self.now();
-        counter!(known::ATTEMPTS, "service" => self.labels.label(service), "ended" => outcome)
+        counter!(metric_names::ATTEMPTS, "service" => self.labels.label(service), "ended" => outcome)
             .increment(1);
-        let Some(left_out) = self.lines.admit("send", now) else {
-            counter!(known::LOG_SUPPRESSED, "event" => "send").increment(1);
+        let Some(left_out) = self.log_limiter.admit("send", now) else {
+            counter!(metric_names::LOG_SUPPRESSED, "event" => "send").increment(1);
             return;
         };
         let backends = self.backends.borrow();
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -17,39 +17,39 @@
 
 /// Extra time beyond the caller's deadline to wait for a backend server's answer. The backend
 /// server stops at the deadline itself, and its answer says more than a timeout.
-const AFTER: time::Duration = time::Duration::from_millis(120);
+const ANSWER_GRACE: time::Duration = time::Duration::from_millis(120);
 
 /// Retry delay for requests that crash backend servers, which are refused for at least a minute.
-const BANNED: time::Duration = time::Duration::from_secs(60);
+const BANNED_RETRY_DELAY: time::Duration = time::Duration::from_secs(60);
 
 /// Retry delay for requests that must run in another region while the cap on such requests is
 /// reached: by then the cap allows more.
-const STAYS_AWAY: time::Duration = time::Duration::from_secs(1);
+const REMOTE_CAP_RETRY_DELAY: time::Duration = time::Duration::from_secs(1);
 
 /// Counts a request in progress, however it ends, and records it if its caller left.
-struct InHand {
+struct InProgress {
     cx: Gateway,
     id: Bytes,
-    ended: bool,
+    answered: bool,
 }
 
-impl InHand {
+impl InProgress {
     fn new(cx: &Gateway, head: &http1::RequestHead) -> Self {
-        cx.in_hand.set(cx.in_hand.get() + 1);
+        cx.in_progress.set(cx.in_progress.get() + 1);
         let id = head.fields.get(cx.cfg.names.id).unwrap_or_default();
         Self {
             cx: cx.clone(),
             id: Bytes::copy_from_slice(id),
-            ended: false,
+            answered: false,
         }
     }
 }
 
-impl Drop for InHand {
+impl Drop for InProgress {
     fn drop(&mut self) {
-        self.cx.in_hand.set(self.cx.in_hand.get() - 1);
-        if !self.ended {
-            self.cx.record_left(&self.id);
+        self.cx.in_progress.set(self.cx.in_progress.get() - 1);
+        if !self.answered {
+            self.cx.record_caller_left(&self.id);
         }
     }
 }
@@ -57,30 +57,34 @@
 impl Gateway {
     /// Handles a request and returns its answer.
     pub(super) async fn handle(self, mut req: callers::Request) -> callers::Answer {
-        let mut in_hand = InHand::new(&self, &req.head);
+        let mut in_progress = InProgress::new(&self, &req.head);
         let facts = match self.facts(&req) {
             Ok(facts) => facts,
             Err(answer) => {
-                in_hand.ended = true;
+                in_progress.answered = true;
                 return answer;
             }
         };
         let fingerprint = facts::fingerprint(&req);
         if self.crashes.borrow().is_banned(fingerprint) {
-            in_hand.ended = true;
-            return self.not_here(&facts.id, BANNED, "it crashes backend servers");
+            in_progress.answered = true;
+            return self.refuse_temporarily(
+                &facts.id,
+                BANNED_RETRY_DELAY,
+                "it crashes backend servers",
+            );
         }
         let reach = self.reach(&facts.homes());
         if !self.may_leave(reach) {
-            in_hand.ended = true;
-            return self.stays_away(&facts);
+            in_progress.answered = true;
+            return self.refuse_remote(&facts);
         }
-        let let_in = self.now();
+        let admitted_at = self.now();
         let charge = match self.charge(facts.customer()) {
             Ok(charge) => charge,
             Err(refused) => {
-                in_hand.ended = true;
-                self.ran_nowhere(reach, let_in);
+                in_progress.answered = true;
+                self.uncount_departure(reach, admitted_at);
                 let left = facts.deadline.saturating_sub(self.now());
                 return self.beyond_quota(&facts, &refused, left);
             }
@@ -88,13 +92,13 @@
         let service = self.service_for(&facts);
         let bound = &self.cfg.resend;
         let now = self.now();
-        let away = self.with_desk(&service, |desk| {
-            desk.resends.request(bound, now);
-            desk.traffic += 1.0;
+        let remote = self.with_service(&service, |state| {
+            state.resends.request(bound, now);
+            state.traffic += 1.0;
             match reach {
-                regions::Reach::Anywhere => {
-                    desk.share.moves(facts.key.unwrap_or_else(rand::random))
-                }
+                regions::Reach::Anywhere => state
+                    .remote_share
+                    .moves(facts.key.unwrap_or_else(rand::random)),
                 regions::Reach::Here => false,
                 regions::Reach::Elsewhere => true,
             }
@@ -103,51 +107,51 @@
             head: req.head.clone(),
             id: facts.id.clone(),
             service,
-            customer: facts.asker.as_ref().map(|a| a.customer.clone()),
+            customer: facts.key_holder.as_ref().map(|a| a.customer.clone()),
             idempotent: facts.route.idempotent,
             fingerprint,
             deadline: facts.deadline,
             aim: facts.route.aim,
         });
         let payload = std::mem::replace(&mut req.payload, upstream::Payload::Whole(Bytes::new()));
-        let mut run = Run {
+        let mut dispatch = Dispatch {
             cx: &self,
             facts: &facts,
             job,
-            away,
+            remote,
             payload: Some(payload),
             tried: Vec::new(),
             sends: 0,
-            ran: 0,
+            possible_runs: 0,
             first_sent: None,
-            new: false,
+            new_object: false,
             ahead: 0.0,
             fate: ("answered", ""),
             bond: &req.bond,
             revoked: false,
             charge,
         };
-        let answer = run.answer().await;
-        in_hand.ended = true;
-        if run.ran == 0 && run.fate.0 != "answered" {
-            self.ran_nowhere(reach, let_in);
+        let answer = dispatch.answer().await;
+        in_progress.answered = true;
+        if dispatch.possible_runs == 0 && dispatch.fate.0 != "answered" {
+            self.uncount_departure(reach, admitted_at);
         }
-        self.carried(&answer);
-        self.record(&record::Ended {
+        self.count_answer(&answer);
+        self.record(&record::RequestOutcome {
             id: &facts.id,
             route: &facts.route,
             customer: facts.customer_name(),
-            service: run.job.service.as_str(),
-            away,
-            new: run.new,
-            ahead: run.ahead,
+            service: dispatch.job.service.as_str(),
+            remote,
+            new_object: dispatch.new_object,
+            ahead: dispatch.ahead,
             status: answer.status,
-            fate: run.fate.0,
-            why: run.fate.1,
-            tried: &run.tried,
-            sends: run.sends,
+            fate: dispatch.fate.0,
+            why: dispatch.fate.1,
+            tried: &dispatch.tried,
+            sends: dispatch.sends,
             received: facts.received,
-            first_sent: run.first_sent,
+            first_sent: dispatch.first_sent,
             deadline: facts.deadline,
         });
         answer
@@ -168,17 +172,18 @@
     }
 
     /// Takes a request that has not run back from the count of those that leave the region.
-    fn ran_nowhere(&self, reach: regions::Reach, let_in: policy::Moment) {
+    fn uncount_departure(&self, reach: regions::Reach, admitted_at: policy::Moment) {
         let leaves = reach == regions::Reach::Elsewhere;
         let mut departures = self.departures.borrow_mut();
-        departures.take_back(self.now(), let_in, leaves);
+        departures.take_back(self.now(), admitted_at, leaves);
     }
 
     /// Refuses a request that must run in another region while the cap on such requests is reached.
-    fn stays_away(&self, facts: &facts::Facts) -> callers::Answer {
+    fn refuse_remote(&self, facts: &facts::Facts) -> callers::Answer {
         let left = facts.deadline.saturating_sub(self.now());
-        let after = comeback::after(STAYS_AWAY, left, self.jitter());
-        let mut answer = self.not_here(&facts.id, after, "too many more must run elsewhere");
+        let after = comeback::after(REMOTE_CAP_RETRY_DELAY, left, self.jitter());
+        let mut answer =
+            self.refuse_temporarily(&facts.id, after, "too many more must run elsewhere");
         answer.close = false;
         answer
     }
@@ -192,20 +197,20 @@
 }
 
 /// A request in progress.
-struct Run<'a> {
+struct Dispatch<'a> {
     cx: &'a Gateway,
     facts: &'a facts::Facts,
     job: rc::Rc<attempt::Job>,
-    away: bool,
+    remote: bool,
     payload: Option<upstream::Payload>,
     tried: Vec<id::VmId>,
     /// Number of sends.
     sends: u32,
     /// Number of sends that may have run.
-    ran: u32,
+    possible_runs: u32,
     first_sent: Option<policy::Moment>,
     /// Whether the request's object was new at the latest backend server.
-    new: bool,
+    new_object: bool,
     /// Requests running or queued there at the time of the send.
     ahead: f64,
     /// The request's fate and the reason, as metric labels.
@@ -217,35 +222,43 @@
     charge: Option<quotas::Charge>,
 }
 
-impl Run<'_> {
+impl Dispatch<'_> {
     async fn answer(&mut self) -> callers::Answer {
-        let seat = match self.cx.place(&self.need()) {
-            Ok(seat) => seat,
+        let reservation = match self.cx.place(&self.need()) {
+            Ok(reservation) => reservation,
             Err(why) => {
-                self.give_back();
+                self.refund();
                 return self.refuse(why.as_str());
             }
         };
-        self.sits(&seat);
+        self.note_reservation(&reservation);
         let mut out = FuturesUnordered::new();
         let Some(payload) = self.take_payload() else {
-            self.give_back();
+            self.refund();
             return self.refuse("the body is gone");
         };
-        self.sent();
-        out.push(self.cx.clone().attempt(self.job.clone(), payload, seat));
+        self.note_send();
+        out.push(
+            self.cx
+                .clone()
+                .attempt(self.job.clone(), payload, reservation),
+        );
         let mut hedge_at = self.hedge_at();
         let mut last = None;
         loop {
             match self.next(&mut out, hedge_at).await {
-                Next::TimeUp => return self.give_up("time is up"),
+                Next::TimeUp => return self.outcome_unknown("time is up"),
                 Next::Hedge => {
                     hedge_at = None;
                     if let Some(hung) = self.tried.last() {
-                        self.cx.hangs(&self.job, hung);
+                        self.cx.record_hang(&self.job, hung);
                     }
-                    if let Some((payload, seat)) = self.beside() {
-                        out.push(self.cx.clone().attempt(self.job.clone(), payload, seat));
+                    if let Some((payload, reservation)) = self.hedge() {
+                        out.push(
+                            self.cx
+                                .clone()
+                                .attempt(self.job.clone(), payload, reservation),
+                        );
                     }
                 }
                 Next::Ended(id, outcome) => {
@@ -257,11 +270,15 @@
                         continue;
                     }
                     match self.after_failure() {
-                        Some((payload, seat)) => {
-                            out.push(self.cx.clone().attempt(self.job.clone(), payload, seat));
+                        Some((payload, reservation)) => {
+                            out.push(self.cx.clone().attempt(
+                                self.job.clone(),
+                                payload,
+                                reservation,
+                            ));
                             hedge_at = self.hedge_at();
                         }
-                        None => return last.unwrap_or_else(|| self.ended()),
+                        None => return last.unwrap_or_else(|| self.final_answer()),
                     }
                 }
             }
@@ -272,7 +289,7 @@
     where
         F: Future<Output = (id::VmId, attempt::Outcome)>,
     {
-        let end = self.cx.instant(self.facts.deadline + AFTER);
+        let end = self.cx.instant(self.facts.deadline + ANSWER_GRACE);
         let hedge = hedge_at.map_or(end, |at| self.cx.instant(at));
         tokio::select! {
             biased;
@@ -286,7 +303,7 @@
         place::Need {
             service: &self.job.service,
             key: self.facts.key,
-            away: self.away,
+            remote: self.remote,
             homes: self.homes(),
             idempotent: self.facts.route.idempotent,
             behind: self
@@ -304,13 +321,13 @@
         }
     }
 
-    fn sits(&mut self, seat: &place::Seat) {
-        self.tried.push(seat.run.id.clone());
-        self.new = seat.new;
-        self.ahead = seat.ahead;
+    fn note_reservation(&mut self, reservation: &place::Reservation) {
+        self.tried.push(reservation.run.id.clone());
+        self.new_object = reservation.new_object;
+        self.ahead = reservation.ahead;
     }
 
-    fn sent(&mut self) {
+    fn note_send(&mut self) {
         self.sends += 1;
         self.first_sent.get_or_insert(self.cx.now());
         if !self.facts.route.idempotent {
@@ -332,7 +349,9 @@
         if !self.facts.route.idempotent {
             return None;
         }
-        let usual = self.cx.with_desk(&self.job.service, |desk| desk.work);
+        let usual = self
+            .cx
+            .with_service(&self.job.service, |state| state.mean_latency_s);
         let usual = time::Duration::from_secs_f64(usual);
         let hedge = &self.cx.cfg.thresholds.hedge;
         Some(self.cx.now() + hedge.after(usual, self.facts.route.aim))
@@ -340,7 +359,8 @@
 
     /// Whether one more send is allowed; if so, takes it from the retry budget.
     fn may_send(&self) -> bool {
-        let more = self.ran < self.facts.route.attempts && self.sends <= self.facts.route.attempts;
+        let more = self.possible_runs < self.facts.route.attempts
+            && self.sends <= self.facts.route.attempts;
         let fresh = self.payload.is_some();
         // Without a waiting caller, the request must not start at another backend server.
         let over = self.bond.left.get() || self.cx.now() >= self.facts.deadline;
@@ -349,48 +369,49 @@
         }
         let (now, vms) = (self.cx.now(), self.cx.entries.borrow().len());
         let bound = &self.cx.cfg.resend;
-        self.cx
-            .with_desk(&self.job.service, |desk| desk.resends.take(bound, now, vms))
+        self.cx.with_service(&self.job.service, |state| {
+            state.resends.take(bound, now, vms)
+        })
     }
 
     /// One more send while another is in flight. Both may run, so two attempts must remain.
-    fn beside(&mut self) -> Option<(upstream::Payload, place::Seat)> {
-        if self.ran + 2 > self.facts.route.attempts {
+    fn hedge(&mut self) -> Option<(upstream::Payload, place::Reservation)> {
+        if self.possible_runs + 2 > self.facts.route.attempts {
             return None;
         }
-        self.again()
+        self.resend()
     }
 
     /// One more send after the previous one failed.
-    fn after_failure(&mut self) -> Option<(upstream::Payload, place::Seat)> {
-        if self.ran > 0 && !self.facts.route.idempotent {
+    fn after_failure(&mut self) -> Option<(upstream::Payload, place::Reservation)> {
+        if self.possible_runs > 0 && !self.facts.route.idempotent {
             return None;
         }
-        self.again()
+        self.resend()
     }
 
-    fn again(&mut self) -> Option<(upstream::Payload, place::Seat)> {
+    fn resend(&mut self) -> Option<(upstream::Payload, place::Reservation)> {
         if !self.is_still_allowed() {
             return None;
         }
-        let seat = self.cx.place(&self.need()).ok()?;
-        if !self.may_send() || !self.charge_again() {
+        let reservation = self.cx.place(&self.need()).ok()?;
+        if !self.may_send() || !self.charge_resend() {
             return None;
         }
-        self.sits(&seat);
+        self.note_reservation(&reservation);
         let payload = self.take_payload()?;
-        self.sent();
-        Some((payload, seat))
+        self.note_send();
+        Some((payload, reservation))
     }
 
     /// Whether a customer still holds the request's key. A revoked key allows no further send;
     /// after a key has moved to another customer, further sends carry the new customer's name.
     fn is_still_allowed(&mut self) -> bool {
-        let Ok(asker) = self.cx.still(self.facts) else {
+        let Ok(key_holder) = self.cx.current_key_holder(self.facts) else {
             self.revoked = true;
             return false;
         };
-        let customer = asker.map(|asker| asker.customer);
+        let customer = key_holder.map(|key_holder| key_holder.customer);
         if customer != self.job.customer {
             rc::Rc::make_mut(&mut self.job).customer = customer;
         }
@@ -398,15 +419,15 @@
     }
 
     /// Whether the customer's quota allows one more send.
-    fn charge_again(&mut self) -> bool {
+    fn charge_resend(&mut self) -> bool {
         let charge = self.charge.as_mut();
-        charge.is_none_or(|charge| self.cx.charge_again(charge))
+        charge.is_none_or(|charge| self.cx.charge_resend(charge))
     }
 
     /// Refunds the quota charge of the latest send, which has not run.
-    fn give_back(&self) {
+    fn refund(&self) {
         if let Some(charge) = &self.charge {
-            self.cx.give_back(charge);
+            self.cx.refund(charge);
         }
     }
 
@@ -424,64 +445,66 @@
                 answer,
                 failed: true,
             } => {
-                self.note(id, name);
-                self.ran += 1;
+                self.record_failure(id, name);
+                self.possible_runs += 1;
                 self.fate = ("failed", "the backend server failed");
                 if !self.facts.route.idempotent {
                     return Settled::Answer(answer);
                 }
                 return Settled::Failed(Some(answer));
             }
-            attempt::Outcome::NotRun(_) => self.give_back(),
-            attempt::Outcome::Unknown(_) => self.ran += 1,
+            attempt::Outcome::NotRun(_) => self.refund(),
+            attempt::Outcome::Unknown(_) => self.possible_runs += 1,
         }
-        self.note(id, name);
+        self.record_failure(id, name);
         Settled::Failed(None)
     }
 
-    fn note(&self, id: &id::VmId, what: &'static str) {
+    fn record_failure(&self, id: &id::VmId, what: &'static str) {
         let service = self.job.service.as_str();
         self.cx
             .record_send(&self.facts.id, service, id, what, self.sends);
     }
 
-    fn left(&self) -> time::Duration {
+    fn time_left(&self) -> time::Duration {
         self.facts.deadline.saturating_sub(self.cx.now())
     }
 
     /// The answer when all sends failed and no further send is possible.
-    fn ended(&mut self) -> callers::Answer {
-        match self.ran {
-            0 if self.revoked => self.turn_away(),
+    fn final_answer(&mut self) -> callers::Answer {
+        match self.possible_runs {
+            0 if self.revoked => self.refuse_revoked(),
             0 => self.refuse("not run anywhere"),
-            _ => self.give_up("no answer"),
+            _ => self.outcome_unknown("no answer"),
         }
     }
 
     /// The answer to a request whose key was revoked before it ran.
-    fn turn_away(&mut self) -> callers::Answer {
+    fn refuse_revoked(&mut self) -> callers::Answer {
         self.fate = ("turned_away", "the key was taken away");
-        self.cx.own_answer(401, Some(&self.facts.id))
+        self.cx.gateway_answer(401, Some(&self.facts.id))
     }
 
     /// The answer to a request that has not run and will not.
     fn refuse(&mut self, why: &'static str) -> callers::Answer {
         self.fate = ("not_run", why);
-        let backlog = self.cx.with_desk(&self.job.service, |desk| desk.backlog());
-        let after = comeback::after(backlog, self.left(), self.cx.jitter());
-        let mut answer = self.cx.own_answer(503, Some(&self.facts.id));
+        let retry_delay = self
+            .cx
+            .with_service(&self.job.service, |state| state.retry_delay());
+        let after = comeback::after(retry_delay, self.time_left(), self.cx.jitter());
+        let mut answer = self.cx.gateway_answer(503, Some(&self.facts.id));
         facts::put_retry_after(&mut answer.fields, after);
         answer
     }
 
     /// The answer to a request that may have run and got no answer from a backend server.
-    fn give_up(&mut self, why: &'static str) -> callers::Answer {
+    fn outcome_unknown(&mut self, why: &'static str) -> callers::Answer {
         self.fate = ("unknown", why);
-        let status = match self.left().is_zero() {
+        let status = match self.time_left().is_zero() {
             true => 504,
             false => 502,
         };
-        self.cx.own_answer(status, Some(&self.facts.id))
+        self.cx.gateway_answer(status, Some(&self.facts.id))
     }
 }
 
--- a/src/gateway/thresholds.rs
+++ b/src/gateway/thresholds.rs
@@ -13,9 +13,11 @@
 #[serde(deny_unknown_fields)]
 pub struct Thresholds {
     /// Number of non-busy entry VMs advertised to callers.
-    pub told: usize,
+    #[serde(rename = "told")]
+    pub advertised_vms: usize,
     /// The share of the operators' bound on resends that is used, from 0 to 1.
-    pub second_sends: f64,
+    #[serde(rename = "second_sends")]
+    pub resend_budget_share: f64,
     /// Placement of requests by object.
     pub placement: affinity::Config,
     /// Shift of requests to other regions.
@@ -33,8 +35,8 @@
 impl Default for Thresholds {
     fn default() -> Self {
         Self {
-            told: nearby::LEAST,
-            second_sends: 0.75,
+            advertised_vms: nearby::LEAST,
+            resend_budget_share: 0.75,
             placement: affinity::Config::default(),
             regions: regions::Config::default(),
             ejection: ejection::Config {
@@ -72,15 +74,19 @@
         let message = |err: toml::de::Error| err.message().to_owned();
         let given: toml::Table = toml::from_str(text).map_err(message)?;
         let mut all = toml::Table::try_from(Self::default()).map_err(|err| err.to_string())?;
-        put_over(&mut all, given);
+        merge_into(&mut all, given);
         let read: Self = all.try_into().map_err(message)?;
         read.check().map_err(|err| err.to_string())?;
         Ok(read)
     }
 
     fn check(&self) -> Result<(), range::Error> {
-        range::check("told", self.told as f64, 1.0..=nearby::MOST as f64)?;
-        range::check("second_sends", self.second_sends, 0.0..=1.0)?;
+        range::check(
+            "told",
+            self.advertised_vms as f64,
+            1.0..=nearby::MOST as f64,
+        )?;
+        range::check("second_sends", self.resend_budget_share, 0.0..=1.0)?;
         self.placement.check()?;
         self.regions.check()?;
         self.ejection.check()?;
@@ -90,10 +96,12 @@
     }
 }
 
-fn put_over(all: &mut toml::Table, given: toml::Table) {
+fn merge_into(all: &mut toml::Table, given: toml::Table) {
     for (name, value) in given {
         match (all.get_mut(&name), value) {
-            (Some(toml::Value::Table(known)), toml::Value::Table(given)) => put_over(known, given),
+            (Some(toml::Value::Table(known)), toml::Value::Table(given)) => {
+                merge_into(known, given)
+            }
             (_, value) => drop(all.insert(name, value)),
         }
     }
--- a/tests/gateway/thresholds.rs
+++ b/tests/gateway/thresholds.rs
@@ -5,12 +5,12 @@
 use bulrushwind::gateway::thresholds::Thresholds;
 
 #[test]
-fn what_the_file_does_not_name_keeps_its_default() {
+fn thresholds_missing_in_the_file_keep_their_defaults() {
     let read =
         Thresholds::parse("told = 3\n[regions]\nevery = 0.25\n[placement]\nby_object = false\n");
     let read = read.unwrap();
     let default = Thresholds::default();
-    assert_eq!(read.told, 3);
+    assert_eq!(read.advertised_vms, 3);
     assert_eq!(read.regions.every, time::Duration::from_millis(250));
     assert!(!read.placement.by_object);
     assert_eq!(read.placement.most, default.placement.most);
@@ -24,7 +24,7 @@
 /// An operator mistypes a name or sets an invalid value. If ignored, the default would stay in
 /// force unnoticed, or callers would be refused for no visible reason.
 #[test]
-fn a_name_or_value_that_makes_no_sense_is_refused_by_name() {
+fn invalid_names_and_values_are_refused_by_name() {
     for (text, named) in [
         ("tolled = 3", "tolled"),
         ("[placement]\nmots = 2.0", "mots"),
--- a/tests/platform/entries.rs
+++ b/tests/platform/entries.rs
@@ -29,7 +29,7 @@
     let need = place::Need {
         service: &service,
         key: None,
-        away: false,
+        remote: false,
         homes: bulrushwind::protocol::routes::Homes::default(),
         idempotent: true,
         behind: false,
