--- a/tests/gateway/bodies.rs
+++ b/tests/gateway/bodies.rs
@@ -1,18 +1,18 @@
 //! Request bodies, short and long.
 
-use super::stage::{Act, Stage, play, post, route, table};
+use super::harness::{Harness, Reaction, post, route, run_test, table};
 
 #[test]
 fn a_body_in_chunks_arrives_whole() {
-    play(|| async {
-        let stage = Stage::new(1, &[]).await;
-        let mut caller = stage.caller().await;
+    run_test(|| async {
+        let harness = Harness::new(1, &[]).await;
+        let mut caller = harness.caller().await;
         let head = "POST /book/a HTTP/1.1\r\nHost: example.test\r\nx-id: b1\r\nTransfer-Encoding: chunked\r\n\r\n";
-        let got = caller
+        let answer = caller
             .ask(&format!("{head}3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n"))
             .await;
-        assert_eq!(got.status, 200);
-        assert_eq!(stage.seen.borrow().bodies, [7]);
+        assert_eq!(answer.status, 200);
+        assert_eq!(harness.seen.borrow().bodies, [7]);
     });
 }
 
@@ -20,32 +20,32 @@
 /// does not run.
 #[test]
 fn a_body_in_chunks_that_passes_the_limit_is_refused() {
-    play(|| async {
-        let stage = Stage::new(1, &[]).await;
+    run_test(|| async {
+        let harness = Harness::new(1, &[]).await;
         let mut table = table(2, vec![route("/book/", false)]);
         table.limits.body = 10;
-        stage.cx.learn_routes(table);
-        let mut caller = stage.caller().await;
+        harness.cx.learn_routes(table);
+        let mut caller = harness.caller().await;
         let head = "POST /book/a HTTP/1.1\r\nHost: example.test\r\nx-id: b1\r\nTransfer-Encoding: chunked\r\n\r\n";
-        let got = caller
+        let answer = caller
             .ask(&format!(
                 "{head}8\r\nabcdefgh\r\n8\r\nabcdefgh\r\n0\r\n\r\n"
             ))
             .await;
-        assert_eq!(got.status, 413);
-        assert_eq!(stage.seen.borrow().arrived, 0);
+        assert_eq!(answer.status, 413);
+        assert_eq!(harness.seen.borrow().arrived, 0);
     });
 }
 
 /// Long bodies on a small VM: buffered whole, a few at once would exhaust its memory.
 #[test]
-fn a_long_body_is_passed_on_whole_and_the_connection_goes_on() {
-    play(|| async {
-        let stage = Stage::new(1, &[]).await;
-        let mut caller = stage.caller().await;
+fn a_long_body_is_relayed_whole_and_the_connection_stays_open() {
+    run_test(|| async {
+        let harness = Harness::new(1, &[]).await;
+        let mut caller = harness.caller().await;
         let body = "y".repeat(3 << 20);
         assert_eq!(caller.ask(&post("/book/a", "b1", &body)).await.status, 200);
-        assert_eq!(stage.seen.borrow().bodies, [3 << 20]);
+        assert_eq!(harness.seen.borrow().bodies, [3 << 20]);
         assert_eq!(caller.ask(&post("/book/a", "b2", "z")).await.status, 200);
     });
 }
@@ -54,31 +54,39 @@
 /// would be read as the rest of the body.
 #[test]
 fn an_early_answer_is_delivered_and_its_connection_is_not_used_again() {
-    play(|| async {
-        let stage = Stage::new(1, &[Act::Early("no need")]).await;
-        let mut caller = stage.caller().await;
+    run_test(|| async {
+        let harness = Harness::new(1, &[Reaction::Early("no need")]).await;
+        let mut caller = harness.caller().await;
         let body = "y".repeat(3 << 20);
-        let got = caller.ask(&post("/book/a", "b1", &body)).await;
-        assert_eq!((got.status, got.text()), (200, "no need"));
-        let got = stage.caller().await.ask(&post("/book/a", "b2", "z")).await;
-        assert_eq!(got.status, 200);
-        assert_eq!(stage.seen.borrow().bodies, [1]);
+        let answer = caller.ask(&post("/book/a", "b1", &body)).await;
+        assert_eq!((answer.status, answer.text()), (200, "no need"));
+        let answer = harness
+            .caller()
+            .await
+            .ask(&post("/book/a", "b2", "z"))
+            .await;
+        assert_eq!(answer.status, 200);
+        assert_eq!(harness.seen.borrow().bodies, [1]);
     });
 }
 
 /// A caller disconnects in the middle of a long body. The backend server must not run the partial
 /// request.
 #[test]
-fn a_body_that_breaks_off_ends_at_its_backend_server() {
-    play(|| async {
-        let stage = Stage::new(1, &[]).await;
-        let mut caller = stage.caller().await;
+fn a_truncated_body_does_not_run() {
+    run_test(|| async {
+        let harness = Harness::new(1, &[]).await;
+        let mut caller = harness.caller().await;
         let text = post("/book/a", "b1", &"y".repeat(3 << 20));
         caller.send(&text[..1 << 20]).await;
-        stage.until("it arrives", |seen| seen.arrived == 1).await;
+        harness.until("it arrives", |seen| seen.arrived == 1).await;
         drop(caller);
-        let got = stage.caller().await.ask(&post("/book/a", "b2", "z")).await;
-        assert_eq!(got.status, 200);
-        assert_eq!(stage.runs("b1"), 0);
+        let answer = harness
+            .caller()
+            .await
+            .ask(&post("/book/a", "b2", "z"))
+            .await;
+        assert_eq!(answer.status, 200);
+        assert_eq!(harness.runs("b1"), 0);
     });
 }
--- a/tests/gateway/callers.rs
+++ b/tests/gateway/callers.rs
@@ -1,90 +1,93 @@
 //! Callers' connections: pipelined requests, disconnects and malformed requests.
 
-use super::stage::{Act, Stage, get, play, post};
+use super::harness::{Harness, Reaction, get, post, run_test};
 
 /// A caller pipelines several reads, and the first takes longest. Run in sequence, the last would
 /// time out; answered as they end, each answer would go to the wrong request.
 #[test]
-fn requests_sent_together_run_side_by_side_and_are_answered_in_order() {
-    play(|| async {
-        let acts = [
-            Act::AfterNext("one"),
-            Act::Answer("two"),
-            Act::Answer("three"),
+fn pipelined_requests_run_concurrently_and_are_answered_in_order() {
+    run_test(|| async {
+        let reactions = [
+            Reaction::AfterNext("one"),
+            Reaction::Answer("two"),
+            Reaction::Answer("three"),
         ];
-        let stage = Stage::new(1, &acts).await;
-        let mut caller = stage.caller().await;
+        let harness = Harness::new(1, &reactions).await;
+        let mut caller = harness.caller().await;
         let all = ["r1", "r2", "r3"].map(|id| get("/read/a", id)).concat();
         caller.send(&all).await;
         for (id, text) in [("r1", "one"), ("r2", "two"), ("r3", "three")] {
-            let got = caller.receive().await.unwrap();
-            assert_eq!(got.head.fields.text("x-id"), Some(id));
-            assert_eq!(got.text(), text);
+            let answer = caller.receive().await.unwrap();
+            assert_eq!(answer.head.fields.text("x-id"), Some(id));
+            assert_eq!(answer.text(), text);
         }
     });
 }
 
 /// A caller disconnects during a read. If the read continued, it would hold a slot for nobody.
 #[test]
-fn when_its_caller_leaves_a_read_ends_at_its_backend_server() {
-    play(|| async {
-        let stage = Stage::new(1, &[Act::Hang]).await;
-        let mut caller = stage.caller().await;
+fn a_read_is_cancelled_when_its_caller_disconnects() {
+    run_test(|| async {
+        let harness = Harness::new(1, &[Reaction::Hang]).await;
+        let mut caller = harness.caller().await;
         caller.send(&get("/read/a", "r1")).await;
-        stage
+        harness
             .until("the read runs", |seen| seen.ran.len() == 1)
             .await;
         drop(caller);
-        stage.until("it is dropped", |seen| seen.dropped == 1).await;
+        harness
+            .until("it is dropped", |seen| seen.dropped == 1)
+            .await;
     });
 }
 
 /// A caller disconnects during a booking. If the booking were cut off, its outcome would be
 /// unknown.
 #[test]
-fn when_its_caller_leaves_a_booking_goes_on() {
-    play(|| async {
-        let stage = Stage::new(1, &[Act::AfterNext("booked"), Act::Answer("ok")]).await;
-        let mut caller = stage.caller().await;
+fn a_booking_continues_when_its_caller_disconnects() {
+    run_test(|| async {
+        let harness =
+            Harness::new(1, &[Reaction::AfterNext("booked"), Reaction::Answer("ok")]).await;
+        let mut caller = harness.caller().await;
         caller.send(&post("/book/a", "b1", "x")).await;
-        stage
+        harness
             .until("the booking runs", |seen| seen.ran.len() == 1)
             .await;
         drop(caller);
-        let got = stage.caller().await.ask(&get("/read/a", "r1")).await;
-        assert_eq!(got.text(), "ok");
-        stage.until("both ran", |seen| seen.ran.len() == 2).await;
-        assert_eq!(stage.seen.borrow().dropped, 0);
+        let answer = harness.caller().await.ask(&get("/read/a", "r1")).await;
+        assert_eq!(answer.text(), "ok");
+        harness.until("both ran", |seen| seen.ran.len() == 2).await;
+        assert_eq!(harness.seen.borrow().dropped, 0);
     });
 }
 
 /// A booking is queued at a full backend server when its caller disconnects. The backend server
 /// then reports that it did not run; a resend would book for nobody.
 #[test]
-fn a_booking_whose_caller_has_left_is_not_sent_on() {
-    play(|| async {
-        let stage = Stage::new(3, &[Act::ShedAfterNext]).await;
-        let mut caller = stage.caller().await;
+fn a_booking_is_not_resent_after_its_caller_disconnects() {
+    run_test(|| async {
+        let harness = Harness::new(3, &[Reaction::ShedAfterNext]).await;
+        let mut caller = harness.caller().await;
         caller.send(&post("/book/a", "b1", "x")).await;
-        stage
+        harness
             .until("the booking arrives", |seen| seen.arrived == 1)
             .await;
         drop(caller);
         // The gateway must notice the disconnect before the backend server answers.
         tokio::time::sleep(std::time::Duration::from_millis(100)).await;
-        let mut other = stage.caller().await;
+        let mut other = harness.caller().await;
         for n in 0..20 {
-            let got = other.ask(&get("/read/a", &format!("r{n}"))).await;
-            assert_eq!(got.status, 200);
+            let answer = other.ask(&get("/read/a", &format!("r{n}"))).await;
+            assert_eq!(answer.status, 200);
         }
-        assert_eq!(stage.runs("b1"), 0);
-        assert_eq!(stage.seen.borrow().arrived, 21);
+        assert_eq!(harness.runs("b1"), 0);
+        assert_eq!(harness.seen.borrow().arrived, 21);
     });
 }
 
 /// Ambiguous message lengths allow request smuggling.
 #[test]
-fn what_is_no_request_is_refused_and_its_connection_ends() {
+fn malformed_requests_are_refused_and_their_connections_closed() {
     let bad = [
         ("nonsense\r\n\r\n".to_owned(), 400),
         ("GET /read/a HTTP/1.1\r\nHost: example.test\r\nx-id: r\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab".to_owned(), 400),
@@ -94,41 +97,41 @@
         (format!("GET /read/a HTTP/1.1\r\nHost: example.test\r\nx-id: r\r\nx-big: {}\r\n\r\n", "x".repeat(20 << 10)), 431),
         (format!("POST /read/a HTTP/1.1\r\nHost: example.test\r\nx-id: r\r\nContent-Length: {}\r\n\r\n", 5 << 20), 413),
     ];
-    play(|| async {
-        let stage = Stage::new(1, &[]).await;
+    run_test(|| async {
+        let harness = Harness::new(1, &[]).await;
         for (text, status) in bad {
-            let mut caller = stage.caller().await;
-            let got = caller.ask(&text).await;
-            assert_eq!(got.status, status, "{text:.60}");
+            let mut caller = harness.caller().await;
+            let answer = caller.ask(&text).await;
+            assert_eq!(answer.status, status, "{text:.60}");
             assert!(caller.is_closed().await);
         }
-        assert_eq!(stage.seen.borrow().arrived, 0);
+        assert_eq!(harness.seen.borrow().arrived, 0);
     });
 }
 
 #[test]
-fn requests_without_a_host_an_id_or_a_route_are_refused_and_the_connection_goes_on() {
-    play(|| async {
-        let stage = Stage::new(1, &[]).await;
-        let mut caller = stage.caller().await;
+fn requests_without_a_host_an_id_or_a_route_are_refused_and_the_connection_stays_open() {
+    run_test(|| async {
+        let harness = Harness::new(1, &[]).await;
+        let mut caller = harness.caller().await;
         let no_host = "GET /read/a HTTP/1.1\r\nx-id: r\r\n\r\n";
         assert_eq!(caller.ask(no_host).await.status, 400);
         let no_id = "GET /read/a HTTP/1.1\r\nHost: example.test\r\n\r\n";
         assert_eq!(caller.ask(no_id).await.status, 400);
         assert_eq!(caller.ask(&get("/none/a", "r1")).await.status, 404);
         assert_eq!(caller.ask(&get("/read/a", "r2")).await.status, 200);
-        assert_eq!(stage.seen.borrow().arrived, 1);
+        assert_eq!(harness.seen.borrow().arrived, 1);
     });
 }
 
 #[test]
-fn a_caller_that_wants_the_connection_closed_has_it_closed_after_the_answer() {
-    play(|| async {
-        let stage = Stage::new(1, &[]).await;
-        let mut caller = stage.caller().await;
+fn a_connection_is_closed_after_the_answer_if_the_caller_asks_for_it() {
+    run_test(|| async {
+        let harness = Harness::new(1, &[]).await;
+        let mut caller = harness.caller().await;
         let text = get("/read/a", "r1").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
-        let got = caller.ask(&text).await;
-        assert!(got.head.fields.lists("connection", "close"));
+        let answer = caller.ask(&text).await;
+        assert!(answer.head.fields.lists("connection", "close"));
         assert!(caller.is_closed().await);
     });
 }
@@ -137,14 +140,16 @@
 /// abandoned. After an orderly close, the network delivers the read when the link recovers,
 /// possibly to a backend server of an evacuated zone. A reset discards it.
 #[test]
-fn a_send_that_is_given_up_leaves_nothing_on_its_way() {
-    play(async || {
-        let stage = Stage::new(1, &[Act::Hang]).await;
-        let mut caller = stage.caller().await;
+fn the_connection_of_an_abandoned_send_is_reset() {
+    run_test(async || {
+        let harness = Harness::new(1, &[Reaction::Hang]).await;
+        let mut caller = harness.caller().await;
         caller.send(&get("/read/a", "r1")).await;
-        stage.until("it runs", |seen| seen.ran.len() == 1).await;
+        harness.until("it runs", |seen| seen.ran.len() == 1).await;
         drop(caller);
-        stage.until("it is dropped", |seen| seen.dropped == 1).await;
-        assert_eq!(stage.seen.borrow().reset, 1);
+        harness
+            .until("it is dropped", |seen| seen.dropped == 1)
+            .await;
+        assert_eq!(harness.seen.borrow().reset, 1);
     });
 }
--- a/tests/gateway/customers.rs
+++ b/tests/gateway/customers.rs
@@ -5,7 +5,7 @@
 use bulrushwind::protocol::{customers, routes};
 use bulrushwind::state::{backends, entries};
 
-use super::stage::{Act, Caller, Stage, get, play, post, route, table};
+use super::harness::{Caller, Harness, Reaction, get, post, route, run_test, table};
 
 fn customer(name: &str) -> customers::Customer {
     customers::Customer {
@@ -16,7 +16,7 @@
     }
 }
 
-fn all(list: &[(&customers::Customer, &[&str])]) -> customers::Customers {
+fn customer_list(list: &[(&customers::Customer, &[&str])]) -> customers::Customers {
     let digest = |key: &&str| customers::KeyDigest::of(key.as_bytes());
     let list = list
         .iter()
@@ -34,13 +34,14 @@
 }
 
 /// A harness with a recent answer from the store, where `pilots` hold the keys `k1` and `k2`.
-async fn stage(script: &[Act]) -> Stage {
-    let stage = Stage::new(2, script).await;
-    stage
-        .cx
-        .learn_routes(routes_for(2, all(&[(&customer("pilots"), &["k1", "k2"])])));
-    stage.cx.heard_store();
-    stage
+async fn harness(script: &[Reaction]) -> Harness {
+    let harness = Harness::new(2, script).await;
+    harness.cx.learn_routes(routes_for(
+        2,
+        customer_list(&[(&customer("pilots"), &["k1", "k2"])]),
+    ));
+    harness.cx.heard_store();
+    harness
 }
 
 /// A request with additional header lines.
@@ -51,10 +52,10 @@
 /// A request has no key, two keys or an unknown one. Served, it would get data without
 /// authorisation; without an answer, its caller would suspect the network.
 #[test]
-fn who_is_not_known_is_turned_away_at_once() {
-    play(async || {
-        let stage = stage(&[]).await;
-        let mut caller = stage.caller().await;
+fn unidentified_callers_are_refused_at_once() {
+    run_test(async || {
+        let harness = harness(&[]).await;
+        let mut caller = harness.caller().await;
         let long = format!("x-key: {}\r\n", "k".repeat(300));
         let bad = [
             "",
@@ -67,28 +68,28 @@
             &long,
         ];
         for (n, lines) in bad.into_iter().enumerate() {
-            let got = caller.ask(&with(&get("/read/a", "r"), lines)).await;
-            assert_eq!(got.status, 401, "{n}");
-            let got = caller
+            let answer = caller.ask(&with(&get("/read/a", "r"), lines)).await;
+            assert_eq!(answer.status, 401, "{n}");
+            let answer = caller
                 .ask(&with(&post("/book/a", "b", "body"), lines))
                 .await;
-            assert_eq!(got.status, 401, "{n}");
+            assert_eq!(answer.status, 401, "{n}");
         }
-        assert_eq!(stage.seen.borrow().arrived, 0);
-        let got = caller
+        assert_eq!(harness.seen.borrow().arrived, 0);
+        let answer = caller
             .ask(&with(&get("/read/a", "r"), "x-key: k2\r\n"))
             .await;
-        assert_eq!(got.status, 200);
+        assert_eq!(answer.status, 200);
     });
 }
 
 /// Several reads are pipelined, one with an unknown key. Its refusal must not take the place of
 /// another answer.
 #[test]
-fn one_that_is_turned_away_keeps_its_place_among_others() {
-    play(async || {
-        let stage = stage(&[]).await;
-        let mut caller = stage.caller().await;
+fn a_refused_request_keeps_its_place_in_the_pipeline() {
+    run_test(async || {
+        let harness = harness(&[]).await;
+        let mut caller = harness.caller().await;
         let keys = ["x-key: k1\r\n", "x-key: no\r\n", "x-key: k2\r\n"];
         let text: String = keys
             .into_iter()
@@ -97,21 +98,21 @@
             .collect();
         caller.send(&text).await;
         for (n, status) in [200, 401, 200].into_iter().enumerate() {
-            let got = caller.receive().await.unwrap();
-            assert_eq!(got.status, status);
-            assert_eq!(got.head.fields.text("x-id"), Some(&*format!("r{n}")));
+            let answer = caller.receive().await.unwrap();
+            assert_eq!(answer.status, status);
+            assert_eq!(answer.head.fields.text("x-id"), Some(&*format!("r{n}")));
         }
     });
 }
 
 /// A temporary refusal must not cut off reads pipelined after it.
 #[test]
-fn one_that_is_not_taken_here_cuts_none_of_those_behind_it() {
-    play(async || {
-        let stage = Stage::new(2, &[]).await;
-        let known = all(&[(&customer("pilots"), &["k1"])]);
-        stage.cx.learn_routes(routes_for(2, known));
-        let mut caller = stage.caller().await;
+fn a_temporary_refusal_cuts_off_no_pipelined_request() {
+    run_test(async || {
+        let harness = Harness::new(2, &[]).await;
+        let known = customer_list(&[(&customer("pilots"), &["k1"])]);
+        harness.cx.learn_routes(routes_for(2, known));
+        let mut caller = harness.caller().await;
         let keys = ["no", "k1", "k1"];
         let reads = keys.iter().enumerate().map(|(n, key)| {
             with(
@@ -121,9 +122,9 @@
         });
         caller.send(&reads.collect::<String>()).await;
         for (n, status) in [503, 200, 200].into_iter().enumerate() {
-            let got = caller.receive().await.unwrap();
-            assert_eq!(got.status, status);
-            let closes = got.head.fields.text("connection") == Some("close");
+            let answer = caller.receive().await.unwrap();
+            assert_eq!(answer.status, status);
+            let closes = answer.head.fields.text("connection") == Some("close");
             assert_eq!(closes, n == 2, "only the last answer ends the connection");
         }
         assert!(caller.is_closed().await);
@@ -133,14 +134,14 @@
 /// A caller sends another customer's name in the header that backend servers trust, in spellings
 /// that some servers accept. They would return that customer's bookings.
 #[test]
-fn backend_servers_hear_who_asks_from_us_alone() {
-    play(async || {
-        let stage = stage(&[]).await;
-        let mut caller = stage.caller().await;
+fn only_the_gateway_names_the_customer_to_backend_servers() {
+    run_test(async || {
+        let harness = harness(&[]).await;
+        let mut caller = harness.caller().await;
         let lines = "x-key: k1\r\nx-customer: others\r\nX-Customer: others\r\nx_customer: others\r\nX_KEY: k1\r\n";
-        let got = caller.ask(&with(&get("/read/a", "r1"), lines)).await;
-        assert_eq!(got.status, 200);
-        let seen = stage.seen.borrow().fields.clone();
+        let answer = caller.ask(&with(&get("/read/a", "r1"), lines)).await;
+        assert_eq!(answer.status, 200);
+        let seen = harness.seen.borrow().fields.clone();
         assert_eq!(seen.get("x-customer").map(String::as_str), Some("pilots"));
         for name in ["x-key", "x_key", "x_customer"] {
             assert!(!seen.contains_key(name), "{name}");
@@ -151,15 +152,15 @@
 /// A caller puts another customer's name into the trailer of a chunked body. Some backend servers
 /// would treat it as a header.
 #[test]
-fn what_follows_a_body_in_chunks_says_nothing_of_who_asks() {
-    play(async || {
-        let stage = stage(&[]).await;
-        let mut caller = stage.caller().await;
+fn trailers_do_not_name_the_customer() {
+    run_test(async || {
+        let harness = harness(&[]).await;
+        let mut caller = harness.caller().await;
         let text = "POST /book/a HTTP/1.1\r\nHost: example.test\r\nx-id: b1\r\nx-key: k1\r\n\
             Transfer-Encoding: chunked\r\nTrailer: x-customer\r\n\r\n\
             3\r\nabc\r\n0\r\nx-customer: others\r\nx-key: k1\r\n\r\n";
         assert_eq!(caller.ask(text).await.status, 200);
-        let seen = stage.seen.borrow();
+        let seen = harness.seen.borrow();
         assert_eq!(seen.fields["x-customer"], "pilots");
         assert!(!seen.fields.contains_key("trailer"));
         assert_eq!(seen.bodies, [3]);
@@ -169,14 +170,14 @@
 /// On a public route, a required key would exclude callers without one, and a forged customer name
 /// must not be forwarded.
 #[test]
-fn an_open_route_asks_nobody_for_a_key() {
-    play(async || {
-        let stage = stage(&[]).await;
-        let mut caller = stage.caller().await;
+fn a_public_route_needs_no_key() {
+    run_test(async || {
+        let harness = harness(&[]).await;
+        let mut caller = harness.caller().await;
         for lines in ["", "x-key: no\r\nx-customer: pilots\r\n"] {
-            let got = caller.ask(&with(&get("/open/a", "r1"), lines)).await;
-            assert_eq!(got.status, 200);
-            let seen = stage.seen.borrow().fields.clone();
+            let answer = caller.ask(&with(&get("/open/a", "r1"), lines)).await;
+            assert_eq!(answer.status, 200);
+            let seen = harness.seen.borrow().fields.clone();
             assert!(!seen.contains_key("x-customer") && !seen.contains_key("x-key"));
         }
     });
@@ -185,71 +186,74 @@
 /// A VM has just started, or has lost the store and lacks the latest keys. If it rejected an
 /// unknown key, the caller would give up although other VMs know the key.
 #[test]
-fn a_vm_that_does_not_know_says_so() {
-    play(async || {
-        let stage = Stage::new(1, &[]).await;
-        let customers = all(&[(&customer("pilots"), &["k1"])]);
-        stage.cx.learn_routes(routes_for(2, customers));
-        let got = ask(&stage, "x-key: new\r\n").await;
-        assert_eq!(got.0, 503);
-        assert!(got.1, "it says when to come back");
-        assert_eq!(ask(&stage, "x-key: k1\r\n").await.0, 200);
-        stage.cx.heard_store();
-        assert_eq!(ask(&stage, "x-key: new\r\n").await.0, 401);
+fn a_vm_without_current_keys_rejects_no_key() {
+    run_test(async || {
+        let harness = Harness::new(1, &[]).await;
+        let customers = customer_list(&[(&customer("pilots"), &["k1"])]);
+        harness.cx.learn_routes(routes_for(2, customers));
+        let answer = ask(&harness, "x-key: new\r\n").await;
+        assert_eq!(answer.0, 503);
+        assert!(answer.1, "it says when to come back");
+        assert_eq!(ask(&harness, "x-key: k1\r\n").await.0, 200);
+        harness.cx.heard_store();
+        assert_eq!(ask(&harness, "x-key: new\r\n").await.0, 401);
     });
 }
 
 /// The status of a read with these lines, and whether the answer has a retry delay.
-async fn ask(stage: &Stage, lines: &str) -> (u16, bool) {
-    let mut caller: Caller = stage.caller().await;
-    let got = caller.ask(&with(&get("/read/a", "r1"), lines)).await;
-    (got.status, got.head.fields.get("retry-after").is_some())
+async fn ask(harness: &Harness, lines: &str) -> (u16, bool) {
+    let mut caller: Caller = harness.caller().await;
+    let answer = caller.ask(&with(&get("/read/a", "r1"), lines)).await;
+    (
+        answer.status,
+        answer.head.fields.get("retry-after").is_some(),
+    )
 }
 
 /// A key is revoked while one of its requests is queued at a backend server, which then does not
 /// run it. A resend would run it without authorisation.
 #[test]
-fn a_key_that_is_taken_away_starts_nothing_more() {
-    play(async || {
-        let stage = stage(&[Act::ShedAfterNext]).await;
-        let mut first = stage.caller().await;
+fn a_revoked_key_allows_no_resend() {
+    run_test(async || {
+        let harness = harness(&[Reaction::ShedAfterNext]).await;
+        let mut first = harness.caller().await;
         first
             .send(&with(&get("/read/a", "r1"), "x-key: k1\r\n"))
             .await;
-        stage.until("it arrives", |seen| seen.arrived == 1).await;
-        let left = all(&[(&customer("pilots"), &["k2"])]);
-        stage.cx.learn_routes(routes_for(3, left));
-        let mut other = stage.caller().await;
-        let got = other
+        harness.until("it arrives", |seen| seen.arrived == 1).await;
+        let left = customer_list(&[(&customer("pilots"), &["k2"])]);
+        harness.cx.learn_routes(routes_for(3, left));
+        let mut other = harness.caller().await;
+        let answer = other
             .ask(&with(&get("/read/b", "r2"), "x-key: k2\r\n"))
             .await;
-        assert_eq!(got.status, 200);
+        assert_eq!(answer.status, 200);
         assert_eq!(first.receive().await.unwrap().status, 401);
-        assert_eq!(stage.runs("r1"), 0);
+        assert_eq!(harness.runs("r1"), 0);
     });
 }
 
 /// A key moves to another customer while a request is in progress. The resend carries the new
 /// holder's name.
 #[test]
-fn a_key_that_changes_hands_asks_for_its_new_holder() {
-    play(async || {
-        let stage = stage(&[Act::ShedAfterNext]).await;
-        let mut first = stage.caller().await;
+fn a_resend_names_the_new_holder_of_the_key() {
+    run_test(async || {
+        let harness = harness(&[Reaction::ShedAfterNext]).await;
+        let mut first = harness.caller().await;
         first
             .send(&with(&get("/read/a", "r1"), "x-key: k1\r\n"))
             .await;
-        stage.until("it arrives", |seen| seen.arrived == 1).await;
+        harness.until("it arrives", |seen| seen.arrived == 1).await;
         let (pilots, herders) = (customer("pilots"), customer("herders"));
-        let moved = all(&[(&pilots, &["k2"]), (&herders, &["k1"])]);
-        stage.cx.learn_routes(routes_for(3, moved));
-        let mut other = stage.caller().await;
-        let got = other
+        let moved = customer_list(&[(&pilots, &["k2"]), (&herders, &["k1"])]);
+        harness.cx.learn_routes(routes_for(3, moved));
+        let mut other = harness.caller().await;
+        let answer = other
             .ask(&with(&get("/read/b", "r2"), "x-key: k2\r\n"))
             .await;
-        assert_eq!(got.status, 200);
+        assert_eq!(answer.status, 200);
         assert_eq!(first.receive().await.unwrap().status, 200);
-        assert_eq!(stage.seen.borrow().fields["x-customer"], "herders");
+        assert_eq!(harness.seen.borrow().fields["x-customer"], "herders");
     });
 }
 
@@ -258,31 +262,35 @@
 }
 
 /// Finds a backend server for a request with these homes; returns whether it is in another region.
-fn finds_one(stage: &Stage, homes: routes::Homes<'_>) -> Option<bool> {
+fn find_remote(harness: &Harness, homes: routes::Homes<'_>) -> Option<bool> {
     let service = id::ServiceId::from("svc");
     let need = place::Need {
         service: &service,
         key: Some(1),
-        away: false,
+        remote: false,
         homes,
         idempotent: true,
         behind: false,
         tried: &[],
     };
-    stage.cx.place(&need).ok().map(|seat| seat.far)
+    harness
+        .cx
+        .place(&need)
+        .ok()
+        .map(|reservation| reservation.remote)
 }
 
 /// Both customer and route may be restricted to regions. Without a common region the request must
 /// not run, or data would leave its region.
 #[test]
-fn the_homes_of_route_and_customer_both_bind() {
-    play(async || {
-        let stage = Stage::new(1, &[]).await;
+fn the_regions_of_route_and_customer_both_apply() {
+    run_test(async || {
+        let harness = Harness::new(1, &[]).await;
         let far = backends::Listed {
             az: "az-far".into(),
-            ..stage.start_backend("far", None).await
+            ..harness.start_backend("far", None).await
         };
-        stage.cx.learn_backend(&"far".into(), far);
+        harness.cx.learn_backend(&"far".into(), far);
         let (here, there, both) = (
             regions(&["region"]),
             regions(&["far"]),
@@ -298,7 +306,7 @@
         ];
         for (route, customer, found) in cases {
             let homes = routes::Homes { route, customer };
-            assert_eq!(finds_one(&stage, homes), found, "{homes:?}");
+            assert_eq!(find_remote(&harness, homes), found, "{homes:?}");
         }
     });
 }
@@ -307,24 +315,24 @@
 /// instead of at their deadlines.
 #[test]
 fn a_customer_whose_home_is_lost_is_refused_at_once() {
-    play(async || {
-        let stage = Stage::new(1, &[]).await;
+    run_test(async || {
+        let harness = Harness::new(1, &[]).await;
         let homed = customers::Customer {
             regions: regions(&["far"]),
             ..customer("pilots")
         };
-        stage
+        harness
             .cx
-            .learn_routes(routes_for(2, all(&[(&homed, &["k1"])])));
-        assert_eq!(ask(&stage, "x-key: k1\r\n").await, (503, true));
-        assert_eq!(stage.seen.borrow().arrived, 0);
+            .learn_routes(routes_for(2, customer_list(&[(&homed, &["k1"])])));
+        assert_eq!(ask(&harness, "x-key: k1\r\n").await, (503, true));
+        assert_eq!(harness.seen.borrow().arrived, 0);
     });
 }
 
 /// Two customers have one home region and one has two. The share of each region follows from the
 /// quotas.
 #[test]
-fn what_must_run_in_a_region_follows_from_quotas() {
+fn the_shares_of_home_regions_follow_from_quotas() {
     let with = |name: &str, rate: f64, homes: &[&str]| customers::Customer {
         quota: Some(customers::Quota { rate, burst: 1.0 }),
         regions: regions(homes),
@@ -336,20 +344,20 @@
         with("c", 20.0, &["north"]),
         with("d", 20.0, &["north", "south"]),
     ];
-    let all = customers::Customers::new(list.map(|c| (c, Vec::new()))).unwrap();
-    let part = |name: &str| all.homed().part(Some(&name.into()));
+    let customer_list = customers::Customers::new(list.map(|c| (c, Vec::new()))).unwrap();
+    let part = |name: &str| customer_list.homed().part(Some(&name.into()));
     assert!((part("north") - 0.4).abs() < 1e-9);
     assert!((part("south") - 0.1).abs() < 1e-9);
-    assert!((all.homed().all() - 0.5).abs() < 1e-9);
-    assert_eq!(all.homed().part(None), 0.0);
+    assert!((customer_list.homed().all() - 0.5).abs() < 1e-9);
+    assert_eq!(customer_list.homed().part(None), 0.0);
 }
 
 /// All VMs have just started and exchanged no reports, while a customer exceeds its quota
 /// everywhere. If each VM admitted the whole quota, several times as much would run.
 #[test]
-fn a_vm_that_has_heard_nobody_leaves_the_others_their_part() {
-    play(async || {
-        let stage = Stage::new(1, &[]).await;
+fn a_vm_without_reports_leaves_other_vms_their_share() {
+    run_test(async || {
+        let harness = Harness::new(1, &[]).await;
         let limited = customers::Customer {
             quota: Some(customers::Quota {
                 rate: 10.0,
@@ -357,9 +365,9 @@
             }),
             ..customer("pilots")
         };
-        stage
+        harness
             .cx
-            .learn_routes(routes_for(2, all(&[(&limited, &["k1"])])));
+            .learn_routes(routes_for(2, customer_list(&[(&limited, &["k1"])])));
         for (name, az) in [("vm-2", "az"), ("vm-3", "az-far"), ("vm-4", "az-far")] {
             let entry = entries::Entry {
                 front: "127.0.0.1:9".parse().unwrap(),
@@ -370,22 +378,25 @@
                 busy: false,
                 near_limits: Vec::new(),
             };
-            stage.cx.learn_entry(&name.into(), entry);
+            harness.cx.learn_entry(&name.into(), entry);
         }
-        let mut let_in = 0;
+        let mut admitted = 0;
         for _ in 0..80 {
-            let (status, says_when) = ask(&stage, "x-key: k1\r\n").await;
-            assert!(status == 200 || (status == 429 && says_when), "{status}");
-            let_in += usize::from(status == 200);
+            let (status, has_retry_delay) = ask(&harness, "x-key: k1\r\n").await;
+            assert!(
+                status == 200 || (status == 429 && has_retry_delay),
+                "{status}"
+            );
+            admitted += usize::from(status == 200);
         }
         // The quota allows 60 in a window, with 26 beyond it, for four VMs.
-        assert!((1..=86 / 4).contains(&let_in), "{let_in}");
+        assert!((1..=86 / 4).contains(&admitted), "{admitted}");
     });
 }
 
 /// If two customers had one key, each could be taken for the other.
 #[test]
-fn customers_that_contradict_one_another_are_refused() {
+fn conflicting_customers_are_refused() {
     let key = customers::KeyDigest::of(b"k1");
     let list = [(customer("a"), vec![key]), (customer("b"), vec![key])];
     let err = customers::Customers::new(list).unwrap_err().to_string();
@@ -402,12 +413,15 @@
 /// A customer has a higher priority than its route. By the route's rank alone its requests would be
 /// refused as early as any others.
 #[test]
-fn a_customers_rank_goes_before_its_routes() {
+fn a_customers_rank_overrides_its_routes() {
     let urgent = customers::Customer {
         priority: Some(0),
         ..customer("rescue")
     };
-    let table = routes_for(2, all(&[(&urgent, &["k1"]), (&customer("pilots"), &[])]));
+    let table = routes_for(
+        2,
+        customer_list(&[(&urgent, &["k1"]), (&customer("pilots"), &[])]),
+    );
     let route = table.select("example.test", "/read/a").unwrap();
     let service = id::ServiceId::from("svc");
     assert_eq!((route.rank(None), route.rank(Some(&urgent))), (1, 0));
--- a/tests/gateway/following.rs
+++ b/tests/gateway/following.rs
@@ -11,14 +11,14 @@
 use bulrushwind::transport::{mirror as links, socket};
 use tokio::task;
 
-use super::stage::{LONG, play};
+use super::harness::{LONG, run_test};
 use super::support::proxy;
 
 /// A store that answers until it is silenced.
 #[derive(Clone, Default)]
-struct Silenced(rc::Rc<cell::Cell<bool>>);
+struct SilenceableStore(rc::Rc<cell::Cell<bool>>);
 
-impl following::Source for Silenced {
+impl following::Source for SilenceableStore {
     type Error = convert::Infallible;
 
     async fn read(&mut self, _stale: bool) -> Result<(Vec<mirror::Record>, u64), Self::Error> {
@@ -62,10 +62,10 @@
     link.receive(LONG).await.unwrap()
 }
 
-async fn until(addr: std::net::SocketAddr, what: &str, is: impl Fn(&mirror::Message) -> bool) {
-    let begun = time::Instant::now();
+async fn wait_until(addr: std::net::SocketAddr, what: &str, is: impl Fn(&mirror::Message) -> bool) {
+    let started = time::Instant::now();
     while !is(&ask(addr).await) {
-        assert!(begun.elapsed() < LONG, "never: {what}");
+        assert!(started.elapsed() < LONG, "never: {what}");
         tokio::time::sleep(time::Duration::from_millis(50)).await;
     }
 }
@@ -73,27 +73,27 @@
 /// A reader's call to the store hangs. VMs that begin to follow it would take outdated routes for
 /// current ones.
 #[test]
-fn one_that_has_not_heard_the_store_lately_says_that_it_does_not_read() {
-    play(|| async {
+fn a_vm_without_a_recent_store_answer_reports_not_reading() {
+    run_test(|| async {
         let cx = gateway::Gateway::new(gateway::Config::default(), logging::silent());
         let mirror = following::Mirror::new(cx);
         let listener = socket::listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let addr = listener.local_addr().unwrap();
-        let store = Silenced::default();
+        let store = SilenceableStore::default();
         task::spawn_local(mirror.clone().serve(listener));
         task::spawn_local(mirror.run(store.clone(), Vec::new()));
         let whole = |m: &mirror::Message| matches!(m, mirror::Message::Whole { revision: 7, .. });
-        until(addr, "it tells what it reads", whole).await;
+        wait_until(addr, "it tells what it reads", whole).await;
         store.0.set(true);
         let not = |m: &mirror::Message| *m == mirror::Message::NotReading;
-        until(addr, "it says that it does not read", not).await;
+        wait_until(addr, "it says that it does not read", not).await;
     });
 }
 
 const SILENCE: time::Duration = time::Duration::from_millis(500);
 
 /// Serves frames through a proxy that passes 8 KB at a time with this pause.
-fn narrow(pause: time::Duration, frames: Vec<Vec<u8>>) -> std::net::SocketAddr {
+fn slow_link(pause: time::Duration, frames: Vec<Vec<u8>>) -> std::net::SocketAddr {
     let listener = socket::listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let proxy = proxy::Proxy::start(listener.local_addr().unwrap());
     proxy.set(proxy::Harm::Delay(pause));
@@ -108,7 +108,7 @@
     proxy.addr
 }
 
-fn noise(len: usize) -> bytes::Bytes {
+fn random_bytes(len: usize) -> bytes::Bytes {
     use rand::{Rng, SeedableRng};
     let mut bytes = vec![0; len];
     rand_chacha::ChaCha8Rng::seed_from_u64(5).fill_bytes(&mut bytes);
@@ -118,7 +118,7 @@
 fn whole(len: usize) -> mirror::Message {
     let record = mirror::Record {
         key: "a".to_owned(),
-        value: Some(noise(len)),
+        value: Some(random_bytes(len)),
     };
     mirror::Message::Whole {
         records: vec![record],
@@ -129,11 +129,11 @@
 /// A list of 1,900 routes takes longer over a 10 Mbit/s link than the silence timeout. If all
 /// followers dropped the reader, they would read the store at once and get later changes late.
 #[test]
-fn a_message_that_is_long_on_its_way_is_no_silence() {
-    play(|| async {
+fn a_slow_message_is_no_timeout() {
+    run_test(|| async {
         let sent = whole(120 << 10);
         let frame = mirror::encode(&sent).unwrap();
-        let addr = narrow(time::Duration::from_millis(60), vec![frame]);
+        let addr = slow_link(time::Duration::from_millis(60), vec![frame]);
         let mut link = links::Link::open(addr, LONG).await.unwrap();
         let received: mirror::Message = link.receive(SILENCE).await.unwrap();
         assert_eq!(received, sent);
@@ -143,10 +143,10 @@
 /// A link delivers a few bytes now and then but never a whole message. A follower that keeps
 /// waiting would use outdated records.
 #[test]
-fn a_message_that_never_becomes_whole_ends_the_link() {
-    play(|| async {
+fn a_message_that_stays_incomplete_ends_the_link() {
+    run_test(|| async {
         let frame = mirror::encode(&whole(4 << 20)).unwrap();
-        let addr = narrow(time::Duration::from_millis(100), vec![frame]);
+        let addr = slow_link(time::Duration::from_millis(100), vec![frame]);
         let mut link = links::Link::open(addr, LONG).await.unwrap();
         let received = link.receive::<mirror::Message>(SILENCE).await;
         assert!(matches!(received, Err(links::Error::Timeout)));
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn long_messages_are_packed_and_come_out_as_they_went_in() {
+fn long_messages_are_compressed_and_decoded_unchanged() {
     let text = "{\"host\":\"a.example\",\"prefix\":\"/a/b/\",\"kind\":\"safe\"},".repeat(2_000);
     let message = mirror::Message::Changes {
         records: vec![mirror::Record {
@@ -172,7 +172,7 @@
 /// A peer of another version or a faulty link sends invalid bytes. A panic in the decoder would end
 /// the process and all its requests.
 #[test]
-fn no_bytes_end_the_decoder_of_messages() {
+fn invalid_bytes_do_not_panic_the_decoder() {
     use rand::{RngExt, SeedableRng};
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(12);
     let messages = [whole(100), whole(8 << 10)].map(|m| mirror::encode(&m).unwrap());
--- a/tests/gateway/stage.rs
+++ b/tests/gateway/harness.rs
@@ -33,7 +33,7 @@
 
 /// A scripted reaction of a backend server to a request.
 #[derive(Clone, Debug)]
-pub(crate) enum Act {
+pub(crate) enum Reaction {
     /// Answers with this body.
     Answer(&'static str),
     /// Answers with this body after another request has started.
@@ -85,27 +85,27 @@
     pub(crate) reset: usize,
 }
 
-pub(crate) type Script = rc::Rc<cell::RefCell<collections::VecDeque<Act>>>;
+pub(crate) type Script = rc::Rc<cell::RefCell<collections::VecDeque<Reaction>>>;
 
-pub(crate) struct Stage {
+pub(crate) struct Harness {
     pub(crate) cx: gateway::Gateway,
     pub(crate) front: net::SocketAddr,
     pub(crate) seen: rc::Rc<cell::RefCell<Seen>>,
     pub(crate) script: Script,
-    begun: rc::Rc<tokio::sync::Notify>,
+    started: rc::Rc<tokio::sync::Notify>,
 }
 
 /// Runs an asynchronous test to its end.
-pub(crate) fn play<F: Future<Output = ()>>(scene: impl FnOnce() -> F) {
+pub(crate) fn run_test<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     let local = task::LocalSet::new();
     local.block_on(&runtime, async {
-        tokio::time::timeout(LONG * 2, scene())
+        tokio::time::timeout(LONG * 2, test())
             .await
-            .expect("the scene ends");
+            .expect("the test ends");
     });
 }
 
@@ -141,10 +141,10 @@
     routes::Table::new(version, routes, vec![service], limits)
 }
 
-impl Stage {
+impl Harness {
     /// Starts a gateway with this many backend servers, which share one script; requests beyond it
     /// are answered with `ok`.
-    pub(crate) async fn new(backend_count: usize, script: &[Act]) -> Self {
+    pub(crate) async fn new(backend_count: usize, script: &[Reaction]) -> Self {
         let cfg = gateway::Config {
             names: NAMES,
             regions: [
@@ -172,17 +172,17 @@
             near_limits: Vec::new(),
         };
         cx.learn_entry(&"vm".into(), entry);
-        let stage = Self {
+        let harness = Self {
             cx,
             front,
             seen: rc::Rc::default(),
             script: rc::Rc::new(cell::RefCell::new(script.iter().cloned().collect())),
-            begun: rc::Rc::default(),
+            started: rc::Rc::default(),
         };
         for n in 0..backend_count {
-            stage.add_backend(&format!("i-{n}")).await;
+            harness.add_backend(&format!("i-{n}")).await;
         }
-        stage
+        harness
     }
 
     pub(crate) async fn add_backend(&self, name: &str) {
@@ -203,7 +203,8 @@
             start: start.map(id::Incarnation),
         };
         self.cx.learn_backend(&name.into(), listed.clone());
-        let (seen, script, begun) = (self.seen.clone(), self.script.clone(), self.begun.clone());
+        let (seen, script, started) =
+            (self.seen.clone(), self.script.clone(), self.started.clone());
         let name = name.to_owned();
         task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -211,7 +212,7 @@
                     name: name.clone(),
                     seen: seen.clone(),
                     script: script.clone(),
-                    begun: begun.clone(),
+                    started: started.clone(),
                 };
                 task::spawn_local(backend.serve(stream));
             }
@@ -237,9 +238,9 @@
 
     /// Waits until a condition holds.
     pub(crate) async fn until(&self, what: &str, holds: impl Fn(&Seen) -> bool) {
-        let begun = time::Instant::now();
+        let started = time::Instant::now();
         while !holds(&self.seen.borrow()) {
-            assert!(begun.elapsed() < LONG, "never: {what}");
+            assert!(started.elapsed() < LONG, "never: {what}");
             tokio::time::sleep(time::Duration::from_millis(5)).await;
         }
     }
@@ -252,7 +253,7 @@
     name: String,
     seen: rc::Rc<cell::RefCell<Seen>>,
     script: Script,
-    begun: rc::Rc<tokio::sync::Notify>,
+    started: rc::Rc<tokio::sync::Notify>,
 }
 
 impl Backend {
@@ -261,7 +262,7 @@
         while let Some(head) = self.head(&mut wire).await {
             let act = self.script.borrow_mut().pop_front();
             if !self
-                .act(&mut wire, &head, act.unwrap_or(Act::Answer("ok")))
+                .act(&mut wire, &head, act.unwrap_or(Reaction::Answer("ok")))
                 .await
             {
                 return;
@@ -301,18 +302,18 @@
     }
 
     /// Handles one request. Returns whether the connection stays open.
-    async fn act(&self, wire: &mut socket::Wire, head: &http1::RequestHead, act: Act) -> bool {
+    async fn act(&self, wire: &mut socket::Wire, head: &http1::RequestHead, act: Reaction) -> bool {
         let id = head.fields.text(NAMES.id).unwrap_or_default().to_owned();
-        if !matches!(act, Act::Early(_)) && self.read_body(wire, head).await.is_none() {
+        if !matches!(act, Reaction::Early(_)) && self.read_body(wire, head).await.is_none() {
             return false;
         }
-        if !matches!(act, Act::Shed | Act::ShedAfterNext) {
+        if !matches!(act, Reaction::Shed | Reaction::ShedAfterNext) {
             self.seen
                 .borrow_mut()
                 .ran
                 .push((id.clone(), self.name.clone()));
         }
-        self.begun.notify_waiters();
+        self.started.notify_waiters();
         let head_of = |status: &str, more: &str| {
             format!(
                 "HTTP/1.1 {status}\r\nx-id: {id}\r\nx-proof: {}\r\n{more}\r\n",
@@ -322,48 +323,48 @@
         let whole =
             |body: &str| head_of("200 OK", &format!("Content-Length: {}\r\n", body.len())) + body;
         let (out, goes_on) = match act {
-            Act::Answer(body) => (whole(body), true),
-            Act::AfterNext(body) => {
-                self.begun.notified().await;
+            Reaction::Answer(body) => (whole(body), true),
+            Reaction::AfterNext(body) => {
+                self.started.notified().await;
                 (whole(body), true)
             }
-            Act::ShedAfterNext => {
-                self.begun.notified().await;
+            Reaction::ShedAfterNext => {
+                self.started.notified().await;
                 (SHED.to_owned(), true)
             }
-            Act::Shed => (SHED.to_owned(), true),
-            Act::Fail => (head_of("500 Broken", "Content-Length: 3\r\n") + "bad", true),
-            Act::Lose => (String::new(), false),
-            Act::Truncate => (
+            Reaction::Shed => (SHED.to_owned(), true),
+            Reaction::Fail => (head_of("500 Broken", "Content-Length: 3\r\n") + "bad", true),
+            Reaction::Lose => (String::new(), false),
+            Reaction::Truncate => (
                 head_of("200 OK", "Content-Length: 100\r\n") + "short",
                 false,
             ),
-            Act::Unframed(body) => (head_of("200 OK", "Connection: close\r\n") + body, false),
-            Act::UnframedReset => {
+            Reaction::Unframed(body) => (head_of("200 OK", "Connection: close\r\n") + body, false),
+            Reaction::UnframedReset => {
                 let out = head_of("200 OK", "Connection: close\r\n") + "some";
                 wire.send(out.as_bytes()).await.unwrap();
                 wire.reset_on_close();
                 return false;
             }
-            Act::StrayFirst(body) => {
+            Reaction::StrayFirst(body) => {
                 let stray = "HTTP/1.1 200 OK\r\nx-id: other\r\nx-proof: p\r\nContent-Length: 5\r\n\r\nwrong";
                 (stray.to_owned() + &whole(body), true)
             }
-            Act::Garbage => ("\u{1}\u{2} no answer\r\n\r\n".to_owned(), false),
-            Act::Unsigned => (
+            Reaction::Garbage => ("\u{1}\u{2} no answer\r\n\r\n".to_owned(), false),
+            Reaction::Unsigned => (
                 "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".to_owned(),
                 true,
             ),
-            Act::Early(body) => (whole(body), true),
-            Act::Chunks(pieces) => {
+            Reaction::Early(body) => (whole(body), true),
+            Reaction::Chunks(pieces) => {
                 let mut out = head_of("200 OK", "Transfer-Encoding: chunked\r\n");
                 for piece in pieces {
                     out += &format!("{:x}\r\n{piece}\r\n", piece.len());
                 }
                 (out + "0\r\n\r\n", true)
             }
-            Act::Long(n) => (whole(&"x".repeat(n)), true),
-            Act::Hang => {
+            Reaction::Long(n) => (whole(&"x".repeat(n)), true),
+            Reaction::Hang => {
                 let reset = wire.fill().await.is_err();
                 let mut seen = self.seen.borrow_mut();
                 seen.dropped += 1;
@@ -377,13 +378,13 @@
 
 /// An answer that a caller received.
 #[derive(Debug)]
-pub(crate) struct Got {
+pub(crate) struct CallerAnswer {
     pub(crate) status: u16,
     pub(crate) head: http1::ResponseHead,
     pub(crate) body: Bytes,
 }
 
-impl Got {
+impl CallerAnswer {
     pub(crate) fn text(&self) -> &str {
         std::str::from_utf8(&self.body).unwrap()
     }
@@ -414,7 +415,7 @@
     }
 
     /// Receives the next answer; an error if the connection ended before it was whole.
-    pub(crate) async fn receive(&mut self) -> Result<Got, upstream::Failure> {
+    pub(crate) async fn receive(&mut self) -> Result<CallerAnswer, upstream::Failure> {
         let head = loop {
             let taken = http1::ResponseHead::take(&mut self.wire.buf, 64 << 10, false);
             if let Some(head) = taken.map_err(|_| upstream::Failure::Garbage)? {
@@ -429,14 +430,14 @@
         while let Some(piece) = upstream::next_piece(&mut self.wire, &mut reader).await? {
             body.extend_from_slice(&piece);
         }
-        Ok(Got {
+        Ok(CallerAnswer {
             status: head.status,
             head,
             body: body.freeze(),
         })
     }
 
-    pub(crate) async fn ask(&mut self, text: &str) -> Got {
+    pub(crate) async fn ask(&mut self, text: &str) -> CallerAnswer {
         self.send(text).await;
         self.receive().await.unwrap()
     }
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,13 +1,13 @@
 //! A gateway with misbehaving backend servers, over loopback sockets.
 
-mod again;
 mod answers;
+mod at_most_once;
 mod bodies;
 mod callers;
 mod customers;
 mod following;
-mod once;
-mod stage;
+mod harness;
+mod restart;
 mod stop;
 #[path = "../support/mod.rs"]
 #[expect(dead_code, reason = "shared with the tests of the platform's adapter")]
--- /dev/null
+++ b/tests/gateway/restart.rs
@@ -0,0 +1,129 @@
+//! Backend servers that restart under the same name.
+
+use bulrushwind::gateway::place;
+use bulrushwind::id;
+use tokio::net::TcpListener;
+
+use super::harness::{Harness, Reaction, get, post, run_test};
+
+/// A backend server is partitioned with a read and a booking in flight, crashes and restarts under
+/// its name. Their answers can no longer come; without the restart being noticed both callers wait
+/// until their deadlines, although another backend server can answer the read.
+#[test]
+fn open_requests_end_when_the_next_run_is_listed() {
+    run_test(async || {
+        let harness = Harness::new(0, &[Reaction::Hang, Reaction::Hang]).await;
+        harness.start_backend("i-0", Some(100)).await;
+        let mut reader = harness.caller().await;
+        reader.send(&get("/read/a", "r1")).await;
+        harness
+            .until("the read runs", |seen| seen.ran.len() == 1)
+            .await;
+        let mut booker = harness.caller().await;
+        booker.send(&post("/book/a", "b1", "x")).await;
+        harness
+            .until("the booking runs", |seen| seen.ran.len() == 2)
+            .await;
+        harness.add_backend("i-1").await;
+        harness.start_backend("i-0", Some(200)).await;
+        assert_eq!(reader.receive().await.unwrap().text(), "ok");
+        assert_eq!(booker.receive().await.unwrap().status, 502);
+        assert_eq!(harness.runs("b1"), 1);
+    });
+}
+
+/// A backend server stops, refuses connections and is ejected, then restarts healthy. If the old
+/// run's failures count against the new one, it stays ejected, and callers of the only backend
+/// server are refused.
+#[test]
+fn failures_of_an_old_run_do_not_affect_the_next() {
+    run_test(async || {
+        let harness = Harness::new(0, &[]).await;
+        let mut listed = harness.start_backend("i-0", Some(100)).await;
+        let nobody = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        listed.addr = nobody.local_addr().unwrap();
+        drop(nobody);
+        harness.cx.learn_backend(&"i-0".into(), listed);
+        let mut caller = harness.caller().await;
+        for n in 0..2 {
+            let answer = caller.ask(&post("/book/a", &format!("b{n}"), "x")).await;
+            assert_eq!(answer.status, 503);
+        }
+        harness.start_backend("i-0", Some(200)).await;
+        assert_eq!(caller.ask(&post("/book/a", "b2", "x")).await.status, 200);
+    });
+}
+
+/// A page of the list that was read before a restart arrives after it. If applied, requests go to
+/// an address where nothing listens.
+#[test]
+fn an_entry_of_an_earlier_start_changes_nothing() {
+    run_test(async || {
+        let harness = Harness::new(0, &[]).await;
+        let before = harness.start_backend("i-0", Some(100)).await;
+        let after = harness.start_backend("i-0", Some(200)).await;
+        assert!(!harness.cx.learn_backend(&"i-0".into(), before));
+        let reservation = reserve(&harness);
+        assert_eq!(reservation.addr, after.addr);
+        assert_eq!(reservation.run.name, "i-0@c8");
+    });
+}
+
+/// Each run counts its own requests. If the end of an old run's request freed a slot of the new
+/// run, that would get more requests than it has slots.
+#[test]
+fn a_request_of_an_old_run_frees_no_slot_of_the_next() {
+    run_test(async || {
+        let harness = Harness::new(0, &[]).await;
+        harness.start_backend("i-0", Some(100)).await;
+        let old = reserve(&harness);
+        harness.start_backend("i-0", Some(200)).await;
+        let reservations: Vec<place::Reservation> =
+            std::iter::from_fn(|| try_reserve(&harness)).collect();
+        drop(old);
+        assert!(try_reserve(&harness).is_none());
+        drop(reservations);
+        assert!(try_reserve(&harness).is_some());
+    });
+}
+
+/// One request crashes its backend server, which restarts under its name, and the caller retries.
+/// If crashes are counted by name instead of run, the request is never banned, and other callers'
+/// requests are lost with each crash.
+#[test]
+fn a_request_that_crashes_three_runs_of_one_backend_server_is_refused() {
+    run_test(async || {
+        let harness = Harness::new(0, &[Reaction::Lose, Reaction::Lose, Reaction::Lose]).await;
+        let mut caller = harness.caller().await;
+        for start in 1..=3 {
+            harness.start_backend("i-0", Some(start)).await;
+            let id = format!("b{start}");
+            let answer = caller.ask(&post("/book/bad", &id, "x")).await;
+            assert_eq!(answer.status, 502);
+        }
+        harness.start_backend("i-0", Some(4)).await;
+        let answer = caller.ask(&post("/book/bad", "b4", "x")).await;
+        assert_eq!((answer.status, harness.runs("b4")), (503, 0));
+        let mut caller = harness.caller().await;
+        let other = caller.ask(&post("/book/good", "b5", "x")).await;
+        assert_eq!(other.status, 200);
+    });
+}
+
+fn reserve(harness: &Harness) -> place::Reservation {
+    try_reserve(harness).unwrap()
+}
+
+fn try_reserve(harness: &Harness) -> Option<place::Reservation> {
+    let service = id::ServiceId::from("svc");
+    let need = place::Need {
+        service: &service,
+        key: Some(1),
+        remote: false,
+        homes: bulrushwind::protocol::routes::Homes::default(),
+        idempotent: true,
+        behind: false,
+        tried: &[],
+    };
+    harness.cx.place(&need).ok()
+}
