--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -103,11 +103,11 @@
 }
 
 /// Backend servers that may get a request.
-struct Eligible<'a> {
+struct Candidates<'a> {
     /// Whether any can serve the request, now or soon.
     any_usable: bool,
     /// Those to choose from now.
-    backends: Vec<&'a backends::Backend>,
+    eligible: Vec<&'a backends::Backend>,
 }
 
 impl Gateway {
@@ -198,13 +198,13 @@
         let backends = self.backends.borrow();
         let among = backends.count_on(need.service, side);
         let listed = shortlist.iter().filter_map(|name| backends.get(name));
-        let eligible = self.eligible(listed, need, now).backends;
+        let eligible = self.find_eligible(listed, need, now).eligible;
         if eligible.len() >= affinity::HELD {
             return Some(self.pick(&eligible, among, need, now));
         }
-        let all = self.eligible(backends.on(need.service, side), need, now);
+        let all = self.find_eligible(backends.on(need.service, side), need, now);
         all.any_usable
-            .then(|| self.pick(&all.backends, among, need, now))
+            .then(|| self.pick(&all.eligible, among, need, now))
     }
 
     /// The shortlist to choose from first: the head of the object's order, or a random sample.
@@ -218,21 +218,21 @@
     }
 
     /// Filters the backend servers to choose from now.
-    fn eligible<'a>(
+    fn find_eligible<'a>(
         &self,
         backends: impl Iterator<Item = &'a backends::Backend>,
         need: &Need<'_>,
         now: policy::Moment,
-    ) -> Eligible<'a> {
+    ) -> Candidates<'a> {
         let mut any_usable = false;
         let eligible = backends
             .filter(|b| self.may_serve(b, need, now))
             .inspect(|_| any_usable = true)
             .filter(|b| self.is_eligible(b, need, now))
             .collect();
-        Eligible {
+        Candidates {
             any_usable,
-            backends: eligible,
+            eligible,
         }
     }
 
