--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -42,7 +42,7 @@
     pub customer: Option<rc::Rc<customers::Customer>>,
     /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// The same for equal requests; identifies those that crash backend servers.
+    /// Equal for equal requests; identifies those that crash backend servers.
     pub fingerprint: u64,
     /// When the caller or the route times out.
     pub deadline: policy::Moment,
@@ -383,8 +383,8 @@
         .await
         .map_err(|_| Outcome::NotRun(NotRun::NoConnection))?;
     // The bytes of an abandoned send may still be in transit behind a network partition. After an
-    // orderly close they are delivered when the partition heals, up to 7 s late and to a backend
-    // server whose availability zone was evacuated. A reset discards them.
+    // orderly close they arrive when the partition heals: 7 s late in one case, at a backend server
+    // whose availability zone was evacuated. A reset discards them.
     wire.reset_on_close();
     Ok(wire)
 }
--- a/src/gateway/beliefs.rs
+++ b/src/gateway/beliefs.rs
@@ -27,7 +27,7 @@
 }
 
 impl Gateway {
-    /// Records a crash report, or drops an expired one if `counts` is false. Returns whether this
+    /// Records a crash report, or drops an expired one if `active` is false. Returns whether this
     /// changed anything.
     pub fn learn_crash(&self, crash: &Crash, active: bool) -> bool {
         let mut crashes = self.crashes.borrow_mut();
--- a/src/gateway/entry_selection.rs
+++ b/src/gateway/entry_selection.rs
@@ -1,4 +1,5 @@
-//! Measures this VM's load and selects the entry VMs that are advertised to callers.
+//! Measures this VM's load, and selects the entry VMs that are advertised to callers: those of the
+//! callers' region with capacity left, so that no VM is overloaded.
 
 use std::collections;
 use std::net;
@@ -17,9 +18,8 @@
     since: policy::Moment,
 }
 
-/// The entry VMs advertised to callers, by the callers' region.
-///
-/// Cached until an input changes: sorting all VMs at each look-up would cost more with each VM.
+/// The entry VMs advertised to callers, by the callers' region, cached until an input changes:
+/// sorting all VMs at each look-up would cost more with each VM.
 #[derive(Debug, Default)]
 pub(super) struct AdvertisedCache {
     inputs: CacheInputs,
@@ -114,8 +114,8 @@
     /// Whether this VM is neither advertised to its region's callers nor among the next ones in the
     /// order of selection.
     pub fn stands_by(&self) -> bool {
-        /// VMs next in the order, whose registrations must expire as soon as those of advertised
-        /// VMs.
+        /// VMs next in the order. Their registrations must expire as soon as those of advertised
+        /// ones.
         const STANDBY_COUNT: usize = 6;
         let selected = self.selection_hashes(self.region.as_ref(), STANDBY_COUNT);
         !selected.contains(&self.own_hash)
@@ -126,7 +126,6 @@
         self.busy.get().get()
     }
 
-    /// Counts an answer and its bytes.
     pub(super) fn count_answer(&self, answer: &callers::Answer) {
         let bytes = match &answer.body {
             callers::Body::Whole(body) => body.len() as u64,
--- a/src/gateway/facts.rs
+++ b/src/gateway/facts.rs
@@ -27,7 +27,6 @@
 /// another VM knows its key.
 const KEY_REJECTION_MAX_STORE_AGE: time::Duration = time::Duration::from_millis(2500);
 
-/// Why no customer could be identified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Unidentified {
     NoKey,
@@ -85,7 +84,6 @@
 }
 
 impl Facts {
-    /// The regions where the request may run.
     pub(super) fn homes(&self) -> routes::Homes<'_> {
         routes::Homes {
             route: &self.route.regions,
@@ -105,7 +103,6 @@
             .map(|key_holder| &*key_holder.customer)
     }
 
-    /// The customer's name for logs, or an empty text.
     pub(super) fn customer_name(&self) -> &str {
         self.customer().map_or("", |c| c.name.as_str())
     }
--- a/src/gateway/fanout.rs
+++ b/src/gateway/fanout.rs
@@ -1,4 +1,7 @@
-//! Sends the records of the platform's store to followers: other entry VMs that do not read it.
+//! Sends the store's records to followers, which are entry VMs that do not read the store.
+//!
+//! A follower gets a snapshot or a delta first and then each change. It is refused while the
+//! records here are outdated.
 
 use std::time;
 
@@ -67,9 +70,8 @@
         }
     }
 
-    /// All records, encoded once for all followers that connect before the next change.
-    ///
-    /// When all VMs start at once, a copy per follower would fill a small VM's memory.
+    /// All records, encoded once for all followers until the next change: when all VMs start at
+    /// once, a copy per follower would fill a small VM's memory.
     fn snapshot(&self) -> Result<Bytes, mirror::Error> {
         let records = self.records.borrow();
         let mut snapshot = self.snapshot.borrow_mut();
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Pauses after an error: without free descriptors an immediate retry would fail too.
+/// Pauses after an error: without free file descriptors an immediate retry would fail too.
 async fn pause_after_error(err: &io::Error) {
     const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(20);
     if err.kind() != io::ErrorKind::ConnectionAborted {
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -1,4 +1,8 @@
-//! Keeps the store's records current by reading the store or following an entry VM that does.
+//! Keeps the records of the platform's store current.
+//!
+//! In each region one VM reads the store and the others follow it, directly or through one another,
+//! so that the store's load stays bounded. If its source fails, a VM follows another or reads the
+//! store itself, in an order that avoids simultaneous reads.
 
 use std::cell;
 use std::net;
@@ -19,7 +23,7 @@
 use crate::transport;
 
 /// Timeout of a watch call. Each answer is also the heartbeat for followers, so it must arrive well
-/// within [`order::SILENCE`].
+/// within [`follow_order::SILENCE`].
 const WATCH_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 
 /// Pause after an answer with changes. During a release, a call for each change would be costly. A
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -1,4 +1,7 @@
 //! Reserves a backend server for a request, or says why none can take it now.
+//!
+//! Requests for one object, named by a cookie, go to the same few backend servers, which have it
+//! cached. Full, cold and failing backend servers are limited or skipped, so that they recover.
 
 use std::rc;
 
@@ -158,7 +161,8 @@
 
 impl Gateway {
     fn choose(&self, need: &Need<'_>, now: policy::Moment) -> Result<id::VmId, PlacementError> {
-        // If one side has no usable backend server, the next side serves the request.
+        // The sides, which are sets of regions, in order of preference. If one has no usable
+        // backend server, the next serves the request.
         let mut sides = match need.homes.are_open() {
             true => vec![backends::Side::Far],
             false => self.other_allowed_regions(&need.homes),
@@ -171,9 +175,9 @@
         chosen.unwrap_or(Err(PlacementError::NoBackend))
     }
 
-    /// The other regions where a request may run. Each region has its own order of backend servers
-    /// for each object, whose length follows from the region's size. In one order for all other
-    /// regions, a small region would cache each object at many backend servers and fill its caches.
+    /// The other regions where a request may run. Each has its own order of backend servers per
+    /// object, whose length follows from the region's size. In one order for all other regions, a
+    /// small region would keep each object at many backend servers, and its caches would hold none.
     fn other_allowed_regions<'a>(&'a self, homes: &routes::Homes<'a>) -> Vec<backends::Side<'a>> {
         let own = self.region.as_ref();
         let named = match homes.route.is_empty() {
@@ -282,7 +286,7 @@
         !out || (b.health.due(now) && need.idempotent)
     }
 
-    /// Whether a backend server can be chosen now. One that is cold or on trial counts only if it
+    /// Whether a backend server can be chosen now. One that is cold or on trial can only if it
     /// takes the request at once; meanwhile other backend servers serve its objects.
     fn is_eligible(&self, b: &backends::Backend, need: &Need<'_>, now: policy::Moment) -> bool {
         let on_trial = b.health.state() != ejection::State::In;
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -1,4 +1,5 @@
-//! Pool of idle connections to backend servers.
+//! Pool of idle connections to backend servers, limited in number and idle time, since a backend
+//! server limits its connections and closes idle ones.
 
 use std::collections;
 use std::time;
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -60,7 +60,6 @@
 }
 
 impl Gateway {
-    /// Logs and counts how a request ended.
     pub(super) fn record(&self, outcome: &RequestOutcome<'_>) {
         let now = self.now();
         let took = now.saturating_sub(outcome.received);
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -55,7 +55,6 @@
 }
 
 impl Gateway {
-    /// Handles a request and returns its answer.
     pub(super) async fn handle(self, mut req: callers::Request) -> callers::Answer {
         let mut in_progress = InProgress::new(&self, &req.head);
         let facts = match self.facts(&req) {
@@ -204,7 +203,6 @@
     remote: bool,
     payload: Option<upstream::Payload>,
     tried: Vec<id::VmId>,
-    /// Number of sends.
     sends: u32,
     /// Number of sends that may have run.
     possible_runs: u32,
