--- a/src/gateway/entry_selection.rs
+++ b/src/gateway/entry_selection.rs
@@ -103,7 +103,7 @@
         hashes
     }
 
-    /// The same with `more` further VMs in the order of selection.
+    /// Hashes of the advertised entry VMs and of the `more` next ones in the order of selection.
     pub(super) fn selection_hashes(&self, region: Option<&id::RegionId>, more: usize) -> Vec<u64> {
         let near = |az: &id::AzId| self.cfg.regions.get(az) == region;
         let entries = self.entries.borrow();
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -72,7 +72,7 @@
 struct Timeouts {
     /// To open the link.
     open: time::Duration,
-    /// For the first message beyond `silence`: the followed VM may still be reading the store.
+    /// Added to `silence` for the first message: the followed VM may still be reading the store.
     first_message: time::Duration,
     /// Between two messages.
     silence: time::Duration,
@@ -150,7 +150,7 @@
             if wait.is_zero() {
                 self.read(&mut source, &mut order, &mut turns).await;
                 if self.records.borrow().revision() == 0 {
-                    // VMs that have records may have started later, or answered too slowly before.
+                    // Other VMs with records may have started later, or answered too slowly before.
                     self.load_from_any(&source, &seeds).await;
                 }
             } else {
@@ -162,7 +162,7 @@
     /// Waits at the first start of all VMs until the availability zone's others are registered.
     /// Otherwise each would consider itself the first, and all would read the whole list at once.
     async fn wait_for_zone<S: Source>(&self, source: &mut S) {
-        /// Time between two looks at the list, and their number; registering takes this long.
+        /// Interval between checks, and their number; all VMs register within this time.
         const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(600);
         const MAX_CHECKS: usize = 4;
         let is_listed = || self.cx.entries.borrow().get(&self.cx.cfg.vm).is_some();
@@ -192,7 +192,7 @@
     }
 
     /// Follows the first VM that can be followed, until that ends. Returns whether one could be
-    /// followed. Each VM is given until this VM's own turn to have read the store.
+    /// followed. Each has until this VM's turn to read the store.
     async fn follow_any<S: Source>(
         &self,
         source: &S,
--- a/tests/gateway/restart.rs
+++ b/tests/gateway/restart.rs
@@ -7,8 +7,8 @@
 use super::harness::{Harness, Reaction, get, post, run_test};
 
 /// A backend server is partitioned with a read and a booking in flight, crashes and restarts under
-/// its name. Their answers can no longer come; without the restart being noticed both callers wait
-/// until their deadlines, although another backend server can answer the read.
+/// its name. Unless the restart is noticed, both callers wait until their deadlines for answers
+/// that cannot come, although another backend server could answer the read.
 #[test]
 fn open_requests_end_when_the_next_run_is_listed() {
     run_test(async || {
