--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -47,7 +47,7 @@
     /// When the caller or the route times out.
     pub deadline: policy::Moment,
     /// The target latency.
-    pub aim: time::Duration,
+    pub target_latency: time::Duration,
 }
 
 /// How a send ended.
@@ -118,7 +118,7 @@
         let outcome = self.send(&job, &mut payload, reservation).await;
         self.record_outcome(&job, &run, started, &outcome);
         if new_object && let Outcome::Answer { failed: false, .. } = outcome {
-            let late = self.now().saturating_sub(started) > job.aim;
+            let late = self.now().saturating_sub(started) > job.target_latency;
             self.with_service(&job.service, |state| state.cold_lateness.answered(late));
         }
         (run.id, outcome)
--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct LastReports {
     last: Option<policy::Moment>,
-    whole: Option<policy::Moment>,
+    full: Option<policy::Moment>,
 }
 
 /// The position of another VM's latest datagram.
@@ -139,7 +139,7 @@
             |at: Option<policy::Moment>, span| at.is_none_or(|at| now.saturating_sub(at) >= span);
         let (is_report_due, whole) = (
             has_elapsed(last_reports.last, MAX_REPORT_INTERVAL),
-            has_elapsed(last_reports.whole, FULL_REPORT_INTERVAL),
+            has_elapsed(last_reports.full, FULL_REPORT_INTERVAL),
         );
         if is_report_due {
             self.update_expected_vms();
@@ -157,7 +157,7 @@
         }
         last_reports.last = Some(now);
         if whole {
-            last_reports.whole = Some(now);
+            last_reports.full = Some(now);
         }
         let to = self.report_recipients();
         for datagram in self.datagrams(&rows, whole) {
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -110,7 +110,7 @@
             idempotent: facts.route.idempotent,
             fingerprint,
             deadline: facts.deadline,
-            aim: facts.route.aim,
+            target_latency: facts.route.aim,
         });
         let payload = std::mem::replace(&mut req.payload, upstream::Payload::Whole(Bytes::new()));
         let mut dispatch = Dispatch {
