--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -1,9 +1,10 @@
-//! All decisions inside one availability zone put together, behind [`policy::Policy`].
+//! Combines all decisions inside one availability zone behind [`policy::Policy`].
 //!
-//! A request that comes in is refused at once, waits in the queue, or goes to a backend server.
-//! Whenever something ends, the queue is served again. This module holds what is known and takes
-//! in what happens; [`super::serve`] sends what waits, and [`super::upkeep`] does what time alone
-//! brings. Each decision has a module of its own, which says which load pattern it answers.
+//! A new request is refused, queued, sent to a backend server, or sent to another availability
+//! zone. The queue is served again after every event, such as the end of an attempt. This module
+//! holds the state and handles the events; [`super::serve`] sends queued requests, and
+//! [`super::upkeep`] does the periodic work. Each decision has its own module, which names the load
+//! pattern it handles.
 
 use std::collections;
 use std::time;
@@ -20,33 +21,33 @@
 /// Thresholds of all decisions inside an availability zone.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Where random picks begin. Different on each VM, so that they do not pick alike.
+    /// Seed for random choices. It differs on each VM, so that VMs make different choices.
     pub seed: u64,
-    /// A caller's request that would wait longer than this is offered to other availability
-    /// zones. Less than the delay between regions gains nothing there, but most that wait in one
-    /// zone of a region find room in the other within 2 or 3 ms.
-    pub cross_after: time::Duration,
-    /// What is let in.
+    /// A caller's request with a longer estimated wait is offered to other availability zones. A
+    /// move to another region gains nothing if the wait is below the inter-region delay, but most
+    /// requests that wait in one zone of a region find a free slot in another within 2 or 3 ms.
+    pub remote_az_after: time::Duration,
+    /// Which requests are admitted.
     pub admission: admission::Config,
-    /// What goes next.
+    /// Order of queued requests.
     pub queue: queue::Config,
-    /// Where it goes.
+    /// Choice of the backend server.
     pub placement: placement::Config,
-    /// What is known of a backend server.
+    /// State kept for each backend server.
     pub members: members::Config,
-    /// How much is in flight at one.
+    /// Requests in flight at each backend server.
     pub limit: limit::Config,
-    /// When one is out.
+    /// Ejection of failing backend servers.
     pub ejection: ejection::Config,
-    /// How it comes back.
+    /// Slow start of new and restored backend servers.
     pub ramp: ramp::Config,
-    /// Second attempts.
+    /// Retries and hedges.
     pub retry: retry::Config,
-    /// Requests that crash backend servers.
+    /// Quarantine of requests that crash backend servers.
     pub quarantine: quarantine::Config,
-    /// Probes.
+    /// Probes of backend servers that get no requests.
     pub probe: probe::Config,
-    /// Reports.
+    /// Plausibility checks on load reports.
     pub trust: trust::Config,
 }
 
@@ -54,7 +55,7 @@
     fn default() -> Self {
         Self {
             seed: 0,
-            cross_after: time::Duration::from_millis(30),
+            remote_az_after: time::Duration::from_millis(30),
             admission: admission::Config::default(),
             queue: queue::Config::default(),
             placement: placement::Config::default(),
@@ -73,8 +74,8 @@
 impl Config {
     /// Checks every threshold.
     pub fn check(&self) -> Result<(), range::Error> {
-        let cross_after = self.cross_after.as_secs_f64();
-        range::check("cross_after", cross_after, 0.0..=60.0)?;
+        let remote_az_after = self.remote_az_after.as_secs_f64();
+        range::check("cross_after", remote_az_after, 0.0..=60.0)?;
         self.admission.check()?;
         self.queue.check()?;
         self.placement.check()?;
@@ -89,14 +90,12 @@
     }
 }
 
-/// Where a request that is in hand stands.
+/// The stage of an unsettled request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// It waits in the queue.
     Queued,
-    /// It waits to be tried alone.
+    /// Waiting to be tried alone on a backend server.
     Suspect,
-    /// It has been sent.
     Sent,
 }
 
@@ -105,32 +104,34 @@
 pub(super) struct Pending {
     pub(super) req: policy::Arrival,
     pub(super) stage: Stage,
-    pub(super) sends: Vec<Place>,
+    /// Where attempts are in flight.
+    pub(super) destinations: Vec<Place>,
+    /// Backend servers where an attempt failed.
     pub(super) avoid: Vec<id::VmId>,
     pub(super) attempts: u32,
     pub(super) maybe_run: bool,
-    since: Moment,
-    gone: bool,
-    crossed: bool,
+    arrived_at: Moment,
+    caller_left: bool,
+    tried_remote_az: bool,
 }
 
 impl Pending {
-    fn new(req: policy::Arrival, since: Moment) -> Self {
+    fn new(req: policy::Arrival, arrived_at: Moment) -> Self {
         Self {
             req,
-            since,
+            arrived_at,
             stage: Stage::Queued,
-            sends: Vec::new(),
+            destinations: Vec::new(),
             avoid: Vec::new(),
             attempts: 0,
             maybe_run: false,
-            gone: false,
-            crossed: false,
+            caller_left: false,
+            tried_remote_az: false,
         }
     }
 
-    pub(super) fn kind(&self) -> queue::Kind {
-        kind(&self.req)
+    pub(super) fn class_key(&self) -> queue::ClassKey {
+        class_key(&self.req)
     }
 
     pub(super) fn item(&self) -> queue::Item {
@@ -141,8 +142,8 @@
     }
 }
 
-pub(super) fn kind(req: &policy::Arrival) -> queue::Kind {
-    queue::Kind {
+pub(super) fn class_key(req: &policy::Arrival) -> queue::ClassKey {
+    queue::ClassKey {
         worth: req.worth,
         typical: req.typical,
     }
@@ -160,16 +161,16 @@
     pub(super) budget: retry::Budget,
     pub(super) quarantine: quarantine::Quarantine,
     pub(super) rng: rand_chacha::ChaCha8Rng,
-    pub(super) swept: Moment,
-    pub(super) probed: Option<Moment>,
-    shares: admission::Shares,
-    leaving: admission::Leaving,
+    pub(super) last_sweep: Moment,
+    pub(super) last_probe: Option<Moment>,
+    outstanding: admission::OutstandingByCaller,
+    early_departures: admission::EarlyDepartures,
     pub(super) notes: note::Notes,
 }
 
 impl Dispatch {
-    /// Decisions without backend servers yet. `across` is asked when the own availability zone
-    /// cannot take a request in time.
+    /// Creates a dispatcher without backend servers. `across` chooses another availability zone for
+    /// requests that this one cannot answer in time.
     pub fn new(cfg: Config, across: across::Across) -> Self {
         Self {
             across,
@@ -180,21 +181,21 @@
             budget: retry::Budget::new(&cfg.retry),
             quarantine: quarantine::Quarantine::default(),
             rng: rand_chacha::ChaCha8Rng::seed_from_u64(cfg.seed),
-            swept: Moment::ZERO,
-            probed: None,
-            shares: admission::Shares::default(),
-            leaving: admission::Leaving::default(),
+            last_sweep: Moment::ZERO,
+            last_probe: None,
+            outstanding: admission::OutstandingByCaller::default(),
+            early_departures: admission::EarlyDepartures::default(),
             notes: note::Notes::default(),
             cfg,
         }
     }
 
-    /// What may be sent to other availability zones.
+    /// The decisions on requests to other availability zones.
     pub fn across(&mut self) -> &mut across::Across {
         &mut self.across
     }
 
-    /// Requests that wait.
+    /// Number of queued requests, suspects included.
     pub fn waiting(&self) -> usize {
         self.queue.len() + self.suspects.len()
     }
@@ -203,61 +204,73 @@
         placement::View::new(&self.cfg, now, &self.members)
     }
 
-    // What comes in.
+    // Arrivals and admission.
 
-    /// Why a request is refused outright, if it is.
-    fn refusal(&mut self, now: Moment, req: &policy::Arrival) -> Option<(Refusal, time::Duration)> {
-        let least = self.cfg.admission.back_least;
+    /// The reason to refuse a request regardless of its wait, and when its caller may retry.
+    fn immediate_refusal(
+        &mut self,
+        now: Moment,
+        req: &policy::Arrival,
+    ) -> Option<(Refusal, time::Duration)> {
+        let min_retry_after = self.cfg.admission.min_retry_after;
         if req.deadline <= now {
-            return Some((Refusal::Deadline, least));
+            return Some((Refusal::Deadline, min_retry_after));
         }
         match self.quarantine.state(now, req.fingerprint) {
             quarantine::State::Banned { left } => return Some((Refusal::Quarantined, left)),
             quarantine::State::Suspect if !self.may_try_suspect(now) => {
-                return Some((Refusal::Quarantined, self.cfg.admission.back_most));
+                return Some((Refusal::Quarantined, self.cfg.admission.max_retry_after));
             }
             quarantine::State::Suspect | quarantine::State::Clear => {}
         }
-        let crowded = self.queue.crowded(kind(req));
-        if crowded && !self.shares.fair(&self.cfg.admission, req.caller) {
-            return Some((Refusal::CallerShare, self.back(now, req)));
+        let queued_ahead = self.queue.has_equal_or_better(class_key(req));
+        if queued_ahead
+            && !self
+                .outstanding
+                .within_share(&self.cfg.admission, req.caller)
+        {
+            return Some((Refusal::CallerShare, self.retry_after(now, req)));
         }
         None
     }
 
     fn may_try_suspect(&self, now: Moment) -> bool {
-        self.suspects.len() < self.cfg.quarantine.waiting && self.spare(now)
+        self.suspects.len() < self.cfg.quarantine.waiting && self.can_lose_one(now)
     }
 
-    /// Whether a backend server could crash without being the last one.
-    pub(super) fn spare(&self, now: Moment) -> bool {
-        let safe = |m: &&members::Member| m.safe(&self.cfg.members, now);
-        self.members.iter().filter(safe).count() >= 2
+    /// Whether one backend server could crash and another stay available.
+    pub(super) fn can_lose_one(&self, now: Moment) -> bool {
+        let crash_free = |m: &&members::Member| m.crash_free(&self.cfg.members, now);
+        self.members.iter().filter(crash_free).count() >= 2
     }
 
-    /// When the caller of a refused request is asked to come back.
-    pub(super) fn back(&mut self, now: Moment, req: &policy::Arrival) -> time::Duration {
-        let rate = self.view(now).rate();
-        let wait = self.queue.wait(&self.cfg.queue, now, kind(req), rate);
-        let left = req.deadline.saturating_sub(now);
-        self.cfg.admission.back(wait, left, self.rng.random())
+    /// The time after which the caller of a refused request may retry.
+    pub(super) fn retry_after(&mut self, now: Moment, req: &policy::Arrival) -> time::Duration {
+        let rate = self.view(now).service_rate();
+        let wait = self.queue.wait(&self.cfg.queue, now, class_key(req), rate);
+        let time_left = req.deadline.saturating_sub(now);
+        self.cfg
+            .admission
+            .retry_after(wait, time_left, self.rng.random())
     }
 
-    /// Why a request cannot be answered in time here, if it cannot.
-    fn too_late(
+    /// The reason that this availability zone cannot answer a request in time, if it cannot.
+    fn late_refusal(
         &mut self,
         now: Moment,
         req: &policy::Arrival,
         wait: time::Duration,
     ) -> Option<Refusal> {
         let view = self.view(now);
-        if self.members.is_empty() || view.sound().next().is_none() && self.none_on_trial() {
+        if self.members.is_empty() || view.healthy().next().is_none() && self.none_on_trial() {
             return Some(Refusal::NoBackend);
         }
-        let work = req.typical.mul_f64(view.best_pace());
-        let left = req.deadline.saturating_sub(now);
-        let patience = self.leaving.patience(&self.cfg.admission, now);
-        if admission::in_time(left, patience, wait, work) {
+        let work = req.typical.mul_f64(view.best_slowdown());
+        let time_left = req.deadline.saturating_sub(now);
+        let max_wait_share = self
+            .early_departures
+            .max_wait_share(&self.cfg.admission, now);
+        if admission::in_time(time_left, max_wait_share, wait, work) {
             return None;
         }
         match wait.is_zero() {
@@ -271,15 +284,15 @@
         !self.members.iter().any(trial)
     }
 
-    /// Lets a request in: to the queue, to another availability zone, or not at all.
+    /// Queues a caller's request, sends it to another availability zone, or refuses it.
     fn admit(&mut self, now: Moment, pending: Pending, out: &mut Vec<Action>) {
-        let rate = self.view(now).rate();
-        let kind = pending.kind();
-        let wait = self.queue.wait(&self.cfg.queue, now, kind, rate);
-        let refusal = self.too_late(now, &pending.req, wait);
-        let cross = refusal.is_some() || wait > self.cfg.cross_after;
-        let Some(pending) = (match cross {
-            true => self.try_across(now, pending, out),
+        let rate = self.view(now).service_rate();
+        let key = pending.class_key();
+        let wait = self.queue.wait(&self.cfg.queue, now, key, rate);
+        let refusal = self.late_refusal(now, &pending.req, wait);
+        let try_remote = refusal.is_some() || wait > self.cfg.remote_az_after;
+        let Some(pending) = (match try_remote {
+            true => self.try_remote_az(now, pending, out),
             false => Some(pending),
         }) else {
             return;
@@ -287,25 +300,25 @@
         if let Some(why) = refusal {
             return self.give_up_on(now, pending, why, out);
         }
-        if self.queue.len() >= self.cfg.queue.most {
-            match self.queue.displace(&self.cfg.queue, kind) {
+        if self.queue.len() >= self.cfg.queue.max_len {
+            match self.queue.displace(&self.cfg.queue, key) {
                 Some(item) => self.give_up(now, item.id, Refusal::Overload, out),
                 None => return self.give_up_on(now, pending, Refusal::Overload, out),
             }
         }
-        self.queue.push(kind, pending.item());
+        self.queue.push(key, pending.item());
         self.pending.insert(pending.req.id, pending);
     }
 
-    /// Sends a request across, or gives it back.
-    fn try_across(
+    /// Sends a request to another availability zone. Returns it if none accepts it.
+    fn try_remote_az(
         &mut self,
         now: Moment,
         mut pending: Pending,
         out: &mut Vec<Action>,
     ) -> Option<Pending> {
         let req = &pending.req;
-        if pending.crossed || req.origin != Origin::Caller {
+        if pending.tried_remote_az || req.origin != Origin::Caller {
             return Some(pending);
         }
         let chosen = self.across.choose(now, req.worth, req.bytes, req.deadline);
@@ -318,30 +331,30 @@
             to: to.clone(),
             deadline: req.deadline,
         });
-        pending.crossed = true;
+        pending.tried_remote_az = true;
         pending.attempts += 1;
         pending.stage = Stage::Sent;
-        pending.sends.push(to);
+        pending.destinations.push(to);
         self.pending.insert(pending.req.id, pending);
         None
     }
 
-    /// A request from another availability zone is taken only into a free slot: the own callers
-    /// go first.
-    fn admit_foreign(&mut self, now: Moment, pending: Pending, out: &mut Vec<Action>) {
-        let need = placement::Need { avoid: &[] };
+    /// Admits a request from another availability zone only if a slot is free: local callers have
+    /// precedence.
+    fn admit_from_az(&mut self, now: Moment, pending: Pending, out: &mut Vec<Action>) {
+        let constraints = placement::Constraints { avoid: &[] };
         let view = placement::View::new(&self.cfg, now, &self.members);
-        let free = self.queue.is_empty() && view.pick(&mut self.rng, &need).is_some();
+        let free = self.queue.is_empty() && view.pick(&mut self.rng, &constraints).is_some();
         if !free {
             return self.give_up_on(now, pending, Refusal::Overload, out);
         }
-        self.queue.push(pending.kind(), pending.item());
+        self.queue.push(pending.class_key(), pending.item());
         self.pending.insert(pending.req.id, pending);
     }
 
-    // What is over.
+    // Settlement.
 
-    /// Settles a request that will not be tried again.
+    /// Settles a request without an answer.
     pub(super) fn give_up(
         &mut self,
         now: Moment,
@@ -355,8 +368,8 @@
     }
 
     fn give_up_on(&mut self, now: Moment, pending: Pending, why: Refusal, out: &mut Vec<Action>) {
-        let retry_after = self.back(now, &pending.req);
-        let fate = match pending.maybe_run || !pending.sends.is_empty() {
+        let retry_after = self.retry_after(now, &pending.req);
+        let fate = match pending.maybe_run || !pending.destinations.is_empty() {
             true => Fate::Unknown { retry_after },
             false => Fate::NotRun { why, retry_after },
         };
@@ -365,28 +378,28 @@
 
     fn settle(&mut self, pending: Pending, fate: Fate, out: &mut Vec<Action>) {
         let req = pending.req.id;
-        self.shares.remove(pending.req.caller);
+        self.outstanding.remove(pending.req.caller);
         for member in &mut self.members {
-            let in_flight = member.out.iter().any(|a| a.req == req);
-            if member.alone == Some(req) && !in_flight {
-                member.alone = None;
+            let has_attempt = member.in_flight.iter().any(|a| a.req == req);
+            if member.reserved_for == Some(req) && !has_attempt {
+                member.reserved_for = None;
             }
         }
         let cancel = |to| Action::Cancel { req, to };
-        out.extend(pending.sends.into_iter().map(cancel));
+        out.extend(pending.destinations.into_iter().map(cancel));
         out.push(Action::Settle { req, fate });
     }
 
-    fn answer(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    fn settle_answered(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if let Some(pending) = self.pending.remove(&id) {
             self.settle(pending, Fate::Answer, out);
         }
     }
 
-    // What ended.
+    // Ends of attempts.
 
-    /// Takes in what the end of an attempt says of a backend server.
-    fn learn(
+    /// Updates the state of a backend server after an attempt ended there.
+    fn record_end(
         &mut self,
         now: Moment,
         req: RequestId,
@@ -399,52 +412,52 @@
         };
         let cfg = &self.cfg;
         let member = &mut self.members[i];
-        let Some(attempt) = member.ended(req) else {
+        let Some(attempt) = member.remove_attempt(req) else {
             return;
         };
         if let Some(report) = report {
-            member.report(&cfg.trust, now, report);
+            member.record_report(&cfg.trust, now, report);
         }
-        let took = now.saturating_sub(attempt.at);
+        let took = now.saturating_sub(attempt.sent_at);
         match how {
             Ended::Answered => {
-                member.crashed = member.crashed.filter(|at| attempt.at <= *at);
-                member.took(&cfg.members, took, attempt.typical);
+                member.last_crash = member.last_crash.filter(|at| attempt.sent_at <= *at);
+                member.record_duration(&cfg.members, took, attempt.typical);
                 member.limit.answered(&cfg.limit);
-                member.ramp.answered();
+                member.ramp.record_answer();
                 member.health.answered(&cfg.ejection);
             }
-            Ended::Failed => self.failed(now, i),
+            Ended::Failed => self.record_failure(now, i),
             Ended::TimedOut => {
-                member.took(&cfg.members, took, attempt.typical);
-                // A caller with little patience left says nothing of the backend server.
-                let long = retry::hedge_at(&cfg.retry, attempt.at, attempt.typical, 1.0);
-                if now >= long {
-                    self.failed(now, i);
+                member.record_duration(&cfg.members, took, attempt.typical);
+                // A timeout before the hedge delay means a short deadline, not a slow server.
+                let hedge_at = retry::hedge_at(&cfg.retry, attempt.sent_at, attempt.typical, 1.0);
+                if now >= hedge_at {
+                    self.record_failure(now, i);
                 }
             }
             Ended::Shed => member.limit.shed(&cfg.limit, now),
-            Ended::NotSent => self.broke(now, i),
-            Ended::Lost => self.lost(now, i, &attempt),
+            Ended::NotSent => self.record_broken_connection(now, i),
+            Ended::Lost => self.record_lost_attempt(now, i, &attempt),
             Ended::Cancelled => {}
         }
     }
 
-    fn failed(&mut self, now: Moment, i: usize) {
+    fn record_failure(&mut self, now: Moment, i: usize) {
         let cfg = &self.cfg.ejection;
         let others = self.members.iter().enumerate().filter(|(j, _)| *j != i);
-        let out = others
-            .filter(|(_, m)| !m.sound(&self.cfg.members, now))
+        let unhealthy = others
+            .filter(|(_, m)| !m.healthy(&self.cfg.members, now))
             .count();
-        let wants = self.members[i].health.failed(cfg);
-        if wants && ejection::room(cfg, self.members.len(), out) {
+        let should_eject = self.members[i].health.failed(cfg);
+        if should_eject && ejection::room(cfg, self.members.len(), unhealthy) {
             self.members[i].health.eject(cfg, now, false);
             let vm = self.members[i].id.clone();
             self.notes.push(note::Note::Ejected { vm, down: false });
         }
     }
 
-    fn broke(&mut self, now: Moment, i: usize) {
+    fn record_broken_connection(&mut self, now: Moment, i: usize) {
         let cfg = &self.cfg.ejection;
         let member = &mut self.members[i];
         if member.health.broke(cfg) {
@@ -454,14 +467,14 @@
         }
     }
 
-    /// A connection broke. The first that does so names what was in flight there as suspects.
-    fn lost(&mut self, now: Moment, i: usize, attempt: &members::Attempt) {
+    /// Handles a broken connection. The first one of a crash makes all requests in flight suspects.
+    fn record_lost_attempt(&mut self, now: Moment, i: usize, attempt: &members::Attempt) {
         let cfg = &self.cfg.quarantine;
         let member = &mut self.members[i];
-        let same = |at: Moment| now < at + cfg.one_crash && attempt.at <= at;
-        if !member.crashed.is_some_and(same) {
-            member.crashed = Some(now);
-            let others = member.out.iter().map(|other| other.fingerprint);
+        let same_crash = |at: Moment| now < at + cfg.one_crash && attempt.sent_at <= at;
+        if !member.last_crash.is_some_and(same_crash) {
+            member.last_crash = Some(now);
+            let others = member.in_flight.iter().map(|other| other.fingerprint);
             let suspects: Vec<_> = [attempt.fingerprint].into_iter().chain(others).collect();
             let vm = member.id.clone();
             for fingerprint in suspects {
@@ -475,25 +488,35 @@
                 });
             }
         }
-        self.broke(now, i);
+        self.record_broken_connection(now, i);
     }
 
-    /// Decides on a request after one of its attempts ended without an answer.
-    fn again(&mut self, now: Moment, id: RequestId, at: &Place, how: Ended, out: &mut Vec<Action>) {
+    /// Retries or settles a request after one of its attempts ended without an answer.
+    fn retry_or_settle(
+        &mut self,
+        now: Moment,
+        id: RequestId,
+        at: &Place,
+        how: Ended,
+        out: &mut Vec<Action>,
+    ) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
-        if !pending.sends.is_empty() {
+        if !pending.destinations.is_empty() {
             return;
         }
         let req = &pending.req;
-        let safe = retry::allowed(req.idempotent, how) && (req.idempotent || !pending.maybe_run);
-        let more = pending.attempts <= self.cfg.retry.most && now < req.deadline && !pending.gone;
-        let free = matches!(at, Place::Az(_)) && !pending.maybe_run;
-        if !safe || !more || !(free || self.budget.take()) {
+        let may_resend =
+            retry::may_retry(req.idempotent, how) && (req.idempotent || !pending.maybe_run);
+        let attempts_left = pending.attempts <= self.cfg.retry.max_retries
+            && now < req.deadline
+            && !pending.caller_left;
+        let unbudgeted = matches!(at, Place::Az(_)) && !pending.maybe_run;
+        if !may_resend || !attempts_left || !(unbudgeted || self.budget.take()) {
             return match how {
-                Ended::Failed => self.answer(id, out),
-                _ if pending.gone => self.give_up(now, id, Refusal::CallerGone, out),
+                Ended::Failed => self.settle_answered(id, out),
+                _ if pending.caller_left => self.give_up(now, id, Refusal::CallerGone, out),
                 _ => self.give_up(now, id, Refusal::Shed, out),
             };
         }
@@ -512,16 +535,16 @@
             quarantine::State::Suspect if !self.may_try_suspect(now) => {
                 self.give_up(now, id, Refusal::Quarantined, out);
             }
-            quarantine::State::Suspect => self.stage_suspect(id),
+            quarantine::State::Suspect => self.enqueue_suspect(id),
             quarantine::State::Clear => {
-                let (kind, item) = (pending.kind(), pending.item());
-                self.queue.push_front(kind, item);
+                let (key, item) = (pending.class_key(), pending.item());
+                self.queue.push_front(key, item);
                 self.set_stage(id, Stage::Queued);
             }
         }
     }
 
-    fn stage_suspect(&mut self, id: RequestId) {
+    fn enqueue_suspect(&mut self, id: RequestId) {
         self.suspects.push_back(id);
         self.set_stage(id, Stage::Suspect);
     }
@@ -550,10 +573,10 @@
         if req.origin == Origin::Caller {
             self.across.arrived(now);
         }
-        self.queue.arrived(&self.cfg.queue, now, kind(&req));
-        self.budget.fill(&self.cfg.retry);
-        let refusal = self.refusal(now, &req);
-        self.shares.add(req.caller);
+        self.queue.arrived(&self.cfg.queue, now, class_key(&req));
+        self.budget.refill(&self.cfg.retry);
+        let refusal = self.immediate_refusal(now, &req);
+        self.outstanding.add(req.caller);
         let pending = Pending::new(req, now);
         if let Some((why, retry_after)) = refusal {
             return self.settle(pending, Fate::NotRun { why, retry_after }, out);
@@ -561,11 +584,11 @@
         let id = pending.req.id;
         if self.quarantine.state(now, pending.req.fingerprint) == quarantine::State::Suspect {
             self.pending.insert(id, pending);
-            self.stage_suspect(id);
+            self.enqueue_suspect(id);
         } else if pending.req.origin == Origin::Caller {
             self.admit(now, pending, out);
         } else {
-            self.admit_foreign(now, pending, out);
+            self.admit_from_az(now, pending, out);
         }
         self.serve(now, out);
     }
@@ -580,21 +603,21 @@
         out: &mut Vec<Action>,
     ) {
         match at {
-            Place::Backend(backend) => self.learn(now, req, backend, how, report),
+            Place::Backend(backend) => self.record_end(now, req, backend, how, report),
             Place::Az(az) => {
                 let bytes = self.pending.get(&req).map_or(0, |p| p.req.bytes);
                 self.across.ended(now, az, how, bytes);
             }
         }
         if let Some(pending) = self.pending.get_mut(&req) {
-            pending.sends.retain(|place| place != at);
+            pending.destinations.retain(|place| place != at);
             pending.maybe_run |= retry::may_have_run(how);
             if how == Ended::Answered {
                 let fingerprint = pending.req.fingerprint;
                 self.quarantine.answered(fingerprint);
-                self.answer(req, out);
+                self.settle_answered(req, out);
             } else {
-                self.again(now, req, at, how, out);
+                self.retry_or_settle(now, req, at, how, out);
             }
         }
         self.serve(now, out);
@@ -604,27 +627,30 @@
         let Some(pending) = self.pending.get_mut(&req) else {
             return;
         };
-        pending.gone = true;
-        let (waited, patience) = (now - pending.since, pending.req.deadline - pending.since);
-        self.leaving
-            .left(&self.cfg.admission, now, waited, patience);
-        let kind = pending.kind();
+        pending.caller_left = true;
+        let (waited, timeout) = (
+            now - pending.arrived_at,
+            pending.req.deadline - pending.arrived_at,
+        );
+        self.early_departures
+            .record(&self.cfg.admission, now, waited, timeout);
+        let key = pending.class_key();
         match pending.stage {
             Stage::Queued => {
-                self.queue.remove(kind, req);
+                self.queue.remove(key, req);
                 self.give_up(now, req, Refusal::CallerGone, out);
             }
             Stage::Suspect => {
                 self.suspects.retain(|id| *id != req);
                 self.give_up(now, req, Refusal::CallerGone, out);
             }
-            // What has begun and may not run twice runs to its end, so that its fate is known.
+            // A non-idempotent request in flight is not cancelled, so that its outcome is known.
             Stage::Sent if pending.req.idempotent => {
                 let cancel = |to: &Place| Action::Cancel {
                     req,
                     to: to.clone(),
                 };
-                out.extend(pending.sends.iter().map(cancel));
+                out.extend(pending.destinations.iter().map(cancel));
             }
             Stage::Sent => {}
         }
@@ -637,16 +663,16 @@
     }
 
     fn set_backends(&mut self, now: Moment, backends: &[policy::Backend], out: &mut Vec<Action>) {
-        let first = self.members.is_empty();
+        let first_list = self.members.is_empty();
         self.members
             .retain(|m| backends.iter().any(|b| b.id == m.id));
         for backend in backends {
             if let Some(member) = self.members.iter_mut().find(|m| m.id == backend.id) {
-                member.listed(backend);
+                member.update_from_list(backend);
                 continue;
             }
             let mut member = members::Member::new(backend);
-            if !first {
+            if !first_list {
                 member.ramp = ramp::Ramp::cold(&self.cfg.ramp);
             }
             self.members.push(member);
@@ -661,7 +687,7 @@
         report: Option<policy::Report>,
         out: &mut Vec<Action>,
     ) {
-        self.probe_back(now, from, report);
+        self.record_probe(now, from, report);
         self.serve(now, out);
     }
     fn notes(&mut self) -> Vec<note::Note> {
--- a/src/decisions/queue.rs
+++ b/src/decisions/queue.rs
@@ -1,15 +1,15 @@
-//! Which request goes next when all slots are taken.
+//! Decides which queued request is served next when all slots are taken.
 //!
-//! Load pattern: burst and saturation, and long work among short. First come, first served makes
-//! a booking wait behind reads and a check behind a pull of long records. One notices it as a
-//! latency that is the same for all and close to the callers' patience.
+//! Load pattern: a burst or saturation, or long requests among short ones. In plain arrival order,
+//! bookings wait behind reads, and short requests behind long ones. Symptom: the same latency for
+//! all requests, close to the callers' timeout.
 //!
-//! Requests wait in classes of equal worth and usual work. The class with the most worth for the
-//! time it takes goes first, which is also what answers the most worth. So that patient reads
-//! still arrive, each class has a floor: while work of a better class goes ahead, the classes
-//! behind it earn a small share of its time and are served once that pays for one request.
-//! Within a class the order is first come, first served: callers of a class have the same
-//! patience, so that is also the order of deadlines.
+//! Requests of equal worth and usual duration form a class. The class with the most worth per
+//! second of work is served first, which maximises the worth answered. To prevent starvation, the
+//! classes behind it have a floor: while a better class is served, they earn credit for a small
+//! share of its time, and a class whose credit covers one request is served next. A class is served
+//! in arrival order, which is also the order of deadlines because its callers have the same
+//! timeout.
 
 use std::collections;
 use std::time;
@@ -19,85 +19,88 @@
 /// Thresholds of the queue.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// The share of time that the classes behind the best get in all. Worth is lost to it, so it
-    /// is small: 5%, which cost
-    /// nothing that could be measured at twice the capacity.
-    pub floor: f64,
-    /// Requests that wait at most. It bounds memory; how long they wait is bounded by admission.
-    pub most: usize,
-    /// Over how long the work that comes in is averaged. Shorter follows a burst sooner, longer
-    /// does not follow single requests.
-    pub memory: time::Duration,
+    /// The share of time that all classes behind the best one get together. It is small because it
+    /// costs worth; 5% costs no noticeable worth at twice the capacity.
+    pub min_share: f64,
+    /// The largest number of queued requests. It bounds memory; admission bounds the wait.
+    pub max_len: usize,
+    /// Time constant of the moving average of arriving work. A shorter one follows bursts sooner, a
+    /// longer one is less affected by single requests.
+    pub averaging_time: time::Duration,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            floor: 0.05,
-            most: 4_096,
-            memory: time::Duration::from_millis(500),
+            min_share: 0.05,
+            max_len: 4_096,
+            averaging_time: time::Duration::from_millis(500),
         }
     }
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Checks that each threshold is in its range.
     pub fn check(&self) -> Result<(), range::Error> {
-        range::check("queue.floor", self.floor, 0.001..=0.5)?;
-        range::check("queue.most", self.most as f64, 1.0..=1e6)?;
-        range::check("queue.memory", self.memory.as_secs_f64(), 0.01..=60.0)
+        range::check("queue.floor", self.min_share, 0.001..=0.5)?;
+        range::check("queue.most", self.max_len as f64, 1.0..=1e6)?;
+        range::check(
+            "queue.memory",
+            self.averaging_time.as_secs_f64(),
+            0.01..=60.0,
+        )
     }
 }
 
-/// What decides where a request stands.
+/// The properties that determine the class of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Kind {
-    /// What its answer counts.
+pub struct ClassKey {
+    /// The weight of its answer.
     pub worth: u32,
-    /// How long a backend server usually works on it.
+    /// The usual time that a backend server works on it.
     pub typical: time::Duration,
 }
 
-impl Kind {
-    fn density(&self) -> f64 {
+impl ClassKey {
+    fn worth_per_s(&self) -> f64 {
         f64::from(self.worth) / self.typical.as_secs_f64().max(1e-6)
     }
 }
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Item {
-    /// Its number.
+    /// Its identifier.
     pub id: policy::RequestId,
-    /// When its caller stops waiting.
+    /// When its caller times out.
     pub deadline: policy::Moment,
 }
 
 #[derive(Clone, Debug)]
 struct Class {
-    kind: Kind,
+    key: ClassKey,
     items: collections::VecDeque<Item>,
     credit: f64,
-    arriving: f64,
-    seen: policy::Moment,
+    offered_load: f64,
+    offered_load_at: policy::Moment,
 }
 
 impl Class {
-    fn work(&self) -> f64 {
-        self.kind.typical.as_secs_f64()
+    fn work_s(&self) -> f64 {
+        self.key.typical.as_secs_f64()
     }
 
-    fn waiting(&self) -> f64 {
-        self.work() * self.items.len() as f64
+    fn queued_work_s(&self) -> f64 {
+        self.work_s() * self.items.len() as f64
     }
 
-    fn arriving(&self, cfg: &Config, now: policy::Moment) -> f64 {
-        let age = now.saturating_sub(self.seen).as_secs_f64();
-        self.arriving * (-age / cfg.memory.as_secs_f64()).exp()
+    fn offered_load(&self, cfg: &Config, now: policy::Moment) -> f64 {
+        let age = now.saturating_sub(self.offered_load_at).as_secs_f64();
+        self.offered_load * (-age / cfg.averaging_time.as_secs_f64()).exp()
     }
 }
 
-/// The requests that wait, best class first.
+/// The queued requests by class, best class first.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     classes: Vec<Class>,
@@ -105,108 +108,108 @@
 }
 
 impl Queue {
-    /// How many wait.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Whether requests wait that are worth as much as this kind, or more.
-    pub fn crowded(&self, kind: Kind) -> bool {
-        let as_good = |c: &&Class| c.kind.density() >= kind.density();
+    /// Whether requests are queued with at least as much worth per second of work as this class.
+    pub fn has_equal_or_better(&self, key: ClassKey) -> bool {
+        let equal_or_better = |c: &&Class| c.key.worth_per_s() >= key.worth_per_s();
         self.classes
             .iter()
-            .take_while(as_good)
+            .take_while(equal_or_better)
             .any(|c| !c.items.is_empty())
     }
 
-    /// A request came in, whether it will wait or not.
-    pub fn arrived(&mut self, cfg: &Config, now: policy::Moment, kind: Kind) {
-        let class = self.class(kind);
+    /// Records the arrival of a request, queued or not.
+    pub fn arrived(&mut self, cfg: &Config, now: policy::Moment, key: ClassKey) {
+        let class = self.class(key);
         let class = &mut self.classes[class];
-        let more = class.work() / cfg.memory.as_secs_f64();
-        class.arriving = class.arriving(cfg, now) + more;
-        class.seen = now;
+        let added_load = class.work_s() / cfg.averaging_time.as_secs_f64();
+        class.offered_load = class.offered_load(cfg, now) + added_load;
+        class.offered_load_at = now;
     }
 
-    fn class(&mut self, kind: Kind) -> usize {
-        if let Some(i) = self.classes.iter().position(|c| c.kind == kind) {
+    fn class(&mut self, key: ClassKey) -> usize {
+        if let Some(i) = self.classes.iter().position(|c| c.key == key) {
             return i;
         }
-        let better = |c: &Class| c.kind.density() >= kind.density();
+        let better = |c: &Class| c.key.worth_per_s() >= key.worth_per_s();
         let at = self.classes.partition_point(better);
         let class = Class {
-            kind,
+            key,
             items: collections::VecDeque::new(),
             credit: 0.0,
-            arriving: 0.0,
-            seen: policy::Moment::ZERO,
+            offered_load: 0.0,
+            offered_load_at: policy::Moment::ZERO,
         };
         self.classes.insert(at, class);
         at
     }
 
-    /// Lets a request wait behind its equals.
-    pub fn push(&mut self, kind: Kind, item: Item) {
-        let class = self.class(kind);
+    /// Adds a request at the end of its class.
+    pub fn push(&mut self, key: ClassKey, item: Item) {
+        let class = self.class(key);
         self.classes[class].items.push_back(item);
         self.len += 1;
     }
 
-    /// Puts a request back before its equals.
-    pub fn push_front(&mut self, kind: Kind, item: Item) {
-        let class = self.class(kind);
+    /// Adds a request at the front of its class.
+    pub fn push_front(&mut self, key: ClassKey, item: Item) {
+        let class = self.class(key);
         self.classes[class].items.push_front(item);
         self.len += 1;
     }
 
-    /// The request that goes next.
+    /// The request that is served next.
     pub fn peek(&self) -> Option<Item> {
         self.classes[self.next()?].items.front().copied()
     }
 
-    /// Takes the request that goes next.
+    /// Removes the request that is served next.
     pub fn pop(&mut self, cfg: &Config) -> Option<Item> {
         let at = self.next()?;
         let item = self.classes[at].items.pop_front()?;
         self.len -= 1;
-        self.share_out(cfg, at);
+        self.update_credits(cfg, at);
         Some(item)
     }
 
-    /// The class that goes next: the best, unless one behind it has earned its turn.
+    /// The class to serve next: the first one with credit for a request, otherwise the best one.
     fn next(&self) -> Option<usize> {
         let has_work = |c: &Class| !c.items.is_empty();
-        let due = |c: &Class| has_work(c) && c.credit >= c.work();
-        let earned = self.classes.iter().position(due);
-        earned.or_else(|| self.classes.iter().position(has_work))
+        let due = |c: &Class| has_work(c) && c.credit >= c.work_s();
+        let due_class = self.classes.iter().position(due);
+        due_class.or_else(|| self.classes.iter().position(has_work))
     }
 
-    /// Charges a class for its turn, or lets those behind it earn their share.
-    fn share_out(&mut self, cfg: &Config, at: usize) {
-        let work = self.classes[at].work();
-        if self.classes[at].credit >= work {
-            self.classes[at].credit -= work;
+    /// Deducts credit from a class served on credit; otherwise adds credit to the classes after it.
+    fn update_credits(&mut self, cfg: &Config, at: usize) {
+        let work_s = self.classes[at].work_s();
+        if self.classes[at].credit >= work_s {
+            self.classes[at].credit -= work_s;
             return;
         }
-        let behind = &mut self.classes[at + 1..];
-        let waiting = behind.iter().filter(|c| !c.items.is_empty()).count();
-        for class in behind {
+        let lower_classes = &mut self.classes[at + 1..];
+        let waiting_classes = lower_classes.iter().filter(|c| !c.items.is_empty()).count();
+        for class in lower_classes {
             if class.items.is_empty() {
                 class.credit = 0.0;
                 continue;
             }
-            let share = work * cfg.floor / waiting as f64;
-            class.credit = (class.credit + share).min(class.work());
+            let earned_s = work_s * cfg.min_share / waiting_classes as f64;
+            class.credit = (class.credit + earned_s).min(class.work_s());
         }
     }
 
-    /// Takes the first of the least worthy requests.
-    pub fn pop_last(&mut self) -> Option<Item> {
+    /// Removes the first request of the lowest class.
+    pub fn pop_lowest(&mut self) -> Option<Item> {
         let class = self
             .classes
             .iter_mut()
@@ -216,31 +219,30 @@
         class.items.pop_front()
     }
 
-    /// The first of the least worthy requests.
-    pub fn peek_last(&self) -> Option<Item> {
+    /// The first request of the lowest class.
+    pub fn peek_lowest(&self) -> Option<Item> {
         let class = self.classes.iter().rev().find(|c| !c.items.is_empty())?;
         class.items.front().copied()
     }
 
-    /// Makes room for a request of this kind by taking out the newest of a worse kind. Each kind
-    /// keeps its floor of places, whatever else comes in: without it, reads would find a queue
-    /// that is full of bookings each time and be starved.
-    pub fn displace(&mut self, cfg: &Config, kind: Kind) -> Option<Item> {
-        let least = ((cfg.most as f64 * cfg.floor) as usize).max(1);
-        let own = self.class(kind);
-        let few = self.classes[own].items.len() < least;
-        let spare = |c: &&mut Class| {
-            let worse = c.kind.density() < kind.density();
-            c.items.len() > least && (worse || few)
+    /// Removes the newest request of a lower class to make room for one of this class. Each class
+    /// keeps a minimum number of places; otherwise bookings could fill the queue and starve reads.
+    pub fn displace(&mut self, cfg: &Config, key: ClassKey) -> Option<Item> {
+        let min_places = ((cfg.max_len as f64 * cfg.min_share) as usize).max(1);
+        let requesting = self.class(key);
+        let below_min = self.classes[requesting].items.len() < min_places;
+        let displaceable = |c: &&mut Class| {
+            let worse = c.key.worth_per_s() < key.worth_per_s();
+            c.items.len() > min_places && (worse || below_min)
         };
-        let class = self.classes.iter_mut().rev().find(spare)?;
+        let class = self.classes.iter_mut().rev().find(displaceable)?;
         self.len -= 1;
         class.items.pop_back()
     }
 
-    /// Takes a request out.
-    pub fn remove(&mut self, kind: Kind, id: policy::RequestId) -> bool {
-        let class = self.class(kind);
+    /// Removes a request. Returns whether it was queued.
+    pub fn remove(&mut self, key: ClassKey, id: policy::RequestId) -> bool {
+        let class = self.class(key);
         let items = &mut self.classes[class].items;
         let Some(at) = items.iter().position(|item| item.id == id) else {
             return false;
@@ -250,74 +252,82 @@
         true
     }
 
-    /// How long a request of this kind would wait now, where the slots get through `rate` seconds
-    /// of usual work in each second.
+    /// Estimated wait of a request, where the slots complete `rate` seconds of work per second.
     pub fn wait(
         &mut self,
         cfg: &Config,
         now: policy::Moment,
-        kind: Kind,
+        key: ClassKey,
         rate: f64,
     ) -> time::Duration {
-        let class = self.class(kind);
-        let ahead: f64 = self.classes[..=class].iter().map(Class::waiting).sum();
-        if ahead <= 0.0 {
+        let class = self.class(key);
+        let ahead_s: f64 = self.classes[..=class]
+            .iter()
+            .map(Class::queued_work_s)
+            .sum();
+        if ahead_s <= 0.0 {
             return time::Duration::ZERO;
         }
-        span(ahead / self.left_for(cfg, now, class, rate))
+        wait_duration(ahead_s / self.rate_left_for(cfg, now, class, rate))
     }
 
-    /// The rate that better classes leave to a class.
-    fn left_for(&self, cfg: &Config, now: policy::Moment, class: usize, rate: f64) -> f64 {
+    /// The part of `rate` that arrivals of better classes leave to a class.
+    fn rate_left_for(&self, cfg: &Config, now: policy::Moment, class: usize, rate: f64) -> f64 {
         let better = self.classes[..class].iter();
-        let taken: f64 = better.map(|c| c.arriving(cfg, now)).sum();
-        (rate - taken).max(rate * cfg.floor).max(1e-6)
+        let better_load: f64 = better.map(|c| c.offered_load(cfg, now)).sum();
+        (rate - better_load).max(rate * cfg.min_share).max(1e-6)
     }
 
-    /// Takes out every request that cannot be answered in time any more: its place in the queue
-    /// is too far behind, at `rate`, or the time left is less than `pace` times the usual work.
-    pub fn sweep(&mut self, cfg: &Config, now: policy::Moment, rate: f64, pace: f64) -> Vec<Item> {
-        let mut hopeless = Vec::new();
-        let mut ahead = 0.0;
+    /// Removes and returns the requests that cannot meet their deadline: the wait at `rate` and
+    /// `slowdown` times the usual duration exceed the time left.
+    pub fn sweep(
+        &mut self,
+        cfg: &Config,
+        now: policy::Moment,
+        rate: f64,
+        slowdown: f64,
+    ) -> Vec<Item> {
+        let mut late = Vec::new();
+        let mut ahead_s = 0.0;
         for at in 0..self.classes.len() {
-            let left = self.left_for(cfg, now, at, rate);
+            let rate_left = self.rate_left_for(cfg, now, at, rate);
             let class = &mut self.classes[at];
-            let (work, need) = (class.work(), class.kind.typical.mul_f64(pace));
+            let (work_s, needed_time) = (class.work_s(), class.key.typical.mul_f64(slowdown));
             class.items.retain(|item| {
-                let done = now + need + span(ahead / left);
-                let keep = done <= item.deadline;
+                let done_at = now + needed_time + wait_duration(ahead_s / rate_left);
+                let keep = done_at <= item.deadline;
                 match keep {
-                    true => ahead += work,
-                    false => hopeless.push(*item),
+                    true => ahead_s += work_s,
+                    false => late.push(*item),
                 }
                 keep
             });
         }
-        self.len -= hopeless.len();
-        hopeless
+        self.len -= late.len();
+        late
     }
 }
 
-/// Longer waits than this are all the same.
-const LONGEST_S: f64 = 3_600.0;
+/// Upper bound of an estimated wait.
+const MAX_WAIT_S: f64 = 3_600.0;
 
-fn span(secs: f64) -> time::Duration {
-    time::Duration::from_secs_f64(secs.clamp(0.0, LONGEST_S))
+fn wait_duration(secs: f64) -> time::Duration {
+    time::Duration::from_secs_f64(secs.clamp(0.0, MAX_WAIT_S))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    const READ: Kind = Kind {
+    const READ: ClassKey = ClassKey {
         worth: 2,
         typical: time::Duration::from_millis(6),
     };
-    const BOOK: Kind = Kind {
+    const BOOK: ClassKey = ClassKey {
         worth: 20,
         typical: time::Duration::from_millis(15),
     };
-    const LONG: Kind = Kind {
+    const LONG: ClassKey = ClassKey {
         worth: 1,
         typical: time::Duration::from_millis(120),
     };
@@ -341,7 +351,7 @@
         assert_eq!(order, [3, 2, 1]);
     }
 
-    /// Bookings come in without end. A patient read behind them gets its small share of the time.
+    /// Bookings arrive continuously. A read behind them gets a small share of the time.
     #[test]
     fn reads_are_not_starved() {
         let (mut queue, cfg) = (Queue::default(), Config::default());
@@ -354,11 +364,11 @@
         assert!((95..=100).contains(&reads), "{reads}");
     }
 
-    /// The queue is full of bookings. One read finds a place all the same, and a second does not.
+    /// The queue is full of bookings. One read still gets a place, a second one does not.
     #[test]
-    fn each_kind_keeps_a_place() {
+    fn each_class_keeps_a_place() {
         let cfg = Config {
-            most: 8,
+            max_len: 8,
             ..Config::default()
         };
         let mut queue = Queue::default();
@@ -370,19 +380,19 @@
     }
 
     #[test]
-    fn the_wait_counts_what_better_classes_take() {
+    fn the_wait_includes_arrivals_of_better_classes() {
         let (mut queue, cfg) = (Queue::default(), Config::default());
         (0..10).for_each(|i| queue.push(READ, item(i)));
         let now = policy::Moment::from_secs(1);
-        let calm = queue.wait(&cfg, now, READ, 1.0);
-        assert_eq!(calm.as_millis(), 60);
+        let base_wait = queue.wait(&cfg, now, READ, 1.0);
+        assert_eq!(base_wait.as_millis(), 60);
         (0..20).for_each(|_| queue.arrived(&cfg, now, BOOK));
-        assert!(queue.wait(&cfg, now, READ, 1.0) > calm * 2);
+        assert!(queue.wait(&cfg, now, READ, 1.0) > base_wait * 2);
         assert!(queue.wait(&cfg, now, BOOK, 1.0).is_zero());
     }
 
     #[test]
-    fn the_sweep_takes_what_is_too_far_behind() {
+    fn the_sweep_removes_requests_that_would_be_late() {
         let (mut queue, cfg) = (Queue::default(), Config::default());
         (0..5_000).for_each(|i| queue.push(READ, item(i)));
         let out = queue.sweep(&cfg, policy::Moment::ZERO, 1.0, 1.0);
