--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -6,9 +6,9 @@
 //! backend servers and entry VMs to [`Gateway`]; requests arrive through [`front`];
 //! [`crate::decisions`] holds the decision logic.
 
+mod advertising;
 pub mod attempt;
 pub mod beliefs;
-mod entry_selection;
 mod facts;
 mod fanout;
 pub mod front;
@@ -116,7 +116,7 @@
 impl ServiceState {
     /// How long a refused caller should wait: running requests must end first, unless the backend
     /// servers decline although they have free slots.
-    pub fn retry_delay(&self) -> time::Duration {
+    pub fn expected_wait(&self) -> time::Duration {
         match self.declines.are_everywhere() {
             true => time::Duration::ZERO,
             false => time::Duration::from_secs_f64(self.mean_latency_s),
@@ -150,8 +150,8 @@
     backends: cell::RefCell<backends::Backends>,
     evacuated: cell::RefCell<collections::BTreeSet<id::AzId>>,
     entries: cell::RefCell<entries::Entries>,
-    traffic_counts: cell::Cell<entry_selection::TrafficCounts>,
-    advertised: cell::RefCell<entry_selection::AdvertisedCache>,
+    traffic_counts: cell::Cell<advertising::TrafficCounts>,
+    advertised: cell::RefCell<advertising::AdvertisedCache>,
     busy: cell::Cell<nearby::Busy>,
     /// Whether this is the only entry VM advertised to the callers of its region.
     is_sole_entry: cell::Cell<bool>,
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -486,10 +486,10 @@
     /// The answer to a request that has not run and will not.
     fn refuse(&mut self, why: &'static str) -> callers::Answer {
         self.fate = ("not_run", why);
-        let retry_delay = self
+        let expected_wait = self
             .cx
-            .with_service(&self.job.service, |state| state.retry_delay());
-        let after = comeback::after(retry_delay, self.time_left(), self.cx.jitter());
+            .with_service(&self.job.service, |state| state.expected_wait());
+        let after = comeback::after(expected_wait, self.time_left(), self.cx.jitter());
         let mut answer = self.cx.gateway_answer(503, Some(&self.facts.id));
         facts::put_retry_after(&mut answer.fields, after);
         answer
