--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -2,9 +2,9 @@
 
 use std::time;
 
-use bulrushwind::decisions::{across, dispatch, policy};
+use bulrushwind::decisions::{cross_az, dispatch, policy};
 use criterion::{criterion_group, criterion_main};
-use policy::{Action, Ended, Policy};
+use policy::{Action, AttemptOutcome, Policy};
 
 fn decisions(c: &mut criterion::Criterion) {
     for backends in [2, 20] {
@@ -24,8 +24,8 @@
 
 impl Play {
     fn new(backends: usize) -> Self {
-        let across = across::Across::new(across::Config::default(), "here".into());
-        let mut dispatch = dispatch::Dispatch::new(dispatch::Config::default(), across);
+        let cross_az = cross_az::CrossAzRouter::new(cross_az::Config::default(), "here".into());
+        let mut dispatch = dispatch::Dispatch::new(dispatch::Config::default(), cross_az);
         let backends: Vec<_> = (0..backends)
             .map(|i| policy::Backend {
                 id: format!("backend-{i}").as_str().into(),
@@ -60,7 +60,7 @@
         let Some(Action::Send { req, to, .. }) = self.out.pop() else {
             panic!("the request was not sent");
         };
-        let (now, how) = (self.now, Ended::Answered);
+        let (now, how) = (self.now, AttemptOutcome::Answered);
         self.dispatch.ended(now, req, &to, how, None, &mut self.out);
         self.out.clear();
     }
--- a/src/decisions/quota.rs
+++ b/src/decisions/quota.rs
@@ -1,23 +1,15 @@
-//! How many requests of a customer all entry VMs let in together.
+//! Enforces each customer's quota as one bound over all entry VMs.
 //!
-//! Load pattern: one customer sends many times what it may, through several entry VMs at once. Let in,
-//! it takes the slots that others pay for, and one notices it as refusals and late answers of
-//! customers who ask no more than usual. Held to an equal part of its quota by each VM, it is refused
-//! although it keeps to its quota, since few of the VMs have all of its callers.
+//! Load pattern: one customer sends a multiple of its quota through several entry VMs at once.
+//! Admitted, it would take slots that other customers pay for, and their requests are refused or
+//! late. An equal part of the quota per VM refuses customers that keep to their quota, because their
+//! callers use only a few of the VMs.
 //!
-//! The bound holds for the fleet: in any window no more than [`Bound::most`] run. Each VM counts what
-//! it lets in and tells the others ([`Ledger::news`]). What is left of a customer's quota when all
-//! that is told is taken off is shared by how much each VM was asked for it lately, and each VM takes
-//! no more than its share until the next news. So the sum keeps the bound although news take a
-//! while, and nobody is refused while there is room.
-//!
-//! Some VMs are not heard: cut off, killed, just started. One that falls silent is taken to go on with
-//! the share that it had, and does: the VMs on both sides of a cut keep the bound together without a
-//! word. One that was expected and never spoke is taken to be asked as much as this VM is. What a VM let
-//! in before it was killed, the others remember. Where all were killed nobody does; but each says
-//! beforehand, where it outlives its process, which customers have nearly used their quotas
-//! ([`Ledger::near_limits`]), and for these the window before the start counts as used at an even pace.
-//! For all customers it would refuse many who keep to their quotas, just when their callers ask again.
+//! The fleet admits at most [`Bound::max_admitted`] requests of a customer in any window. Each VM
+//! reports what it admits to its peers ([`Ledger::due_reports`]). The remaining quota is split by
+//! recent demand, and each VM admits at most its share until the next reports, so the total keeps the
+//! bound despite propagation delay, and nothing is refused while quota remains. The rules for peers
+//! that are partitioned, new or killed are stated at the functions that apply them.
 
 use std::collections;
 use std::marker;
@@ -25,14 +17,14 @@
 
 use super::{policy, window};
 
-/// The bound on the requests of a customer.
+/// Fleet-wide bound on the admitted requests of one customer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
-    /// The window in which it holds.
+    /// Length of the sliding window.
     pub window: time::Duration,
-    /// What may run beyond the quota, as a part of it.
-    pub over: f64,
-    /// What may run beyond that.
+    /// Requests admitted above the quota, as a share of the quota.
+    pub overshoot_ratio: f64,
+    /// Fixed number of requests admitted on top of that.
     pub slack: f64,
 }
 
@@ -40,219 +32,229 @@
     fn default() -> Self {
         Self {
             window: time::Duration::from_secs(5),
-            over: 0.1,
+            overshoot_ratio: 0.1,
             slack: 20.0,
         }
     }
 }
 
-/// What a customer may have run.
+/// Quota of one customer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests beyond that at once.
+    /// Additional requests at one moment.
     pub burst: f64,
 }
 
 impl Bound {
-    /// What a customer that keeps to its limit asks for in one window.
+    /// Number of requests per window that a customer within its limit sends at most.
     pub fn allowed(&self, limit: &Limit) -> f64 {
         limit.rate * self.window.as_secs_f64() + limit.burst
     }
 
-    /// What may run in one window at the most.
-    pub fn most(&self, limit: &Limit) -> f64 {
-        self.allowed(limit) * (1.0 + self.over) + self.slack
+    /// Maximum number of requests that the fleet admits in one window.
+    pub fn max_admitted(&self, limit: &Limit) -> f64 {
+        self.allowed(limit) * (1.0 + self.overshoot_ratio) + self.slack
     }
 
-    /// At how many the VMs aim. What is left covers what was let in and is not told yet: in a surge a
-    /// part of all, and for a small limit the single requests of many VMs.
+    /// Target for the admitted requests per window. The margin below the bound covers requests that
+    /// are admitted but not yet reported: a share of the bound in a surge, and single requests on
+    /// many VMs for a small limit.
     fn target(&self, limit: &Limit) -> f64 {
-        const UNTOLD: f64 = 0.09;
-        const SINGLE: f64 = 0.5;
-        let most = self.most(limit);
-        let left = f64::max(most * UNTOLD, self.slack * SINGLE);
-        (most - left).max(self.allowed(limit).min(most))
+        const SURGE_MARGIN_RATIO: f64 = 0.09;
+        const SLACK_MARGIN_RATIO: f64 = 0.5;
+        let max_admitted = self.max_admitted(limit);
+        let margin = f64::max(
+            max_admitted * SURGE_MARGIN_RATIO,
+            self.slack * SLACK_MARGIN_RATIO,
+        );
+        (max_admitted - margin).max(self.allowed(limit).min(max_admitted))
     }
 }
 
-/// A customer or an entry VM, by the hash of its name.
-pub type Name = u64;
+/// Hash of the name of a customer or an entry VM.
+pub type NameHash = u64;
 
-/// When a process started, in milliseconds of the time of day.
-pub type Start = u64;
+/// Wall-clock start time of a process, in milliseconds.
+pub type StartMs = u64;
 
-/// One that started so much earlier was not killed together with this one.
-const TOGETHER_MS: Start = 2000;
+/// VMs whose start times differ by more than this were not killed together.
+const JOINT_RESTART_SPREAD_MS: StartMs = 2000;
 
-/// After how long without a word a VM counts as silent. Each speaks twice a second at least, and one
-/// message may be lost.
-pub const SILENT: time::Duration = time::Duration::from_millis(1300);
+/// Time without a report after which a peer counts as silent. Each VM reports at least twice per
+/// second, and one message may be lost.
+pub const SILENCE_TIMEOUT: time::Duration = time::Duration::from_millis(1300);
 
-/// After how long a VM that no longer serves is taken not to let anything in.
-pub const GONE: time::Duration = time::Duration::from_secs(10);
+/// Time without a report after which a VM that no longer serves is assumed to admit nothing.
+pub const DEPARTED_PEER_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// From when on news of a VM are late. In a surge each speaks every tenth of a second.
-const LATE: time::Duration = time::Duration::from_millis(250);
+/// Age from which a report is late. During a surge, each VM reports every 100 ms.
+const REPORT_LATE_AFTER: time::Duration = time::Duration::from_millis(250);
 
-/// The part of what all aim at that is used while some are silent.
-const IN_A_CUT: f64 = 0.9;
+/// Factor applied to the target while peers are silent.
+const PARTITION_TARGET_RATIO: f64 = 0.9;
 
-/// How long news are under way, at the most as a rule.
-const WAY: time::Duration = time::Duration::from_millis(100);
+/// Usual upper bound on the propagation delay of a report.
+const REPORT_PROPAGATION_DELAY: time::Duration = time::Duration::from_millis(100);
 
-/// How long a VM goes on with what it worked out from the last news.
-const PLAN: time::Duration = time::Duration::from_millis(100);
+/// How long a VM uses a computed cap before it computes the next one.
+const CAP_LIFETIME: time::Duration = time::Duration::from_millis(100);
 
-/// Over how many steps of the window demand is taken: one second of five.
-const LATELY: usize = 4;
+/// Number of window steps over which demand is measured: one second of a window of five.
+const DEMAND_WINDOW_STEPS: usize = 4;
 
-/// How long a VM is down at the least before it starts again: its process ends, starts and reads what
-/// is in force.
-const DOWN: time::Duration = time::Duration::from_millis(500);
+/// Minimum downtime of a restart: the process exits, starts and reads the current settings.
+const RESTART_MIN_DOWNTIME: time::Duration = time::Duration::from_millis(500);
 
-/// What a VM tells of one customer.
+/// Usage of one customer as reported by one VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Told {
-    /// What it let in, in the window that ended then.
+pub struct UsageReport {
+    /// Requests admitted in the window that ends with the report.
     pub used: f64,
-    /// What it let in since it spoke before, a second.
-    pub pace: f64,
-    /// How often it was asked lately.
-    pub asked: f64,
+    /// Requests admitted per second since the previous report.
+    pub rate_per_s: f64,
+    /// Requests in the last fifth of the window, admitted or refused.
+    pub demand: f64,
 }
 
-/// What is known of one VM and customer.
+/// Last report of one peer on one customer.
 #[derive(Clone, Copy, Debug)]
-struct Row {
-    told: Told,
-    /// Its part of all that was asked for, when it was heard last.
+struct PeerUsage {
+    report: UsageReport,
+    /// The peer's share of the fleet's demand at the last report.
     share: f64,
-    /// How many times as often as this VM it was asked then.
+    /// The peer's demand divided by this VM's demand at the last report.
     ratio: f64,
 }
 
-/// What is known of one other VM.
+/// State of one peer.
 #[derive(Clone, Debug)]
-struct Other {
-    heard: policy::Moment,
-    /// Which start of it this is; a later one is larger.
-    start: Start,
-    rows: collections::HashMap<Name, Row>,
-    /// What it let in before it started again, and when it was heard last before that.
-    before: collections::HashMap<Name, f64>,
-    before_at: policy::Moment,
+struct Peer {
+    reported_at: policy::Moment,
+    /// Identifies the process; a later process of the same VM has a larger value.
+    start_ms: StartMs,
+    rows: collections::HashMap<NameHash, PeerUsage>,
+    /// Usage of the peer's previous process, and the time until which it may have admitted requests.
+    previous_usage: collections::HashMap<NameHash, f64>,
+    previous_end: policy::Moment,
 }
 
-impl Other {
-    /// What it let in before it started again and the window has not left behind, at an even pace.
-    fn before(&self, now: policy::Moment, customer: Name, window: time::Duration) -> f64 {
-        let age = now.saturating_sub(self.before_at).as_secs_f64();
+impl Peer {
+    /// Usage of the previous process that still lies in the window, assuming an even rate.
+    fn previous_used(
+        &self,
+        now: policy::Moment,
+        customer: NameHash,
+        window: time::Duration,
+    ) -> f64 {
+        let age = now.saturating_sub(self.previous_end).as_secs_f64();
         let left = (1.0 - age / window.as_secs_f64()).max(0.0);
-        self.before.get(&customer).map_or(0.0, |used| used * left)
+        self.previous_usage
+            .get(&customer)
+            .map_or(0.0, |used| used * left)
     }
 }
 
-/// How a customer stands on this VM.
+/// A customer's quota and usage as known to this VM.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
-    /// At how many all VMs aim.
+pub struct QuotaState {
+    /// Fleet-wide target for the admitted requests per window.
     pub target: f64,
-    /// What this VM let in, in the window that ends now.
-    pub own: f64,
-    /// What the others let in, as far as known.
-    pub others: f64,
-    /// This VM's part of all that is asked for.
+    /// Requests that this VM admitted in the current window.
+    pub own_used: f64,
+    /// Requests that peers admitted in the window, as reported or estimated.
+    pub peers_used: f64,
+    /// This VM's share of the fleet's demand.
     pub share: f64,
-    /// How many VMs let requests in, this one included.
-    pub speakers: usize,
-    /// How many VMs there are.
-    pub vms: usize,
+    /// Number of VMs that admit requests, including this one.
+    pub admitting_vms: usize,
+    /// Number of entry VMs.
+    pub vm_count: usize,
 }
 
-impl Standing {
-    /// What is left.
-    fn room(&self) -> f64 {
-        self.target - self.own - self.others
+impl QuotaState {
+    /// Requests that the fleet may still admit.
+    fn remaining(&self) -> f64 {
+        self.target - self.own_used - self.peers_used
     }
 
-    /// Whether so much is left that not even a surge uses it up before all know of it.
-    fn is_roomy(&self) -> bool {
-        const PART: f64 = 0.2;
-        self.room() >= self.target * PART
+    /// Whether the remaining quota outlasts the propagation delay of reports even in a surge.
+    fn is_ample(&self) -> bool {
+        const AMPLE_SHARE: f64 = 0.2;
+        self.remaining() >= self.target * AMPLE_SHARE
     }
 }
 
-/// How VMs share what a customer may have run.
+/// How the VMs split a customer's quota. Each VM computes a cap on its own admissions.
 pub trait Sharing {
-    /// Whether it goes by what the VMs tell one another.
-    const TOLD: bool = true;
+    /// Whether the policy depends on reports of peers.
+    const USES_REPORTS: bool = true;
 
-    /// How many this VM lets in, in the window that ends now.
-    fn cap(standing: &Standing) -> f64;
+    /// Number of requests that this VM may admit in the current window.
+    fn cap(state: &QuotaState) -> f64;
 }
 
-/// By what each was asked for lately: what is left now, and what this VM has already.
+/// Splits the remaining quota by recent demand, on top of what the VM has already admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct ByDemand;
 
 impl Sharing for ByDemand {
-    fn cap(s: &Standing) -> f64 {
-        /// What of the room is let in between two plans. What the others take of it at the same time
-        /// shows two or three plans later.
-        const AT_ONCE: f64 = 0.4;
-        /// After how many plans that shows.
-        const PLANS: f64 = 2.0;
-        let room = s.room();
-        if room <= 0.0 {
-            return s.own + room * s.share;
+    fn cap(s: &QuotaState) -> f64 {
+        /// Share of the remaining quota admitted per cap. Peers' concurrent admissions become known
+        /// only two or three caps later.
+        const MAX_SHARE_PER_CAP: f64 = 0.4;
+        /// Number of caps until the peers' concurrent admissions are known.
+        const REPORT_DELAY_CAPS: f64 = 2.0;
+        let remaining = s.remaining();
+        if remaining <= 0.0 {
+            return s.own_used + remaining * s.share;
         }
-        // One that was not asked lately takes what all could take until it shows, in whole requests:
-        // callers of a small customer come as they like.
-        let least = (room / PLANS / s.speakers as f64).floor();
-        s.own + f64::max(room * s.share * AT_ONCE, least)
+        // A VM without recent demand may use its equal part of what the fleet can admit until reports
+        // arrive, in whole requests: requests of small customers arrive irregularly.
+        let equal_part = (remaining / REPORT_DELAY_CAPS / s.admitting_vms as f64).floor();
+        s.own_used + f64::max(remaining * s.share * MAX_SHARE_PER_CAP, equal_part)
     }
 }
 
-/// Everything that is left, on each VM that knows of it.
+/// Gives each VM the whole remaining quota that it knows of.
 #[derive(Clone, Copy, Debug)]
 pub struct UntilFull;
 
 impl Sharing for UntilFull {
-    fn cap(s: &Standing) -> f64 {
-        s.target - s.others
+    fn cap(s: &QuotaState) -> f64 {
+        s.target - s.peers_used
     }
 }
 
-/// The same part for each VM, whatever it is asked for. Needs no news.
+/// Gives each VM the same part of the quota regardless of demand. Needs no reports.
 #[derive(Clone, Copy, Debug)]
 pub struct Evenly;
 
 impl Sharing for Evenly {
-    const TOLD: bool = false;
+    const USES_REPORTS: bool = false;
 
-    fn cap(s: &Standing) -> f64 {
-        s.target / s.vms.max(1) as f64
+    fn cap(s: &QuotaState) -> f64 {
+        s.target / s.vm_count.max(1) as f64
     }
 }
 
-/// One customer on this VM.
+/// Counters of one customer on this VM.
 #[derive(Clone, Debug)]
 struct Account {
     limit: Limit,
     used: window::Counts,
-    asked: window::Counts,
-    /// How many may be let in until the next plan, and from when that is.
+    demand: window::Counts,
+    /// Number of requests that may be admitted until the next cap, and when the cap was computed.
     cap: f64,
-    planned: Option<policy::Moment>,
-    /// Whether it had nearly used its quota when that was asked last.
-    near: bool,
-    /// What the others were told last.
-    told: Told,
-    /// When it was last looked at for news, and what was let in since then.
-    looked: policy::Moment,
-    since: f64,
+    cap_set_at: Option<policy::Moment>,
+    /// Whether the customer was near its limit at the last check.
+    near_limit: bool,
+    /// Last report sent to peers.
+    report: UsageReport,
+    /// When the admission rate was last read, and requests admitted since then.
+    rate_read_at: policy::Moment,
+    admitted_since: f64,
 }
 
 impl Account {
@@ -260,38 +262,38 @@
         Self {
             limit,
             used: window::Counts::new(bound.window),
-            asked: window::Counts::new(bound.window),
+            demand: window::Counts::new(bound.window),
             cap: 0.0,
-            planned: None,
-            near: false,
-            told: Told::default(),
-            looked: policy::Moment::ZERO,
-            since: 0.0,
+            cap_set_at: None,
+            near_limit: false,
+            report: UsageReport::default(),
+            rate_read_at: policy::Moment::ZERO,
+            admitted_since: 0.0,
         }
     }
 
-    /// A request is let in.
-    fn let_in(&mut self, now: policy::Moment) {
+    /// Counts an admitted request.
+    fn count_admitted(&mut self, now: policy::Moment) {
         self.used.add(now, 1.0);
-        self.since += 1.0;
+        self.admitted_since += 1.0;
     }
 
-    /// How fast requests are let in, a second, as far as that is more than chance, since this was
-    /// asked before.
-    fn pace(&mut self, now: policy::Moment) -> f64 {
-        /// In a shorter time no pace shows.
-        const SHORT: f64 = 0.05;
-        /// So many requests may come close together by chance.
-        const CHANCE: f64 = 2.0;
-        let span = now.saturating_sub(self.looked).as_secs_f64();
-        let since = std::mem::take(&mut self.since);
-        self.looked = now;
-        (since - CHANCE).max(0.0) / span.max(SHORT)
+    /// Requests admitted per second since the previous call, without those that chance alone
+    /// explains. Resets the measurement.
+    fn take_rate_per_s(&mut self, now: policy::Moment) -> f64 {
+        /// Minimum span in seconds; a shorter one gives no meaningful rate.
+        const MIN_RATE_SPAN_S: f64 = 0.05;
+        /// Number of requests that may arrive close together by chance.
+        const CHANCE_REQUEST_COUNT: f64 = 2.0;
+        let span = now.saturating_sub(self.rate_read_at).as_secs_f64();
+        let admitted_since = std::mem::take(&mut self.admitted_since);
+        self.rate_read_at = now;
+        (admitted_since - CHANCE_REQUEST_COUNT).max(0.0) / span.max(MIN_RATE_SPAN_S)
     }
 }
 
-/// What this VM let in of a customer just now, in a surge. One whose news are late may have been cut off
-/// as the surge began, and lets in as much more as this VM does.
+/// Recent admissions of this VM during a surge. A peer whose reports are late may have been
+/// partitioned when the surge began, so its admissions are assumed to rise as on this VM.
 #[derive(Debug)]
 struct Surge {
     used: window::Counts,
@@ -306,164 +308,181 @@
         }
     }
 
-    /// What another VM has let in by now if it goes on as this one does; nothing where this one has no
-    /// surge.
-    fn expected(&mut self, row: &Row, age: time::Duration, window: time::Duration) -> f64 {
-        /// How many times the usual a surge is.
-        const TIMES: f64 = 1.5;
-        /// How many times as much as this VM another may let in.
-        const MOST: f64 = 2.0;
+    /// Estimated usage of a peer if its admissions rise as on this VM; 0 if this VM has no surge.
+    fn estimated_used(
+        &mut self,
+        row: &PeerUsage,
+        age: time::Duration,
+        window: time::Duration,
+    ) -> f64 {
+        /// Ratio of recent to average admissions above which there is a surge.
+        const SURGE_RATIO: f64 = 1.5;
+        /// Maximum ratio of a peer's estimated admissions to those of this VM.
+        const MAX_DEMAND_RATIO: f64 = 2.0;
         let part = (age.as_secs_f64() / window.as_secs_f64()).min(1.0);
         let steps = (part * window::STEPS as f64).ceil();
         let recent = self.used.last(self.now, steps as usize);
         let usual = self.used.sum(self.now) * steps / window::STEPS as f64;
-        if recent <= usual * TIMES {
+        if recent <= usual * SURGE_RATIO {
             return 0.0;
         }
-        row.told.used * (1.0 - part) + recent * row.ratio.min(MOST)
+        row.report.used * (1.0 - part) + recent * row.ratio.min(MAX_DEMAND_RATIO)
     }
 }
 
-/// Why a request is not let in.
+/// Why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refused {
-    /// When there is room again for those that were refused, at the pace at which it comes.
-    pub after: time::Duration,
-    /// How the customer stands here.
-    pub standing: Standing,
-    /// How long ago the VM was heard that has been silent for longest; `None`: there is no other.
-    pub heard: Option<time::Duration>,
+    /// Time until the recently refused requests would find quota, at the rate at which it is freed.
+    pub retry_after: time::Duration,
+    /// The customer's quota and usage on this VM.
+    pub state: QuotaState,
+    /// Largest age of a peer's last report; `None` if there are no peers.
+    pub oldest_report_age: Option<time::Duration>,
 }
 
-/// What this VM lets in of each customer, and what it knows of the others.
+/// Usage of all customers on this VM, and the reports of its peers.
 #[derive(Clone, Debug)]
 pub struct Ledger<S> {
     bound: Bound,
-    started: policy::Moment,
-    start: Start,
-    /// Customers that had nearly used their quotas when this VM started.
-    inherited: collections::HashSet<Name>,
-    accounts: collections::HashMap<Name, Account>,
-    others: collections::HashMap<Name, Other>,
+    started_at: policy::Moment,
+    start_ms: StartMs,
+    /// Customers that were near their limit when this VM started.
+    restored_near_limits: collections::HashSet<NameHash>,
+    accounts: collections::HashMap<NameHash, Account>,
+    peers: collections::HashMap<NameHash, Peer>,
     /// Other VMs to which callers are sent.
-    expected: Vec<Name>,
-    /// Other VMs to which callers are sent when these are busy.
-    next: Vec<Name>,
-    /// Whether there is a VM that has not heard yet what this one lets in.
-    owes_whole: bool,
-    vms: usize,
+    expected_peers: Vec<NameHash>,
+    /// Other VMs to which callers are sent if the expected ones are busy.
+    standby_peers: Vec<NameHash>,
+    /// Whether a peer still lacks a report of all customers from this VM.
+    full_report_due: bool,
+    vm_count: usize,
     sharing: marker::PhantomData<S>,
 }
 
 impl<S: Sharing> Ledger<S> {
-    /// Knows nothing yet, on a VM that started at `started`, which is `start` of the time of day.
-    pub fn new(bound: Bound, started: policy::Moment, start: Start) -> Self {
+    /// Creates an empty ledger. `started_at` is the process start on the monotonic clock, `start_ms`
+    /// in wall-clock time.
+    pub fn new(bound: Bound, started_at: policy::Moment, start_ms: StartMs) -> Self {
         Self {
             bound,
-            started,
-            start,
-            inherited: collections::HashSet::new(),
+            started_at,
+            start_ms,
+            restored_near_limits: collections::HashSet::new(),
             accounts: collections::HashMap::new(),
-            others: collections::HashMap::new(),
-            expected: Vec::new(),
-            next: Vec::new(),
-            owes_whole: false,
-            vms: 1,
+            peers: collections::HashMap::new(),
+            expected_peers: Vec::new(),
+            standby_peers: Vec::new(),
+            full_report_due: false,
+            vm_count: 1,
             sharing: marker::PhantomData,
         }
     }
 
-    /// The other VMs to which callers are sent, those to which they are sent when these are busy, and
-    /// how many VMs there are in all.
-    pub fn expect(&mut self, expected: Vec<Name>, next: Vec<Name>, vms: usize) {
-        let mut all = expected.iter().chain(&next);
-        self.owes_whole |= all.any(|vm| !self.expected.contains(vm) && !self.next.contains(vm));
-        self.expected = expected;
-        self.next = next;
-        self.vms = vms;
+    /// Sets the VMs to which callers are sent, those to which they are sent if these are busy, and
+    /// the number of entry VMs.
+    pub fn set_peers(
+        &mut self,
+        expected_peers: Vec<NameHash>,
+        standby_peers: Vec<NameHash>,
+        vm_count: usize,
+    ) {
+        let mut all = expected_peers.iter().chain(&standby_peers);
+        self.full_report_due |=
+            all.any(|vm| !self.expected_peers.contains(vm) && !self.standby_peers.contains(vm));
+        self.expected_peers = expected_peers;
+        self.standby_peers = standby_peers;
+        self.vm_count = vm_count;
     }
 
-    /// Whether everything is to be told now, since another VM has heard nothing yet: one that callers
-    /// are sent to in a surge would else take for its own what the others have let in already.
-    pub fn owes_whole(&mut self) -> bool {
-        std::mem::take(&mut self.owes_whole)
+    /// Returns and clears whether a report of all customers is due because a peer has none yet.
+    /// Without it, a VM to which callers are sent during a surge would admit again what its peers
+    /// have already used.
+    pub fn take_full_report_due(&mut self) -> bool {
+        std::mem::take(&mut self.full_report_due)
     }
 
-    /// Whether a request of a customer is let in; then it counts. `tie` lies between 0 and 1 and
-    /// decides where the share is a part of a request.
-    pub fn ask(
+    /// Admits and counts a request, or refuses it. `tie` lies between 0 and 1 and rounds a fractional
+    /// cap up or down.
+    pub fn admit(
         &mut self,
         now: policy::Moment,
-        customer: Name,
+        customer: NameHash,
         limit: Limit,
         tie: f64,
     ) -> Result<(), Refused> {
-        self.account(customer, limit).asked.add(now, 1.0);
-        self.take(now, customer, limit, tie)
+        self.account(customer, limit).demand.add(now, 1.0);
+        self.admit_resend(now, customer, limit, tie)
     }
 
-    /// The same for one more send of a request that was let in.
-    pub fn take(
+    /// Admits a further send of an admitted request; it adds no demand.
+    pub fn admit_resend(
         &mut self,
         now: policy::Moment,
-        customer: Name,
+        customer: NameHash,
         limit: Limit,
         tie: f64,
     ) -> Result<(), Refused> {
         let account = self.account(customer, limit);
-        if account.planned.is_none_or(|at| now >= at + PLAN) {
-            self.plan(now, customer, limit, tie);
+        if account.cap_set_at.is_none_or(|at| now >= at + CAP_LIFETIME) {
+            self.update_cap(now, customer, limit, tie);
         }
         let account = self.account(customer, limit);
-        let own = account.used.sum(now);
-        if own + 1.0 <= account.cap {
-            account.let_in(now);
+        let used = account.used.sum(now);
+        if used + 1.0 <= account.cap {
+            account.count_admitted(now);
             return Ok(());
         }
-        let standing = self.standing(now, customer, limit);
-        if S::TOLD && standing.is_roomy() {
-            self.account(customer, limit).let_in(now);
+        let state = self.state(now, customer, limit);
+        if S::USES_REPORTS && state.is_ample() {
+            self.account(customer, limit).count_admitted(now);
             return Ok(());
         }
-        let after = self.room_after(now, customer, &standing);
-        let heard = self.others.values().map(|other| other.heard).min();
+        let retry_after = self.retry_delay(now, customer, &state);
+        let oldest = self.peers.values().map(|peer| peer.reported_at).min();
         Err(Refused {
-            after,
-            standing,
-            heard: heard.map(|at| now.saturating_sub(at)),
+            retry_after,
+            state,
+            oldest_report_age: oldest.map(|at| now.saturating_sub(at)),
         })
     }
 
-    /// Works out how many of a customer's requests may be let in until the next news.
-    fn plan(&mut self, now: policy::Moment, customer: Name, limit: Limit, tie: f64) {
-        let standing = self.standing(now, customer, limit);
-        let cap = S::cap(&standing);
+    /// Computes how many requests of a customer may be admitted until the next cap.
+    fn update_cap(&mut self, now: policy::Moment, customer: NameHash, limit: Limit, tie: f64) {
+        let state = self.state(now, customer, limit);
+        let cap = S::cap(&state);
         let account = self.account(customer, limit);
         account.cap = cap.floor() + f64::from(u8::from(cap - cap.floor() > tie));
-        account.planned = Some(now);
+        account.cap_set_at = Some(now);
     }
 
-    /// Whether any customer asked for anything lately.
+    /// Whether any customer has recent requests.
     pub fn is_active(&self) -> bool {
         !self.accounts.is_empty()
     }
 
-    /// Whether another VM has to know what this one lets in: callers are sent there or will be when
-    /// others are busy, or it lets requests in itself.
-    pub fn concerns(&self, now: policy::Moment, vm: Name) -> bool {
-        let speaks = |other: &Other| now.saturating_sub(other.heard) <= SILENT;
-        let sent = self.expected.contains(&vm) || self.next.contains(&vm);
-        sent || self.others.get(&vm).is_some_and(speaks)
+    /// Whether a peer needs this VM's reports: callers are sent there, will be sent there if others
+    /// are busy, or the peer has itself reported recently.
+    pub fn needs_reports(&self, now: policy::Moment, vm: NameHash) -> bool {
+        let reports = |peer: &Peer| now.saturating_sub(peer.reported_at) <= SILENCE_TIMEOUT;
+        let gets_callers = self.expected_peers.contains(&vm) || self.standby_peers.contains(&vm);
+        gets_callers || self.peers.get(&vm).is_some_and(reports)
     }
 
-    /// What was let in at `then` did not run after all.
-    pub fn give_back(&mut self, now: policy::Moment, customer: Name, then: policy::Moment) {
+    /// Uncounts a request that was admitted at `admitted_at` but never ran.
+    pub fn give_back(
+        &mut self,
+        now: policy::Moment,
+        customer: NameHash,
+        admitted_at: policy::Moment,
+    ) {
         if let Some(account) = self.accounts.get_mut(&customer) {
-            account.used.take_back(now, then);
+            account.used.take_back(now, admitted_at);
         }
     }
 
-    fn account(&mut self, customer: Name, limit: Limit) -> &mut Account {
+    fn account(&mut self, customer: NameHash, limit: Limit) -> &mut Account {
         let bound = &self.bound;
         let account = self
             .accounts
@@ -471,99 +490,109 @@
             .or_insert_with(|| Account::new(bound, limit));
         if account.limit != limit {
             account.limit = limit;
-            account.planned = None;
+            account.cap_set_at = None;
         }
         account
     }
 
-    /// How a customer stands here.
-    fn standing(&mut self, now: policy::Moment, customer: Name, limit: Limit) -> Standing {
+    /// Computes a customer's quota and usage on this VM.
+    fn state(&mut self, now: policy::Moment, customer: NameHash, limit: Limit) -> QuotaState {
         let account = self.account(customer, limit);
         let used = account.used.sum(now);
-        let lately = account.asked.last(now, LATELY);
+        let own_demand = account.demand.last(now, DEMAND_WINDOW_STEPS);
         let mut surge = Surge::of(account, now);
         let mut target = self.bound.target(&limit);
-        if self.has_silent(now, customer) {
-            // What the sides of a cut know of one another differs by the messages that were under way.
-            target *= IN_A_CUT;
+        if self.has_silent_peer(now, customer) {
+            // Messages in transit make the two sides of a partition differ in what they know of each
+            // other.
+            target *= PARTITION_TARGET_RATIO;
         }
-        let strangers = self.strangers();
-        let alone = self.is_alone(now);
-        // What was asked for by all that are heard, and by those that were never heard.
-        let mut asked = lately * (1 + strangers) as f64;
-        let mut others = 0.0;
-        let mut remembered = 0.0;
-        for other in self.others.values() {
-            others += other.before(now, customer, self.bound.window);
-            let Some(row) = other.rows.get(&customer) else {
+        let unseen_peers = self.unseen_peers();
+        let isolated = self.is_isolated(now);
+        // Demand on all reporting peers, plus an estimate for those that have never reported.
+        let mut demand = own_demand * (1 + unseen_peers) as f64;
+        let mut peers_used = 0.0;
+        let mut reported_used = 0.0;
+        for peer in self.peers.values() {
+            peers_used += peer.previous_used(now, customer, self.bound.window);
+            let Some(row) = peer.rows.get(&customer) else {
                 continue;
             };
-            let age = now.saturating_sub(other.heard);
-            if age > SILENT {
-                others += row.used(true, target);
+            let age = now.saturating_sub(peer.reported_at);
+            if age > SILENCE_TIMEOUT {
+                peers_used += row.used(true, target);
                 continue;
             }
-            asked += row.told.asked;
-            let expected = row.expected(age, self.bound.window);
-            others += match age > LATE {
-                true => expected.max(surge.expected(row, age, self.bound.window)),
-                false => expected,
+            demand += row.report.demand;
+            let extrapolated = row.extrapolated_used(age, self.bound.window);
+            peers_used += match age > REPORT_LATE_AFTER {
+                true => extrapolated.max(surge.estimated_used(row, age, self.bound.window)),
+                false => extrapolated,
             };
-            if other.start + TOGETHER_MS < self.start {
-                remembered += row.told.used;
+            if peer.start_ms + JOINT_RESTART_SPREAD_MS < self.start_ms {
+                reported_used += row.report.used;
             }
         }
-        let forgotten = self.forgotten(now, customer, &limit, remembered);
-        let share = match (alone, asked > 0.0) {
-            (true, _) => 1.0 / self.vms.max(1) as f64,
-            (false, true) => (lately / asked).min(1.0),
-            (false, false) => 1.0 / self.speakers() as f64,
+        let lost_usage = self.lost_usage(now, customer, &limit, reported_used);
+        let share = match (isolated, demand > 0.0) {
+            (true, _) => 1.0 / self.vm_count.max(1) as f64,
+            (false, true) => (own_demand / demand).min(1.0),
+            (false, false) => 1.0 / self.admitting_vms() as f64,
         };
-        Standing {
+        QuotaState {
             target,
-            own: used,
-            others: others + used * strangers as f64 + forgotten,
+            own_used: used,
+            peers_used: peers_used + used * unseen_peers as f64 + lost_usage,
             share,
-            speakers: self.speakers(),
-            vms: self.vms,
+            admitting_vms: self.admitting_vms(),
+            vm_count: self.vm_count,
         }
     }
 
-    /// What VMs may have let in that were killed together with this one, in the window that ends now:
-    /// what the limit allows beyond what the others remember.
-    fn forgotten(
+    /// Upper bound on the requests in the current window that were admitted by VMs killed together
+    /// with this one: the limit minus what the surviving peers report, used at an even rate. Applies
+    /// only to customers near their limit before the restart; for all customers it would refuse many
+    /// that keep to their quota, just when their callers retry.
+    fn lost_usage(
         &self,
         now: policy::Moment,
-        customer: Name,
+        customer: NameHash,
         limit: &Limit,
-        remembered: f64,
+        reported_used: f64,
     ) -> f64 {
-        if !self.inherited.contains(&customer) {
+        if !self.restored_near_limits.contains(&customer) {
             return 0.0;
         }
-        let up = (now.saturating_sub(self.started) + DOWN).as_secs_f64();
-        let left = 1.0 - up / self.bound.window.as_secs_f64();
-        (self.bound.allowed(limit) - remembered).max(0.0) * left.max(0.0)
-    }
-
-    /// Customers that have nearly used their quotas, for VMs that start later.
-    pub fn near_limits(&mut self, now: policy::Moment) -> Vec<Name> {
-        /// From which part of what all aim at, and down to which one that was near stays so. One that
-        /// used less can hardly use up what is left and all of it again within a window.
-        const NEAR: f64 = 0.9;
-        const STAYS: f64 = 0.7;
-        let known: Vec<(Name, Limit, bool)> = self
+        let uptime = (now.saturating_sub(self.started_at) + RESTART_MIN_DOWNTIME).as_secs_f64();
+        let left = 1.0 - uptime / self.bound.window.as_secs_f64();
+        (self.bound.allowed(limit) - reported_used).max(0.0) * left.max(0.0)
+    }
+
+    /// Returns the customers near their limit. Stored outside the process, they bound the usage that
+    /// nobody remembers after all VMs were killed.
+    pub fn near_limits(&mut self, now: policy::Moment) -> Vec<NameHash> {
+        /// Share of the target from which a customer is near its limit, and the lower share down to
+        /// which it stays so. A customer below that can hardly use up the remaining quota and a full
+        /// quota again within one window.
+        const NEAR_LIMIT_SHARE: f64 = 0.9;
+        const NEAR_LIMIT_EXIT_SHARE: f64 = 0.7;
+        let customers: Vec<(NameHash, Limit, bool)> = self
             .accounts
             .iter()
-            .map(|(name, account)| (*name, account.limit, account.near))
+            .map(|(name, account)| (*name, account.limit, account.near_limit))
             .collect();
         let mut near = Vec::new();
-        for (name, limit, was) in known {
-            let standing = self.standing(now, name, limit);
-            let part = 1.0 - standing.room() / standing.target;
-            let is = part >= if was { STAYS } else { NEAR };
-            self.account(name, limit).near = is;
-            if is {
+        for (name, limit, was_near) in customers {
+            let state = self.state(now, name, limit);
+            let used_share = 1.0 - state.remaining() / state.target;
+            let is_near = used_share
+                >= if was_near {
+                    NEAR_LIMIT_EXIT_SHARE
+                } else {
+                    NEAR_LIMIT_SHARE
+                };
+            self.account(name, limit).near_limit = is_near;
+            if is_near {
                 near.push(name);
             }
         }
@@ -571,219 +600,235 @@
         near
     }
 
-    /// Customers that had nearly used their quotas, as VMs said that may have been killed since. Only
-    /// what is learnt within a window of the start counts.
-    pub fn inherit(&mut self, now: policy::Moment, near: &[Name]) {
-        if now.saturating_sub(self.started) < self.bound.window {
-            self.inherited.extend(near);
+    /// Restores the customers near their limit, as stored by VMs that may have been killed since.
+    /// Ignored later than one window after the start.
+    pub fn restore_near_limits(&mut self, now: policy::Moment, near: &[NameHash]) {
+        if now.saturating_sub(self.started_at) < self.bound.window {
+            self.restored_near_limits.extend(near);
         }
     }
 
-    /// How many VMs let requests in, as far as known.
-    fn speakers(&self) -> usize {
-        1 + self.strangers() + self.others.len()
+    /// Number of VMs known or expected to admit requests.
+    fn admitting_vms(&self) -> usize {
+        1 + self.unseen_peers() + self.peers.len()
     }
 
-    /// Whether a VM that let in requests of a customer is silent.
-    fn has_silent(&self, now: policy::Moment, customer: Name) -> bool {
-        let is_silent = |other: &Other| now.saturating_sub(other.heard) > SILENT;
-        let mut silent = self.others.values().filter(|other| is_silent(other));
-        silent.any(|other| other.rows.contains_key(&customer))
+    /// Whether a peer that has reported usage of the customer is silent.
+    fn has_silent_peer(&self, now: policy::Moment, customer: NameHash) -> bool {
+        let is_silent = |peer: &Peer| now.saturating_sub(peer.reported_at) > SILENCE_TIMEOUT;
+        let mut silent = self.peers.values().filter(|peer| is_silent(peer));
+        silent.any(|peer| peer.rows.contains_key(&customer))
     }
 
-    /// How many of the expected VMs were never heard.
-    fn strangers(&self) -> usize {
-        let unheard = |vm: &&Name| !self.others.contains_key(vm);
-        self.expected.iter().filter(unheard).count()
+    /// Number of expected peers without any report. Each is assumed to have this VM's demand and
+    /// usage.
+    fn unseen_peers(&self) -> usize {
+        let unseen = |vm: &&NameHash| !self.peers.contains_key(vm);
+        self.expected_peers.iter().filter(unseen).count()
     }
 
-    /// Whether others were heard once and all have long been silent: by now their callers may have
-    /// gone elsewhere, and so may this VM's.
-    fn is_alone(&self, now: policy::Moment) -> bool {
-        let long = |other: &Other| now.saturating_sub(other.heard) > GONE;
-        !self.others.is_empty() && self.others.values().all(long)
+    /// Whether all known peers have long been silent. Their callers, and this VM's, may have moved to
+    /// other VMs by then.
+    fn is_isolated(&self, now: policy::Moment) -> bool {
+        let long_silent =
+            |peer: &Peer| now.saturating_sub(peer.reported_at) > DEPARTED_PEER_TIMEOUT;
+        !self.peers.is_empty() && self.peers.values().all(long_silent)
     }
 
-    /// When those that were refused lately will have had room, at the pace at which it comes here.
-    fn room_after(
+    /// Time until the recently refused requests would have found quota, at the rate at which it is
+    /// freed.
+    fn retry_delay(
         &mut self,
         now: policy::Moment,
-        customer: Name,
-        standing: &Standing,
+        customer: NameHash,
+        state: &QuotaState,
     ) -> time::Duration {
         let Some(account) = self.accounts.get_mut(&customer) else {
             return time::Duration::ZERO;
         };
         let window = self.bound.window.as_secs_f64();
-        let pace = (standing.target * standing.share / window).max(0.1);
-        let asked = account.asked.last(now, LATELY);
-        let refused = (asked - account.used.last(now, LATELY)).max(1.0);
-        time::Duration::from_secs_f64((refused / pace).min(window))
+        let rate_per_s = (state.target * state.share / window).max(0.1);
+        let demand = account.demand.last(now, DEMAND_WINDOW_STEPS);
+        let refused = (demand - account.used.last(now, DEMAND_WINDOW_STEPS)).max(1.0);
+        time::Duration::from_secs_f64((refused / rate_per_s).min(window))
     }
 
-    /// Another VM spoke. `rows` replace what it told of these customers before; where `whole`, it lets
-    /// in nothing of any other.
-    pub fn heard(
+    /// Applies a peer's report. `rows` replace its earlier usage of these customers; if `whole`, its
+    /// usage of all other customers is zero.
+    pub fn apply_report(
         &mut self,
         now: policy::Moment,
-        vm: Name,
-        start: Start,
-        rows: impl IntoIterator<Item = (Name, Told)>,
+        vm: NameHash,
+        start_ms: StartMs,
+        rows: impl IntoIterator<Item = (NameHash, UsageReport)>,
         whole: bool,
     ) {
-        let other = self.others.entry(vm).or_insert_with(|| Other {
-            heard: now,
-            start,
+        let peer = self.peers.entry(vm).or_insert_with(|| Peer {
+            reported_at: now,
+            start_ms,
             rows: collections::HashMap::new(),
-            before: collections::HashMap::new(),
-            before_at: now,
+            previous_usage: collections::HashMap::new(),
+            previous_end: now,
         });
-        if other.start != start {
-            let silent = now.saturating_sub(other.heard) > SILENT;
-            let limit_of = |customer: &Name| self.accounts.get(customer).map(|a| a.limit);
-            let used = |(customer, row): (&Name, &Row)| {
+        if peer.start_ms != start_ms {
+            let silent = now.saturating_sub(peer.reported_at) > SILENCE_TIMEOUT;
+            let limit_of = |customer: &NameHash| self.accounts.get(customer).map(|a| a.limit);
+            let used = |(customer, row): (&NameHash, &PeerUsage)| {
                 let target = limit_of(customer).map_or(0.0, |limit| self.bound.target(&limit));
                 (*customer, row.used(silent, target))
             };
-            other.before = other.rows.iter().map(used).collect();
-            other.before_at = if silent { now } else { other.heard };
-            other.rows.clear();
-            other.start = start;
-            self.owes_whole = true;
+            peer.previous_usage = peer.rows.iter().map(used).collect();
+            peer.previous_end = if silent { now } else { peer.reported_at };
+            peer.rows.clear();
+            peer.start_ms = start_ms;
+            self.full_report_due = true;
         }
-        other.heard = now;
+        peer.reported_at = now;
         if whole {
-            other.rows.clear();
+            peer.rows.clear();
         }
-        let rows: Vec<(Name, Told)> = rows.into_iter().collect();
+        let rows: Vec<(NameHash, UsageReport)> = rows.into_iter().collect();
         let accounts = &self.accounts;
-        let ratio = |customer: Name, told: &Told| {
-            let own = accounts.get(&customer).map_or(0.0, |own| own.told.asked);
-            told.asked / own.max(1.0)
+        let ratio = |customer: NameHash, report: &UsageReport| {
+            let own_demand = accounts
+                .get(&customer)
+                .map_or(0.0, |account| account.report.demand);
+            report.demand / own_demand.max(1.0)
         };
-        for (customer, told) in &rows {
-            let row = Row {
-                told: *told,
+        for (customer, report) in &rows {
+            let row = PeerUsage {
+                report: *report,
                 share: 0.0,
-                ratio: ratio(*customer, told),
+                ratio: ratio(*customer, report),
             };
-            other.rows.insert(*customer, row);
+            peer.rows.insert(*customer, row);
         }
-        for (customer, told) in rows {
-            let share = told.asked / self.asked_of_all(now, customer).max(1.0);
-            let other = self.others.get_mut(&vm);
-            if let Some(row) = other.and_then(|other| other.rows.get_mut(&customer)) {
+        for (customer, report) in rows {
+            let share = report.demand / self.fleet_demand(now, customer).max(1.0);
+            let peer = self.peers.get_mut(&vm);
+            if let Some(row) = peer.and_then(|peer| peer.rows.get_mut(&customer)) {
                 row.share = share;
             }
         }
     }
 
-    /// How often a customer's requests were asked for at all VMs, as all of them know it: what this VM
-    /// has told the others and not what it knows itself. When some fall silent, both sides of a cut
-    /// go by the shares that follow from it.
-    fn asked_of_all(&self, now: policy::Moment, customer: Name) -> f64 {
-        let own = self
+    /// Fleet-wide demand of a customer as all VMs know it: it includes this VM's last reported
+    /// demand, not its current one. During a partition, both sides use the shares computed from it.
+    fn fleet_demand(&self, now: policy::Moment, customer: NameHash) -> f64 {
+        let own_demand = self
             .accounts
             .get(&customer)
-            .map(|account| account.told.asked);
-        let others = self
-            .others
+            .map(|account| account.report.demand);
+        let peers = self
+            .peers
             .values()
-            .filter(|other| now.saturating_sub(other.heard) <= SILENT)
-            .filter_map(|other| Some(other.rows.get(&customer)?.told.asked));
-        own.unwrap_or_default() + others.sum::<f64>()
+            .filter(|peer| now.saturating_sub(peer.reported_at) <= SILENCE_TIMEOUT)
+            .filter_map(|peer| Some(peer.rows.get(&customer)?.report.demand));
+        own_demand.unwrap_or_default() + peers.sum::<f64>()
     }
 
-    /// Forgets VMs that have long been silent and no longer serve.
-    pub fn forget(&mut self, now: policy::Moment, serves: impl Fn(Name) -> bool) {
-        self.others
-            .retain(|vm, other| now.saturating_sub(other.heard) <= GONE || serves(*vm));
+    /// Removes peers that have long been silent and no longer serve, and unused accounts.
+    pub fn remove_departed(&mut self, now: policy::Moment, serves: impl Fn(NameHash) -> bool) {
+        self.peers.retain(|vm, peer| {
+            now.saturating_sub(peer.reported_at) <= DEPARTED_PEER_TIMEOUT || serves(*vm)
+        });
         let bound = self.bound;
         self.accounts.retain(|_, account| {
-            account.asked.sum(now) + account.used.sum(now) > 0.0 || bound.is_recent(account, now)
+            account.demand.sum(now) + account.used.sum(now) > 0.0 || bound.is_recent(account, now)
         });
     }
 
-    /// What the others do not know yet, the customers nearest to their limits first: where `whole`
-    /// all that was let in, else what differs from what was told by more than a part of what is left.
-    pub fn news(&mut self, now: policy::Moment, whole: bool, most: usize) -> Vec<(Name, Told)> {
-        let customers: Vec<(Name, Limit)> = self
+    /// Returns the reports due, customers closest to their limit first, at most `max_rows`: with
+    /// `whole`, all usage; otherwise usage that differs from the last report by more than a part of
+    /// the remaining quota.
+    pub fn due_reports(
+        &mut self,
+        now: policy::Moment,
+        whole: bool,
+        max_rows: usize,
+    ) -> Vec<(NameHash, UsageReport)> {
+        let customers: Vec<(NameHash, Limit)> = self
             .accounts
             .iter()
             .map(|(name, account)| (*name, account.limit))
             .collect();
-        let mut news: Vec<(f64, Name, Told)> = customers
+        let mut due: Vec<(f64, NameHash, UsageReport)> = customers
             .into_iter()
-            .filter_map(|(name, limit)| self.news_of(now, name, limit, whole))
+            .filter_map(|(name, limit)| self.due_report(now, name, limit, whole))
             .collect();
-        news.sort_by(|a, b| b.0.total_cmp(&a.0));
-        news.truncate(most);
-        for (_, name, told) in &news {
+        due.sort_by(|a, b| b.0.total_cmp(&a.0));
+        due.truncate(max_rows);
+        for (_, name, report) in &due {
             if let Some(account) = self.accounts.get_mut(name) {
-                account.told = *told;
+                account.report = *report;
             }
         }
-        news.into_iter()
-            .map(|(_, name, told)| (name, told))
+        due.into_iter()
+            .map(|(_, name, report)| (name, report))
             .collect()
     }
 
-    fn news_of(
+    fn due_report(
         &mut self,
         now: policy::Moment,
-        name: Name,
+        name: NameHash,
         limit: Limit,
         whole: bool,
-    ) -> Option<(f64, Name, Told)> {
-        /// The part of what is left of a quota that may be let in by all without being told.
-        const UNTOLD: f64 = 0.25;
-        /// So many are not worth a message, unless many VMs keep them to themselves.
-        const FEW: f64 = 1.5;
-        /// The part of the slack that all may keep to themselves.
-        const KEPT: f64 = 0.5;
-        let standing = self.standing(now, name, limit);
+    ) -> Option<(f64, NameHash, UsageReport)> {
+        /// Share of the remaining quota that all VMs together may admit unreported.
+        const MAX_UNREPORTED_SHARE: f64 = 0.25;
+        /// Number of requests not worth a message, unless many VMs leave as many unreported.
+        const MAX_UNREPORTED_COUNT: f64 = 1.5;
+        /// Share of the slack that all VMs together may leave unreported.
+        const MAX_UNREPORTED_SLACK_SHARE: f64 = 0.5;
+        let state = self.state(now, name, limit);
         let account = self.accounts.get_mut(&name)?;
-        let told = Told {
-            used: standing.own,
-            pace: account.pace(now),
-            asked: account.asked.last(now, LATELY),
+        let report = UsageReport {
+            used: state.own_used,
+            rate_per_s: account.take_rate_per_s(now),
+            demand: account.demand.last(now, DEMAND_WINDOW_STEPS),
         };
-        let taken = (standing.own + standing.others) / standing.target.max(1.0);
-        let left = (standing.target * (1.0 - taken)).max(0.0);
-        let speakers = (self.others.len() + 1) as f64;
-        let few = (self.bound.slack * KEPT / speakers).min(FEW);
-        let off = (told.used - account.told.used).abs();
-        let due = match whole {
-            true => told.used > 0.0 || told.asked > 0.0,
-            // Others go on with the pace that they were told until they hear of another.
-            false => off > f64::max(left * UNTOLD / speakers, few) || account.told.pace > 0.0,
+        let used_share = (state.own_used + state.peers_used) / state.target.max(1.0);
+        let remaining = (state.target * (1.0 - used_share)).max(0.0);
+        let admitting_vms = (self.peers.len() + 1) as f64;
+        let tolerated = (self.bound.slack * MAX_UNREPORTED_SLACK_SHARE / admitting_vms)
+            .min(MAX_UNREPORTED_COUNT);
+        let difference = (report.used - account.report.used).abs();
+        let is_due = match whole {
+            true => report.used > 0.0 || report.demand > 0.0,
+            // Peers extrapolate with the last reported rate until they receive another one.
+            false => {
+                difference > f64::max(remaining * MAX_UNREPORTED_SHARE / admitting_vms, tolerated)
+                    || account.report.rate_per_s > 0.0
+            }
         };
-        due.then_some((taken, name, told))
+        is_due.then_some((used_share, name, report))
     }
 }
 
 impl Bound {
-    /// Whether an account says something that a new one would not.
+    /// Whether the account's cap was computed within the last window.
     fn is_recent(&self, account: &Account, now: policy::Moment) -> bool {
         account
-            .planned
+            .cap_set_at
             .is_some_and(|at| now.saturating_sub(at) < self.window)
     }
 }
 
-impl Row {
-    /// What the VM may let in by its share, where it is silent, else what it let in.
+impl PeerUsage {
+    /// Usage of the peer: as reported or, if it is silent, its full share if that is larger. A silent
+    /// peer may go on with its share, so both sides of a partition keep the bound without messages.
     fn used(&self, silent: bool, target: f64) -> f64 {
         match silent {
-            true => self.told.used.max(self.share * target),
-            false => self.told.used,
+            true => self.report.used.max(self.share * target),
+            false => self.report.used,
         }
     }
 
-    /// What the VM has let in by now, as it went on after it was heard.
-    fn expected(&self, age: time::Duration, window: time::Duration) -> f64 {
-        let leaves = self.told.used / window.as_secs_f64();
-        let grows = (self.told.pace - leaves).max(0.0);
-        self.told.used + grows * (age + WAY).as_secs_f64()
+    /// Estimated current usage of the peer, extrapolated at its last reported rate.
+    fn extrapolated_used(&self, age: time::Duration, window: time::Duration) -> f64 {
+        let leaves = self.report.used / window.as_secs_f64();
+        let grows = (self.report.rate_per_s - leaves).max(0.0);
+        self.report.used + grows * (age + REPORT_PROPAGATION_DELAY).as_secs_f64()
     }
 }
--- a/src/decisions/upkeep.rs
+++ b/src/decisions/upkeep.rs
@@ -25,7 +25,7 @@
     }
 
     fn report_load(&mut self, now: Moment) {
-        self.across.tick(now);
+        self.cross_az.tick(now);
         let (mut slots, mut in_flight) = (0, 0);
         for member in &self.members {
             if !member.healthy(&self.cfg.members, now) {
@@ -37,7 +37,7 @@
             in_flight += reported.max(member.in_flight.len() as u32);
         }
         let queued = self.queue.len() as u32;
-        self.across.own_load(now, slots, in_flight, queued);
+        self.cross_az.set_local_load(now, slots, in_flight, queued);
     }
 
     /// Refuses queued requests that cannot meet their deadline.
@@ -83,8 +83,8 @@
         self.members.iter().position(|member| {
             let idle_slow = view.is_slow(member) && member.in_flight.is_empty();
             let wanted = match member.health.state() {
-                ejection::State::Out { .. } => member.health.due(now),
-                ejection::State::In | ejection::State::Trial => idle_slow,
+                ejection::State::Ejected { .. } => member.health.probe_due(now),
+                ejection::State::Active | ejection::State::Trial => idle_slow,
             };
             wanted && member.probe_state.may_probe(&self.cfg.probe, now)
         })
--- a/src/entry/steer.rs
+++ b/src/entry/steer.rs
@@ -15,7 +15,7 @@
 
 use super::{Core, MakePolicy, desk};
 use crate::coordination::{grants as exchange, loads, peers, plan_writer, store};
-use crate::decisions::{across, caps, drain, grants, links, plan, policy};
+use crate::decisions::{caps, cross_az, drain, grants, links, plan, policy};
 use crate::protocol::{headers, peer};
 use crate::state::fleet;
 use crate::transport::server;
@@ -27,12 +27,12 @@
 
 /// What steering knows on this entry VM.
 pub(super) struct Steer {
-    lenders: sync::Arc<exchange::Lenders>,
-    asker: Mutex<exchange::Asker>,
-    loads: Mutex<loads::Table>,
+    lenders: sync::Arc<exchange::GrantIssuers>,
+    asker: Mutex<exchange::GrantRequester>,
+    loads: Mutex<loads::LoadTable>,
     demand: Mutex<loads::Demand>,
-    applied: Mutex<plan::Applied>,
-    links: across::SharedLinks,
+    applied: Mutex<plan::AppliedPlan>,
+    links: cross_az::SharedLinks,
     told: Mutex<policy::Moment>,
     held: Mutex<Held>,
     answers: Mutex<collections::BTreeMap<id::ServiceId, f64>>,
@@ -56,10 +56,10 @@
         Self {
             lenders: sync::Arc::default(),
             asker: Mutex::default(),
-            loads: Mutex::new(loads::Table::new(vm.clone(), az.clone(), incarnation)),
+            loads: Mutex::new(loads::LoadTable::new(vm.clone(), az.clone(), incarnation)),
             demand: Mutex::default(),
             applied: Mutex::default(),
-            links: across::SharedLinks::default(),
+            links: cross_az::SharedLinks::default(),
             told: Mutex::default(),
             held: Mutex::default(),
             answers: Mutex::default(),
@@ -73,7 +73,7 @@
         service: &id::ServiceId,
         headers: &HeaderMap,
     ) -> Result<exchange::Admitted, grants::Refused> {
-        let named = headers::text(headers, headers::GRANT).and_then(exchange::from_text);
+        let named = headers::text(headers, headers::GRANT).and_then(exchange::parse_grant);
         let (from, grant) = named.ok_or(grants::Refused::NoGrant)?;
         self.lenders.admit(now, service, &from, grant)
     }
@@ -101,7 +101,7 @@
 
     /// Whether a request that has waited so long may wait on.
     pub(super) fn may_wait(&self, waited: time::Duration) -> bool {
-        waited < across::ROOM_WAIT && self.held.lock().reqs.len() < MAX_HELD
+        waited < cross_az::MAX_SLOT_WAIT && self.held.lock().reqs.len() < MAX_HELD
     }
 
     /// Keeps a request until time passes.
@@ -128,7 +128,7 @@
         region: Option<&id::RegionId>,
         work: time::Duration,
     ) {
-        self.demand.lock().count(service, region, work);
+        self.demand.lock().record(service, region, work);
     }
 
     /// The availability zones for one caller, its own first. None before a plan is known: then the
@@ -147,7 +147,7 @@
             return Vec::new();
         }
         let weights = applied.advance(now, settings, service, most).get(region);
-        weights.map_or_else(Vec::new, |weights| plan::order(weights, caller))
+        weights.map_or_else(Vec::new, |weights| plan::rank_azs(weights, caller))
     }
 }
 
@@ -214,23 +214,23 @@
     match message {
         peer::Message::Work(work) => {
             let mut loads = steer.loads.lock();
-            loads.neighbour(now, from.clone(), work.clone());
+            loads.receive_work(now, from.clone(), work.clone());
         }
         peer::Message::Loads(loads) => {
-            if steer.loads.lock().zone(now, loads) {
+            if steer.loads.lock().receive_loads(now, loads) {
                 peers.to_az(&core.cfg.az, message);
             }
         }
         peer::Message::AskGrant(wish) => {
-            if let Some(granted) = steer.lenders.ask(now, from, wish) {
+            if let Some(granted) = steer.lenders.answer_request(now, from, wish) {
                 peers.send(from, &peer::Message::Granted(granted));
             }
         }
         peer::Message::Granted(granted) => {
             let desk = core.desks.load().get(&granted.grant.service).cloned();
             if let Some(desk) = desk {
-                desk.with_across(|across| {
-                    across.set_grant(granted.asked, granted.grant.clone());
+                desk.with_cross_az(|cross_az| {
+                    cross_az.set_grant(granted.asked, granted.grant.clone());
                 });
             }
         }
@@ -292,14 +292,14 @@
     let now = core.now();
     let settings = core.shared.settings.load_full();
     let fleet = core.shared.fleet.load_full();
-    let drained = drain::all_left(&settings, desk::wall_clock_s() as f64);
+    let drained = drain::remaining_share_by_az(&settings, desk::wall_clock_s() as f64);
     set_links(core, now, &settings, &fleet);
     let tells = {
         let mut told = core.steer.told.lock();
-        let due = now >= *told + loads::EVERY;
+        let due = now >= *told + loads::REPORT_INTERVAL;
         if due {
             *told = now;
-            core.steer.demand.lock().roll(now);
+            core.steer.demand.lock().end_window(now);
         }
         due
     };
@@ -312,15 +312,15 @@
             tell_bans(&desk, now, peers, &service.name);
         }
         let routes = routes(core, &settings, service, &drained);
-        let cfg = across::Config {
+        let cfg = cross_az::Config {
             caps: caps::Config::of(service),
             max_load: max_load(core, &settings),
         };
-        let told = desk.with_across(|across| {
-            across.set_config(cfg);
-            across.set_routes(routes);
-            across.set_links(core.steer.links.clone());
-            (across.own(), across.wishes(now))
+        let told = desk.with_cross_az(|cross_az| {
+            cross_az.set_config(cfg);
+            cross_az.set_routes(routes);
+            cross_az.set_links(core.steer.links.clone());
+            (cross_az.local_load(), cross_az.grant_requests(now))
         });
         let Some((own, wishes)) = told else { continue };
         let row = row(core, &desk, service, own);
@@ -337,7 +337,9 @@
 
 fn max_load<M: MakePolicy>(core: &Core<M>, settings: &settings::Settings) -> f64 {
     let region = settings.region_of(&core.cfg.az);
-    region.map_or(across::Config::default().max_load, |region| region.max_load)
+    region.map_or(cross_az::Config::default().max_load, |region| {
+        region.max_load
+    })
 }
 
 /// Entry VMs of some availability zones by the platform's list, leaving ones too: they still send.
@@ -370,7 +372,7 @@
         shared.set(now, &region.name, there.min(back), members.max(1));
         declared.push(region.name.clone());
     }
-    links::Links::keep(&mut shared, |region| declared.contains(region));
+    links::Links::retain(&mut shared, |region| declared.contains(region));
 }
 
 /// The other availability zones that may take a service's callers, without those that a drain
@@ -380,7 +382,7 @@
     settings: &settings::Settings,
     service: &settings::Service,
     drained: &collections::BTreeMap<id::AzId, f64>,
-) -> Vec<across::Route> {
+) -> Vec<cross_az::Route> {
     let Some(own) = settings.region_of(&core.cfg.az) else {
         return Vec::new();
     };
@@ -393,7 +395,7 @@
             let mut links = settings.links();
             let link = links.find(|l| l.from == own.name && l.to == region.name);
             let ms = if near { NEAR_MS } else { link?.one_way_ms };
-            Some(across::Route {
+            Some(cross_az::Route {
                 az: az.clone(),
                 region: (!near).then(|| region.name.clone()),
                 one_way: time::Duration::from_secs_f64(ms / 1e3),
@@ -409,14 +411,14 @@
     core: &Core<M>,
     desk: &desk::Desk<M::Policy>,
     service: &settings::Service,
-    own: across::Own,
+    own: cross_az::LocalLoad,
 ) -> peer::WorkRow {
     peer::WorkRow {
         service: service.name.clone(),
         slots: own.slots,
         in_hand: desk.pending(),
         in_use: own.in_use,
-        demand: core.steer.demand.lock().of(&service.name),
+        demand: core.steer.demand.lock().by_region(&service.name),
     }
 }
 
@@ -426,29 +428,29 @@
     settings: &settings::Settings,
     fleet: &fleet::Fleet,
     service: &settings::Service,
-    own: across::Own,
+    own: cross_az::LocalLoad,
     row: &peer::WorkRow,
 ) {
     let listed = entries_in(fleet, std::slice::from_ref(&core.cfg.az));
     let (heard, in_hand) = {
         let loads = core.steer.loads.lock();
-        (loads.members(), loads.az_in_hand(&service.name))
+        (loads.members(), loads.az_in_flight(&service.name))
     };
-    let lender = grants::Lender {
+    let lender = grants::Issuer {
         service: service.name.clone(),
         az: core.cfg.az.clone(),
         vm: core.cfg.vm.clone(),
         incarnation: core.incarnation,
     };
-    let lent = core.steer.lenders.in_hand(&service.name);
+    let lent = core.steer.lenders.in_flight(&service.name);
     let load = grants::Load {
         slots: own.slots,
         max_load: max_load(core, settings),
         // A list that was never read tells nothing of the others.
         members: if listed == 0 { 0 } else { listed.max(heard) },
-        own: row.in_hand.saturating_sub(lent),
+        local_requests: row.in_hand.saturating_sub(lent),
         az_in_flight: in_hand.max(own.in_flight + own.queued),
-        service_time: core.steer.demand.lock().mean(&service.name),
+        service_time: core.steer.demand.lock().mean_service_time(&service.name),
     };
     core.steer.lenders.set_load(now, &lender, load);
 }
@@ -458,11 +460,11 @@
     now: policy::Moment,
     peers: &peers::Peers,
     service: &id::ServiceId,
-    wishes: &[across::Wish],
+    wishes: &[cross_az::GrantRequest],
 ) {
     let linked: Vec<_> = peers.linked().into_iter().map(|l| (l.vm, l.az)).collect();
     let mut asker = core.steer.asker.lock();
-    let messages = asker.ask(now, service, wishes, &linked, &core.cfg.vm);
+    let messages = asker.due_requests(now, service, wishes, &linked, &core.cfg.vm);
     drop(asker);
     for (to, message) in messages {
         peers.send(&to, &message);
@@ -478,8 +480,8 @@
     let work = peer::Work { rows };
     let told = {
         let mut table = core.steer.loads.lock();
-        table.set_own(now, work.clone());
-        table.tell()
+        table.set_own_work(now, work.clone());
+        table.next_report()
     };
     let Some(peers) = peers else { return };
     peers.to_az(&core.cfg.az, &peer::Message::Work(work));
@@ -516,7 +518,7 @@
     let now = core.now();
     let (tells, summaries) = {
         let table = core.steer.loads.lock();
-        (table.tells(), table.summaries(now))
+        (table.is_reporter(), table.summaries(now))
     };
     let known = core.steer.applied.lock().newest().clone();
     let settings = core.shared.settings.load_full();
--- a/src/gateway/advertising.rs
+++ b/src/gateway/advertising.rs
@@ -6,7 +6,7 @@
 use std::rc;
 
 use super::Gateway;
-use crate::decisions::{nearby, policy};
+use crate::decisions::{entry_selection, policy};
 use crate::id;
 use crate::transport::callers;
 
@@ -76,18 +76,19 @@
         let entries = self.entries.borrow();
         let others = entries
             .to_tell(near, |vm, _, entry| (vm.clone(), entry.front))
-            .filter(|entry| entry.told.0 != self.cfg.vm);
+            .filter(|entry| entry.value.0 != self.cfg.vm);
         // This VM is running even if the store's entry for it is missing. Until it is ready it is
         // left out: callers that cache its address would be refused for as long.
-        let own = self.is_ready().then(|| nearby::Entry {
-            near: near(&self.cfg.az),
+        let own = self.is_ready().then(|| entry_selection::Candidate {
+            in_region: near(&self.cfg.az),
             az: &self.cfg.az,
-            requests: self.cfg.capacity.requests(),
+            requests_per_s: self.cfg.capacity.requests_per_s(),
             busy: self.is_busy(),
             hash: self.own_hash,
-            told: (self.cfg.vm.clone(), self.cfg.front),
+            value: (self.cfg.vm.clone(), self.cfg.front),
         });
-        let selected = nearby::told(self.cfg.thresholds.advertised_vms, others.chain(own));
+        let selected =
+            entry_selection::select(self.cfg.thresholds.advertised_vms, others.chain(own));
         selected.into_iter().map(|(_, front)| front).collect()
     }
 
@@ -108,7 +109,7 @@
         let near = |az: &id::AzId| self.cfg.regions.get(az) == region;
         let entries = self.entries.borrow();
         let all = entries.to_tell(near, |_, hash, _| hash);
-        nearby::told(self.cfg.thresholds.advertised_vms + more, all)
+        entry_selection::select(self.cfg.thresholds.advertised_vms + more, all)
     }
 
     /// Whether this VM is neither advertised to its region's callers nor among the next ones in the
@@ -147,9 +148,10 @@
             ..TrafficCounts::default()
         });
         let per_second = |count: u64| count as f64 / span;
-        let used = (self.cfg.capacity).used(per_second(counts.requests), per_second(counts.bytes));
+        let used =
+            (self.cfg.capacity).utilization(per_second(counts.requests), per_second(counts.bytes));
         let mut busy = self.busy.get();
-        if busy.step(used) {
+        if busy.update(used) {
             slog::info!(self.log, "capacity in use"; "busy" => busy.get(), "used" => used, "requests" => counts.requests, "bytes" => counts.bytes, "span_s" => span);
         }
         self.busy.set(busy);
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -9,7 +9,7 @@
 use tokio::task;
 
 use super::{Gateway, place, pool};
-use crate::decisions::{policy, rest};
+use crate::decisions::{idle_limit, policy};
 use crate::id;
 use crate::protocol::{customers, http1, names};
 use crate::transport::{callers, socket, upstream};
@@ -153,7 +153,7 @@
                 self.pool
                     .borrow_mut()
                     .idle_limit
-                    .dialled(sent.broke_at_once);
+                    .record_new(sent.broke_at_once);
                 (wire, sent.received)
             }
         };
@@ -177,7 +177,11 @@
         let sent = self.exchange(job, &mut wire, payload, reservation).await;
         match sent.broke_at_once {
             true => self.record_idle_break(reservation, pooled.idle_for),
-            false => self.pool.borrow_mut().idle_limit.held(pooled.idle_for),
+            false => self
+                .pool
+                .borrow_mut()
+                .idle_limit
+                .record_reuse(pooled.idle_for),
         }
         let received = sent.received;
         let unsent = matches!(received, Err(upstream::Failure::Unsent));
@@ -188,7 +192,7 @@
     }
 
     fn record_idle_break(&self, reservation: &place::Reservation, idle_for: time::Duration) {
-        if !self.pool.borrow_mut().idle_limit.broke(idle_for) {
+        if !self.pool.borrow_mut().idle_limit.record_break(idle_for) {
             return;
         }
         if let Some(left_out) = self.log_limiter.admit("rest", self.now()) {
@@ -223,7 +227,7 @@
         );
         SendResult {
             received,
-            broke_at_once: broke && rest::at_once(after, wire.round_trip),
+            broke_at_once: broke && idle_limit::was_stale(after, wire.round_trip),
         }
     }
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -31,8 +31,8 @@
 
 use crate::coordination::listing;
 use crate::decisions::{
-    affinity, crashes, declines, departures, nearby, policy, precedence, quota, regions, resend,
-    split, warming,
+    affinity, crashes, declines, departures, entry_selection, policy, precedence, quota, regions,
+    resend, split, warming,
 };
 use crate::protocol::{names, routes};
 use crate::state::{backends, entries};
@@ -54,7 +54,7 @@
     /// The address that callers connect to.
     pub front: net::SocketAddr,
     /// Capacity of this VM's processor and link.
-    pub capacity: nearby::Capacity,
+    pub capacity: entry_selection::Capacity,
     /// Names of the header fields of requests and answers.
     pub names: names::Names,
     /// Bound on resends, summed over all entry VMs.
@@ -81,7 +81,7 @@
             az: "az".into(),
             regions: collections::BTreeMap::new(),
             front: net::SocketAddr::from(([127, 0, 0, 1], 0)),
-            capacity: nearby::Capacity::default(),
+            capacity: entry_selection::Capacity::default(),
             names: names::Names::default(),
             resend: resend::Bound::default(),
             shift_most: 0.15,
@@ -98,7 +98,7 @@
 #[derive(Debug, Default)]
 pub struct ServiceState {
     /// Counts of requests and resends.
-    pub resends: resend::Resends,
+    pub resends: resend::ResendBudget,
     /// The share of requests that other regions serve.
     pub remote_share: regions::Share,
     /// Decides when less urgent requests yield to more urgent ones.
@@ -106,7 +106,7 @@
     /// How often backend servers decline requests although they have free slots.
     pub declines: declines::Declines,
     /// How often answers for objects that are new to the chosen backend server are late.
-    pub cold_lateness: warming::Late,
+    pub cold_lateness: warming::LateRatio,
     /// Decaying count of requests, for updates of the remote share.
     pub traffic: f64,
     /// Mean time from send to answer, in seconds.
@@ -117,7 +117,7 @@
     /// How long a refused caller should wait: running requests must end first, unless the backend
     /// servers decline although they have free slots.
     pub fn expected_wait(&self) -> time::Duration {
-        match self.declines.are_everywhere() {
+        match self.declines.is_service_wide() {
             true => time::Duration::ZERO,
             false => time::Duration::from_secs_f64(self.mean_latency_s),
         }
@@ -152,7 +152,7 @@
     entries: cell::RefCell<entries::Entries>,
     traffic_counts: cell::Cell<advertising::TrafficCounts>,
     advertised: cell::RefCell<advertising::AdvertisedCache>,
-    busy: cell::Cell<nearby::Busy>,
+    busy: cell::Cell<entry_selection::Busy>,
     /// Whether this is the only entry VM advertised to the callers of its region.
     is_sole_entry: cell::Cell<bool>,
     listing: cell::RefCell<listing::Listing>,
@@ -164,7 +164,7 @@
     /// The version of the entry VM list from which the ledger's expected VMs were last set.
     expected_version: cell::Cell<Option<u64>>,
     /// Sequence number of the latest datagram from each other VM, and the count of those sent.
-    peer_usage: cell::RefCell<collections::HashMap<quota::Name, quotas::SequenceNumber>>,
+    peer_usage: cell::RefCell<collections::HashMap<quota::NameHash, quotas::SequenceNumber>>,
     usage_sent: cell::Cell<u64>,
     /// When the process started, in milliseconds since the Unix epoch. It orders this process's
     /// reports after those of its predecessor.
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -77,7 +77,7 @@
         if let Some(backend) = known.filter(|b| self.run.is_of(b)) {
             backend.in_flight = backend.in_flight.saturating_sub(1);
             if self.new_object {
-                backend.warming.ended();
+                backend.warming.request_ended();
             }
         }
     }
@@ -119,24 +119,26 @@
         let now = self.now();
         let chosen = self.choose(need, now);
         if chosen == Err(PlacementError::Full) && !need.behind {
-            self.with_service(need.service, |state| state.precedence.refused(now));
+            self.with_service(need.service, |state| state.precedence.urgent_refused(now));
         }
         let chosen = chosen?;
         let cfg = &self.cfg.thresholds.warming;
-        let cold = self.with_service(need.service, |state| state.cold_lateness.are_cold(cfg));
+        let cold = self.with_service(need.service, |state| state.cold_lateness.caches_cold(cfg));
         let mut backends = self.backends.borrow_mut();
         let Some(backend) = backends.get_mut(&chosen) else {
             return Err(PlacementError::NoBackend);
         };
         let slots = f64::from(backend.listed.slots);
-        let takes = |key| backend.warming.takes(cfg, slots, key);
+        let takes = |key| backend.warming.admits(cfg, slots, key);
         if cold && !need.key.is_none_or(takes) {
             return Err(PlacementError::Cold);
         }
-        let new_object = need.key.is_some_and(|key| backend.warming.begun(now, key));
+        let new_object = need
+            .key
+            .is_some_and(|key| backend.warming.request_started(now, key));
         let ahead = backend.load(now);
         backend.in_flight += 1;
-        if backend.health.due(now) {
+        if backend.health.probe_due(now) {
             backend
                 .health
                 .probed(&self.cfg.thresholds.ejection, now, true);
@@ -200,15 +202,15 @@
     ) -> Option<Result<id::VmId, PlacementError>> {
         let shortlist = self.shortlist(side, need);
         let backends = self.backends.borrow();
-        let among = backends.count_on(need.service, side);
+        let region_backends = backends.count_on(need.service, side);
         let listed = shortlist.iter().filter_map(|name| backends.get(name));
         let eligible = self.find_eligible(listed, need, now).eligible;
-        if eligible.len() >= affinity::HELD {
-            return Some(self.pick(&eligible, among, need, now));
+        if eligible.len() >= affinity::SMALL_REGION_REPLICAS {
+            return Some(self.pick(&eligible, region_backends, need, now));
         }
         let all = self.find_eligible(backends.on(need.service, side), need, now);
         all.any_usable
-            .then(|| self.pick(&all.eligible, among, need, now))
+            .then(|| self.pick(&all.eligible, region_backends, need, now))
     }
 
     /// The shortlist to choose from first: the head of the object's order, or a random sample.
@@ -243,7 +245,7 @@
     fn pick(
         &self,
         eligible: &[&backends::Backend],
-        among: usize,
+        region_backends: usize,
         need: &Need<'_>,
         now: policy::Moment,
     ) -> Result<id::VmId, PlacementError> {
@@ -255,18 +257,20 @@
                 slots: f64::from(b.listed.slots),
                 load: b.load(now),
                 full: b.in_flight as usize >= b.limit.shared(limit, now, self.is_sole_entry.get()),
-                known: need.key.is_some_and(|key| b.warming.has(now, key)),
-                objects: b.warming.objects(),
+                recently_sent: need
+                    .key
+                    .is_some_and(|key| b.warming.sent_recently(now, key)),
+                recent_objects: b.warming.object_count(),
             })
             .collect();
-        let want = affinity::Want {
+        let request = affinity::PlacementRequest {
             key: need.key,
             tie: self.jitter().to_bits(),
-            among,
-            behind: need.behind
+            region_backends,
+            low_priority: need.behind
                 && self.with_service(need.service, |state| state.precedence.yields(now)),
         };
-        affinity::pick(&self.cfg.thresholds.placement, &want, &candidates)
+        affinity::pick(&self.cfg.thresholds.placement, &request, &candidates)
             .map(|i| eligible[i].id.clone())
             .ok_or(PlacementError::Full)
     }
@@ -282,14 +286,14 @@
         if need.tried.contains(&b.id) {
             return false;
         }
-        let out = matches!(b.health.state(), ejection::State::Out { .. });
-        !out || (b.health.due(now) && need.idempotent)
+        let out = matches!(b.health.state(), ejection::State::Ejected { .. });
+        !out || (b.health.probe_due(now) && need.idempotent)
     }
 
     /// Whether a backend server can be chosen now. One that is cold or on trial can only if it
     /// takes the request at once; meanwhile other backend servers serve its objects.
     fn is_eligible(&self, b: &backends::Backend, need: &Need<'_>, now: policy::Moment) -> bool {
-        let on_trial = b.health.state() != ejection::State::In;
+        let on_trial = b.health.state() != ejection::State::Active;
         if on_trial && (b.in_flight > 0 || !need.idempotent) {
             return false;
         }
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -4,7 +4,7 @@
 use std::collections;
 use std::time;
 
-use crate::decisions::rest;
+use crate::decisions::idle_limit;
 use crate::id;
 use crate::transport::socket;
 
@@ -34,7 +34,7 @@
 pub struct Pool {
     idle: collections::HashMap<id::VmId, Vec<Idle>>,
     /// Limits how long connections may stay idle.
-    pub idle_limit: rest::Rest,
+    pub idle_limit: idle_limit::IdleLimit,
 }
 
 impl Pool {
--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -12,7 +12,7 @@
 use tokio::net::UdpSocket;
 
 use super::{Gateway, facts};
-use crate::decisions::{affinity, comeback, nearby, policy, quota};
+use crate::decisions::{affinity, entry_selection, policy, quota, retry_delay};
 use crate::id;
 use crate::metrics as metric_names;
 use crate::protocol::{customers, usage};
@@ -32,7 +32,7 @@
 
 /// How many VMs of a region beyond the advertised ones get reports: as many as are advertised,
 /// since all of those may become busy at once.
-const STANDBY_COUNT: usize = nearby::LEAST;
+const STANDBY_COUNT: usize = entry_selection::DEFAULT_VM_COUNT;
 
 /// Datagrams per report; customers far from their limits are left out beyond that.
 const MAX_DATAGRAMS_PER_REPORT: usize = 8;
@@ -40,7 +40,7 @@
 /// A request counted against its customer's quota until it is known not to have run.
 #[derive(Debug)]
 pub(super) struct Charge {
-    customer: quota::Name,
+    customer: quota::NameHash,
     limit: quota::Limit,
     at: policy::Moment,
 }
@@ -66,7 +66,7 @@
     })
 }
 
-fn quota_name(customer: &customers::Customer) -> quota::Name {
+fn quota_name(customer: &customers::Customer) -> quota::NameHash {
     affinity::hash(customer.name.as_str().as_bytes())
 }
 
@@ -86,7 +86,7 @@
         if !quotas.is_active() {
             self.customer_active.notify_one();
         }
-        quotas.ask(at, customer, limit, self.jitter())?;
+        quotas.admit(at, customer, limit, self.jitter())?;
         Ok(Some(Charge {
             customer,
             limit,
@@ -98,7 +98,7 @@
     pub(super) fn charge_resend(&self, charge: &mut Charge) -> bool {
         let at = self.now();
         let mut quotas = self.quotas.borrow_mut();
-        let taken = quotas.take(at, charge.customer, charge.limit, self.jitter());
+        let taken = quotas.admit_resend(at, charge.customer, charge.limit, self.jitter());
         charge.at = at;
         taken.is_ok()
     }
@@ -147,8 +147,8 @@
         }
         let (rows, active, whole) = {
             let mut quotas = self.quotas.borrow_mut();
-            let whole = quotas.owes_whole() || whole;
-            let rows = quotas.news(now, whole, MAX_DATAGRAMS_PER_REPORT * usage::ROWS);
+            let whole = quotas.take_full_report_due() || whole;
+            let rows = quotas.due_reports(now, whole, MAX_DATAGRAMS_PER_REPORT * usage::ROWS);
             (rows, quotas.is_active(), whole)
         };
         let may_report = active || self.expects_customers();
@@ -181,18 +181,22 @@
     }
 
     /// Customers that have nearly used their quotas, for this VM's registration, which outlives it.
-    pub fn near_limits(&self) -> Vec<quota::Name> {
+    pub fn near_limits(&self) -> Vec<quota::NameHash> {
         self.quotas.borrow_mut().near_limits(self.now())
     }
 
-    fn datagrams(&self, rows: &[(quota::Name, quota::Told)], whole: bool) -> Vec<Vec<u8>> {
+    fn datagrams(
+        &self,
+        rows: &[(quota::NameHash, quota::UsageReport)],
+        whole: bool,
+    ) -> Vec<Vec<u8>> {
         // The count of one customer in a window at a large VM stays far below `u32::MAX`.
         let count = |n: f64| n.round() as u32;
-        let row = |(customer, reported): &(quota::Name, quota::Told)| usage::Row {
+        let row = |(customer, reported): &(quota::NameHash, quota::UsageReport)| usage::Row {
             customer: *customer,
             used: count(reported.used),
-            pace: count(reported.pace),
-            asked: count(reported.asked),
+            pace: count(reported.rate_per_s),
+            asked: count(reported.demand),
         };
         let mut parts: Vec<Vec<usage::Row>> = rows
             .chunks(usage::ROWS)
@@ -251,7 +255,7 @@
         let entries = self.entries.borrow();
         let mut ips: Vec<net::IpAddr> = entries
             .iter()
-            .filter(|(vm, hash, _)| **vm != self.cfg.vm && quotas.concerns(now, *hash))
+            .filter(|(vm, hash, _)| **vm != self.cfg.vm && quotas.needs_reports(now, *hash))
             .map(|(_, _, entry)| entry.front.ip())
             .collect();
         ips.sort_unstable();
@@ -279,12 +283,13 @@
             .map(|region| self.selection_hashes(*region, STANDBY_COUNT));
         let next = self.distinct_others(next.flatten());
         let vms = self.entries.borrow().len();
-        self.quotas.borrow_mut().expect(advertised, next, vms);
+        self.quotas.borrow_mut().set_peers(advertised, next, vms);
     }
 
     /// The VMs without this one and without duplicates.
-    fn distinct_others(&self, vms: impl Iterator<Item = quota::Name>) -> Vec<quota::Name> {
-        let mut distinct: Vec<quota::Name> = vms.filter(|hash| *hash != self.own_hash).collect();
+    fn distinct_others(&self, vms: impl Iterator<Item = quota::NameHash>) -> Vec<quota::NameHash> {
+        let mut distinct: Vec<quota::NameHash> =
+            vms.filter(|hash| *hash != self.own_hash).collect();
         distinct.sort_unstable();
         distinct.dedup();
         distinct
@@ -295,7 +300,7 @@
         let entries = self.entries.borrow();
         let serving: collections::HashSet<u64> = entries.iter().map(|(_, h, _)| h).collect();
         let mut quotas = self.quotas.borrow_mut();
-        quotas.forget(now, |vm| serving.contains(&vm));
+        quotas.remove_departed(now, |vm| serving.contains(&vm));
     }
 
     /// Handles a usage report. It must come from a listed VM's own address: otherwise anybody could
@@ -333,15 +338,15 @@
         }
         *before = sequence;
         let rows = usage.rows.iter().map(|row| {
-            let reported = quota::Told {
+            let reported = quota::UsageReport {
                 used: f64::from(row.used),
-                pace: f64::from(row.pace),
-                asked: f64::from(row.asked),
+                rate_per_s: f64::from(row.pace),
+                demand: f64::from(row.asked),
             };
             (row.customer, reported)
         });
         let mut quotas = self.quotas.borrow_mut();
-        quotas.heard(self.now(), vm, usage.start, rows, usage.whole);
+        quotas.apply_report(self.now(), vm, usage.start, rows, usage.whole);
     }
 
     /// Refuses a request that exceeds its customer's quota.
@@ -352,7 +357,7 @@
         left: time::Duration,
     ) -> callers::Answer {
         self.record_beyond_quota(facts, refused);
-        let after = comeback::after(refused.after, left, self.jitter());
+        let after = retry_delay::after(refused.retry_after, left, self.jitter());
         let mut answer = self.gateway_answer(429, Some(&facts.id));
         facts::put_retry_after(&mut answer.fields, after);
         answer
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -10,7 +10,7 @@
 use futures_util::stream::FuturesUnordered;
 
 use super::{Gateway, attempt, facts, place, quotas, record};
-use crate::decisions::{comeback, policy, regions};
+use crate::decisions::{policy, regions, retry_delay};
 use crate::id;
 use crate::protocol::{http1, routes};
 use crate::transport::{callers, upstream};
@@ -92,7 +92,7 @@
         let bound = &self.cfg.resend;
         let now = self.now();
         let remote = self.with_service(&service, |state| {
-            state.resends.request(bound, now);
+            state.resends.count_request(bound, now);
             state.traffic += 1.0;
             match reach {
                 regions::Reach::Anywhere => state
@@ -180,7 +180,7 @@
     /// Refuses a request that must run in another region while the cap on such requests is reached.
     fn refuse_remote(&self, facts: &facts::Facts) -> callers::Answer {
         let left = facts.deadline.saturating_sub(self.now());
-        let after = comeback::after(REMOTE_CAP_RETRY_DELAY, left, self.jitter());
+        let after = retry_delay::after(REMOTE_CAP_RETRY_DELAY, left, self.jitter());
         let mut answer =
             self.refuse_temporarily(&facts.id, after, "too many more must run elsewhere");
         answer.close = false;
@@ -489,7 +489,7 @@
         let expected_wait = self
             .cx
             .with_service(&self.job.service, |state| state.expected_wait());
-        let after = comeback::after(expected_wait, self.time_left(), self.cx.jitter());
+        let after = retry_delay::after(expected_wait, self.time_left(), self.cx.jitter());
         let mut answer = self.cx.gateway_answer(503, Some(&self.facts.id));
         facts::put_retry_after(&mut answer.fields, after);
         answer
--- a/src/gateway/thresholds.rs
+++ b/src/gateway/thresholds.rs
@@ -5,7 +5,9 @@
 use std::fs;
 use std::path;
 
-use crate::decisions::{affinity, ejection, hedge, limit, nearby, range, regions, warming};
+use crate::decisions::{
+    affinity, ejection, entry_selection, hedge, limit, range, regions, warming,
+};
 use crate::error;
 
 /// The thresholds.
@@ -35,7 +37,7 @@
 impl Default for Thresholds {
     fn default() -> Self {
         Self {
-            advertised_vms: nearby::LEAST,
+            advertised_vms: entry_selection::DEFAULT_VM_COUNT,
             resend_budget_share: 0.75,
             placement: affinity::Config::default(),
             regions: regions::Config::default(),
@@ -43,11 +45,11 @@
                 // Requests for an object stay with its backend server, so a broken one is noticed
                 // by its own failures rather than by its share of the load. Ten answers suffice for
                 // that.
-                in_a_row: 3,
-                broken_in_a_row: 1,
-                share: 0.4,
-                window: 10.0,
-                trial: 3,
+                consecutive_failures: 3,
+                consecutive_breaks: 1,
+                max_failure_ratio: 0.4,
+                window_answers: 10.0,
+                trial_answers: 3,
                 ..ejection::Config::default()
             },
             limit: limit::Config::default(),
@@ -84,7 +86,7 @@
         range::check(
             "told",
             self.advertised_vms as f64,
-            1.0..=nearby::MOST as f64,
+            1.0..=entry_selection::MAX_VM_COUNT as f64,
         )?;
         range::check("second_sends", self.resend_budget_share, 0.0..=1.0)?;
         self.placement.check()?;
--- a/tests/steering.rs
+++ b/tests/steering.rs
@@ -1,4 +1,4 @@
-//! Traffic that moves between places keeps its limits, whatever splits, faults and orders occur.
+//! Property tests: traffic that moves keeps its limits under restarts, lag and reordering.
 
 use std::collections;
 use std::path;
@@ -21,7 +21,7 @@
     }
 }
 
-/// What one sender did: when requests came and when they moved, in milliseconds.
+/// The times at which requests arrived at one sender and moved, in milliseconds.
 #[derive(Default)]
 struct Trace {
     arrived: Vec<u32>,
@@ -32,7 +32,7 @@
     times.iter().filter(|t| (from..to).contains(*t)).count()
 }
 
-/// Plays arrivals at a fleet of senders, each of which wants to move all it gets.
+/// Plays arrivals at 12 senders, each of which tries to move all of its requests.
 fn play_senders(cfg: &caps::Config, arrivals: &[(usize, u32)], restarts: &[u32]) -> Vec<Trace> {
     let mut senders: Vec<_> = (0..12)
         .map(|_| (caps::Caps::new(cfg.clone()), Trace::default()))
@@ -57,8 +57,8 @@
 proptest! {
     #![proptest_config(fixed(64))]
 
-    /// All senders want to move everything, some get most of the traffic, it comes in bursts, and
-    /// processes restart. More than the cap moved would arrive on cold caches.
+    /// Guards against senders that together exceed the shift cap when all try to move all of their
+    /// traffic, which is uneven and comes in bursts, and processes restart.
     #[test]
     fn the_sum_of_shifts_keeps_the_cap(
         arrivals in proptest::collection::vec((0_usize..40, prop_oneof![Just(0_u32), 0..5_u32, Just(400)]), 500..3_000),
@@ -66,7 +66,7 @@
         cap in 0.05_f64..1.0,
         step in 500_u32..4_000,
     ) {
-        // A few senders get the most: those above 12 fall to the first four.
+        // Numbers from 12 on map to the first four senders, which get most of the traffic.
         let arrivals: Vec<_> = arrivals
             .into_iter()
             .map(|(s, gap)| (if s >= 12 { s % 4 } else { s }, gap))
@@ -87,13 +87,13 @@
                 traces.iter().map(|t| within(pick(t), from, from + step)).sum()
             };
             let (moved, arrived) = (sum(|t| &t.moved), sum(|t| &t.arrived));
-            // Two requests of leave may lie at each sender from just before.
+            // Each sender may still hold two tokens from before the window.
             prop_assert!(moved as f64 <= cfg.sender_share() * arrived as f64 + 24.0);
         }
     }
 
-    /// Several entry VMs of one availability zone lend from the same backend servers, to any
-    /// senders, while their own load changes and reports lag.
+    /// Guards against overcommitted backend servers: several entry VMs of one availability zone
+    /// grant their slots while local load changes and reports lag.
     #[test]
     fn the_sum_of_grants_stays_within_headroom(
         members in 1_usize..5,
@@ -103,7 +103,7 @@
         let (slots, max_load) = (60_u32, 0.9);
         let limit = f64::from(slots) * max_load;
         let mut granters: Vec<_> = (0..members).map(granter).collect();
-        let mut own = vec![0_u32; members];
+        let mut local_requests = vec![0_u32; members];
         let mut held: Vec<(usize, id::VmId, grants::GrantId)> = Vec::new();
         let mut seen = vec![0_u32];
         let mut now = 20_000;
@@ -112,32 +112,32 @@
             now += gap;
             let who = who % members;
             let sender = id::VmId::from(format!("sender-{}", number % 4).as_str());
-            let total: u32 = own.iter().sum::<u32>() + held.len() as u32;
+            let total: u32 = local_requests.iter().sum::<u32>() + held.len() as u32;
             seen.push(total);
             granters[who].set_load(MS * now, grants::Load {
                 slots,
                 max_load,
                 members: members as u32,
-                own: own[who],
+                local_requests: local_requests[who],
                 az_in_flight: seen[seen.len().saturating_sub(1 + lag)],
                 service_time: MS * 20,
             });
             match what {
-                0 => own[who] = (number * 3).min(share),
-                1 => { granters[who].ask(MS * now, &sender, 10_000.0); }
+                0 => local_requests[who] = (number * 3).min(share),
+                1 => { granters[who].request_grant(MS * now, &sender, 10_000.0); }
                 2 => {
-                    let grant = granters[who].ask(MS * now, &sender, 10_000.0);
+                    let grant = granters[who].request_grant(MS * now, &sender, 10_000.0);
                     for grant in grant.iter().cycle().take(5) {
                         if granters[who].admit(MS * now, &sender, grant.id).is_ok() {
                             held.push((who, sender.clone(), grant.id));
                             let over = |who: usize| {
-                                let in_hand = own[who] + granters[who].in_hand();
+                                let in_hand = local_requests[who] + granters[who].in_flight();
                                 (f64::from(in_hand) - limit / members as f64).max(0.0)
                             };
                             prop_assert!(over(who) == 0.0, "one entry VM lets in over its share");
-                            // Where reports lag, only own callers that came since may be on top.
+                            // With lagging reports, only later local callers may exceed the limit.
                             let late = if lag == 0 { 0.0 } else { (0..members).map(over).sum() };
-                            let all = own.iter().sum::<u32>() + held.len() as u32;
+                            let all = local_requests.iter().sum::<u32>() + held.len() as u32;
                             prop_assert!(f64::from(all) <= limit + late, "{all} in hand");
                         }
                     }
@@ -148,11 +148,11 @@
                 },
             }
             if what == 1 || what == 2 {
-                let lent: u32 = granters.iter().map(grants::Granter::lent_slots).sum();
+                let lent: u32 = granters.iter().map(grants::Granter::granted_slots).sum();
                 prop_assert!(f64::from(lent) <= limit, "{lent} lent");
-                let most = granters[who].headroom().max(f64::from(granters[who].in_hand()));
-                let lent = f64::from(granters[who].lent_slots());
-                // Grants from before the own load grew run out within their time.
+                let most = granters[who].headroom().max(f64::from(granters[who].in_flight()));
+                let lent = f64::from(granters[who].granted_slots());
+                // Grants issued before the local load grew expire within their lifetime.
                 prop_assert!(lent <= most || lent <= limit / members as f64, "{lent} of {most}");
             }
         }
@@ -185,10 +185,10 @@
         }
     }
 
-    /// Summaries lag, lie about demand and go missing, places drain. No plan and no step on the way
-    /// to it may put foreign callers into a region that its own callers fill.
+    /// Guards against plans and steps that move callers into a region without free capacity, when
+    /// summaries are old, wrong or missing and availability zones drain.
     #[test]
-    fn no_plan_overfills_a_region(
+    fn no_plan_overloads_a_region(
         rows in proptest::collection::vec((0_u32..30, 0.0_f64..40.0, 0_u64..15, 0.0_f64..1.2), 6),
         stray in 0.0_f64..20.0,
     ) {
@@ -196,7 +196,7 @@
         let service = settings.service("ledger").unwrap();
         let cfg = plan::Config::default();
         let mut summaries = Vec::new();
-        let mut left = collections::BTreeMap::new();
+        let mut capacity_shares = collections::BTreeMap::new();
         for (az, (slots, demand, age, part)) in service.azs.iter().zip(&rows) {
             let region = &settings.region_of(az).unwrap().name;
             let mut by_region = collections::BTreeMap::from([(region.clone(), *demand)]);
@@ -209,13 +209,13 @@
                 demand: by_region,
                 age: time::Duration::from_secs(*age),
             });
-            left.insert(az.clone(), *part);
+            capacity_shares.insert(az.clone(), *part);
         }
-        let now = plan::initial(&settings, service);
-        let inputs = plan::Inputs { settings: &settings, service, summaries: &summaries, left: &left, now: &now };
+        let now = plan::initial_weights(&settings, service);
+        let inputs = plan::Inputs { settings: &settings, service, summaries: &summaries, capacity_shares: &capacity_shares, current: &now };
         let target = plan::target(&cfg, &inputs);
         check_plan(&settings, &inputs, &target)?;
-        let start = plan::initial(&settings, service);
+        let start = plan::initial_weights(&settings, service);
         let mut now = start.clone();
         for _ in 0..60 {
             let Some(next) = plan::step(&cfg, &now, &target, 0.05) else { break };
@@ -227,8 +227,8 @@
         }
     }
 
-    /// Versions arrive late, twice and out of order, and some are missed. Every node still steps by
-    /// no more than its bound, and all end at the newest.
+    /// Guards against a node that exceeds the bound per step, or does not end at the newest
+    /// version, when versions arrive late, twice, out of order or not at all.
     #[test]
     fn versions_in_any_order_move_a_bounded_share(
         versions in proptest::collection::vec((1_u64..50, 0_u64..40), 1..60),
@@ -239,13 +239,13 @@
         let version = |number: u64| {
             let share = shares[number as usize];
             let weights = [("khovd-a".into(), share), ("ub-a".into(), 1.0 - share)].into();
-            let by_region: plan::ByRegion = [("khovd".into(), weights)].into();
+            let by_region: plan::WeightsByRegion = [("khovd".into(), weights)].into();
             sync::Arc::new(plan::Plan {
                 version: number,
                 services: [(service.name.clone(), by_region)].into(),
             })
         };
-        let mut applied = plan::Applied::default();
+        let mut applied = plan::AppliedPlan::default();
         let mut now = policy::Moment::ZERO;
         let mut seen = vec![(now, applied.advance(now, &settings, service, 0.05)["khovd"].clone())];
         let mut newest = 0;
@@ -271,34 +271,34 @@
         prop_assert!(plan::churn(end, goal) < 1e-6);
     }
 
-    /// The naive version sends each caller to the next nearest region with any backend server.
-    /// Where all fit there, the plan must do the same.
+    /// Guards against needless moves: if all callers fit into the nearest region that has backend
+    /// servers, the plan must send them there like the naive policy.
     #[test]
-    fn without_overload_the_plan_is_the_naive_one(
+    fn without_overload_the_plan_matches_the_naive_policy(
         demand in proptest::collection::vec(0.1_f64..1.3, 6),
         lost in proptest::option::of(0_usize..3),
     ) {
         let settings = cooperative();
         let service = settings.service("ledger").unwrap();
         let regions: Vec<_> = settings.regions().collect();
-        let gone = lost.map(|i| regions[i].name.clone());
+        let lost_region = lost.map(|i| regions[i].name.clone());
         let summaries: Vec<_> = service.azs.iter().zip(&demand).map(|(az, demand)| {
             let region = &settings.region_of(az).unwrap().name;
             plan::Summary {
                 az: az.clone(),
                 service: service.name.clone(),
                 in_use: *demand,
-                slots: if gone.as_ref() == Some(region) { 0 } else { 6 },
+                slots: if lost_region.as_ref() == Some(region) { 0 } else { 6 },
                 demand: [(region.clone(), *demand)].into(),
                 age: time::Duration::ZERO,
             }
         }).collect();
-        let left = collections::BTreeMap::new();
-        let now = plan::initial(&settings, service);
-        let inputs = plan::Inputs { settings: &settings, service, summaries: &summaries, left: &left, now: &now };
+        let capacity_shares = collections::BTreeMap::new();
+        let now = plan::initial_weights(&settings, service);
+        let inputs = plan::Inputs { settings: &settings, service, summaries: &summaries, capacity_shares: &capacity_shares, current: &now };
         let target = plan::target(&plan::Config::default(), &inputs);
         for region in &regions {
-            let naive = naive_region(&settings, &region.name, gone.as_ref());
+            let naive = naive_region(&settings, &region.name, lost_region.as_ref());
             let there: f64 = target[&region.name]
                 .iter()
                 .filter(|(az, _)| settings.region_of(az).unwrap().name == naive)
@@ -312,9 +312,9 @@
 fn naive_region(
     settings: &settings::Settings,
     home: &id::RegionId,
-    gone: Option<&id::RegionId>,
+    lost_region: Option<&id::RegionId>,
 ) -> id::RegionId {
-    if gone != Some(home) {
+    if lost_region != Some(home) {
         return home.clone();
     }
     let mut links: Vec<_> = settings.links().filter(|l| l.from == *home).collect();
@@ -327,27 +327,27 @@
 }
 
 fn granter(number: usize) -> grants::Granter {
-    let lender = grants::Lender {
+    let issuer = grants::Issuer {
         service: "s".into(),
         az: "a".into(),
         vm: format!("a{number}").as_str().into(),
         incarnation: id::Incarnation(number as u64),
     };
-    grants::Granter::new(grants::Config::default(), policy::Moment::ZERO, lender)
+    grants::Granter::new(grants::Config::default(), policy::Moment::ZERO, issuer)
 }
 
 fn cooperative() -> settings::Settings {
     settings::Settings::read(path::Path::new("examples/cooperative")).unwrap()
 }
 
-/// Weights are shares, and a region with foreign callers stays within its limit.
+/// Checks that weights sum to 1 and that regions serving other regions' callers keep their limit.
 fn check_plan(
     settings: &settings::Settings,
     inputs: &plan::Inputs<'_>,
-    plan: &plan::ByRegion,
+    plan: &plan::WeightsByRegion,
 ) -> Result<(), TestCaseError> {
-    let gone = plan::Config::default().gone;
-    let known = || inputs.summaries.iter().filter(|s| s.age < gone);
+    let lost_after = plan::Config::default().lost_after;
+    let known = || inputs.summaries.iter().filter(|s| s.age < lost_after);
     for weights in plan.values() {
         let sum: f64 = weights.values().sum();
         prop_assert!((sum - 1.0).abs() < 1e-6, "{sum}");
@@ -355,7 +355,7 @@
     for region in settings.regions() {
         let limit: f64 = known()
             .filter(|s| region.azs.contains(&s.az))
-            .map(|s| f64::from(s.slots) * region.max_load * inputs.left[&s.az].min(1.0))
+            .map(|s| f64::from(s.slots) * region.max_load * inputs.capacity_shares[&s.az].min(1.0))
             .sum();
         let (mut own, mut foreign) = (0.0, 0.0);
         for (from, weights) in plan {
