--- a/src/coordination/listing.rs
+++ b/src/coordination/listing.rs
@@ -1,14 +1,14 @@
-//! Which backend servers count as gone when the platform's list loses them.
+//! Decides when a backend server that is missing from the platform's list is removed.
 //!
-//! The list is kept by leases in the store. When the store was away, the leases of sound backend
-//! servers may have ended meanwhile; the list comes back empty or nearly so, and fills again
-//! within about two seconds. Taken at its word it leaves nothing to send to, which one notices as
-//! refusals right after the store's return. So for [`HOLD`] after a return, what is missing stays.
+//! Leases in the store keep the list. During a store outage the leases of healthy backend servers
+//! may expire; afterwards the list is empty or nearly so, and fills again within about two seconds.
+//! Applying it at once would leave no backend server to send to, and callers would be refused right
+//! after the outage. So for [`HOLD`] after an outage, missing backend servers are kept.
 //!
-//! Where only this VM had been cut off, the store went on, and what is missing has left. Kept
-//! then, a backend server that is about to end would get requests which its end cuts. The two are
-//! told apart by how much is missing: leases that ended while the store was away ended for nearly
-//! all, and a few that have left are few.
+//! If only this VM was cut off from the store, the missing backend servers have really stopped.
+//! Keeping one that is shutting down would send it requests that its shutdown then aborts. The
+//! share of missing servers tells the two cases apart: an outage expires nearly all leases, whereas
+//! few servers stop at a time.
 
 use std::collections;
 use std::time;
@@ -16,23 +16,22 @@
 use crate::decisions::policy;
 use crate::id;
 
-/// How long after the store's return a missing backend server is kept: backend servers register
-/// again within two seconds.
+/// How long after an outage a missing backend server is kept. Backend servers register again within
+/// two seconds.
 pub const HOLD: time::Duration = time::Duration::from_millis(2200);
 
-/// How long after the store's return what is missing is counted. The first answers after a return
-/// come within this.
+/// How long after an outage missing backend servers are counted. The first answers after an outage
+/// arrive within this time.
 const COUNT: time::Duration = time::Duration::from_millis(300);
 
-/// The part of the list that must be missing for the leases to have ended by the store's absence.
-/// A release or a lost availability zone takes a sixth or so.
+/// The share of the list that must be missing for an outage to be the cause. A release or the loss
+/// of an availability zone removes about a sixth.
 const MASS: f64 = 0.4;
 
-/// How long the store must have been silent for its return to count as one. A shorter gap ends
-/// no lease.
+/// The shortest gap between two answers that counts as an outage. A shorter gap expires no lease.
 const AWAY: time::Duration = time::Duration::from_millis(900);
 
-/// What was missed, and since when the store is back.
+/// The state of the store and the backend servers that are held.
 #[derive(Debug, Default)]
 pub struct Listing {
     heard: Option<policy::Moment>,
@@ -42,12 +41,12 @@
 }
 
 impl Listing {
-    /// A call to the store failed. Returns whether it is the first since the last that did not.
+    /// Records a failed call. Returns whether it is the first since the last answer.
     pub fn failed(&mut self) -> bool {
         !std::mem::replace(&mut self.failing, true)
     }
 
-    /// The store answered. Returns for how long it had been away, where it had.
+    /// Records an answer of the store. Returns the length of the outage if one has just ended.
     pub fn heard(&mut self, now: policy::Moment) -> Option<time::Duration> {
         let gap = now.saturating_sub(self.heard.unwrap_or(now));
         self.heard = Some(now);
@@ -58,12 +57,12 @@
         Some(gap)
     }
 
-    /// How long ago the store answered last; `None` if it never did.
+    /// The time since the store's last answer; `None` if it has not answered yet.
     pub fn age(&self, now: policy::Moment) -> Option<time::Duration> {
         Some(now.saturating_sub(self.heard?))
     }
 
-    /// The list no longer has this one. Returns whether it is gone at once.
+    /// Records that the list lacks a backend server. Returns whether to remove it at once.
     pub fn lost(&mut self, now: policy::Moment, name: &id::VmId) -> bool {
         let holding = self.back.is_some_and(|back| now < back + HOLD);
         if holding {
@@ -72,12 +71,12 @@
         !holding
     }
 
-    /// The list has this one.
+    /// Records that the list contains a backend server.
     pub fn found(&mut self, name: &id::VmId) {
         self.missing.remove(name);
     }
 
-    /// Those that are gone by now, of `known` backend servers in all.
+    /// Returns the held backend servers to remove now, given `known` backend servers in total.
     pub fn overdue(&mut self, now: policy::Moment, known: usize) -> Vec<id::VmId> {
         let mass = self.missing.len() as f64 >= known as f64 * MASS;
         let wait = match mass {
