--- a/src/coordination/mirror.rs
+++ b/src/coordination/mirror.rs
@@ -1,19 +1,19 @@
-//! Who reads the platform's store, and what is known of it.
+//! Chooses the entry VMs that read the platform's store, and keeps a copy of the store's records.
 //!
-//! Each call to the store is paid for, and each entry VM needs what stands there. If each read it,
-//! calls would grow with the VMs. So in each region the first of the registered entry VMs reads, in an
-//! order that all work out alike: those with the widest links first, since whoever reads also feeds
-//! others. The first of each other availability zone follows it, and the VMs of a zone follow one
-//! another as a tree, so that a list crosses to a zone once. One that finds nobody to follow reads by
-//! itself; two readers cost calls and nothing else, so nothing has to be agreed on. Each follows only
-//! one that stands before it in the order, so that no two follow one another and hear nothing.
+//! Every call to the store costs money, and every entry VM needs the records. If each VM read the
+//! store, calls would grow with the fleet. So in each region only the first registered entry VM
+//! reads it. All VMs compute the same order; wider links come first, since readers also serve
+//! followers. The first VM of every other availability zone follows the reader, and the other VMs
+//! of a zone form a tree, so that a list crosses to each zone once. A VM without a leader reads the
+//! store itself; a second reader only costs calls, so no agreement is needed. Each VM follows only
+//! VMs before it in the order, which rules out cycles.
 //!
-//! Load: all VMs of a zone of hundreds start at once, and each needs the whole list. Sent by one VM
-//! it takes that VM's link for seconds. So each feeds as many as its link carries at
-//! a fixed part of it each, and the others follow these.
+//! Load: hundreds of VMs of a zone start at once and each needs the whole list. Sent by one VM, it
+//! would fill that VM's link for seconds. So each VM serves only as many followers as its link has
+//! bandwidth for, and the other VMs follow these.
 //!
-//! A follower that loses its source asks the next for what changed since the revision that it has, so
-//! that a leader's death does not move the whole list to each follower again.
+//! A follower that loses its leader asks the next one for the delta since its own revision, so the
+//! death of a leader does not resend the whole list to every follower.
 
 use std::cmp;
 use std::collections;
@@ -26,91 +26,90 @@
 use crate::id;
 use crate::protocol::mirror;
 
-/// How many of its availability zone a VM asks before it looks farther. Two: a VM that dies is
-/// still registered for some seconds.
+/// How many VMs of its own availability zone a VM tries before one outside it. Two, because a VM
+/// that has died stays registered for some seconds.
 pub const ASKED: usize = 2;
 
-/// For how long one that did not answer is left alone.
+/// How long a VM that did not answer is skipped.
 pub const AVOID: time::Duration = time::Duration::from_secs(3);
 
-/// For how long one is left alone that said that it does not read, or has just started: it turns to
-/// the store at that moment, and has read it soon.
+/// How long a VM is skipped that does not read the store or has just started. Such a VM starts to
+/// read the store at that moment and has the records soon after.
 pub const AGAIN: time::Duration = time::Duration::from_millis(300);
 
-/// How long one reads by itself before it looks for somebody to follow again. When all start at once
-/// each reads by itself first, and within this all have registered.
+/// How long a VM reads the store before it looks for a leader again. When all VMs start at once,
+/// each reads first; within this time all have registered.
 pub const RECHECK: time::Duration = time::Duration::from_millis(700);
 
-/// How long a reader may be silent. It speaks with each answer of the store, which come every 0.6 s
-/// and a round trip, or 0.9 s from a slow store; together with a turn to the store this stays
-/// within the two and a half seconds in which a change must be in force.
+/// How long a reader may be silent. It sends a message after each answer of the store: every 0.6 s
+/// plus a round trip, or every 0.9 s with a slow store. With a read of the store on top, a change
+/// is in force within the required 2.5 s.
 pub const SILENCE: time::Duration = time::Duration::from_millis(1200);
 
-/// How old what a VM heard last may be for others to begin to follow it. One that has just lost
-/// the store does not know it yet; whoever begins to follow it then waits for [`SILENCE`] once
-/// more and is late with what has changed meanwhile.
+/// The greatest staleness at which a VM accepts new followers. A VM that has just lost the store
+/// has not noticed yet; a new follower would wait for another [`SILENCE`] and apply the changes of
+/// that time late.
 pub const FRESH: time::Duration = time::Duration::from_millis(1000);
 
-/// How much longer one may be silent, for each hop over which it hears. When its own reader falls
-/// silent it takes this long to turn to the store; were it left at the same moment, all of its
-/// zone would turn to the store too.
+/// Extra silence allowed per hop to the reader. A leader whose own leader fails needs this long to
+/// read the store itself. If its followers left it at the same moment, the whole zone would read
+/// the store.
 pub const TURN: time::Duration = time::Duration::from_millis(300);
 
-/// The bandwidth that a VM has for each of its followers, in Mbit/s. A list of ten thousand backend
-/// servers, packed, passes in less than a second.
+/// The bandwidth reserved for each follower, in Mbit/s. It carries a compressed list of ten
+/// thousand backend servers in less than a second.
 const EACH_MBPS: u32 = 5;
 
-/// How many a VM feeds at the least.
+/// The least number of followers that a VM serves.
 const FED: usize = 4;
 
-/// Removals that are remembered for followers that come back.
+/// How many removals are kept for followers that reconnect.
 const REMOVALS: usize = 4096;
 
-/// A value, and the revision at which it was told last.
+/// A value and the revision of its last update.
 #[derive(Clone, Debug)]
 struct Told {
     value: Bytes,
     revision: u64,
 }
 
-/// What is known of the store.
+/// A copy of the store's records.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
     values: collections::BTreeMap<String, Told>,
-    /// Keys that are gone, and the revision at which that was told.
+    /// Removed keys and the revision of each removal.
     removed: collections::BTreeMap<String, u64>,
-    /// From which revision on all removals are remembered; 0: from none.
+    /// The revision from which all removals are kept; 0: none are.
     complete_from: u64,
     revision: u64,
-    /// Grows with each record that is taken.
     version: u64,
 }
 
 impl Records {
-    /// The store's revision that this shows; 0: nothing is known.
+    /// The revision of the store that this copy shows; 0: the copy is empty.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Grows with each record that is taken, so that what was made of them can be kept until the
-    /// next.
+    /// A counter that grows with each record applied. Data derived from the records stays valid
+    /// until it changes.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes note of a revision.
+    /// Raises the revision to at least `revision`.
     pub fn reached(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Takes note that all records of a revision were taken.
+    /// Marks the copy as complete: all records of `revision` are applied.
     pub fn complete(&mut self, revision: u64) {
         if !self.is_complete() {
             self.complete_from = revision;
         }
     }
 
-    /// Whether all records of some revision were taken.
+    /// Whether all records of some revision are applied.
     pub fn is_complete(&self) -> bool {
         self.complete_from != 0
     }
@@ -120,7 +119,7 @@
         self.values.contains_key(key)
     }
 
-    /// Takes a record that was told with this revision.
+    /// Applies a record of this revision.
     pub fn put(&mut self, record: &mirror::Record, revision: u64) {
         self.version += 1;
         match &record.value {
@@ -145,12 +144,12 @@
         }
     }
 
-    /// Whether a record says what is known already.
+    /// Whether the copy already holds this record.
     pub fn knows(&self, record: &mirror::Record) -> bool {
         self.values.get(&record.key).map(|told| &told.value) == record.value.as_ref()
     }
 
-    /// Removals of all keys that are not among these.
+    /// Removals of all held keys that `records` lacks.
     pub fn missing(&self, records: &[mirror::Record]) -> Vec<mirror::Record> {
         let listed: collections::BTreeSet<&str> = records.iter().map(|r| r.key.as_str()).collect();
         self.values
@@ -163,7 +162,7 @@
             .collect()
     }
 
-    /// Everything.
+    /// All records.
     pub fn snapshot(&self) -> mirror::Message {
         let records = self.values.iter().map(|(key, told)| mirror::Record {
             key: key.clone(),
@@ -175,7 +174,7 @@
         }
     }
 
-    /// What changed after a revision; `None` where that is no longer known.
+    /// The changes after `revision`; `None` if they are no longer known.
     pub fn delta_since(&self, revision: u64) -> Option<mirror::Message> {
         if !self.is_complete() || revision < self.complete_from {
             return None;
@@ -200,25 +199,25 @@
     }
 }
 
-/// Whom to follow.
+/// Selects the leaders to try.
 #[derive(Clone, Debug, Default)]
 pub struct Order {
     avoided: collections::BTreeMap<id::VmId, policy::Moment>,
 }
 
 impl Order {
-    /// One could not be followed and is left alone for so long.
+    /// Skips a VM for `span` because it could not be followed.
     pub fn avoid(&mut self, now: policy::Moment, vm: &id::VmId, span: time::Duration) {
         self.avoided.insert(vm.clone(), now + span);
     }
 
-    /// How many stand before this VM, whether they can be followed or not.
+    /// This VM's rank: how many VMs precede it in the order, including those that are skipped.
     pub fn place(own: &Place, near: &[Place]) -> usize {
         near.iter().filter(|vm| vm.order(own).is_lt()).count()
     }
 
-    /// Those to ask, the first first; none where this VM is to read by itself. `near` are the
-    /// registered entry VMs of the region.
+    /// The leaders to try, best first; empty if this VM must read the store itself. `near` holds
+    /// the registered entry VMs of the region.
     pub fn ask(&mut self, now: policy::Moment, own: &Place, near: &[Place]) -> Vec<Place> {
         self.avoided.retain(|_, until| *until > now);
         let mut before: Vec<&Place> = near
@@ -230,7 +229,7 @@
         let (zone, beyond): (Vec<&Place>, Vec<&Place>) =
             before.into_iter().partition(|vm| vm.az == own.az);
         let ancestors = ancestors(&zone);
-        // Where the tree is flat, the next in the order stands in for the first.
+        // If the tree is flat, the next VM in the order replaces the first as the second choice.
         let others = zone.iter().enumerate().map(|(place, _)| place);
         let others = others.filter(|place| !ancestors.contains(place));
         let asked: Vec<usize> = ancestors
@@ -243,8 +242,7 @@
         in_zone.chain(beyond.into_iter().take(1)).cloned().collect()
     }
 
-    /// How many of its availability zone a VM stands behind, from its leader up to the first of the
-    /// zone.
+    /// The number of hops from a VM to the first VM of its availability zone.
     pub fn depth(vm: &Place, near: &[Place]) -> u32 {
         let mut zone: Vec<&Place> = near
             .iter()
@@ -255,8 +253,8 @@
     }
 }
 
-/// The places of those that a VM hears through, its own leader first, where these of its availability
-/// zone stand before it in the order.
+/// The ranks of a VM's leader, its leader's leader and so on. `zone` holds the VMs of its
+/// availability zone that precede it.
 fn ancestors(zone: &[&Place]) -> Vec<usize> {
     let mut ancestors = Vec::new();
     let mut place = zone.len();
@@ -267,8 +265,8 @@
     ancestors
 }
 
-/// Whom the VM at this place of its availability zone follows: each feeds the next ones that nobody
-/// before it feeds.
+/// The rank of the leader for the VM at this rank of its availability zone: each VM serves the next
+/// ones that no earlier VM serves.
 fn leader(zone: &[&Place], place: usize) -> usize {
     let mut fed = 0;
     for (leader, vm) in zone.iter().enumerate() {
@@ -280,7 +278,7 @@
     zone.len().saturating_sub(1)
 }
 
-/// An entry VM's place in the order.
+/// An entry VM with the properties that decide its rank.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Place {
     /// The hash of its name.
@@ -289,19 +287,19 @@
     pub vm: id::VmId,
     /// Its availability zone.
     pub az: id::AzId,
-    /// Where it can be asked.
+    /// The address for followers.
     pub peers: Option<net::SocketAddr>,
     /// The bandwidth of its link, in Mbit/s.
     pub link_mbps: u32,
 }
 
 impl Place {
-    /// How many follow it.
+    /// The number of followers that it serves.
     fn feeds(&self) -> usize {
         FED.max((self.link_mbps / EACH_MBPS) as usize)
     }
 
-    /// Whether it stands before another: those with wider links do, since they feed more.
+    /// Compares ranks. VMs with wider links come first, since they serve more followers.
     pub fn order(&self, other: &Self) -> cmp::Ordering {
         let wider = other.link_mbps.cmp(&self.link_mbps);
         wider.then_with(|| (self.hash, &self.vm).cmp(&(other.hash, &other.vm)))
