--- a/src/coordination/pages.rs
+++ b/src/coordination/pages.rs
@@ -1,24 +1,24 @@
-//! Ranges of a long list that are read side by side.
+//! Splits a long list of keys into ranges that are read in parallel.
 //!
-//! Load: a store hands a list of ten thousand entries out in pages of a few hundred, and each page costs a
-//! round trip. From another region, page after page takes seconds. After a loss of all VMs these are
-//! seconds in which callers are refused.
+//! Load: the store returns a list of ten thousand entries in pages of a few hundred, and each page
+//! costs a round trip. From another region, reading the pages in sequence takes seconds; after the
+//! loss of all VMs, callers are refused for that long.
 //!
-//! The end of the first page shows which part of the keys it covers, since keys that are drawn at
-//! random spread evenly. The rest is cut into ranges of about equal length. A list that is spread otherwise
-//! is read as completely, with ranges of unequal length.
+//! The last key of the first page shows which share of the key space the page covers, because
+//! random keys are spread evenly. The remaining key space is cut into ranges of about equal size. A
+//! list with uneven keys is also read completely, in ranges of unequal size.
 
-/// Pages that one range has at least, on average.
+/// The least number of pages per range, on average.
 const PAGES: f64 = 2.0;
 
-/// Ranges that are read at once at the most.
+/// The most ranges that are read in parallel.
 const MOST: usize = 32;
 
-/// Digits of a key that decide where a range begins.
+/// How many digits of a key determine where a range starts.
 const DIGITS: usize = 4;
 
-/// Where further ranges begin, given the keys of the first page in order. Each range holds the keys
-/// behind its beginning, up to and including the beginning of the next. Empty: one range holds the rest.
+/// The starts of further ranges, given the sorted keys of the first page. Each range holds the keys
+/// after its start, up to and including the next start. Empty: one range holds the rest.
 pub fn beginnings(prefix: &str, page: &[&str]) -> Vec<String> {
     let Some(drawn) = Drawn::of(prefix, page) else {
         return Vec::new();
@@ -34,16 +34,16 @@
         .collect()
 }
 
-/// Keys that begin alike and go on with digits that are drawn at random.
+/// A key space: keys with a common stem followed by random digits.
 struct Drawn<'a> {
-    /// How all of them begin.
+    /// The common stem.
     stem: &'a str,
-    /// The digits, in order.
+    /// The digits, in ascending order.
     digits: Vec<u8>,
 }
 
 impl<'a> Drawn<'a> {
-    /// How the keys of a page are drawn. `None` where they are too few to tell.
+    /// Infers the key space from a page. `None` if the page has too few keys.
     fn of(prefix: &str, page: &[&'a str]) -> Option<Self> {
         let (first, last) = (*page.first()?, *page.last()?);
         let alike = common(first, last);
@@ -56,14 +56,14 @@
         if digits.len() < 2 || !digits.is_ascii() {
             return None;
         }
-        // A page that covers a small part of the keys has their first digits in common, too.
+        // On a page that covers a small share of the keys, the first random digits are equal, too.
         let behind = first.as_bytes()[..alike].iter().rev();
         let shared = behind.take_while(|byte| digits.contains(byte)).count();
         let stem = first.get(..alike.saturating_sub(shared).max(prefix.len()))?;
         Some(Self { stem, digits })
     }
 
-    /// The part of all keys that stands before a key.
+    /// The share of the key space before a key.
     fn part_of(&self, key: &str) -> f64 {
         let base = self.digits.len() as f64;
         let rest = key.bytes().skip(self.stem.len()).take(DIGITS);
@@ -72,7 +72,7 @@
         places.zip(scales).map(|(d, s)| d as f64 * s).sum()
     }
 
-    /// The key before which a part of all keys stands.
+    /// The key that has this share of the key space before it.
     fn key_at(&self, part: f64) -> String {
         let base = self.digits.len();
         let mut left = part;
@@ -87,7 +87,7 @@
     }
 }
 
-/// How many bytes two keys begin with alike.
+/// The length of the common prefix of two keys, in bytes.
 fn common(a: &str, b: &str) -> usize {
     a.bytes().zip(b.bytes()).take_while(|(a, b)| a == b).count()
 }
