--- a/src/coordination/registration.rs
+++ b/src/coordination/registration.rs
@@ -1,22 +1,22 @@
-//! How long an entry VM's registration lasts unless it is renewed.
+//! Decides how long an entry VM's registration lasts between renewals.
 //!
-//! Load: a fleet of a thousand VMs renews a thousand leases for as long as it runs, and each renewal is
-//! paid for. Callers are sent to few of them, and one of these that dies must soon be named no longer.
-//! The others stand by. Nobody is sent to them before those in line ahead of them are busy or gone, so
-//! their registrations may last for as long as operators allow one that died to be named.
+//! Load: a fleet of a thousand VMs constantly renews a thousand leases, and each renewal costs
+//! money. Callers are sent to few VMs; if one of these dies, answers to look-ups must soon stop
+//! naming it. The other VMs are on standby: callers are sent to them only when the active VMs are
+//! busy or gone. So their leases may be as long as operators allow a dead VM to be named.
 
 use std::time;
 
-/// How long the registration of a VM lasts to which callers are sent, or are sent next.
+/// The lease of a VM that callers are sent to now or next.
 const IN_LINE: time::Duration = time::Duration::from_secs(3);
 
-/// From the end of a lease until the last VM no longer names its holder, at the most as a rule.
+/// The usual maximum time from the end of a lease until no VM names its holder.
 const KNOWN: time::Duration = time::Duration::from_secs(3);
 
-/// How many renewals a lease has: two may fail before it ends.
+/// Renewals per lease: two may fail before the lease ends.
 const RENEWALS: u32 = 3;
 
-/// How long a registration lasts, where one that died may be named for `named`.
+/// The length of the lease, where `named` is how long a dead VM may still be named.
 pub fn lease(stands_by: bool, named: time::Duration) -> time::Duration {
     match stands_by {
         true => named.saturating_sub(KNOWN).max(IN_LINE),
@@ -24,7 +24,7 @@
     }
 }
 
-/// How often it is renewed.
+/// The interval between renewals of a lease.
 pub fn renewal(lease: time::Duration) -> time::Duration {
     lease / RENEWALS
 }
