--- a/src/coordination/driver.rs
+++ b/src/coordination/driver.rs
@@ -1,7 +1,8 @@
-//! Runs a [`node::Node`] in a process: one thread that feeds it and carries out its actions, and
-//! three that wait for the store (one for each watch, one for the rest), so that a slow store holds up neither peers nor time.
+//! Runs a [`node::Node`] in a process. One thread passes events to it and carries out its actions;
+//! three call the store (one per watch, one for other calls), so a slow store delays neither peers
+//! nor timers.
 //!
-//! Nothing on the request path waits for any of them: what they find out is handed to a [`Feed`].
+//! The request path waits for none of them: results are passed to a [`Feed`].
 
 use std::collections;
 use std::net;
@@ -19,59 +20,59 @@
 use crate::{id, settings};
 use action::{Action, Note, Prefix};
 
-/// How often time passes for the node.
+/// The interval of the node's timer.
 const TICK: time::Duration = time::Duration::from_millis(50);
 
-/// How often the node sees the links.
+/// How often the node gets the list of open links.
 const LINKS_EVERY: time::Duration = time::Duration::from_millis(250);
 
-/// How long one watch waits. Each is a call when it ends, and a longer one is more often cut by
-/// whatever lies between us and the store.
+/// How long one watch waits. Each watch costs one call, but a longer one is more often cut by a
+/// device between the VM and the store.
 const WATCH_WAIT: time::Duration = time::Duration::from_secs(25);
 
-/// Messages for other parts of the process that wait to be read.
+/// The most messages queued for other parts of the process.
 const INBOX: usize = 8192;
 
-/// Takes what coordination finds out.
+/// Receives the results of coordination.
 pub trait Feed: Send + 'static {
-    /// These settings are in force.
+    /// Called when new settings come into force.
     fn settings(&self, settings: sync::Arc<settings::Settings>);
 
-    /// This is the list of VMs.
+    /// Called with the current list of VMs.
     fn vms(&self, vms: Vec<store::Vm>);
 
-    /// This is how it goes now.
+    /// Called when the status changes.
     fn standing(&self, standing: Standing);
 
-    /// Whether anybody still reads what is fed.
+    /// Whether the results are still used. If not, the driver stops.
     fn is_wanted(&self) -> bool;
 }
 
 data! {
-    /// How a process stands with the platform and its peers.
+    /// The state of the store and of the links to peers, as this process sees it.
     #[derive(Eq, Default)]
     pub struct Standing {
         /// The version of each team's settings in force.
         pub versions: collections::BTreeMap<id::TeamId, u64>,
         /// Whether the store answered the last call of the availability zone's reader.
         pub store_up: bool,
-        /// Entry VMs that are linked.
+        /// The number of linked entry VMs.
         pub peers: u64,
     }
 }
 
-/// What a driver starts from.
+/// The configuration of a driver.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The node.
     pub node: node::Config,
-    /// Where it listens for peers.
+    /// The address to listen on for peers.
     pub listen: net::SocketAddr,
-    /// The fleet's secrets. None: no links to peers.
+    /// The secrets shared by the fleet. None: no links to peers.
     pub secrets: Option<hello::Secrets>,
 }
 
-/// A running node. It stops when it is dropped.
+/// A running node. It stops on drop.
 pub struct Driver {
     peers: Option<sync::Arc<peers::Peers>>,
     inbox: channel::Receiver<peers::Received>,
@@ -108,7 +109,7 @@
 }
 
 impl Driver {
-    /// Starts the links and the threads.
+    /// Starts links and threads. Fails if the address cannot be bound or a thread cannot start.
     pub fn start<S: store::Store, F: Feed>(
         cfg: Config,
         platform: S,
@@ -153,12 +154,12 @@
         self.peers.as_ref()
     }
 
-    /// Messages from peers that other parts of the process take.
+    /// Messages from peers for other parts of the process.
     pub fn inbox(&self) -> &channel::Receiver<peers::Received> {
         &self.inbox
     }
 
-    /// Tells the peers that this process is about to stop as planned.
+    /// Announces a planned stop to the peers. Waits at most a second for the message to be queued.
     pub fn leave(&self) {
         let (tx, rx) = channel::bounded(1);
         if self.control.send(Control::Leave(tx)).is_ok() {
@@ -177,7 +178,7 @@
     let Some(secrets) = cfg.secrets.clone() else {
         slog::warn!(
             log,
-            "no links to peers: set `peer_secrets`, the same on every VM"
+            "no links to peers, because `peer_secrets` is not set; set it to the same value on every VM"
         );
         return Ok((None, channel::never()));
     };
@@ -191,7 +192,7 @@
     Ok((Some(sync::Arc::new(peers)), messages))
 }
 
-/// A thread that makes one call at a time. It ends with the sender of its calls.
+/// Starts a thread that makes one call at a time. It ends when the sender of its calls is dropped.
 fn caller<S: store::Store>(
     platform: sync::Arc<S>,
     events: channel::Sender<node::Event>,
@@ -247,7 +248,7 @@
         while self.feed.is_wanted() && self.turn() {}
     }
 
-    /// Waits for one thing and handles it. False: the driver was dropped.
+    /// Waits for one event and handles it. False: the driver was dropped.
     fn turn(&mut self) -> bool {
         let wait = self.next_tick.saturating_sub(self.now());
         channel::select! {
