--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -1,20 +1,20 @@
-//! Which VMs there are: the platform's list, which lags, joined with what the links to peers show.
+//! Maintains the set of VMs from the platform's list, which lags, and the links to peers.
 //!
-//! The list says late that an entry VM died and late that it is leaving; the links show both at
-//! once, but only for the VMs that this process is linked to, and a link that broke may be our own
-//! fault. So [`View::vms`] takes the list and marks as leaving an entry VM that said so itself, or
-//! that was linked and has not been for [`LOST_AFTER`]. Otherwise look-ups would go on naming a
-//! dead entry VM until the list caught up, and callers would wait for their timeouts. When most
-//! links are lost the fault is more likely ours, and the list stands.
+//! The list reports the death or the stop of an entry VM late. A link shows both at once, but only
+//! for linked VMs, and a broken link may be this VM's own fault. So [`View::vms`] returns the list
+//! and marks an entry VM as leaving if it announced its stop or if its link has been down for
+//! [`LOST_AFTER`]. Otherwise look-ups would name a dead entry VM until the list caught up, and
+//! callers would wait for their timeouts. If most links are down, the fault is more likely local,
+//! and the list stays as it is.
 //!
-//! A VM that starts anew has a larger incarnation, which ends what was said of the earlier one. A
-//! paused process loses its links and gets them back; one that returns after a partition does so
-//! as well. A list without a single row is taken for a fault of the platform and left out.
+//! A restarted VM has a larger incarnation, which voids announcements of earlier ones. A VM that
+//! was paused or partitioned reconnects its links. An empty list is ignored as a fault of the
+//! platform.
 //!
-//! Links cost memory and messages, so a process keeps few of them however large the fleet is:
-//! all of its availability zone while that is small, else [`FANOUT`] drawn by hash and the next by
-//! name, which joins all into one ring; and a few to each other availability zone, shared out
-//! over the VMs of our own once there are more than [`LINKS_PER_AZ`] of these.
+//! Links cost memory and messages, so a process keeps few of them regardless of the fleet's size.
+//! In its own availability zone it links to all entry VMs, or in a large zone to [`FANOUT`] chosen
+//! by hash plus the next one by name, which connects the zone as a ring. To each other zone it
+//! keeps a few links; in a zone with more than [`LINKS_PER_AZ`] entry VMs only some of them do.
 
 use std::collections;
 use std::hash::{Hash, Hasher};
@@ -24,20 +24,20 @@
 use crate::decisions::policy;
 use crate::id;
 
-/// An availability zone with up to so many entry VMs is linked in full.
+/// The greatest number of entry VMs of an availability zone that all link to each other.
 pub const FULL_AZ: usize = 12;
 
-/// Links drawn inside a larger availability zone. Each is drawn by one side and used by both.
+/// Links that each entry VM opens in a larger availability zone. Both ends use a link.
 pub const FANOUT: usize = 6;
 
-/// Entry VMs of ours that keep links to one other availability zone, and links of each.
+/// How many entry VMs of an availability zone link to another zone, and how many links each opens.
 pub const LINKS_PER_AZ: usize = 2;
 
-/// How long a link may be gone before its VM is taken for lost: a restart of a process takes less,
-/// and a link that broke is dialled again several times meanwhile.
+/// How long a link may be down before its VM counts as lost. A process restarts in less time, and a
+/// broken link is dialled again several times.
 pub const LOST_AFTER: time::Duration = time::Duration::from_secs(3);
 
-/// What this process knows of the VMs.
+/// The VMs that this process knows.
 #[derive(Debug)]
 pub struct View {
     own: id::VmId,
@@ -57,7 +57,7 @@
 }
 
 impl View {
-    /// The view of an entry VM that knows no other yet.
+    /// The view of an entry VM that knows no other VM yet.
     pub fn new(own: id::VmId, az: id::AzId) -> Self {
         Self {
             own,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes the platform's list. False: it is the one that we have, or none.
+    /// Replaces the platform's list. False: the list is unchanged or empty.
     pub fn listed(&mut self, mut rows: Vec<store::Vm>) -> bool {
         rows.sort_by(|a, b| a.id.cmp(&b.id));
         let hash = hash_of(&rows);
@@ -86,7 +86,7 @@
         true
     }
 
-    /// Takes the links as they are now. True: the view changed.
+    /// Updates the open links. True: the set of lost VMs changed.
     pub fn linked(&mut self, now: policy::Moment, links: &[peers::Linked]) -> bool {
         for (vm, peer) in &mut self.peers {
             let open = links.iter().any(|link| link.vm == *vm);
@@ -113,7 +113,7 @@
         changed
     }
 
-    /// An entry VM said that it stops. False: we knew, or it has started anew since.
+    /// Records a VM's announced stop. False: it is known, or the VM has restarted since.
     pub fn left(&mut self, vm: &id::VmId, incarnation: id::Incarnation) -> bool {
         let restarted = self
             .peers
@@ -122,17 +122,17 @@
         !restarted && self.leaving.insert(vm.clone(), incarnation) != Some(incarnation)
     }
 
-    /// A hash of the platform's list, to see whether another process has the same. 0: none yet.
+    /// A hash of the platform's list, to compare with other processes. 0: no list yet.
     pub fn list_hash(&self) -> u64 {
         self.hash
     }
 
-    /// The platform's list as it came.
+    /// The platform's list, unchanged.
     pub fn list(&self) -> &[store::Vm] {
         &self.rows
     }
 
-    /// The list, with the entry VMs marked as leaving that are lost or said that they leave.
+    /// The list, with entry VMs marked as leaving if they are lost or announced their stop.
     pub fn vms(&self) -> Vec<store::Vm> {
         let mut rows = self.rows.clone();
         for row in &mut rows {
@@ -144,7 +144,7 @@
         rows
     }
 
-    /// The entry VMs to keep links to.
+    /// The entry VMs that this VM should link to.
     pub fn targets(&self) -> Vec<peers::Target> {
         let mut wanted = collections::BTreeSet::new();
         let azs = self.azs();
@@ -164,17 +164,17 @@
             .collect()
     }
 
-    /// Whether messages inside the availability zone have to be passed on: not all are linked.
+    /// Whether messages are forwarded inside the availability zone: not all VMs are linked.
     pub fn relays(&self) -> bool {
         self.own_az().count() > FULL_AZ
     }
 
-    /// Entry VMs on the list, ourselves too.
+    /// The number of entry VMs on the list, including this one.
     pub fn entries(&self) -> usize {
         self.rows.iter().filter(|row| is_entry(row)).count()
     }
 
-    /// Whether our availability zone has other entry VMs on the list and none of them is linked.
+    /// Whether the list has other entry VMs in this availability zone but none is linked.
     pub fn is_alone(&self) -> bool {
         let others = self.own_az().filter(|row| row.id != self.own).count();
         let linked = self
@@ -208,12 +208,12 @@
         wanted
     }
 
-    /// Whether this VM is one of those that link our availability zone to another.
+    /// Whether this VM is one of those that link its availability zone to another.
     fn links_to(&self, az: &id::AzId, own: &[id::VmId]) -> bool {
         own.len() <= LINKS_PER_AZ || draw(az.as_str(), own, LINKS_PER_AZ).contains(&self.own)
     }
 
-    /// Entry VMs whose links are gone for long, unless most are.
+    /// Entry VMs whose links have been down for [`LOST_AFTER`]; none if most links are down.
     fn lost(&self, now: policy::Moment) -> collections::BTreeSet<id::VmId> {
         let lost: collections::BTreeSet<_> = self
             .peers
@@ -234,7 +234,7 @@
 
 fn target(vm: &store::Vm) -> Option<peers::Target> {
     match vm.role {
-        // Port 0: it listens for no peers.
+        // Port 0: the VM does not listen for peers.
         store::VmRole::Entry { peers } if peers.port() != 0 => Some(peers::Target {
             vm: Some(vm.id.clone()),
             addr: peers,
@@ -243,8 +243,8 @@
     }
 }
 
-/// Draws `count` VMs by a hash with `salt`: each caller draws its own, and the same ones again
-/// when others come and go.
+/// Selects `count` VMs by rendezvous hashing with `salt`: each salt selects other VMs, and a
+/// selection changes little when VMs join or leave.
 fn draw(salt: &str, vms: &[id::VmId], count: usize) -> Vec<id::VmId> {
     let mut ranked: Vec<_> = vms.iter().filter(|vm| vm.as_str() != salt).collect();
     ranked.sort_by_key(|vm| hash_of(&(salt, vm.as_str())));
@@ -252,7 +252,7 @@
     ranked.into_iter().cloned().collect()
 }
 
-/// The same in every process of one version: the keys of this hasher are fixed.
+/// Equal in all processes of one version, because this hasher has fixed keys.
 fn hash_of<T: Hash>(value: &T) -> u64 {
     let mut hasher = collections::hash_map::DefaultHasher::new();
     value.hash(&mut hasher);
@@ -303,8 +303,8 @@
         rows.iter().find(|row| row.id == *vm).unwrap().state
     }
 
-    /// The fleet grows to thousands of VMs. If each kept links to all, heartbeats and memory
-    /// would grow with the fleet until control took more than the callers' requests.
+    /// The fleet grows to thousands of VMs. If each linked to all others, heartbeats and memory
+    /// would grow with the fleet and exceed the cost of the callers' requests.
     #[test]
     fn links_stay_few_and_join_all_as_the_fleet_grows() {
         assert_eq!(view(fleet(6, 2)).targets().len(), 11, "12 VMs: all");
@@ -337,8 +337,8 @@
         }
     }
 
-    /// An entry VM dies and the platform's list still has it as live. Look-ups that go on naming
-    /// it send callers into a timeout.
+    /// An entry VM dies while the platform's list still has it as live. Look-ups that still name it
+    /// make callers wait for a timeout.
     #[test]
     fn a_dead_entry_vm_is_marked_before_the_list_says_so() {
         let mut view = view(fleet(1, 4));
@@ -352,8 +352,8 @@
         assert_eq!(state(&view, &name(0, 1)), store::VmState::Live);
     }
 
-    /// This VM loses its own way to the peers. If it took all others for dead, its look-ups would
-    /// name itself alone, and every caller of its region would come to it.
+    /// This VM loses all its links. If it counted the peers as dead, its look-ups would name only
+    /// itself, and every caller of its region would connect to it.
     #[test]
     fn a_vm_that_is_cut_off_believes_the_list() {
         let mut view = view(fleet(1, 4));
@@ -363,8 +363,8 @@
         assert_eq!(state(&view, &name(0, 1)), store::VmState::Live);
     }
 
-    /// An entry VM stops as planned and is started again under the same address. Peers that kept
-    /// the word of the earlier process would never use it again.
+    /// An entry VM stops as planned and restarts under the same address. Peers that apply the old
+    /// announcement to the new process would never use it again.
     #[test]
     fn a_restart_ends_the_word_that_it_leaves() {
         let mut view = view(fleet(1, 4));
@@ -377,7 +377,7 @@
         assert!(!view.left(&name(0, 1), id::Incarnation(1)), "late word");
     }
 
-    /// The platform answers with no VMs at all. Taken at its word, no caller would be served.
+    /// The platform returns an empty list. If it were applied, no caller would be served.
     #[test]
     fn an_empty_list_is_not_believed() {
         let mut view = view(fleet(1, 4));
