--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -1,8 +1,8 @@
-//! The links to other entry processes, and the messages that go over them.
+//! Keeps the links to other entry processes and sends and receives messages over them.
 //!
-//! tokio lives in here and nowhere else on this side: one small runtime that carries the links,
-//! with channels to the rest. Whoever sends never waits; whoever receives reads a crossbeam
-//! channel. A peer that keeps sending more than we read loses messages, which is counted.
+//! tokio is confined to this file within coordination: a small runtime carries the links and
+//! exchanges messages with other threads over channels. Sending never blocks; received messages go
+//! to a crossbeam channel. If the channel is full, messages are dropped and counted.
 //!
 //! Lock order: `links`, then `diallers`; neither is held while a message is handled.
 
@@ -19,52 +19,52 @@
 use crate::protocol::{hello, peer};
 use crate::transport::peer as link;
 
-/// Messages that wait for the rest of the process.
+/// The most received messages that wait to be handled.
 const INBOX: usize = 8192;
 
-/// Connections that have not proved themselves yet. Each may hold one message in memory.
+/// The most connections in the handshake. Each may hold one message in memory.
 const MAX_OPENING: usize = 32;
 
-/// Peers that may be linked to us, whoever dialled.
+/// The most linked peers, whichever side dialled.
 const MAX_LINKS: usize = 256;
 
-/// Links that one peer may hold: both sides may have dialled at the same moment.
+/// The most links per peer. Both sides may have dialled at the same moment.
 const LINKS_PER_PEER: usize = 2;
 
-/// The wait after a first failed dial; it doubles up to [`MAX_BACKOFF`], each with jitter.
+/// The backoff after the first failed dial. It doubles up to [`MAX_BACKOFF`], with jitter.
 const MIN_BACKOFF: time::Duration = time::Duration::from_millis(100);
 
-/// The longest wait between two dials. A VM that comes back is linked again within it.
+/// The longest backoff between two dials. A VM that recovers is linked again within this time.
 const MAX_BACKOFF: time::Duration = time::Duration::from_secs(3);
 
-/// How long the peer with the greater name waits for the other one to dial.
+/// How long the peer with the greater name waits for the other peer to dial.
 const YIELD: time::Duration = time::Duration::from_millis(300);
 
-/// How often a dialler looks whether its peer is still linked.
+/// How often a dialler checks whether its peer is still linked.
 const CHECK_EVERY: time::Duration = time::Duration::from_millis(250);
 
 data! {
-    /// An entry VM that this process wants a link to.
+    /// An entry VM that this process should link to.
     #[derive(Eq)]
     pub struct Target {
-        /// Its name. None: whoever answers there, to find the fleet.
+        /// Its name. None: accept any VM at this address, to join the fleet.
         pub vm: Option<id::VmId>,
-        /// Where it listens for peers.
+        /// The address on which it listens for peers.
         pub addr: net::SocketAddr,
     }
 
-    /// An entry VM that is linked now.
+    /// A linked entry VM.
     #[derive(Eq)]
     pub struct Linked {
         /// Its name.
         pub vm: id::VmId,
         /// Its availability zone.
         pub az: id::AzId,
-        /// Its process start.
+        /// The incarnation of its process.
         pub incarnation: id::Incarnation,
     }
 
-    /// What the links have carried and refused so far.
+    /// Counters over all links since the start.
     #[derive(Eq, Default)]
     pub struct Counts {
         /// Messages sent.
@@ -82,10 +82,10 @@
     }
 }
 
-/// A message and who sent it.
+/// A message and the VM that sent it.
 pub type Received = (id::VmId, peer::Message);
 
-/// The links of this process. Dropping it cuts them.
+/// The links of this process. They are closed on drop.
 pub struct Peers {
     shared: sync::Arc<Shared>,
     runtime: Option<tokio::runtime::Runtime>,
@@ -113,7 +113,7 @@
 }
 
 impl Peers {
-    /// Listens for peers and returns the links with the channel of what they bring.
+    /// Listens for peers; returns the links and received messages. Fails if it cannot bind.
     pub fn start(
         me: link::Me,
         listen: net::SocketAddr,
@@ -144,12 +144,12 @@
         Ok((peers, rx))
     }
 
-    /// Where this process listens for peers.
+    /// The address on which this process listens for peers.
     pub fn addr(&self) -> net::SocketAddr {
         self.addr
     }
 
-    /// Sets which entry VMs this process keeps a link to. Links that others opened stay.
+    /// Sets the entry VMs to keep links to. Links that peers opened stay.
     pub fn set_targets(&self, targets: &[Target]) {
         let Some(runtime) = &self.runtime else { return };
         let mut diallers = self.shared.diallers.lock();
@@ -173,29 +173,29 @@
         }
     }
 
-    /// Sends to one peer. False: it is not linked.
+    /// Sends to one peer. False: the peer is not linked.
     pub fn send(&self, to: &id::VmId, message: &peer::Message) -> bool {
         self.send_where(message, |vm, _| vm == to) > 0
     }
 
-    /// Sends to every linked peer of an availability zone and returns how many there are.
+    /// Sends to every linked peer of an availability zone and returns their number.
     pub fn to_az(&self, az: &id::AzId, message: &peer::Message) -> usize {
         self.send_where(message, |_, open| open.az == *az)
     }
 
-    /// Sends to every linked peer but `except` and returns how many there are.
+    /// Sends to every linked peer except `except` and returns their number.
     pub fn to_all(&self, except: Option<&id::VmId>, message: &peer::Message) -> usize {
         self.send_where(message, |vm, _| Some(vm) != except)
     }
 
-    /// Sends to every linked peer of our own availability zone but `except` and returns how many
-    /// there are.
+    /// Sends to every linked peer of this VM's availability zone except `except` and returns their
+    /// number.
     pub fn to_own_az(&self, except: Option<&id::VmId>, message: &peer::Message) -> usize {
         let az = &self.shared.me.az;
         self.send_where(message, |vm, open| open.az == *az && Some(vm) != except)
     }
 
-    /// The peers that are linked now.
+    /// The linked peers.
     pub fn linked(&self) -> Vec<Linked> {
         let links = self.shared.links.lock();
         links
@@ -211,7 +211,7 @@
             .collect()
     }
 
-    /// What the links have carried and refused so far.
+    /// Counters over all links since the start.
     pub fn counts(&self) -> Counts {
         self.shared.counts.lock().clone()
     }
@@ -250,7 +250,7 @@
 }
 
 impl Shared {
-    /// Carries one link until it breaks.
+    /// Serves one link until it breaks.
     async fn carry(&self, link: link::Link) {
         let hello = link.hello.clone();
         let Some(queue) = self.open(&hello) else {
@@ -267,7 +267,7 @@
         drop(closing);
     }
 
-    /// Registers a link. None: a later process start of the peer is linked, or there are too many.
+    /// Registers a link. None: a later incarnation is linked, or there are too many links.
     fn open(&self, hello: &hello::Hello) -> Option<sync::Arc<link::Queue>> {
         let mut links = self.links.lock();
         if links.len() >= MAX_LINKS && !links.contains_key(&hello.vm) {
@@ -278,10 +278,10 @@
         let opens = links.entry(hello.vm.clone()).or_default();
         if opens.iter().any(|o| o.incarnation > hello.incarnation) {
             drop(links);
-            self.refuse("an earlier process start", &hello.vm);
+            self.refuse("a later process of this VM is linked", &hello.vm);
             return None;
         }
-        // The process behind these links is gone; what waits for it would go to nobody.
+        // The process behind these links has ended; messages queued for it would be lost.
         opens.retain(|o| {
             let same = o.incarnation == hello.incarnation;
             if !same {
@@ -316,7 +316,7 @@
     fn refuse(&self, why: &str, from: &id::VmId) {
         self.counts.lock().refused += 1;
         metrics::counter!(names::PEER_REFUSED).increment(1);
-        slog::warn!(self.log, "refused from a peer"; "peer" => %from, "why" => why);
+        slog::warn!(self.log, "message or connection of a peer refused"; "peer" => %from, "why" => why);
     }
 
     fn count_sent(&self, len: usize, dropped: usize) {
@@ -348,7 +348,7 @@
     }
 }
 
-/// Takes a link out of the table when its task ends, also when the task is aborted.
+/// Removes a link from the table when its task ends or is aborted.
 struct Closing<'a> {
     shared: &'a Shared,
     vm: &'a id::VmId,
@@ -374,7 +374,7 @@
             return;
         };
         let Ok((stream, addr)) = listener.accept().await else {
-            // Out of file descriptors: the next try would fail at once as well.
+            // The process is out of file descriptors, so an immediate retry would fail, too.
             tokio::time::sleep(CHECK_EVERY).await;
             continue;
         };
@@ -410,10 +410,10 @@
                 vm = Some(link.hello.vm.clone());
                 shared.carry(link).await;
             }
-            Ok(link) => shared.refuse("another VM than was dialled", &link.hello.vm),
+            Ok(link) => shared.refuse("another VM answered than the one dialled", &link.hello.vm),
             Err(err) => {
                 let addr = target.addr;
-                slog::debug!(shared.log, "dial failed"; "addr" => %addr, "why" => %err);
+                slog::debug!(shared.log, "dial failed, retrying"; "addr" => %addr, "why" => %err);
             }
         }
         tokio::time::sleep(backoff / 2 + jitter(backoff)).await;
@@ -421,7 +421,7 @@
     }
 }
 
-/// A random part of `span`, so that peers of a VM that died do not all dial at once.
+/// A random part of `span`, so that peers of a dead VM do not all dial at once.
 fn jitter(span: time::Duration) -> time::Duration {
     span.mul_f64(rand::rng().random())
 }
@@ -464,7 +464,7 @@
             }
             thread::sleep(time::Duration::from_millis(10));
         }
-        panic!("waited 30 s in vain: {what}");
+        panic!("timed out after 30 s: {what}");
     }
 
     fn want(key: &str) -> peer::Message {
@@ -485,8 +485,8 @@
         assert!(!a.send(&"c".into(), &want("x")));
     }
 
-    /// A VM's process is killed and starts again under the same address. Its peers must find it
-    /// again by themselves, or the availability zone loses an entry VM for good.
+    /// A VM's process is killed and restarts under the same address. If its peers do not link to it
+    /// again by themselves, the availability zone loses an entry VM for good.
     #[test]
     fn a_restarted_peer_is_linked_again() {
         let (a, _a_rx) = start(me("a", 1, SECRET));
@@ -512,8 +512,8 @@
         assert_eq!(b_rx.recv().unwrap(), ("a".into(), want("x")));
     }
 
-    /// A process with another secret, or none that speaks our protocol, connects. It must neither
-    /// be heard nor take the port from the others.
+    /// A process with another secret or another protocol connects. Its messages must be ignored,
+    /// and it must not block connections of other peers.
     #[test]
     fn a_stranger_is_refused_and_counted() {
         let (a, a_rx) = start(me("a", 1, SECRET));
@@ -529,8 +529,8 @@
         until("linked", || !a.linked().is_empty());
     }
 
-    /// A linked peer sends bytes that are no message. The link stays, since the next message may
-    /// be sound, and the refusal is counted.
+    /// A linked peer sends an invalid message. The refusal is counted, and the link stays because
+    /// later messages may be valid.
     #[test]
     fn a_malformed_message_is_counted_and_the_link_stays() {
         let (a, a_rx) = start(me("a", 1, SECRET));
