--- a/src/coordination/store.rs
+++ b/src/coordination/store.rs
@@ -1,8 +1,8 @@
-//! The platform's store and list of VMs, as a small trait.
+//! The interface to the platform's store and its list of VMs.
 //!
-//! The store is the only place where something is agreed or lasts. Every call counts against the
-//! platform's rates, a waiting watch too. Each call can fail, and a write whose reply was lost may
-//! have taken effect: [`Error::Unknown`] says so, and the caller reads back to find out.
+//! The store is the only place for consensus and durable data. Every call, even a waiting watch,
+//! counts against the platform's rate limits. Any call can fail. A write whose reply was lost may
+//! have taken effect; it returns [`Error::Unknown`], and the caller reads the key back.
 
 use std::net;
 use std::time;
@@ -13,12 +13,12 @@
     /// A revision of the whole store. It grows with each write. 0: the key does not exist yet.
     pub struct Revision(pub u64);
 
-    /// A lease that the store granted.
+    /// A lease granted by the store.
     pub struct LeaseId(pub u64);
 }
 
 data! {
-    /// One value and the revision that wrote it.
+    /// A value and the revision that wrote it.
     pub struct Entry {
         /// The key.
         pub key: String,
@@ -30,43 +30,43 @@
 
     /// Everything under a prefix at one revision.
     pub struct Snapshot {
-        /// The revision of the whole store that this shows.
+        /// The revision of the whole store.
         pub revision: Revision,
-        /// The entries, in the order of their keys.
+        /// The entries in key order.
         pub entries: Vec<Entry>,
     }
 
-    /// What a watch brought.
+    /// The result of a watch.
     pub enum Watch {
-        /// The writes after the revision asked for, oldest first; none when the wait ran out. A
-        /// deleted key comes with an empty value.
+        /// The writes after the requested revision, oldest first; empty if the wait timed out. A
+        /// deleted key has an empty value.
         Events {
-            /// The revision to go on from.
+            /// The revision to continue from.
             revision: Revision,
             /// The writes.
             entries: Vec<Entry>,
         },
-        /// The store no longer has the history: read the whole prefix again.
+        /// The store no longer has the history. Read the whole prefix again.
         Gap,
     }
 
-    /// Whether a VM takes work.
+    /// Whether a VM accepts new work.
     #[derive(Copy, Eq, Hash)]
     #[serde(rename_all = "snake_case")]
     pub enum VmState {
-        /// It works.
+        /// It accepts new work.
         Live,
-        /// It is about to go; it gets no new work.
+        /// It is about to stop and gets no new work.
         Leaving,
     }
 
-    /// What a VM does.
+    /// The role of a VM.
     #[derive(Eq, Hash)]
     #[serde(rename_all = "snake_case")]
     pub enum VmRole {
         /// It runs an entry process.
         Entry {
-            /// Where other entry VMs connect.
+            /// The address on which it listens for peers.
             peers: net::SocketAddr,
         },
         /// It is a backend server of a service.
@@ -76,23 +76,23 @@
         },
     }
 
-    /// One row of the platform's list of VMs, which lags.
+    /// A row of the platform's list of VMs, which lags.
     #[derive(Eq, Hash)]
     pub struct Vm {
         /// Its name.
         pub id: id::VmId,
         /// Its availability zone.
         pub az: id::AzId,
-        /// Where callers, or entry VMs for a backend server, connect.
+        /// The address for callers or, for a backend server, for entry VMs.
         pub addr: net::SocketAddr,
         /// What it does.
         pub role: VmRole,
-        /// Whether it takes work.
+        /// Whether it accepts new work.
         pub state: VmState,
     }
 }
 
-/// A call to the store that did not do what was asked.
+/// A failed call to the store.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The call did not take effect.
@@ -101,23 +101,23 @@
     /// The call may or may not have taken effect.
     #[error("the store's reply was lost: {0}; read the key back to see whether it was written")]
     Unknown(String),
-    /// The key was written by somebody else since the revision that the call expected.
-    #[error("`{key}` was changed meanwhile (now at revision {})", .now.0)]
+    /// The key was written by another client after the expected revision.
+    #[error("`{key}` was changed by another client (now at revision {}); read it again and retry", .now.0)]
     Conflict {
         /// The key.
         key: String,
-        /// Its revision now.
+        /// Its current revision.
         now: Revision,
     },
-    /// The lease has lapsed or never was.
-    #[error("the lease is gone; take a new one before writing under it")]
+    /// The lease has expired or never existed.
+    #[error("the lease has expired; take a new one before writing under it")]
     LeaseGone,
-    /// The value is larger than the store holds.
-    #[error("the value is {0} bytes and the store holds 1 MB; split it")]
+    /// The value exceeds the store's limit of 1 MB.
+    #[error("the value has {0} bytes, more than the store's limit of 1 MB; split it")]
     TooLarge(usize),
 }
 
-/// The platform's store. An adapter for another wire is one file that implements this.
+/// The platform's store. An adapter for another protocol implements this trait in one file.
 pub trait Store: Send + Sync + 'static {
     /// Reads one key.
     fn get(&self, key: &str) -> Result<Option<Entry>, Error>;
@@ -125,8 +125,8 @@
     /// Reads everything under a prefix.
     fn list(&self, prefix: &str) -> Result<Snapshot, Error>;
 
-    /// Writes `value` if the key is still at revision `expect`. With a lease the key goes away
-    /// when the lease does. An empty value deletes the key.
+    /// Writes `value` if the key is still at revision `expect`. With a lease, the key is deleted
+    /// when the lease ends. An empty value deletes the key.
     fn compare_and_swap(
         &self,
         key: &str,
@@ -138,13 +138,13 @@
     /// Waits, at most `wait`, for writes under a prefix after a revision.
     fn watch(&self, prefix: &str, after: Revision, wait: time::Duration) -> Result<Watch, Error>;
 
-    /// Takes a lease that lapses unless renewed within `ttl`.
+    /// Takes a lease that expires unless it is renewed within `ttl`.
     fn grant(&self, ttl: time::Duration) -> Result<LeaseId, Error>;
 
     /// Renews a lease.
     fn renew(&self, lease: LeaseId) -> Result<(), Error>;
 
-    /// Gives a lease up, and the keys written under it.
+    /// Gives up a lease and deletes the keys written under it.
     fn revoke(&self, lease: LeaseId) -> Result<(), Error>;
 
     /// The platform's list of live and leaving VMs.
