--- a/src/coordination/store_http.rs
+++ b/src/coordination/store_http.rs
@@ -1,7 +1,7 @@
-//! The platform's store over HTTP: one POST of a JSON [`Call`] and one JSON [`Reply`].
+//! Calls the platform's store over HTTP: a POST of a JSON [`Call`], answered by a JSON [`Reply`].
 //!
-//! A call that could not be sent did not take effect. A call that was sent and brought no reply
-//! may have: only then is the error [`store::Error::Unknown`], and only for writes.
+//! A call that could not be sent did not take effect. A write that was sent but got no valid reply
+//! may have; it returns [`store::Error::Unknown`].
 
 use std::net;
 use std::time;
@@ -9,10 +9,10 @@
 use super::store;
 use store::Store;
 
-/// How long a call other than a watch may take.
+/// The timeout of any call except a watch.
 const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// What a watch may take beyond its own wait.
+/// How much the timeout of a watch exceeds its wait.
 const WATCH_SLACK: time::Duration = time::Duration::from_secs(2);
 
 data! {
@@ -33,25 +33,25 @@
         CompareAndSwap {
             /// The key.
             key: String,
-            /// The revision that the key must still have.
+            /// The expected revision of the key.
             expect: store::Revision,
             /// The value.
             value: Vec<u8>,
-            /// The lease that the key hangs on.
+            /// The lease that the key depends on.
             lease: Option<store::LeaseId>,
         },
         /// Waits for writes.
         Watch {
             /// The prefix.
             prefix: String,
-            /// Only writes after this revision.
+            /// Return only writes after this revision.
             after: store::Revision,
-            /// How long to wait, in milliseconds.
+            /// The longest wait, in milliseconds.
             wait_ms: u64,
         },
         /// Takes a lease.
         Grant {
-            /// How long it lasts unless renewed, in milliseconds.
+            /// The time until it expires unless renewed, in milliseconds.
             ttl_ms: u64,
         },
         /// Renews a lease.
@@ -68,40 +68,40 @@
         Vms,
     }
 
-    /// The store's answer to a [`Call`].
+    /// The store's reply to a [`Call`].
     #[serde(rename_all = "snake_case", tag = "reply", content = "body")]
     pub enum Reply {
-        /// To `Get`.
+        /// Reply to `Get`.
         Entry(Option<store::Entry>),
-        /// To `List`.
+        /// Reply to `List`.
         Snapshot(store::Snapshot),
-        /// To `CompareAndSwap`.
+        /// Reply to `CompareAndSwap`: the new revision.
         Written(store::Revision),
-        /// To `Watch`.
+        /// Reply to `Watch`.
         Watch(store::Watch),
-        /// To `Grant`.
+        /// Reply to `Grant`.
         Lease(store::LeaseId),
-        /// To `Renew` and `Revoke`.
+        /// Reply to `Renew` and `Revoke`.
         Done,
-        /// To `Vms`.
+        /// Reply to `Vms`.
         Vms(Vec<store::Vm>),
-        /// The key had another revision.
+        /// The key has another revision than expected.
         Conflict {
             /// The key.
             key: String,
-            /// Its revision now.
+            /// Its current revision.
             now: store::Revision,
         },
-        /// The lease is gone.
+        /// The lease does not exist.
         LeaseGone,
-        /// The value is too large.
+        /// The value, of this many bytes, is too large.
         TooLarge(usize),
-        /// The store takes no calls.
+        /// The store accepts no calls now, for this reason.
         Unavailable(String),
     }
 }
 
-/// A client of the store. Connections are kept and used again.
+/// A client of the store. It reuses connections.
 #[derive(Debug)]
 pub struct Client {
     agent: ureq::Agent,
@@ -109,7 +109,7 @@
 }
 
 impl Client {
-    /// A client of the store at `addr`. Connects on the first call.
+    /// A client of the store at `addr`. It connects on the first call.
     pub fn new(addr: net::SocketAddr) -> Self {
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
@@ -122,7 +122,7 @@
     }
 
     fn call(&self, call: &Call, timeout: time::Duration) -> Result<Reply, store::Error> {
-        let body = serde_json::to_vec(call).expect("a call has only values that JSON can hold");
+        let body = serde_json::to_vec(call).expect("every call can be encoded as JSON");
         let sent = self
             .agent
             .post(&self.url)
@@ -136,7 +136,7 @@
             .read_to_vec()
             .map_err(|err| lost(call, &err))?;
         let reply = serde_json::from_slice(&text)
-            .map_err(|err| store::Error::Unknown(format!("garbled reply: {err}")))?;
+            .map_err(|err| store::Error::Unknown(format!("invalid reply: {err}")))?;
         match reply {
             Reply::Conflict { key, now } => Err(store::Error::Conflict { key, now }),
             Reply::LeaseGone => Err(store::Error::LeaseGone),
@@ -230,7 +230,7 @@
     }
 }
 
-/// Only a refused connection is known not to have reached the store.
+/// Only calls that failed to connect are known not to have reached the store.
 fn lost(call: &Call, err: &ureq::Error) -> store::Error {
     let not_sent = matches!(
         err,
@@ -245,5 +245,5 @@
 }
 
 fn unexpected(reply: &Reply) -> store::Error {
-    store::Error::Unknown(format!("a reply of another kind: {reply:?}"))
+    store::Error::Unknown(format!("unexpected kind of reply: {reply:?}"))
 }
