--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,4 +1,4 @@
-//! Long lists that are read in ranges side by side, played without a network.
+//! Reads long lists in parallel ranges, simulated without a network.
 
 use bulrushwind::coordination::pages;
 use rand::{RngExt, SeedableRng};
@@ -6,17 +6,17 @@
 /// Keys per page.
 const PAGE: usize = 200;
 
-/// What reading one list took.
+/// The result of reading one list.
 struct Read {
-    /// The keys that came, in the order of the ranges.
+    /// The keys read, in the order of the ranges.
     keys: Vec<String>,
-    /// Pages one after the other, in the longest range and before it.
+    /// Sequential round trips: the first page and then the pages of the longest range.
     rounds: usize,
-    /// Pages in all.
+    /// The total number of pages.
     pages: usize,
 }
 
-/// One page of a sorted list behind a key, and whether there are more.
+/// One page of a sorted list after a key, and whether more keys follow.
 fn page<'a>(list: &'a [String], after: &str) -> (&'a [String], bool) {
     let from = list.partition_point(|key| key.as_str() <= after);
     let rest = &list[from..];
@@ -69,7 +69,7 @@
     list
 }
 
-/// Guards against a start that waits for fifty pages one after the other, each over the widest link.
+/// Guards against a start that reads fifty pages in sequence, each over the widest link.
 #[test]
 fn the_length_of_a_list_hardly_matters() {
     for (count, rounds, overhead) in [
@@ -94,8 +94,8 @@
     }
 }
 
-/// Guards against losing keys that are not spread as supposed: numbered, of several forms, alike to the
-/// last digit, or on the very border of two ranges.
+/// Guards against lost keys if keys are not evenly spread: numbered keys, mixed formats, keys that
+/// differ only in their last digits, or keys exactly at the start of a range.
 #[test]
 fn every_key_comes_once_however_the_keys_are_spread() {
     let numbered = (0..3_000).map(|n| format!("servers/vm-{n:05}"));
--- a/tests/start.rs
+++ b/tests/start.rs
@@ -1,5 +1,5 @@
-//! All VMs of an availability zone far from the store start at once, played without a network through
-//! the code that decides whom each follows and when it turns to the store.
+//! Simulates, without a network, the start of all VMs of an availability zone far from the store.
+//! The code under test selects each VM's leader and decides when a VM reads the store.
 
 use std::time;
 
@@ -11,46 +11,46 @@
 /// The first call to a store in another region, which opens a connection.
 const CALL: time::Duration = time::Duration::from_millis(220);
 
-/// A whole read, page after page in ranges side by side.
+/// A full read, in pages of parallel ranges.
 const READ: time::Duration = time::Duration::from_millis(800);
 
-/// A packed list, in bytes for each backend server.
+/// The size of a compressed list, in bytes per backend server.
 const PACKED: f64 = 45.0;
 
-/// How long a tenth of a core takes for one backend server of a list.
+/// The time to decode one backend server of a list on a tenth of a core.
 const DECODE: time::Duration = time::Duration::from_micros(60);
 
-/// How long a message may take to leave before its follower is cut off.
+/// How long sending a message may take before the follower is disconnected.
 const WRITE: time::Duration = time::Duration::from_secs(2);
 
-/// How a VM stands.
+/// The state of a VM.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     Nothing,
-    /// It reads the store until then.
+    /// Reads the store until this time.
     Reads(time::Duration),
-    /// It has begun to hear a list from another, and so many bytes are missing.
+    /// Receives a list from this VM since this time, with this many bytes still missing.
     Hears(usize, time::Duration, f64),
-    /// It decodes until then.
+    /// Decodes the list until this time.
     Decodes(time::Duration),
     Knows,
 }
 
-/// What one start came to.
+/// The outcome of one start.
 #[derive(Debug, Default)]
 struct Start {
     /// VMs that read the store.
     reads: usize,
-    /// The most that one VM fed at once.
+    /// The most followers that one VM served at once.
     fed: u32,
-    /// The longest way of a message from one VM to another.
+    /// The longest transfer of a message between two VMs.
     slowest: time::Duration,
-    /// When the VM that callers are told has the list, and when all have it.
+    /// When the first VM has the list, and when all VMs have it.
     first: time::Duration,
     last: time::Duration,
 }
 
-/// A zone's entry VMs: one in forty with 200 Mbit/s, the others with 20.
+/// The entry VMs of a zone: every fortieth has 200 Mbit/s, the others 20 Mbit/s.
 fn zone(vms: usize) -> Vec<mirror::Place> {
     let place = |n: usize| mirror::Place {
         hash: (n as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15),
@@ -64,7 +64,7 @@
     all
 }
 
-/// The first `dead` of the order are registered and do not start.
+/// The first `dead` VMs of the order are registered but do not start.
 fn play(vms: usize, backend_servers: usize, dead: usize) -> Start {
     let places = zone(vms);
     let bytes = backend_servers as f64 * PACKED;
@@ -93,7 +93,8 @@
                     for other in asked.iter().filter(|other| **other < dead) {
                         orders[vm].avoid(now, &places[*other].vm, mirror::AVOID);
                     }
-                    // One that is asked answers once it knows, until the turn of the one who asks.
+                    // A VM answers a follower once it has the list, until the follower reads the
+                    // store itself.
                     let leader = asked.iter().find(|other| **other >= dead);
                     match leader.filter(|other| states[**other] == State::Knows) {
                         Some(other) => State::Hears(*other, now, bytes),
@@ -129,8 +130,8 @@
     start
 }
 
-/// Guards against VMs that turn to the store by the hundred, and against a leader whose link is full for
-/// seconds, when all start at once: in small zones, in large ones, and at twice that size.
+/// Guards against hundreds of VMs that read the store, and against a leader whose link is saturated
+/// for seconds, when all VMs start at once, in zones of several sizes.
 #[test]
 fn a_zone_starts_with_one_read_and_no_link_is_full_for_long() {
     for (vms, backend_servers) in [(16, 400), (110, 10_002), (220, 20_004)] {
@@ -146,8 +147,8 @@
     }
 }
 
-/// Guards against a zone that waits for leaders that do not start again. Where all that have wide links
-/// are dead, many read the store, and all know it in time even so.
+/// Guards against a zone that waits for dead leaders. If all VMs with wide links are dead, many VMs
+/// read the store, and still all have the list in time.
 #[test]
 fn a_zone_whose_first_are_dead_starts_all_the_same() {
     for (dead, reads) in [(1, 4), (2, 8), (3, 107), (12, 98)] {
--- a/tests/turns.rs
+++ b/tests/turns.rs
@@ -1,4 +1,4 @@
-//! Who turns to the platform's store when all lose their source, played without a network.
+//! Simulates, without a network, which VMs read the platform's store after all lose their leader.
 
 use std::time;
 
@@ -8,22 +8,23 @@
     time::Duration::from_millis(n)
 }
 
-/// What one region's VMs did.
+/// The outcome for the VMs of one region.
 #[derive(Debug, Default)]
 struct Played {
     /// Calls to the store.
     calls: usize,
-    /// When the last of them had a source again.
+    /// When the last VM had a leader again.
     all_found: time::Duration,
 }
 
-/// A region loses its source at once. The store answers calls from `back` on, within `took`; what
-/// fails before fails at once. Each VM asks those before it between its turns.
+/// All VMs of a region lose their leader at once. The store answers calls from `back` on, within
+/// `took`; earlier calls fail at once. Between its reads, each VM tries to follow the VMs before
+/// it.
 fn play(vms: usize, back: time::Duration, took: time::Duration) -> Played {
     const TICK: u64 = 20;
     let mut played = Played::default();
     let mut turns = vec![turns::Turns::default(); vms];
-    // When a VM will have read the store, and whether it has a source.
+    // When a VM will have read the store, and whether it has a source of records.
     let mut reading: Vec<Option<time::Duration>> = vec![None; vms];
     let mut found = vec![false; vms];
     for now in (0..1000).map(|n| ms(n * TICK)) {
@@ -49,9 +50,8 @@
     played
 }
 
-/// The one who reads the store for a region loses power. All VMs of the region lose their source in
-/// the same moment, and each used to read the whole list of the store; the calls are paid for by the
-/// users, and at 300 VMs the store's link is full for seconds.
+/// The reader of a region loses power, so all VMs lose their leader at once. If each then reads the
+/// whole list, users pay for the calls, and at 300 VMs the store's link is saturated for seconds.
 #[test]
 fn two_of_a_region_turn_to_the_store_and_the_others_follow_them() {
     for vms in [4, 12, 32, 100, 400] {
@@ -61,8 +61,8 @@
     }
 }
 
-/// The list is long and the store stands in another region, so that reading takes most of a second.
-/// A part of the region gives up waiting and reads too, and nobody waits much longer than that.
+/// The list is long and the store is in another region, so a read takes most of a second. Some VMs
+/// stop waiting and read the store too, and no VM waits much longer than that read.
 #[test]
 fn a_slow_read_brings_few_more_to_the_store() {
     let played = play(100, ms(0), ms(900));
@@ -70,19 +70,19 @@
     assert!(played.all_found <= ms(1500), "{played:?}");
 }
 
-/// The store refuses for four seconds. Asked by each VM twice a second it would have some 800 calls
-/// of a region of a hundred, and all of them again at its return.
+/// The store refuses calls for four seconds. If each VM called twice a second, a region of a
+/// hundred VMs would make some 800 calls, and all VMs would call again when the store recovers.
 #[test]
 fn a_store_that_refuses_is_asked_by_few_and_heard_soon_after_its_return() {
     let played = play(100, ms(4000), ms(150));
-    // Those at the front ask twice a second, and each other one three times.
+    // The first VMs call twice a second, and every other VM three times in total.
     assert!(played.calls <= 2 * 10 + 98 * 3, "{played:?}");
     assert!(played.all_found <= ms(4000 + 1200), "{played:?}");
 }
 
-/// The front of the order is cut off from the store and the rest is not. They wait in vain, and what
-/// operators changed must be in force with them within four seconds all the same: that leaves two
-/// after a source has been silent.
+/// The first VMs are cut off from the store, so the others wait for them in vain. Changes by
+/// operators must still be in force on the others within four seconds, which leaves two seconds
+/// after the silence timeout.
 #[test]
 fn those_further_back_do_not_wait_for_the_front_without_end() {
     for place in [0, 1, 2, 3, 10, 100, 4400] {
@@ -92,9 +92,8 @@
     }
 }
 
-/// The store is silent for some seconds, and calls hang until they are given up. One that then pauses
-/// as after a refusal hears of the store's return late: a backend server that has left meanwhile
-/// still gets requests.
+/// The store does not answer for some seconds, and calls hang until they time out. A full backoff
+/// after such a call would delay changes, and requests would go to backend servers that have left.
 #[test]
 fn after_a_call_that_hung_the_next_follows_at_once() {
     for place in [0, 1, 10, 100] {
@@ -111,8 +110,8 @@
     }
 }
 
-/// Guards against paying for renewals of VMs that nobody is sent to, and against naming the dead for
-/// longer than operators allow.
+/// Guards against the cost of renewals for VMs on standby, and against naming dead VMs for longer
+/// than operators allow.
 #[test]
 fn those_that_stand_by_renew_seldom_and_are_forgotten_in_time() {
     for (named, lasts) in [(3000, 3000), (6000, 3000), (7000, 4000), (9000, 6000)] {
@@ -122,7 +121,7 @@
     }
 }
 
-/// Guards against VMs that turn to the store by the hundred when all start far from it.
+/// Guards against hundreds of VMs that read a distant store when all start at once.
 #[test]
 fn at_a_start_far_from_the_store_those_behind_wait_for_a_whole_read() {
     let call = ms(220);
