--- a/src/coordination/listing.rs
+++ b/src/coordination/listing.rs
@@ -22,22 +22,22 @@
 
 /// How long after an outage missing backend servers are counted. The first answers after an outage
 /// arrive within this time.
-const COUNT: time::Duration = time::Duration::from_millis(300);
+const MISSING_COUNT_WINDOW: time::Duration = time::Duration::from_millis(300);
 
 /// The share of the list that must be missing for an outage to be the cause. A release or the loss
 /// of an availability zone removes about a sixth.
-const MASS: f64 = 0.4;
+const OUTAGE_MIN_MISSING_SHARE: f64 = 0.4;
 
 /// The shortest gap between two answers that counts as an outage. A shorter gap expires no lease.
-const AWAY: time::Duration = time::Duration::from_millis(900);
+const OUTAGE_MIN_DURATION: time::Duration = time::Duration::from_millis(900);
 
 /// The state of the store and the backend servers that are held.
 #[derive(Debug, Default)]
 pub struct Listing {
-    heard: Option<policy::Moment>,
+    last_answer: Option<policy::Moment>,
     failing: bool,
-    back: Option<policy::Moment>,
-    missing: collections::BTreeSet<id::VmId>,
+    outage_ended: Option<policy::Moment>,
+    held: collections::BTreeSet<id::VmId>,
 }
 
 impl Listing {
@@ -48,44 +48,44 @@
 
     /// Records an answer of the store. Returns the length of the outage if one has just ended.
     pub fn heard(&mut self, now: policy::Moment) -> Option<time::Duration> {
-        let gap = now.saturating_sub(self.heard.unwrap_or(now));
-        self.heard = Some(now);
-        if !std::mem::take(&mut self.failing) || gap < AWAY {
+        let gap = now.saturating_sub(self.last_answer.unwrap_or(now));
+        self.last_answer = Some(now);
+        if !std::mem::take(&mut self.failing) || gap < OUTAGE_MIN_DURATION {
             return None;
         }
-        self.back = Some(now);
+        self.outage_ended = Some(now);
         Some(gap)
     }
 
     /// The time since the store's last answer; `None` if it has not answered yet.
     pub fn age(&self, now: policy::Moment) -> Option<time::Duration> {
-        Some(now.saturating_sub(self.heard?))
+        Some(now.saturating_sub(self.last_answer?))
     }
 
     /// Records that the list lacks a backend server. Returns whether to remove it at once.
-    pub fn lost(&mut self, now: policy::Moment, name: &id::VmId) -> bool {
-        let holding = self.back.is_some_and(|back| now < back + HOLD);
-        if holding {
-            self.missing.insert(name.clone());
+    pub fn lost(&mut self, now: policy::Moment, vm: &id::VmId) -> bool {
+        let holds = self.outage_ended.is_some_and(|ended| now < ended + HOLD);
+        if holds {
+            self.held.insert(vm.clone());
         }
-        !holding
+        !holds
     }
 
     /// Records that the list contains a backend server.
-    pub fn found(&mut self, name: &id::VmId) {
-        self.missing.remove(name);
+    pub fn found(&mut self, vm: &id::VmId) {
+        self.held.remove(vm);
     }
 
     /// Returns the held backend servers to remove now, given `known` backend servers in total.
     pub fn overdue(&mut self, now: policy::Moment, known: usize) -> Vec<id::VmId> {
-        let mass = self.missing.len() as f64 >= known as f64 * MASS;
-        let wait = match mass {
+        let likely_outage = self.held.len() as f64 >= known as f64 * OUTAGE_MIN_MISSING_SHARE;
+        let wait = match likely_outage {
             true => HOLD,
-            false => COUNT,
+            false => MISSING_COUNT_WINDOW,
         };
-        if self.back.is_some_and(|back| now < back + wait) {
+        if self.outage_ended.is_some_and(|ended| now < ended + wait) {
             return Vec::new();
         }
-        std::mem::take(&mut self.missing).into_iter().collect()
+        std::mem::take(&mut self.held).into_iter().collect()
     }
 }
