--- a/src/coordination/mirror.rs
+++ b/src/coordination/mirror.rs
@@ -58,17 +58,17 @@
 
 /// The bandwidth reserved for each follower, in Mbit/s. It carries a compressed list of ten
 /// thousand backend servers in less than a second.
-const EACH_MBPS: u32 = 5;
+const FOLLOWER_MBPS: u32 = 5;
 
 /// The least number of followers that a VM serves.
-const FED: usize = 4;
+const MIN_FOLLOWER_COUNT: usize = 4;
 
 /// How many removals are kept for followers that reconnect.
-const REMOVALS: usize = 4096;
+const MAX_KEPT_REMOVALS: usize = 4096;
 
 /// A value and the revision of its last update.
 #[derive(Clone, Debug)]
-struct Told {
+struct VersionedValue {
     value: Bytes,
     revision: u64,
 }
@@ -76,7 +76,7 @@
 /// A copy of the store's records.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
-    values: collections::BTreeMap<String, Told>,
+    values: collections::BTreeMap<String, VersionedValue>,
     /// Removed keys and the revision of each removal.
     removed: collections::BTreeMap<String, u64>,
     /// The revision from which all removals are kept; 0: none are.
@@ -126,19 +126,19 @@
             Some(value) => {
                 let value = value.clone();
                 self.removed.remove(&record.key);
-                let told = Told { value, revision };
-                self.values.insert(record.key.clone(), told);
+                let versioned = VersionedValue { value, revision };
+                self.values.insert(record.key.clone(), versioned);
             }
             None => {
                 self.values.remove(&record.key);
                 self.removed.insert(record.key.clone(), revision);
-                self.forget_removals(revision);
+                self.trim_removals(revision);
             }
         }
     }
 
-    fn forget_removals(&mut self, revision: u64) {
-        if self.removed.len() > REMOVALS {
+    fn trim_removals(&mut self, revision: u64) {
+        if self.removed.len() > MAX_KEPT_REMOVALS {
             self.removed.clear();
             self.complete_from = revision;
         }
@@ -146,7 +146,10 @@
 
     /// Whether the copy already holds this record.
     pub fn knows(&self, record: &mirror::Record) -> bool {
-        self.values.get(&record.key).map(|told| &told.value) == record.value.as_ref()
+        self.values
+            .get(&record.key)
+            .map(|versioned| &versioned.value)
+            == record.value.as_ref()
     }
 
     /// Removals of all held keys that `records` lacks.
@@ -164,9 +167,9 @@
 
     /// All records.
     pub fn snapshot(&self) -> mirror::Message {
-        let records = self.values.iter().map(|(key, told)| mirror::Record {
+        let records = self.values.iter().map(|(key, versioned)| mirror::Record {
             key: key.clone(),
-            value: Some(told.value.clone()),
+            value: Some(versioned.value.clone()),
         });
         mirror::Message::Whole {
             records: records.collect(),
@@ -182,10 +185,10 @@
         let values = self
             .values
             .iter()
-            .filter(|(_, told)| told.revision > revision);
-        let values = values.map(|(key, told)| mirror::Record {
+            .filter(|(_, versioned)| versioned.revision > revision);
+        let values = values.map(|(key, versioned)| mirror::Record {
             key: key.clone(),
-            value: Some(told.value.clone()),
+            value: Some(versioned.value.clone()),
         });
         let removed = self.removed.iter().filter(|(_, at)| **at > revision);
         let removed = removed.map(|(key, _)| mirror::Record {
@@ -202,44 +205,47 @@
 /// Selects the leaders to try.
 #[derive(Clone, Debug, Default)]
 pub struct Order {
-    avoided: collections::BTreeMap<id::VmId, policy::Moment>,
+    skipped: collections::BTreeMap<id::VmId, policy::Moment>,
 }
 
 impl Order {
     /// Skips a VM for `span` because it could not be followed.
     pub fn avoid(&mut self, now: policy::Moment, vm: &id::VmId, span: time::Duration) {
-        self.avoided.insert(vm.clone(), now + span);
+        self.skipped.insert(vm.clone(), now + span);
     }
 
     /// This VM's rank: how many VMs precede it in the order, including those that are skipped.
-    pub fn place(own: &Place, near: &[Place]) -> usize {
-        near.iter().filter(|vm| vm.order(own).is_lt()).count()
+    pub fn place(local: &Place, near: &[Place]) -> usize {
+        near.iter().filter(|vm| vm.order(local).is_lt()).count()
     }
 
     /// The leaders to try, best first; empty if this VM must read the store itself. `near` holds
     /// the registered entry VMs of the region.
-    pub fn ask(&mut self, now: policy::Moment, own: &Place, near: &[Place]) -> Vec<Place> {
-        self.avoided.retain(|_, until| *until > now);
-        let mut before: Vec<&Place> = near
+    pub fn ask(&mut self, now: policy::Moment, local: &Place, near: &[Place]) -> Vec<Place> {
+        self.skipped.retain(|_, until| *until > now);
+        let mut preceding: Vec<&Place> = near
             .iter()
-            .filter(|vm| vm.order(own).is_lt())
-            .filter(|vm| !self.avoided.contains_key(&vm.vm))
+            .filter(|vm| vm.order(local).is_lt())
+            .filter(|vm| !self.skipped.contains_key(&vm.vm))
             .collect();
-        before.sort_by(|a, b| a.order(b));
-        let (zone, beyond): (Vec<&Place>, Vec<&Place>) =
-            before.into_iter().partition(|vm| vm.az == own.az);
+        preceding.sort_by(|a, b| a.order(b));
+        let (zone, outside): (Vec<&Place>, Vec<&Place>) =
+            preceding.into_iter().partition(|vm| vm.az == local.az);
         let ancestors = ancestors(&zone);
         // If the tree is flat, the next VM in the order replaces the first as the second choice.
-        let others = zone.iter().enumerate().map(|(place, _)| place);
-        let others = others.filter(|place| !ancestors.contains(place));
-        let asked: Vec<usize> = ancestors
+        let others = zone.iter().enumerate().map(|(rank, _)| rank);
+        let others = others.filter(|rank| !ancestors.contains(rank));
+        let chosen: Vec<usize> = ancestors
             .iter()
             .copied()
             .chain(others)
             .take(ASKED)
             .collect();
-        let in_zone = asked.into_iter().map(|place| zone[place]);
-        in_zone.chain(beyond.into_iter().take(1)).cloned().collect()
+        let in_zone = chosen.into_iter().map(|rank| zone[rank]);
+        in_zone
+            .chain(outside.into_iter().take(1))
+            .cloned()
+            .collect()
     }
 
     /// The number of hops from a VM to the first VM of its availability zone.
@@ -257,21 +263,21 @@
 /// availability zone that precede it.
 fn ancestors(zone: &[&Place]) -> Vec<usize> {
     let mut ancestors = Vec::new();
-    let mut place = zone.len();
-    while place > 0 {
-        place = leader(zone, place);
-        ancestors.push(place);
+    let mut rank = zone.len();
+    while rank > 0 {
+        rank = leader(zone, rank);
+        ancestors.push(rank);
     }
     ancestors
 }
 
 /// The rank of the leader for the VM at this rank of its availability zone: each VM serves the next
 /// ones that no earlier VM serves.
-fn leader(zone: &[&Place], place: usize) -> usize {
-    let mut fed = 0;
+fn leader(zone: &[&Place], rank: usize) -> usize {
+    let mut served = 0;
     for (leader, vm) in zone.iter().enumerate() {
-        fed += vm.feeds();
-        if place <= fed {
+        served += vm.max_followers();
+        if rank <= served {
             return leader;
         }
     }
@@ -295,8 +301,8 @@
 
 impl Place {
     /// The number of followers that it serves.
-    fn feeds(&self) -> usize {
-        FED.max((self.link_mbps / EACH_MBPS) as usize)
+    fn max_followers(&self) -> usize {
+        MIN_FOLLOWER_COUNT.max((self.link_mbps / FOLLOWER_MBPS) as usize)
     }
 
     /// Compares ranks. VMs with wider links come first, since they serve more followers.
