--- a/src/coordination/pages.rs
+++ b/src/coordination/pages.rs
@@ -9,47 +9,47 @@
 //! list with uneven keys is also read completely, in ranges of unequal size.
 
 /// The least number of pages per range, on average.
-const PAGES: f64 = 2.0;
+const MIN_PAGES_PER_RANGE: f64 = 2.0;
 
 /// The most ranges that are read in parallel.
-const MOST: usize = 32;
+const MAX_RANGES: usize = 32;
 
 /// How many digits of a key determine where a range starts.
-const DIGITS: usize = 4;
+const RANGE_START_DIGITS: usize = 4;
 
 /// The starts of further ranges, given the sorted keys of the first page. Each range holds the keys
 /// after its start, up to and including the next start. Empty: one range holds the rest.
 pub fn beginnings(prefix: &str, page: &[&str]) -> Vec<String> {
-    let Some(drawn) = Drawn::of(prefix, page) else {
+    let Some(key_space) = KeySpace::infer(prefix, page) else {
         return Vec::new();
     };
-    let covered = drawn.part_of(page[page.len() - 1]);
+    let covered = key_space.share_before(page[page.len() - 1]);
     if covered <= 0.0 {
         return Vec::new();
     }
     let pages = 1.0 / covered - 1.0;
-    let ranges = ((pages / PAGES) as usize).min(MOST);
+    let ranges = ((pages / MIN_PAGES_PER_RANGE) as usize).min(MAX_RANGES);
     (1..ranges)
-        .map(|n| drawn.key_at(covered + (1.0 - covered) * n as f64 / ranges as f64))
+        .map(|n| key_space.key_at(covered + (1.0 - covered) * n as f64 / ranges as f64))
         .collect()
 }
 
 /// A key space: keys with a common stem followed by random digits.
-struct Drawn<'a> {
+struct KeySpace<'a> {
     /// The common stem.
     stem: &'a str,
     /// The digits, in ascending order.
     digits: Vec<u8>,
 }
 
-impl<'a> Drawn<'a> {
+impl<'a> KeySpace<'a> {
     /// Infers the key space from a page. `None` if the page has too few keys.
-    fn of(prefix: &str, page: &[&'a str]) -> Option<Self> {
+    fn infer(prefix: &str, page: &[&'a str]) -> Option<Self> {
         let (first, last) = (*page.first()?, *page.last()?);
-        let alike = common(first, last);
+        let common_len = common_prefix_len(first, last);
         let mut digits: Vec<u8> = page
             .iter()
-            .flat_map(|key| key.bytes().skip(alike))
+            .flat_map(|key| key.bytes().skip(common_len))
             .collect();
         digits.sort_unstable();
         digits.dedup();
@@ -57,30 +57,30 @@
             return None;
         }
         // On a page that covers a small share of the keys, the first random digits are equal, too.
-        let behind = first.as_bytes()[..alike].iter().rev();
-        let shared = behind.take_while(|byte| digits.contains(byte)).count();
-        let stem = first.get(..alike.saturating_sub(shared).max(prefix.len()))?;
+        let stem_end = first.as_bytes()[..common_len].iter().rev();
+        let shared_digits = stem_end.take_while(|byte| digits.contains(byte)).count();
+        let stem = first.get(..common_len.saturating_sub(shared_digits).max(prefix.len()))?;
         Some(Self { stem, digits })
     }
 
     /// The share of the key space before a key.
-    fn part_of(&self, key: &str) -> f64 {
+    fn share_before(&self, key: &str) -> f64 {
         let base = self.digits.len() as f64;
-        let rest = key.bytes().skip(self.stem.len()).take(DIGITS);
+        let rest = key.bytes().skip(self.stem.len()).take(RANGE_START_DIGITS);
         let places = rest.map(|byte| self.digits.partition_point(|d| *d < byte));
         let scales = (1..).map(|n| base.powi(-n));
         places.zip(scales).map(|(d, s)| d as f64 * s).sum()
     }
 
     /// The key that has this share of the key space before it.
-    fn key_at(&self, part: f64) -> String {
+    fn key_at(&self, share: f64) -> String {
         let base = self.digits.len();
-        let mut left = part;
+        let mut rest = share;
         let mut key = self.stem.to_owned();
-        for _ in 0..DIGITS {
-            left *= base as f64;
-            let digit = (left as usize).min(base - 1);
-            left -= digit as f64;
+        for _ in 0..RANGE_START_DIGITS {
+            rest *= base as f64;
+            let digit = (rest as usize).min(base - 1);
+            rest -= digit as f64;
             key.push(char::from(self.digits[digit]));
         }
         key
@@ -88,6 +88,6 @@
 }
 
 /// The length of the common prefix of two keys, in bytes.
-fn common(a: &str, b: &str) -> usize {
+fn common_prefix_len(a: &str, b: &str) -> usize {
     a.bytes().zip(b.bytes()).take_while(|(a, b)| a == b).count()
 }
