--- a/src/coordination/registration.rs
+++ b/src/coordination/registration.rs
@@ -8,23 +8,25 @@
 use std::time;
 
 /// The lease of a VM that callers are sent to now or next.
-const IN_LINE: time::Duration = time::Duration::from_secs(3);
+const ACTIVE_LEASE: time::Duration = time::Duration::from_secs(3);
 
 /// The usual maximum time from the end of a lease until no VM names its holder.
-const KNOWN: time::Duration = time::Duration::from_secs(3);
+const MAX_LOOKUP_LAG: time::Duration = time::Duration::from_secs(3);
 
 /// Renewals per lease: two may fail before the lease ends.
-const RENEWALS: u32 = 3;
+const RENEWALS_PER_LEASE: u32 = 3;
 
-/// The length of the lease, where `named` is how long a dead VM may still be named.
-pub fn lease(stands_by: bool, named: time::Duration) -> time::Duration {
-    match stands_by {
-        true => named.saturating_sub(KNOWN).max(IN_LINE),
-        false => IN_LINE,
+/// The length of the lease, where `max_dead_named` is how long a dead VM may still be named.
+pub fn lease(on_standby: bool, max_dead_named: time::Duration) -> time::Duration {
+    match on_standby {
+        true => max_dead_named
+            .saturating_sub(MAX_LOOKUP_LAG)
+            .max(ACTIVE_LEASE),
+        false => ACTIVE_LEASE,
     }
 }
 
 /// The interval between renewals of a lease.
 pub fn renewal(lease: time::Duration) -> time::Duration {
-    lease / RENEWALS
+    lease / RENEWALS_PER_LEASE
 }
