--- a/src/coordination/turns.rs
+++ b/src/coordination/turns.rs
@@ -22,66 +22,66 @@
 
 /// The extra wait per doubling of the rank. Reading a long list across the widest link takes most
 /// of a second; a list of a few hundred entries arrives within one step.
-const STEP: time::Duration = time::Duration::from_millis(400);
+const READ_DELAY_STEP: time::Duration = time::Duration::from_millis(400);
 
 /// The longest wait. With the silence timeout (1.5 s) and a read of the store (0.3 s) on top, a
 /// change is in force within the four seconds required in large fleets. A fleet with four VMs a
 /// region waits a single step.
-const LONGEST: time::Duration = time::Duration::from_millis(2000);
+const MAX_READ_DELAY: time::Duration = time::Duration::from_millis(2000);
 
 /// How many times longer a full read and its transfer to followers take than the first call after a
 /// start, which opens a connection.
-const WHOLE: u32 = 4;
+const FULL_READ_CALL_RATIO: u32 = 4;
 
 /// The longest wait of a VM that has just started.
-const LONGEST_AT_START: time::Duration = time::Duration::from_secs(6);
+const MAX_INITIAL_READ_DELAY: time::Duration = time::Duration::from_secs(6);
 
 /// The first and the longest backoff of the VMs that read at once. It doubles after each failed
 /// call: more calls do not help an overloaded store, yet its changes must be known soon after it
 /// recovers.
-const FRONT: [time::Duration; 2] = [
+const IMMEDIATE_READER_BACKOFF: [time::Duration; 2] = [
     time::Duration::from_millis(250),
     time::Duration::from_millis(500),
 ];
 
 /// The same for the other VMs, which get the changes from those before them.
-const BACK: [time::Duration; 2] = [
+const DELAYED_READER_BACKOFF: [time::Duration; 2] = [
     time::Duration::from_millis(1000),
     time::Duration::from_millis(2000),
 ];
 
 /// How long a VM of this rank waits before it reads the store.
-pub fn patience(place: usize) -> time::Duration {
-    (STEP * doublings(place)).min(LONGEST)
+pub fn patience(rank: usize) -> time::Duration {
+    (READ_DELAY_STEP * doublings(rank)).min(MAX_READ_DELAY)
 }
 
 /// The same for a VM that has just started, where `call` is the duration of its first call to the
 /// store. Only the first VM reads at once: when all VMs start, full lists fill the store's link.
-pub fn patience_at_start(place: usize, call: time::Duration) -> time::Duration {
-    let step = STEP.max(call * WHOLE);
-    (step * doublings(place + 1)).min(LONGEST_AT_START)
+pub fn patience_at_start(rank: usize, call: time::Duration) -> time::Duration {
+    let step = READ_DELAY_STEP.max(call * FULL_READ_CALL_RATIO);
+    (step * doublings(rank + 1)).min(MAX_INITIAL_READ_DELAY)
 }
 
-fn doublings(place: usize) -> u32 {
-    (place / FIRST).checked_ilog2().map_or(0, |n| n + 1)
+fn doublings(rank: usize) -> u32 {
+    (rank / FIRST).checked_ilog2().map_or(0, |n| n + 1)
 }
 
 /// When a VM reads the store next.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Turns {
     /// The earliest time of the next read; `None` while the VM has a leader.
-    next: Option<policy::Moment>,
+    next_read: Option<policy::Moment>,
     /// The number of consecutive failed calls.
-    failed: u32,
+    failed_calls: u32,
     /// The duration of the first call, until the VM has a leader.
-    start: Option<time::Duration>,
+    first_call: Option<time::Duration>,
 }
 
 impl Turns {
     /// The schedule after a start, where `call` is the duration of the first call to the store.
     pub fn at_start(call: time::Duration) -> Self {
         Self {
-            start: Some(call),
+            first_call: Some(call),
             ..Self::default()
         }
     }
@@ -93,30 +93,30 @@
 
     /// Returns how long a VM of this rank, which has no leader, still waits before it reads the
     /// store.
-    pub fn wait(&mut self, now: policy::Moment, place: usize) -> time::Duration {
-        let patience = match self.start {
-            Some(call) => patience_at_start(place, call),
-            None => patience(place),
+    pub fn wait(&mut self, now: policy::Moment, rank: usize) -> time::Duration {
+        let delay = match self.first_call {
+            Some(call) => patience_at_start(rank, call),
+            None => patience(rank),
         };
-        let next = *self.next.get_or_insert(now + patience);
-        next.saturating_sub(now)
+        let next_read = *self.next_read.get_or_insert(now + delay);
+        next_read.saturating_sub(now)
     }
 
     /// Schedules the next read at once. It takes place if the VM finds no leader before.
     pub fn reads_on(&mut self, now: policy::Moment) {
-        self.next = Some(now);
+        self.next_read = Some(now);
     }
 
     /// Records a failed call that began at `begun`. The backoff runs from then, so it includes the
     /// call: a full backoff after each call that hung delayed changes by up to half a second after
     /// an outage, and requests went to backend servers that had left.
-    pub fn failed(&mut self, begun: policy::Moment, place: usize) {
-        let [first, longest] = match place < FIRST {
-            true => FRONT,
-            false => BACK,
+    pub fn failed(&mut self, begun: policy::Moment, rank: usize) {
+        let [first, longest] = match rank < FIRST {
+            true => IMMEDIATE_READER_BACKOFF,
+            false => DELAYED_READER_BACKOFF,
         };
-        let pause = first * 2_u32.pow(self.failed.min(8));
-        self.failed += 1;
-        self.next = Some(begun + pause.min(longest));
+        let backoff = first * 2_u32.pow(self.failed_calls.min(8));
+        self.failed_calls += 1;
+        self.next_read = Some(begun + backoff.min(longest));
     }
 }
