--- a/src/coordination/driver.rs
+++ b/src/coordination/driver.rs
@@ -14,24 +14,24 @@
 
 use super::{action, node, peers, reader, store};
 use crate::decisions::policy;
-use crate::metrics as names;
+use crate::metrics as metric_names;
 use crate::protocol::{hello, peer};
 use crate::transport::peer as link;
 use crate::{id, settings};
 use action::{Action, Note, Prefix};
 
 /// The interval of the node's timer.
-const TICK: time::Duration = time::Duration::from_millis(50);
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
 /// How often the node gets the list of open links.
-const LINKS_EVERY: time::Duration = time::Duration::from_millis(250);
+const LINKS_POLL_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
 /// How long one watch waits. Each watch costs one call, but a longer one is more often cut by a
 /// device between the VM and the store.
-const WATCH_WAIT: time::Duration = time::Duration::from_secs(25);
+const MAX_WATCH_WAIT: time::Duration = time::Duration::from_secs(25);
 
 /// The most messages queued for other parts of the process.
-const INBOX: usize = 8192;
+const MAX_INBOX_MESSAGES: usize = 8192;
 
 /// Receives the results of coordination.
 pub trait Feed: Send + 'static {
@@ -95,16 +95,16 @@
     feed: F,
     peers: Option<sync::Arc<peers::Peers>>,
     calls: [channel::Sender<Call>; 3],
-    ended: channel::Receiver<node::Event>,
+    store_events: channel::Receiver<node::Event>,
     messages: channel::Receiver<peers::Received>,
     control: channel::Receiver<Control>,
-    rest: channel::Sender<peers::Received>,
-    started: time::Instant,
+    inbox_tx: channel::Sender<peers::Received>,
+    started_at: time::Instant,
     next_tick: policy::Moment,
     next_links: policy::Moment,
-    linked: u64,
+    linked_count: u64,
     standing: Standing,
-    out: Vec<Action>,
+    actions: Vec<Action>,
     log: slog::Logger,
 }
 
@@ -116,32 +116,32 @@
         feed: F,
         log: &slog::Logger,
     ) -> std::io::Result<Self> {
-        let (peers, messages) = links(&cfg, log)?;
-        let (events, ended) = channel::unbounded();
+        let (peers, messages) = start_links(&cfg, log)?;
+        let (event_tx, event_rx) = channel::unbounded();
         let platform = sync::Arc::new(platform);
-        let calls = std::array::from_fn(|_| caller(platform.clone(), events.clone()));
-        let (rest, inbox) = channel::bounded(INBOX);
-        let (control, controlled) = channel::unbounded();
-        let mut driven = Loop {
+        let calls = std::array::from_fn(|_| spawn_call_thread(platform.clone(), event_tx.clone()));
+        let (inbox_tx, inbox) = channel::bounded(MAX_INBOX_MESSAGES);
+        let (control, control_rx) = channel::unbounded();
+        let mut event_loop = Loop {
             node: node::Node::new(cfg.node, policy::Moment::ZERO),
             feed,
             peers: peers.clone(),
             calls,
-            ended,
+            store_events: event_rx,
             messages,
-            control: controlled,
-            rest,
-            started: time::Instant::now(),
+            control: control_rx,
+            inbox_tx,
+            started_at: time::Instant::now(),
             next_tick: policy::Moment::ZERO,
             next_links: policy::Moment::ZERO,
-            linked: 0,
+            linked_count: 0,
             standing: Standing::default(),
-            out: Vec::new(),
+            actions: Vec::new(),
             log: log.clone(),
         };
         thread::Builder::new()
             .name("coordination".to_owned())
-            .spawn(move || driven.run())?;
+            .spawn(move || event_loop.run())?;
         Ok(Self {
             peers,
             inbox,
@@ -168,7 +168,7 @@
     }
 }
 
-fn links(
+fn start_links(
     cfg: &Config,
     log: &slog::Logger,
 ) -> std::io::Result<(
@@ -193,14 +193,14 @@
 }
 
 /// Starts a thread that makes one call at a time. It ends when the sender of its calls is dropped.
-fn caller<S: store::Store>(
+fn spawn_call_thread<S: store::Store>(
     platform: sync::Arc<S>,
-    events: channel::Sender<node::Event>,
+    event_tx: channel::Sender<node::Event>,
 ) -> channel::Sender<Call> {
     let (tx, rx) = channel::unbounded::<Call>();
     thread::spawn(move || {
         for call in rx {
-            if events.send(make(&*platform, call)).is_err() {
+            if event_tx.send(make_call(&*platform, call)).is_err() {
                 return;
             }
         }
@@ -208,48 +208,48 @@
     tx
 }
 
-fn make<S: store::Store>(platform: &S, call: Call) -> node::Event {
+fn make_call<S: store::Store>(platform: &S, call: Call) -> node::Event {
     match call {
         Call::List(prefix) => {
             let result = platform.list(prefix.as_str());
-            count("list", &result);
+            count_call("list", &result);
             node::Event::Listed(prefix, result)
         }
         Call::Watch(prefix, after) => {
-            let result = platform.watch(prefix.as_str(), after, WATCH_WAIT);
-            count("watch", &result);
+            let result = platform.watch(prefix.as_str(), after, MAX_WATCH_WAIT);
+            count_call("watch", &result);
             node::Event::Watched(prefix, result)
         }
         Call::Write(key, expect, value) => {
             let result = platform.compare_and_swap(&key, expect, value.as_bytes(), None);
-            count("write", &result);
+            count_call("write", &result);
             node::Event::Wrote(key, result)
         }
         Call::Vms => {
             let result = platform.vms();
-            count("vms", &result);
+            count_call("vms", &result);
             node::Event::Vms(result)
         }
     }
 }
 
-fn count<T>(call: &'static str, result: &Result<T, store::Error>) {
+fn count_call<T>(call: &'static str, result: &Result<T, store::Error>) {
     let outcome = match result {
         Ok(_) => "answered",
         Err(store::Error::Unavailable(_)) => "unavailable",
         Err(store::Error::Unknown(_)) => "lost",
         Err(_) => "refused",
     };
-    metrics::counter!(names::STORE_CALLS, "call" => call, "outcome" => outcome).increment(1);
+    metrics::counter!(metric_names::STORE_CALLS, "call" => call, "outcome" => outcome).increment(1);
 }
 
 impl<F: Feed> Loop<F> {
     fn run(&mut self) {
-        while self.feed.is_wanted() && self.turn() {}
+        while self.feed.is_wanted() && self.handle_next() {}
     }
 
     /// Waits for one event and handles it. False: the driver was dropped.
-    fn turn(&mut self) -> bool {
+    fn handle_next(&mut self) -> bool {
         let wait = self.next_tick.saturating_sub(self.now());
         channel::select! {
             recv(self.control) -> control => match control {
@@ -259,49 +259,49 @@
                 }
                 Err(_) => return false,
             },
-            recv(self.ended) -> event => if let Ok(event) = event {
+            recv(self.store_events) -> event => if let Ok(event) = event {
                 self.step(event);
             },
             recv(self.messages) -> message => if let Ok((from, message)) = message {
-                self.take(from, message);
+                self.dispatch(from, message);
             },
             default(wait) => {}
         }
-        self.pass_time();
+        self.run_timers();
         true
     }
 
-    fn take(&mut self, from: id::VmId, message: peer::Message) {
+    fn dispatch(&mut self, from: id::VmId, message: peer::Message) {
         if node::takes(&message) {
             self.step(node::Event::Message(from, message));
-        } else if self.rest.try_send((from, message)).is_err() {
-            metrics::counter!(names::PEER_DROPPED, "queue" => "inbox").increment(1);
+        } else if self.inbox_tx.try_send((from, message)).is_err() {
+            metrics::counter!(metric_names::PEER_DROPPED, "queue" => "inbox").increment(1);
         }
     }
 
-    fn pass_time(&mut self) {
+    fn run_timers(&mut self) {
         let now = self.now();
         if now >= self.next_links
             && let Some(peers) = &self.peers
         {
-            self.next_links = now + LINKS_EVERY;
+            self.next_links = now + LINKS_POLL_INTERVAL;
             let linked = peers.linked();
-            self.linked = linked.len() as u64;
+            self.linked_count = linked.len() as u64;
             self.step(node::Event::Links(linked));
         }
         if now >= self.next_tick {
-            self.next_tick = now + TICK;
+            self.next_tick = now + TICK_INTERVAL;
             self.step(node::Event::Tick);
-            self.tell_standing();
+            self.report_status();
         }
     }
 
-    fn tell_standing(&mut self) {
+    fn report_status(&mut self) {
         let versions = self.node.sync().book().versions().iter();
         let standing = Standing {
             versions: versions.map(|(t, r)| (t.clone(), r.version)).collect(),
             store_up: self.node.store_is_up(),
-            peers: self.linked,
+            peers: self.linked_count,
         };
         if standing != self.standing {
             self.feed.standing(standing.clone());
@@ -310,28 +310,32 @@
     }
 
     fn step(&mut self, event: node::Event) {
-        let mut out = std::mem::take(&mut self.out);
-        self.node.step(self.now(), event, &mut out);
-        for action in out.drain(..) {
-            self.act(action);
+        let mut actions = std::mem::take(&mut self.actions);
+        self.node.step(self.now(), event, &mut actions);
+        for action in actions.drain(..) {
+            self.perform(action);
         }
-        self.out = out;
+        self.actions = actions;
     }
 
-    fn act(&self, action: Action) {
+    fn perform(&self, action: Action) {
         match action {
-            Action::List(prefix) => self.call(2, Call::List(prefix)),
-            Action::Watch(prefix, after) => self.call(prefix as usize, Call::Watch(prefix, after)),
-            Action::Write { key, expect, value } => self.call(2, Call::Write(key, expect, value)),
-            Action::ReadVms => self.call(2, Call::Vms),
+            Action::List(prefix) => self.queue_call(2, Call::List(prefix)),
+            Action::Watch(prefix, after) => {
+                self.queue_call(prefix as usize, Call::Watch(prefix, after))
+            }
+            Action::Write { key, expect, value } => {
+                self.queue_call(2, Call::Write(key, expect, value))
+            }
+            Action::ReadVms => self.queue_call(2, Call::Vms),
             Action::InForce(settings) => self.feed.settings(settings),
             Action::Vms(vms) => self.feed.vms(vms),
-            Action::Log(note) => self.tell(&note),
-            action => self.send(action),
+            Action::Log(note) => self.log_note(&note),
+            action => self.send_to_peers(action),
         }
     }
 
-    fn send(&self, action: Action) {
+    fn send_to_peers(&self, action: Action) {
         let Some(peers) = &self.peers else { return };
         match action {
             Action::Send(to, message) => {
@@ -348,11 +352,11 @@
         }
     }
 
-    fn call(&self, thread: usize, call: Call) {
+    fn queue_call(&self, thread: usize, call: Call) {
         let _ = self.calls[thread].send(call);
     }
 
-    fn tell(&self, note: &Note) {
+    fn log_note(&self, note: &Note) {
         match note {
             Note::InForce { .. } | Note::Reader(_) => slog::info!(self.log, "{}", note),
             _ => slog::error!(self.log, "{}", note),
@@ -360,6 +364,6 @@
     }
 
     fn now(&self) -> policy::Moment {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 }
