--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -3,7 +3,7 @@
 //! The list reports the death or the stop of an entry VM late. A link shows both at once, but only
 //! for linked VMs, and a broken link may be this VM's own fault. So [`View::vms`] returns the list
 //! and marks an entry VM as leaving if it announced its stop or if its link has been down for
-//! [`LOST_AFTER`]. Otherwise look-ups would name a dead entry VM until the list caught up, and
+//! [`LINK_LOST_TIMEOUT`]. Otherwise look-ups would name a dead entry VM until the list caught up, and
 //! callers would wait for their timeouts. If most links are down, the fault is more likely local,
 //! and the list stays as it is.
 //!
@@ -12,9 +12,9 @@
 //! platform.
 //!
 //! Links cost memory and messages, so a process keeps few of them regardless of the fleet's size.
-//! In its own availability zone it links to all entry VMs, or in a large zone to [`FANOUT`] chosen
+//! In its own availability zone it links to all entry VMs, or in a large zone to [`AZ_FANOUT`] chosen
 //! by hash plus the next one by name, which connects the zone as a ring. To each other zone it
-//! keeps a few links; in a zone with more than [`LINKS_PER_AZ`] entry VMs only some of them do.
+//! keeps a few links; in a zone with more than [`LINKS_PER_REMOTE_AZ`] entry VMs only some of them do.
 
 use std::collections;
 use std::hash::{Hash, Hasher};
@@ -25,22 +25,22 @@
 use crate::id;
 
 /// The greatest number of entry VMs of an availability zone that all link to each other.
-pub const FULL_AZ: usize = 12;
+pub const MAX_FULL_MESH_VMS: usize = 12;
 
 /// Links that each entry VM opens in a larger availability zone. Both ends use a link.
-pub const FANOUT: usize = 6;
+pub const AZ_FANOUT: usize = 6;
 
 /// How many entry VMs of an availability zone link to another zone, and how many links each opens.
-pub const LINKS_PER_AZ: usize = 2;
+pub const LINKS_PER_REMOTE_AZ: usize = 2;
 
 /// How long a link may be down before its VM counts as lost. A process restarts in less time, and a
 /// broken link is dialled again several times.
-pub const LOST_AFTER: time::Duration = time::Duration::from_secs(3);
+pub const LINK_LOST_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
 /// The VMs that this process knows.
 #[derive(Debug)]
 pub struct View {
-    own: id::VmId,
+    vm: id::VmId,
     az: id::AzId,
     rows: Vec<store::Vm>,
     hash: u64,
@@ -53,14 +53,14 @@
 struct Peer {
     incarnation: id::Incarnation,
     az: id::AzId,
-    lost: Option<policy::Moment>,
+    down_since: Option<policy::Moment>,
 }
 
 impl View {
     /// The view of an entry VM that knows no other VM yet.
-    pub fn new(own: id::VmId, az: id::AzId) -> Self {
+    pub fn new(vm: id::VmId, az: id::AzId) -> Self {
         Self {
-            own,
+            vm,
             az,
             rows: Vec::new(),
             hash: 0,
@@ -79,7 +79,7 @@
         }
         let listed: collections::BTreeSet<_> = rows.iter().map(|vm| &vm.id).collect();
         self.peers
-            .retain(|vm, peer| peer.lost.is_none() || listed.contains(vm));
+            .retain(|vm, peer| peer.down_since.is_none() || listed.contains(vm));
         self.leaving.retain(|vm, _| listed.contains(vm));
         self.rows = rows;
         self.hash = hash;
@@ -90,13 +90,13 @@
     pub fn linked(&mut self, now: policy::Moment, links: &[peers::Linked]) -> bool {
         for (vm, peer) in &mut self.peers {
             let open = links.iter().any(|link| link.vm == *vm);
-            peer.lost = (!open).then(|| peer.lost.unwrap_or(now));
+            peer.down_since = (!open).then(|| peer.down_since.unwrap_or(now));
         }
         for link in links {
             let peer = Peer {
                 incarnation: link.incarnation,
                 az: link.az.clone(),
-                lost: None,
+                down_since: None,
             };
             self.peers.insert(link.vm.clone(), peer);
             if self
@@ -107,7 +107,7 @@
                 self.leaving.remove(&link.vm);
             }
         }
-        let lost = self.lost(now);
+        let lost = self.lost_vms(now);
         let changed = lost != self.lost;
         self.lost = lost;
         changed
@@ -147,16 +147,16 @@
     /// The entry VMs that this VM should link to.
     pub fn targets(&self) -> Vec<peers::Target> {
         let mut wanted = collections::BTreeSet::new();
-        let azs = self.azs();
-        let none = Vec::new();
-        let own = azs.get(&self.az).unwrap_or(&none);
-        wanted.extend(self.inside(own));
+        let azs = self.entries_by_az();
+        let empty = Vec::new();
+        let local_vms = azs.get(&self.az).unwrap_or(&empty);
+        wanted.extend(self.targets_in_az(local_vms));
         for (az, vms) in &azs {
-            if *az != self.az && self.links_to(az, own) {
-                wanted.extend(draw(self.own.as_str(), vms, LINKS_PER_AZ));
+            if *az != self.az && self.links_to_az(az, local_vms) {
+                wanted.extend(select_by_hash(self.vm.as_str(), vms, LINKS_PER_REMOTE_AZ));
             }
         }
-        wanted.remove(&self.own);
+        wanted.remove(&self.vm);
         self.rows
             .iter()
             .filter(|row| wanted.contains(&row.id))
@@ -166,7 +166,7 @@
 
     /// Whether messages are forwarded inside the availability zone: not all VMs are linked.
     pub fn relays(&self) -> bool {
-        self.own_az().count() > FULL_AZ
+        self.local_entries().count() > MAX_FULL_MESH_VMS
     }
 
     /// The number of entry VMs on the list, including this one.
@@ -176,21 +176,21 @@
 
     /// Whether the list has other entry VMs in this availability zone but none is linked.
     pub fn is_alone(&self) -> bool {
-        let others = self.own_az().filter(|row| row.id != self.own).count();
+        let others = self.local_entries().filter(|row| row.id != self.vm).count();
         let linked = self
             .peers
             .values()
-            .any(|p| p.lost.is_none() && p.az == self.az);
+            .any(|p| p.down_since.is_none() && p.az == self.az);
         others > 0 && !linked
     }
 
-    fn own_az(&self) -> impl Iterator<Item = &store::Vm> {
+    fn local_entries(&self) -> impl Iterator<Item = &store::Vm> {
         self.rows
             .iter()
             .filter(|row| is_entry(row) && row.az == self.az)
     }
 
-    fn azs(&self) -> collections::BTreeMap<id::AzId, Vec<id::VmId>> {
+    fn entries_by_az(&self) -> collections::BTreeMap<id::AzId, Vec<id::VmId>> {
         let mut azs = collections::BTreeMap::<_, Vec<_>>::new();
         for row in self.rows.iter().filter(|row| is_entry(row)) {
             azs.entry(row.az.clone()).or_default().push(row.id.clone());
@@ -198,27 +198,31 @@
         azs
     }
 
-    fn inside(&self, own: &[id::VmId]) -> Vec<id::VmId> {
-        if own.len() <= FULL_AZ {
-            return own.to_vec();
+    fn targets_in_az(&self, local_vms: &[id::VmId]) -> Vec<id::VmId> {
+        if local_vms.len() <= MAX_FULL_MESH_VMS {
+            return local_vms.to_vec();
         }
-        let mut wanted = draw(self.own.as_str(), own, FANOUT);
-        let next = own.iter().find(|vm| **vm > self.own);
-        wanted.extend(next.or(own.first()).cloned());
+        let mut wanted = select_by_hash(self.vm.as_str(), local_vms, AZ_FANOUT);
+        let next = local_vms.iter().find(|vm| **vm > self.vm);
+        wanted.extend(next.or(local_vms.first()).cloned());
         wanted
     }
 
     /// Whether this VM is one of those that link its availability zone to another.
-    fn links_to(&self, az: &id::AzId, own: &[id::VmId]) -> bool {
-        own.len() <= LINKS_PER_AZ || draw(az.as_str(), own, LINKS_PER_AZ).contains(&self.own)
+    fn links_to_az(&self, az: &id::AzId, local_vms: &[id::VmId]) -> bool {
+        local_vms.len() <= LINKS_PER_REMOTE_AZ
+            || select_by_hash(az.as_str(), local_vms, LINKS_PER_REMOTE_AZ).contains(&self.vm)
     }
 
-    /// Entry VMs whose links have been down for [`LOST_AFTER`]; none if most links are down.
-    fn lost(&self, now: policy::Moment) -> collections::BTreeSet<id::VmId> {
+    /// Entry VMs whose links have been down for [`LINK_LOST_TIMEOUT`]; none if most links are down.
+    fn lost_vms(&self, now: policy::Moment) -> collections::BTreeSet<id::VmId> {
         let lost: collections::BTreeSet<_> = self
             .peers
             .iter()
-            .filter(|(_, peer)| peer.lost.is_some_and(|at| now >= at + LOST_AFTER))
+            .filter(|(_, peer)| {
+                peer.down_since
+                    .is_some_and(|at| now >= at + LINK_LOST_TIMEOUT)
+            })
             .map(|(vm, _)| vm.clone())
             .collect();
         if 2 * lost.len() > self.peers.len() {
@@ -245,7 +249,7 @@
 
 /// Selects `count` VMs by rendezvous hashing with `salt`: each salt selects other VMs, and a
 /// selection changes little when VMs join or leave.
-fn draw(salt: &str, vms: &[id::VmId], count: usize) -> Vec<id::VmId> {
+fn select_by_hash(salt: &str, vms: &[id::VmId], count: usize) -> Vec<id::VmId> {
     let mut ranked: Vec<_> = vms.iter().filter(|vm| vm.as_str() != salt).collect();
     ranked.sort_by_key(|vm| hash_of(&(salt, vm.as_str())));
     ranked.truncate(count);
@@ -306,7 +310,7 @@
     /// The fleet grows to thousands of VMs. If each linked to all others, heartbeats and memory
     /// would grow with the fleet and exceed the cost of the callers' requests.
     #[test]
-    fn links_stay_few_and_join_all_as_the_fleet_grows() {
+    fn links_stay_few_and_connect_a_growing_fleet() {
         assert_eq!(view(fleet(6, 2)).targets().len(), 11, "12 VMs: all");
         for (azs, per_az) in [(10, 20), (14, 40)] {
             let rows = fleet(azs, per_az);
@@ -333,14 +337,14 @@
                     }
                 }
             }
-            assert_eq!(seen.len(), rows.len(), "all are joined");
+            assert_eq!(seen.len(), rows.len(), "all are connected");
         }
     }
 
     /// An entry VM dies while the platform's list still has it as live. Look-ups that still name it
     /// make callers wait for a timeout.
     #[test]
-    fn a_dead_entry_vm_is_marked_before_the_list_says_so() {
+    fn a_dead_entry_vm_is_marked_before_the_list_shows_it() {
         let mut view = view(fleet(1, 4));
         let at = policy::Moment::from_secs;
         view.linked(at(1), &[link(1, 1), link(2, 1), link(3, 1)]);
@@ -355,7 +359,7 @@
     /// This VM loses all its links. If it counted the peers as dead, its look-ups would name only
     /// itself, and every caller of its region would connect to it.
     #[test]
-    fn a_vm_that_is_cut_off_believes_the_list() {
+    fn a_vm_without_links_keeps_the_list() {
         let mut view = view(fleet(1, 4));
         let at = policy::Moment::from_secs;
         view.linked(at(1), &[link(1, 1), link(2, 1), link(3, 1)]);
@@ -366,7 +370,7 @@
     /// An entry VM stops as planned and restarts under the same address. Peers that apply the old
     /// announcement to the new process would never use it again.
     #[test]
-    fn a_restart_ends_the_word_that_it_leaves() {
+    fn a_restart_voids_an_announced_stop() {
         let mut view = view(fleet(1, 4));
         let at = policy::Moment::from_secs;
         view.linked(at(1), &[link(1, 1), link(2, 1)]);
@@ -374,12 +378,15 @@
         assert_eq!(state(&view, &name(0, 1)), store::VmState::Leaving);
         view.linked(at(2), &[link(1, 2), link(2, 1)]);
         assert_eq!(state(&view, &name(0, 1)), store::VmState::Live);
-        assert!(!view.left(&name(0, 1), id::Incarnation(1)), "late word");
+        assert!(
+            !view.left(&name(0, 1), id::Incarnation(1)),
+            "late announcement"
+        );
     }
 
     /// The platform returns an empty list. If it were applied, no caller would be served.
     #[test]
-    fn an_empty_list_is_not_believed() {
+    fn an_empty_list_is_ignored() {
         let mut view = view(fleet(1, 4));
         assert!(!view.listed(Vec::new()));
         assert_eq!(view.list().len(), 4);
