--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -15,21 +15,21 @@
 use rand::RngExt;
 
 use crate::id;
-use crate::metrics as names;
+use crate::metrics as metric_names;
 use crate::protocol::{hello, peer};
 use crate::transport::peer as link;
 
 /// The most received messages that wait to be handled.
-const INBOX: usize = 8192;
+const MAX_RECEIVED_MESSAGES: usize = 8192;
 
 /// The most connections in the handshake. Each may hold one message in memory.
-const MAX_OPENING: usize = 32;
+const MAX_HANDSHAKES: usize = 32;
 
 /// The most linked peers, whichever side dialled.
 const MAX_LINKS: usize = 256;
 
 /// The most links per peer. Both sides may have dialled at the same moment.
-const LINKS_PER_PEER: usize = 2;
+const MAX_LINKS_PER_PEER: usize = 2;
 
 /// The backoff after the first failed dial. It doubles up to [`MAX_BACKOFF`], with jitter.
 const MIN_BACKOFF: time::Duration = time::Duration::from_millis(100);
@@ -38,10 +38,10 @@
 const MAX_BACKOFF: time::Duration = time::Duration::from_secs(3);
 
 /// How long the peer with the greater name waits for the other peer to dial.
-const YIELD: time::Duration = time::Duration::from_millis(300);
+const DIAL_YIELD_DELAY: time::Duration = time::Duration::from_millis(300);
 
 /// How often a dialler checks whether its peer is still linked.
-const CHECK_EVERY: time::Duration = time::Duration::from_millis(250);
+const LINK_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
 data! {
     /// An entry VM that this process should link to.
@@ -94,14 +94,14 @@
 
 struct Shared {
     me: link::Me,
-    links: parking_lot::Mutex<collections::BTreeMap<id::VmId, Vec<Open>>>,
+    links: parking_lot::Mutex<collections::BTreeMap<id::VmId, Vec<OpenLink>>>,
     diallers: parking_lot::Mutex<collections::BTreeMap<net::SocketAddr, Dialler>>,
     counts: parking_lot::Mutex<Counts>,
     tx: crossbeam::channel::Sender<Received>,
     log: slog::Logger,
 }
 
-struct Open {
+struct OpenLink {
     az: id::AzId,
     incarnation: id::Incarnation,
     queue: sync::Arc<link::Queue>,
@@ -119,7 +119,7 @@
         listen: net::SocketAddr,
         log: &slog::Logger,
     ) -> io::Result<(Self, crossbeam::channel::Receiver<Received>)> {
-        let (tx, rx) = crossbeam::channel::bounded(INBOX);
+        let (tx, rx) = crossbeam::channel::bounded(MAX_RECEIVED_MESSAGES);
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .thread_name("peers")
@@ -216,7 +216,7 @@
         self.shared.counts.lock().clone()
     }
 
-    fn send_where<F: Fn(&id::VmId, &Open) -> bool>(
+    fn send_where<F: Fn(&id::VmId, &OpenLink) -> bool>(
         &self,
         message: &peer::Message,
         wanted: F,
@@ -251,49 +251,51 @@
 
 impl Shared {
     /// Serves one link until it breaks.
-    async fn carry(&self, link: link::Link) {
+    async fn serve(&self, link: link::Link) {
         let hello = link.hello.clone();
-        let Some(queue) = self.open(&hello) else {
+        let Some(queue) = self.register(&hello) else {
             return;
         };
-        let closing = Closing {
+        let guard = LinkGuard {
             shared: self,
             vm: &hello.vm,
             queue: &queue,
         };
         slog::info!(self.log, "linked"; "peer" => %hello.vm, "incarnation" => %hello.incarnation);
-        let err = link.run(&queue, |bytes| self.take(&hello.vm, bytes)).await;
+        let err = link
+            .run(&queue, |bytes| self.receive(&hello.vm, bytes))
+            .await;
         slog::info!(self.log, "link ended"; "peer" => %hello.vm, "why" => %err);
-        drop(closing);
+        drop(guard);
     }
 
     /// Registers a link. None: a later incarnation is linked, or there are too many links.
-    fn open(&self, hello: &hello::Hello) -> Option<sync::Arc<link::Queue>> {
+    fn register(&self, hello: &hello::Hello) -> Option<sync::Arc<link::Queue>> {
         let mut links = self.links.lock();
         if links.len() >= MAX_LINKS && !links.contains_key(&hello.vm) {
             drop(links);
             self.refuse("too many links", &hello.vm);
             return None;
         }
-        let opens = links.entry(hello.vm.clone()).or_default();
-        if opens.iter().any(|o| o.incarnation > hello.incarnation) {
+        let open_links = links.entry(hello.vm.clone()).or_default();
+        if open_links.iter().any(|o| o.incarnation > hello.incarnation) {
             drop(links);
             self.refuse("a later process of this VM is linked", &hello.vm);
             return None;
         }
         // The process behind these links has ended; messages queued for it would be lost.
-        opens.retain(|o| {
+        open_links.retain(|o| {
             let same = o.incarnation == hello.incarnation;
             if !same {
                 o.queue.close();
             }
             same
         });
-        if opens.len() >= LINKS_PER_PEER {
-            opens.remove(0).queue.close();
+        if open_links.len() >= MAX_LINKS_PER_PEER {
+            open_links.remove(0).queue.close();
         }
         let queue = sync::Arc::new(link::Queue::default());
-        opens.push(Open {
+        open_links.push(OpenLink {
             az: hello.az.clone(),
             incarnation: hello.incarnation,
             queue: queue.clone(),
@@ -301,7 +303,7 @@
         Some(queue)
     }
 
-    fn take(&self, from: &id::VmId, bytes: &[u8]) {
+    fn receive(&self, from: &id::VmId, bytes: &[u8]) {
         self.count_received(bytes.len());
         match peer::decode(bytes) {
             Ok(message) => {
@@ -315,7 +317,7 @@
 
     fn refuse(&self, why: &str, from: &id::VmId) {
         self.counts.lock().refused += 1;
-        metrics::counter!(names::PEER_REFUSED).increment(1);
+        metrics::counter!(metric_names::PEER_REFUSED).increment(1);
         slog::warn!(self.log, "message or connection of a peer refused"; "peer" => %from, "why" => why);
     }
 
@@ -324,7 +326,7 @@
         counts.sent += 1;
         counts.sent_bytes += len as u64;
         drop(counts);
-        metrics::counter!(names::PEER_BYTES, "direction" => "sent").increment(len as u64);
+        metrics::counter!(metric_names::PEER_BYTES, "direction" => "sent").increment(len as u64);
         if dropped > 0 {
             self.count_dropped("link", dropped);
         }
@@ -335,12 +337,13 @@
         counts.received += 1;
         counts.received_bytes += len as u64;
         drop(counts);
-        metrics::counter!(names::PEER_BYTES, "direction" => "received").increment(len as u64);
+        metrics::counter!(metric_names::PEER_BYTES, "direction" => "received")
+            .increment(len as u64);
     }
 
     fn count_dropped(&self, queue: &'static str, dropped: usize) {
         self.counts.lock().dropped += dropped as u64;
-        metrics::counter!(names::PEER_DROPPED, "queue" => queue).increment(dropped as u64);
+        metrics::counter!(metric_names::PEER_DROPPED, "queue" => queue).increment(dropped as u64);
     }
 
     fn is_linked(&self, vm: &id::VmId) -> bool {
@@ -349,18 +352,18 @@
 }
 
 /// Removes a link from the table when its task ends or is aborted.
-struct Closing<'a> {
+struct LinkGuard<'a> {
     shared: &'a Shared,
     vm: &'a id::VmId,
     queue: &'a sync::Arc<link::Queue>,
 }
 
-impl Drop for Closing<'_> {
+impl Drop for LinkGuard<'_> {
     fn drop(&mut self) {
         let mut links = self.shared.links.lock();
-        if let Some(opens) = links.get_mut(self.vm) {
-            opens.retain(|o| !sync::Arc::ptr_eq(&o.queue, self.queue));
-            if opens.is_empty() {
+        if let Some(open_links) = links.get_mut(self.vm) {
+            open_links.retain(|o| !sync::Arc::ptr_eq(&o.queue, self.queue));
+            if open_links.is_empty() {
                 links.remove(self.vm);
             }
         }
@@ -368,22 +371,22 @@
 }
 
 async fn accept(shared: sync::Arc<Shared>, listener: tokio::net::TcpListener) {
-    let opening = sync::Arc::new(tokio::sync::Semaphore::new(MAX_OPENING));
+    let handshakes = sync::Arc::new(tokio::sync::Semaphore::new(MAX_HANDSHAKES));
     loop {
-        let Ok(permit) = opening.clone().acquire_owned().await else {
+        let Ok(permit) = handshakes.clone().acquire_owned().await else {
             return;
         };
         let Ok((stream, addr)) = listener.accept().await else {
             // The process is out of file descriptors, so an immediate retry would fail, too.
-            tokio::time::sleep(CHECK_EVERY).await;
+            tokio::time::sleep(LINK_CHECK_INTERVAL).await;
             continue;
         };
         let shared = shared.clone();
         tokio::spawn(async move {
-            let opened = link::accept(stream, &shared.me).await;
+            let accepted = link::accept(stream, &shared.me).await;
             drop(permit);
-            match opened {
-                Ok(link) => shared.carry(link).await,
+            match accepted {
+                Ok(link) => shared.serve(link).await,
                 Err(err) => {
                     shared.refuse(&err.to_string(), &addr.to_string().as_str().into());
                 }
@@ -395,20 +398,20 @@
 async fn keep_dialling(shared: sync::Arc<Shared>, target: Target) {
     let mut vm = target.vm.clone();
     if vm.as_ref().is_some_and(|vm| shared.me.vm > *vm) {
-        tokio::time::sleep(YIELD + jitter(YIELD)).await;
+        tokio::time::sleep(DIAL_YIELD_DELAY + jitter(DIAL_YIELD_DELAY)).await;
     }
     let mut backoff = MIN_BACKOFF;
     loop {
         if vm.as_ref().is_some_and(|vm| shared.is_linked(vm)) {
             backoff = MIN_BACKOFF;
-            tokio::time::sleep(CHECK_EVERY).await;
+            tokio::time::sleep(LINK_CHECK_INTERVAL).await;
             continue;
         }
         match link::dial(target.addr, &shared.me).await {
             Ok(link) if target.vm.as_ref().is_none_or(|vm| link.hello.vm == *vm) => {
                 backoff = MIN_BACKOFF;
                 vm = Some(link.hello.vm.clone());
-                shared.carry(link).await;
+                shared.serve(link).await;
             }
             Ok(link) => shared.refuse("another VM answered than the one dialled", &link.hello.vm),
             Err(err) => {
@@ -435,9 +438,9 @@
     use std::thread;
 
     const SECRET: &str = "0101010101010101010101010101010101010101010101010101010101010101";
-    const OTHER: &str = "0202020202020202020202020202020202020202020202020202020202020202";
+    const OTHER_SECRET: &str = "0202020202020202020202020202020202020202020202020202020202020202";
 
-    fn me(vm: &str, incarnation: u64, secret: &str) -> link::Me {
+    fn local_vm(vm: &str, incarnation: u64, secret: &str) -> link::Me {
         link::Me {
             vm: vm.into(),
             az: "az-1".into(),
@@ -457,7 +460,7 @@
         }
     }
 
-    fn until<F: Fn() -> bool>(what: &str, holds: F) {
+    fn wait_until<F: Fn() -> bool>(what: &str, holds: F) {
         for _ in 0..3_000 {
             if holds() {
                 return;
@@ -472,12 +475,12 @@
     }
 
     #[test]
-    fn two_processes_talk_both_ways() {
-        let (a, a_rx) = start(me("a", 1, SECRET));
-        let (b, b_rx) = start(me("b", 1, SECRET));
+    fn two_processes_exchange_messages() {
+        let (a, a_rx) = start(local_vm("a", 1, SECRET));
+        let (b, b_rx) = start(local_vm("b", 1, SECRET));
         a.set_targets(&[target(&b)]);
         b.set_targets(&[target(&a)]);
-        until("linked", || a.linked().len() + b.linked().len() == 2);
+        wait_until("linked", || a.linked().len() + b.linked().len() == 2);
         assert!(a.send(&"b".into(), &want("x")));
         assert_eq!(b.to_az(&"az-1".into(), &want("y")), 1);
         assert_eq!(b_rx.recv().unwrap(), ("a".into(), want("x")));
@@ -489,21 +492,21 @@
     /// again by themselves, the availability zone loses an entry VM for good.
     #[test]
     fn a_restarted_peer_is_linked_again() {
-        let (a, _a_rx) = start(me("a", 1, SECRET));
-        let (b, _b_rx) = start(me("b", 1, SECRET));
+        let (a, _a_rx) = start(local_vm("a", 1, SECRET));
+        let (b, _b_rx) = start(local_vm("b", 1, SECRET));
         let addr = b.addr();
         a.set_targets(&[target(&b)]);
-        until("linked", || a.linked().len() == 1);
+        wait_until("linked", || a.linked().len() == 1);
         drop(b);
-        until("unlinked", || a.linked().is_empty());
-        let again = cell::RefCell::new(None);
-        until("the address is free", || {
-            let started = Peers::start(me("b", 2, SECRET), addr, &logging::silent());
-            *again.borrow_mut() = started.ok();
-            again.borrow().is_some()
+        wait_until("unlinked", || a.linked().is_empty());
+        let restarted = cell::RefCell::new(None);
+        wait_until("the address is free", || {
+            let started = Peers::start(local_vm("b", 2, SECRET), addr, &logging::silent());
+            *restarted.borrow_mut() = started.ok();
+            restarted.borrow().is_some()
         });
-        let (_b, b_rx) = again.into_inner().unwrap();
-        until("linked again", || {
+        let (_b, b_rx) = restarted.into_inner().unwrap();
+        wait_until("linked again", || {
             a.linked()
                 .iter()
                 .any(|l| l.incarnation == id::Incarnation(2))
@@ -515,28 +518,28 @@
     /// A process with another secret or another protocol connects. Its messages must be ignored,
     /// and it must not block connections of other peers.
     #[test]
-    fn a_stranger_is_refused_and_counted() {
-        let (a, a_rx) = start(me("a", 1, SECRET));
-        let (stranger, _rx) = start(me("s", 1, OTHER));
-        stranger.set_targets(&[target(&a)]);
+    fn a_peer_without_the_secret_is_refused_and_counted() {
+        let (a, a_rx) = start(local_vm("a", 1, SECRET));
+        let (outsider, _rx) = start(local_vm("s", 1, OTHER_SECRET));
+        outsider.set_targets(&[target(&a)]);
         let mut raw = net::TcpStream::connect(a.addr()).unwrap();
         io::Write::write_all(&mut raw, b"GET / HTTP/1.1\r\n\r\n").unwrap();
-        until("refused", || a.counts().refused >= 2);
+        wait_until("refused", || a.counts().refused >= 2);
         assert!(a.linked().is_empty() && a_rx.is_empty());
 
-        let (b, _b_rx) = start(me("b", 1, SECRET));
+        let (b, _b_rx) = start(local_vm("b", 1, SECRET));
         b.set_targets(&[target(&a)]);
-        until("linked", || !a.linked().is_empty());
+        wait_until("linked", || !a.linked().is_empty());
     }
 
     /// A linked peer sends an invalid message. The refusal is counted, and the link stays because
     /// later messages may be valid.
     #[test]
     fn a_malformed_message_is_counted_and_the_link_stays() {
-        let (a, a_rx) = start(me("a", 1, SECRET));
-        let (b, _b_rx) = start(me("b", 1, SECRET));
+        let (a, a_rx) = start(local_vm("a", 1, SECRET));
+        let (b, _b_rx) = start(local_vm("b", 1, SECRET));
         b.set_targets(&[target(&a)]);
-        until("linked", || a.linked().len() + b.linked().len() == 2);
+        wait_until("linked", || a.linked().len() + b.linked().len() == 2);
         let queue = b.shared.links.lock()["a"][0].queue.clone();
         queue.push(bytes::Bytes::from_static(b"no cbor"));
         b.send(&"a".into(), &want("x"));
