--- a/src/coordination/store_http.rs
+++ b/src/coordination/store_http.rs
@@ -130,11 +130,11 @@
             .timeout_global(Some(timeout))
             .build()
             .send(&body);
-        let mut res = sent.map_err(|err| lost(call, &err))?;
+        let mut res = sent.map_err(|err| call_error(call, &err))?;
         let text = res
             .body_mut()
             .read_to_vec()
-            .map_err(|err| lost(call, &err))?;
+            .map_err(|err| call_error(call, &err))?;
         let reply = serde_json::from_slice(&text)
             .map_err(|err| store::Error::Unknown(format!("invalid reply: {err}")))?;
         match reply {
@@ -152,7 +152,7 @@
         let key = key.to_owned();
         match self.call(&Call::Get { key }, CALL_TIMEOUT)? {
             Reply::Entry(entry) => Ok(entry),
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
@@ -160,7 +160,7 @@
         let prefix = prefix.to_owned();
         match self.call(&Call::List { prefix }, CALL_TIMEOUT)? {
             Reply::Snapshot(snapshot) => Ok(snapshot),
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
@@ -179,7 +179,7 @@
         };
         match self.call(&call, CALL_TIMEOUT)? {
             Reply::Written(revision) => Ok(revision),
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
@@ -196,7 +196,7 @@
         };
         match self.call(&call, wait + WATCH_SLACK)? {
             Reply::Watch(watch) => Ok(watch),
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
@@ -204,46 +204,46 @@
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
         match self.call(&Call::Grant { ttl_ms }, CALL_TIMEOUT)? {
             Reply::Lease(lease) => Ok(lease),
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
     fn renew(&self, lease: store::LeaseId) -> Result<(), store::Error> {
         match self.call(&Call::Renew { lease }, CALL_TIMEOUT)? {
             Reply::Done => Ok(()),
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
     fn revoke(&self, lease: store::LeaseId) -> Result<(), store::Error> {
         match self.call(&Call::Revoke { lease }, CALL_TIMEOUT)? {
             Reply::Done => Ok(()),
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
     fn vms(&self) -> Result<Vec<store::Vm>, store::Error> {
         match self.call(&Call::Vms, CALL_TIMEOUT)? {
             Reply::Vms(vms) => Ok(vms),
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 }
 
 /// Only calls that failed to connect are known not to have reached the store.
-fn lost(call: &Call, err: &ureq::Error) -> store::Error {
+fn call_error(call: &Call, err: &ureq::Error) -> store::Error {
     let not_sent = matches!(
         err,
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound
     ) || matches!(err, ureq::Error::Io(io) if io.kind() == std::io::ErrorKind::ConnectionRefused);
-    let writes = matches!(call, Call::CompareAndSwap { .. } | Call::Grant { .. });
-    if writes && !not_sent {
+    let is_write = matches!(call, Call::CompareAndSwap { .. } | Call::Grant { .. });
+    if is_write && !not_sent {
         store::Error::Unknown(err.to_string())
     } else {
         store::Error::Unavailable(err.to_string())
     }
 }
 
-fn unexpected(reply: &Reply) -> store::Error {
+fn unexpected_reply(reply: &Reply) -> store::Error {
     store::Error::Unknown(format!("unexpected kind of reply: {reply:?}"))
 }
