--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -4,7 +4,7 @@
 use rand::{RngExt, SeedableRng};
 
 /// Keys per page.
-const PAGE: usize = 200;
+const PAGE_SIZE: usize = 200;
 
 /// The result of reading one list.
 struct Read {
@@ -20,7 +20,7 @@
 fn page<'a>(list: &'a [String], after: &str) -> (&'a [String], bool) {
     let from = list.partition_point(|key| key.as_str() <= after);
     let rest = &list[from..];
-    (&rest[..rest.len().min(PAGE)], rest.len() > PAGE)
+    (&rest[..rest.len().min(PAGE_SIZE)], rest.len() > PAGE_SIZE)
 }
 
 fn read(prefix: &str, list: &[String]) -> Read {
@@ -60,7 +60,7 @@
     read
 }
 
-fn random(count: usize, seed: u64) -> Vec<String> {
+fn random_keys(count: usize, seed: u64) -> Vec<String> {
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
     let key = |n: u32| format!("servers/i-{n:08x}");
     let mut list: Vec<String> = (0..count).map(|_| key(rng.random())).collect();
@@ -71,7 +71,7 @@
 
 /// Guards against a start that reads fifty pages in sequence, each over the widest link.
 #[test]
-fn the_length_of_a_list_hardly_matters() {
+fn sequential_round_trips_grow_slowly_with_the_list() {
     for (count, rounds, overhead) in [
         (447, 3, 1.4),
         (3_000, 5, 1.8),
@@ -80,14 +80,14 @@
         (44_000, 11, 1.5),
     ] {
         for seed in 0..5 {
-            let list = random(count, seed);
+            let list = random_keys(count, seed);
             let read = read("servers/", &list);
             assert_eq!(read.keys, list);
             assert!(read.rounds <= rounds, "{count}: {} rounds", read.rounds);
-            let least = count.div_ceil(PAGE) as f64;
+            let min_pages = count.div_ceil(PAGE_SIZE) as f64;
             assert!(
-                read.pages as f64 <= least * overhead + 1.0,
-                "{count}: {} pages of {least}",
+                read.pages as f64 <= min_pages * overhead + 1.0,
+                "{count}: {} pages of {min_pages}",
                 read.pages
             );
         }
@@ -97,28 +97,28 @@
 /// Guards against lost keys if keys are not evenly spread: numbered keys, mixed formats, keys that
 /// differ only in their last digits, or keys exactly at the start of a range.
 #[test]
-fn every_key_comes_once_however_the_keys_are_spread() {
+fn every_key_is_read_once_for_any_key_distribution() {
     let numbered = (0..3_000).map(|n| format!("servers/vm-{n:05}"));
-    let lopsided = (0..3_000).map(|n| format!("servers/i-0000{n:04x}"));
-    let forms = random(2_000, 3)
+    let clustered = (0..3_000).map(|n| format!("servers/i-0000{n:04x}"));
+    let mixed_formats = random_keys(2_000, 3)
         .into_iter()
         .chain((0..500).map(|n| format!("servers/zz/{n}")));
-    let wide = (0..1_500).map(|n| format!("servers/é{n}"));
-    let one = (0..700).map(|n| format!("servers/{}", "a".repeat(n + 1)));
+    let multibyte = (0..1_500).map(|n| format!("servers/é{n}"));
+    let nested = (0..700).map(|n| format!("servers/{}", "a".repeat(n + 1)));
     let lists: [Vec<String>; 5] = [
         numbered.collect(),
-        lopsided.collect(),
-        forms.collect(),
-        wide.collect(),
-        one.collect(),
+        clustered.collect(),
+        mixed_formats.collect(),
+        multibyte.collect(),
+        nested.collect(),
     ];
     for mut list in lists {
         list.sort_unstable();
         assert_eq!(read("servers/", &list).keys, list);
     }
-    let list = random(10_002, 9);
-    let keys: Vec<&str> = list.iter().map(String::as_str).take(PAGE).collect();
-    let mut on_borders = [list.clone(), pages::beginnings("servers/", &keys)].concat();
-    on_borders.sort_unstable();
-    assert_eq!(read("servers/", &on_borders).keys, on_borders);
+    let list = random_keys(10_002, 9);
+    let keys: Vec<&str> = list.iter().map(String::as_str).take(PAGE_SIZE).collect();
+    let mut on_range_starts = [list.clone(), pages::beginnings("servers/", &keys)].concat();
+    on_range_starts.sort_unstable();
+    assert_eq!(read("servers/", &on_range_starts).keys, on_range_starts);
 }
--- a/tests/turns.rs
+++ b/tests/turns.rs
@@ -10,120 +10,120 @@
 
 /// The outcome for the VMs of one region.
 #[derive(Debug, Default)]
-struct Played {
+struct Outcome {
     /// Calls to the store.
     calls: usize,
-    /// When the last VM had a leader again.
-    all_found: time::Duration,
+    /// When the last VM had the records.
+    all_ready: time::Duration,
 }
 
-/// All VMs of a region lose their leader at once. The store answers calls from `back` on, within
-/// `took`; earlier calls fail at once. Between its reads, each VM tries to follow the VMs before
-/// it.
-fn play(vms: usize, back: time::Duration, took: time::Duration) -> Played {
-    const TICK: u64 = 20;
-    let mut played = Played::default();
+/// All VMs of a region lose their leader at once. The store answers calls from `recovery` on,
+/// within `read_time`; earlier calls fail at once. Between its reads, each VM tries to follow the
+/// VMs before it.
+fn simulate(vms: usize, recovery: time::Duration, read_time: time::Duration) -> Outcome {
+    const TICK_MS: u64 = 20;
+    let mut outcome = Outcome::default();
     let mut turns = vec![turns::Turns::default(); vms];
-    // When a VM will have read the store, and whether it has a source of records.
+    // When a VM will have read the store, and whether it has the records.
     let mut reading: Vec<Option<time::Duration>> = vec![None; vms];
-    let mut found = vec![false; vms];
-    for now in (0..1000).map(|n| ms(n * TICK)) {
-        for place in 0..vms {
-            if found[place] {
+    let mut has_records = vec![false; vms];
+    for now in (0..1000).map(|n| ms(n * TICK_MS)) {
+        for rank in 0..vms {
+            if has_records[rank] {
                 continue;
             }
-            let read = reading[place].is_some_and(|at| now >= at);
-            let asks = now.as_millis().is_multiple_of(mirror::AGAIN.as_millis());
-            if read || (asks && found[..place].contains(&true)) {
-                found[place] = true;
-                played.all_found = now;
-            } else if reading[place].is_none() && turns[place].wait(now, place).is_zero() {
-                played.calls += 1;
-                match now >= back {
-                    true => reading[place] = Some(now + took),
-                    false => turns[place].failed(now, place),
+            let read = reading[rank].is_some_and(|at| now >= at);
+            let retries = now.as_millis().is_multiple_of(mirror::AGAIN.as_millis());
+            if read || (retries && has_records[..rank].contains(&true)) {
+                has_records[rank] = true;
+                outcome.all_ready = now;
+            } else if reading[rank].is_none() && turns[rank].wait(now, rank).is_zero() {
+                outcome.calls += 1;
+                match now >= recovery {
+                    true => reading[rank] = Some(now + read_time),
+                    false => turns[rank].failed(now, rank),
                 }
             }
         }
     }
-    assert!(found.iter().all(|found| *found));
-    played
+    assert!(has_records.iter().all(|ready| *ready));
+    outcome
 }
 
 /// The reader of a region loses power, so all VMs lose their leader at once. If each then reads the
 /// whole list, users pay for the calls, and at 300 VMs the store's link is saturated for seconds.
 #[test]
-fn two_of_a_region_turn_to_the_store_and_the_others_follow_them() {
+fn two_vms_of_a_region_read_the_store_and_the_others_follow() {
     for vms in [4, 12, 32, 100, 400] {
-        let played = play(vms, ms(0), ms(150));
-        assert_eq!(played.calls, 2, "{vms} VMs");
-        assert!(played.all_found <= ms(600), "{played:?}");
+        let outcome = simulate(vms, ms(0), ms(150));
+        assert_eq!(outcome.calls, 2, "{vms} VMs");
+        assert!(outcome.all_ready <= ms(600), "{outcome:?}");
     }
 }
 
 /// The list is long and the store is in another region, so a read takes most of a second. Some VMs
 /// stop waiting and read the store too, and no VM waits much longer than that read.
 #[test]
-fn a_slow_read_brings_few_more_to_the_store() {
-    let played = play(100, ms(0), ms(900));
-    assert!(played.calls <= 8, "{played:?}");
-    assert!(played.all_found <= ms(1500), "{played:?}");
+fn a_slow_read_adds_few_readers() {
+    let outcome = simulate(100, ms(0), ms(900));
+    assert!(outcome.calls <= 8, "{outcome:?}");
+    assert!(outcome.all_ready <= ms(1500), "{outcome:?}");
 }
 
 /// The store refuses calls for four seconds. If each VM called twice a second, a region of a
 /// hundred VMs would make some 800 calls, and all VMs would call again when the store recovers.
 #[test]
-fn a_store_that_refuses_is_asked_by_few_and_heard_soon_after_its_return() {
-    let played = play(100, ms(4000), ms(150));
+fn a_failing_store_gets_few_calls_and_is_read_soon_after_recovery() {
+    let outcome = simulate(100, ms(4000), ms(150));
     // The first VMs call twice a second, and every other VM three times in total.
-    assert!(played.calls <= 2 * 10 + 98 * 3, "{played:?}");
-    assert!(played.all_found <= ms(4000 + 1200), "{played:?}");
+    assert!(outcome.calls <= 2 * 10 + 98 * 3, "{outcome:?}");
+    assert!(outcome.all_ready <= ms(4000 + 1200), "{outcome:?}");
 }
 
 /// The first VMs are cut off from the store, so the others wait for them in vain. Changes by
 /// operators must still be in force on the others within four seconds, which leaves two seconds
 /// after the silence timeout.
 #[test]
-fn those_further_back_do_not_wait_for_the_front_without_end() {
-    for place in [0, 1, 2, 3, 10, 100, 4400] {
+fn later_vms_wait_for_the_first_ones_only_for_a_limited_time() {
+    for rank in [0, 1, 2, 3, 10, 100, 4400] {
         let mut turns = turns::Turns::default();
-        assert_eq!(turns.wait(ms(5000), place).is_zero(), place < turns::FIRST);
-        assert!(turns.wait(ms(7000), place).is_zero(), "{place}");
+        assert_eq!(turns.wait(ms(5000), rank).is_zero(), rank < turns::FIRST);
+        assert!(turns.wait(ms(7000), rank).is_zero(), "{rank}");
     }
 }
 
 /// The store does not answer for some seconds, and calls hang until they time out. A full backoff
 /// after such a call would delay changes, and requests would go to backend servers that have left.
 #[test]
-fn after_a_call_that_hung_the_next_follows_at_once() {
-    for place in [0, 1, 10, 100] {
+fn a_call_that_hung_is_retried_at_once() {
+    for rank in [0, 1, 10, 100] {
         let mut turns = turns::Turns::default();
-        turns.wait(ms(1000), place);
+        turns.wait(ms(1000), rank);
         for n in 0..3 {
             let begun = ms(5000 + n * 2100);
-            turns.failed(begun, place);
-            assert!(turns.wait(begun + ms(2000), place).is_zero(), "{place}");
+            turns.failed(begun, rank);
+            assert!(turns.wait(begun + ms(2000), rank).is_zero(), "{rank}");
         }
         let refused = ms(20_000);
-        turns.failed(refused, place);
-        assert!(turns.wait(refused + ms(100), place) >= ms(100), "{place}");
+        turns.failed(refused, rank);
+        assert!(turns.wait(refused + ms(100), rank) >= ms(100), "{rank}");
     }
 }
 
 /// Guards against the cost of renewals for VMs on standby, and against naming dead VMs for longer
 /// than operators allow.
 #[test]
-fn those_that_stand_by_renew_seldom_and_are_forgotten_in_time() {
-    for (named, lasts) in [(3000, 3000), (6000, 3000), (7000, 4000), (9000, 6000)] {
-        assert_eq!(registration::lease(true, ms(named)), ms(lasts));
-        assert_eq!(registration::lease(false, ms(named)), ms(3000));
-        assert!(registration::renewal(ms(lasts)) * 3 <= ms(lasts));
+fn standby_vms_renew_seldom_and_dead_ones_are_removed_in_time() {
+    for (max_dead_named, lease) in [(3000, 3000), (6000, 3000), (7000, 4000), (9000, 6000)] {
+        assert_eq!(registration::lease(true, ms(max_dead_named)), ms(lease));
+        assert_eq!(registration::lease(false, ms(max_dead_named)), ms(3000));
+        assert!(registration::renewal(ms(lease)) * 3 <= ms(lease));
     }
 }
 
 /// Guards against hundreds of VMs that read a distant store when all start at once.
 #[test]
-fn at_a_start_far_from_the_store_those_behind_wait_for_a_whole_read() {
+fn at_a_start_far_from_the_store_later_vms_wait_for_a_full_read() {
     let call = ms(220);
     assert!(turns::patience_at_start(0, call).is_zero());
     assert!(turns::patience_at_start(1, call) >= ms(850));
