--- a/src/coordination/driver.rs
+++ b/src/coordination/driver.rs
@@ -178,7 +178,7 @@
     let Some(secrets) = cfg.secrets.clone() else {
         slog::warn!(
             log,
-            "no links to peers, because `peer_secrets` is not set; set it to the same value on every VM"
+            "no links to peers: `peer_secrets` is not set; give every VM the same value"
         );
         return Ok((None, channel::never()));
     };
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -3,18 +3,19 @@
 //! The list reports the death or the stop of an entry VM late. A link shows both at once, but only
 //! for linked VMs, and a broken link may be this VM's own fault. So [`View::vms`] returns the list
 //! and marks an entry VM as leaving if it announced its stop or if its link has been down for
-//! [`LINK_LOST_TIMEOUT`]. Otherwise look-ups would name a dead entry VM until the list caught up, and
-//! callers would wait for their timeouts. If most links are down, the fault is more likely local,
-//! and the list stays as it is.
+//! [`LINK_LOST_TIMEOUT`]. Otherwise look-ups would name a dead entry VM until the list caught up,
+//! and callers would wait for their timeouts. If most links are down, the fault is more likely
+//! local, and the list stays as it is.
 //!
 //! A restarted VM has a larger incarnation, which voids announcements of earlier ones. A VM that
 //! was paused or partitioned reconnects its links. An empty list is ignored as a fault of the
 //! platform.
 //!
 //! Links cost memory and messages, so a process keeps few of them regardless of the fleet's size.
-//! In its own availability zone it links to all entry VMs, or in a large zone to [`AZ_FANOUT`] chosen
-//! by hash plus the next one by name, which connects the zone as a ring. To each other zone it
-//! keeps a few links; in a zone with more than [`LINKS_PER_REMOTE_AZ`] entry VMs only some of them do.
+//! In its own availability zone it links to all entry VMs, or in a large zone to [`AZ_FANOUT`]
+//! chosen by hash plus the next one by name, which connects the zone as a ring. To each other zone
+//! it keeps a few links; in a zone with more than [`LINKS_PER_REMOTE_AZ`] entry VMs only some of
+//! them do.
 
 use std::collections;
 use std::hash::{Hash, Hasher};
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -318,7 +318,7 @@
     fn refuse(&self, why: &str, from: &id::VmId) {
         self.counts.lock().refused += 1;
         metrics::counter!(metric_names::PEER_REFUSED).increment(1);
-        slog::warn!(self.log, "message or connection of a peer refused"; "peer" => %from, "why" => why);
+        slog::warn!(self.log, "refused a message or connection"; "peer" => %from, "why" => why);
     }
 
     fn count_sent(&self, len: usize, dropped: usize) {
--- a/src/coordination/store.rs
+++ b/src/coordination/store.rs
@@ -102,7 +102,7 @@
     #[error("the store's reply was lost: {0}; read the key back to see whether it was written")]
     Unknown(String),
     /// The key was written by another client after the expected revision.
-    #[error("`{key}` was changed by another client (now at revision {}); read it again and retry", .now.0)]
+    #[error("`{key}` was changed by another client (now at revision {}); read it and retry", .now.0)]
     Conflict {
         /// The key.
         key: String,
