--- a/src/coordination/driver.rs
+++ b/src/coordination/driver.rs
@@ -117,7 +117,7 @@
         log: &slog::Logger,
     ) -> std::io::Result<Self> {
         let (peers, messages) = start_links(&cfg, log)?;
-        let (event_tx, event_rx) = channel::unbounded();
+        let (event_tx, store_events) = channel::unbounded();
         let platform = sync::Arc::new(platform);
         let calls = std::array::from_fn(|_| spawn_call_thread(platform.clone(), event_tx.clone()));
         let (inbox_tx, inbox) = channel::bounded(MAX_INBOX_MESSAGES);
@@ -127,7 +127,7 @@
             feed,
             peers: peers.clone(),
             calls,
-            store_events: event_rx,
+            store_events,
             messages,
             control: control_rx,
             inbox_tx,
--- a/src/coordination/listing.rs
+++ b/src/coordination/listing.rs
@@ -1,9 +1,10 @@
 //! Decides when a backend server that is missing from the platform's list is removed.
 //!
-//! Leases in the store keep the list. During a store outage the leases of healthy backend servers
-//! may expire; afterwards the list is empty or nearly so, and fills again within about two seconds.
-//! Applying it at once would leave no backend server to send to, and callers would be refused right
-//! after the outage. So for [`HOLD`] after an outage, missing backend servers are kept.
+//! The list is backed by leases in the store. During a store outage the leases of healthy backend
+//! servers may expire; afterwards the list is empty or nearly so, and fills again within about two
+//! seconds. Applying that list would leave no backend server to send to, and callers would be
+//! refused right after the outage. So for [`HOLD`] after an outage, missing backend servers are
+//! kept.
 //!
 //! If only this VM was cut off from the store, the missing backend servers have really stopped.
 //! Keeping one that is shutting down would send it requests that its shutdown then aborts. The
--- a/src/coordination/mirror.rs
+++ b/src/coordination/mirror.rs
@@ -165,7 +165,7 @@
             .collect()
     }
 
-    /// All records.
+    /// A message with all records.
     pub fn snapshot(&self) -> mirror::Message {
         let records = self.values.iter().map(|(key, versioned)| mirror::Record {
             key: key.clone(),
@@ -177,7 +177,7 @@
         }
     }
 
-    /// The changes after `revision`; `None` if they are no longer known.
+    /// A message with the changes after `revision`; `None` if they are no longer known.
     pub fn delta_since(&self, revision: u64) -> Option<mirror::Message> {
         if !self.is_complete() || revision < self.complete_from {
             return None;
--- a/src/coordination/pages.rs
+++ b/src/coordination/pages.rs
@@ -56,7 +56,7 @@
         if digits.len() < 2 || !digits.is_ascii() {
             return None;
         }
-        // On a page that covers a small share of the keys, the first random digits are equal, too.
+        // On a page with a small share, the first digits may be equal; the stem excludes them.
         let stem_end = first.as_bytes()[..common_len].iter().rev();
         let shared_digits = stem_end.take_while(|byte| digits.contains(byte)).count();
         let stem = first.get(..common_len.saturating_sub(shared_digits).max(prefix.len()))?;
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -47,7 +47,7 @@
     /// An entry VM that this process should link to.
     #[derive(Eq)]
     pub struct Target {
-        /// Its name. None: accept any VM at this address, to join the fleet.
+        /// Its name. None: accept any VM at this address, to discover the fleet.
         pub vm: Option<id::VmId>,
         /// The address on which it listens for peers.
         pub addr: net::SocketAddr,
--- a/src/coordination/turns.rs
+++ b/src/coordination/turns.rs
@@ -5,9 +5,10 @@
 //! the whole list at once. The symptoms are waves of calls, a store whose link is saturated for
 //! seconds, and VMs without data long after their start.
 //!
-//! So the first VMs of the order read at once. The others wait longer the higher their rank, and
-//! meanwhile keep trying to follow the VMs before them. While the store fails, they also call it
-//! less often. All VMs know the same order, so no message is needed; a disagreement costs one call.
+//! So the first VMs of the order read immediately. The others wait longer the higher their rank,
+//! and meanwhile keep trying to follow the VMs before them. While the store fails, they also call
+//! it less often. All VMs know the same order, so no message is needed; a disagreement costs one
+//! call.
 //!
 //! When all VMs start at once, the first ones need a full read of a long list before they can serve
 //! others, from another region over many round trips. The other VMs scale their wait by that time,
@@ -17,11 +18,11 @@
 
 use crate::decisions::policy;
 
-/// How many VMs read the store at once: one may be dead or cut off and still be registered.
+/// How many VMs read the store immediately: one may be dead or cut off yet still registered.
 pub const FIRST: usize = 2;
 
-/// The extra wait per doubling of the rank. Reading a long list across the widest link takes most
-/// of a second; a list of a few hundred entries arrives within one step.
+/// The extra wait per doubling of the rank. Reading a long list from the most distant region takes
+/// most of a second; a list of a few hundred entries arrives within one step.
 const READ_DELAY_STEP: time::Duration = time::Duration::from_millis(400);
 
 /// The longest wait. With the silence timeout (1.5 s) and a read of the store (0.3 s) on top, a
@@ -36,7 +37,7 @@
 /// The longest wait of a VM that has just started.
 const MAX_INITIAL_READ_DELAY: time::Duration = time::Duration::from_secs(6);
 
-/// The first and the longest backoff of the VMs that read at once. It doubles after each failed
+/// The first and the longest backoff of the VMs that read immediately. It doubles after each failed
 /// call: more calls do not help an overloaded store, yet its changes must be known soon after it
 /// recovers.
 const IMMEDIATE_READER_BACKOFF: [time::Duration; 2] = [
@@ -55,8 +56,8 @@
     (READ_DELAY_STEP * doublings(rank)).min(MAX_READ_DELAY)
 }
 
-/// The same for a VM that has just started, where `call` is the duration of its first call to the
-/// store. Only the first VM reads at once: when all VMs start, full lists fill the store's link.
+/// The same for a VM whose first call to the store after its start took `call`. Only the first VM
+/// reads immediately: when all VMs start, full lists fill the store's link.
 pub fn patience_at_start(rank: usize, call: time::Duration) -> time::Duration {
     let step = READ_DELAY_STEP.max(call * FULL_READ_CALL_RATIO);
     (step * doublings(rank + 1)).min(MAX_INITIAL_READ_DELAY)
@@ -102,7 +103,7 @@
         next_read.saturating_sub(now)
     }
 
-    /// Schedules the next read at once. It takes place if the VM finds no leader before.
+    /// Schedules the next read for now. It takes place unless the VM finds a leader first.
     pub fn reads_on(&mut self, now: policy::Moment) {
         self.next_read = Some(now);
     }
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -69,7 +69,7 @@
     list
 }
 
-/// Guards against a start that reads fifty pages in sequence, each over the widest link.
+/// Guards against a start that reads fifty pages in sequence, each from a distant region.
 #[test]
 fn sequential_round_trips_grow_slowly_with_the_list() {
     for (count, rounds, overhead) in [
--- a/tests/start.rs
+++ b/tests/start.rs
@@ -41,7 +41,7 @@
 struct Outcome {
     /// VMs that read the store.
     reads: usize,
-    /// The most followers that one VM served at once.
+    /// The most followers that one VM served at the same time.
     max_followers: u32,
     /// The longest transfer of a message between two VMs.
     longest_transfer: time::Duration,
@@ -52,14 +52,14 @@
 
 /// The entry VMs of a zone: every fortieth has 200 Mbit/s, the others 20 Mbit/s.
 fn zone_candidates(vms: usize) -> Vec<mirror::Place> {
-    let place = |n: usize| mirror::Place {
+    let candidate = |n: usize| mirror::Place {
         hash: (n as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         vm: id::VmId::from(format!("vm-{n}").as_str()),
         az: "az".into(),
         peers: None,
         link_mbps: if n.is_multiple_of(40) { 200 } else { 20 },
     };
-    let mut all: Vec<mirror::Place> = (0..vms).map(place).collect();
+    let mut all: Vec<mirror::Place> = (0..vms).map(candidate).collect();
     all.sort_by(mirror::Place::order);
     all
 }
