--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -14,8 +14,7 @@
 //! Links cost memory and messages, so a process keeps few of them regardless of the fleet's size.
 //! In its own availability zone it links to all entry VMs, or in a large zone to [`AZ_FANOUT`]
 //! chosen by hash plus the next one by name, which connects the zone as a ring. To each other zone
-//! it keeps a few links; in a zone with more than [`LINKS_PER_REMOTE_AZ`] entry VMs only some of
-//! them do.
+//! it keeps a few links, or only some VMs do if its zone has more than [`LINKS_PER_REMOTE_AZ`].
 
 use std::collections;
 use std::hash::{Hash, Hasher};
