--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -13,8 +13,8 @@
 //!
 //! Links cost memory and messages, so a process keeps few of them regardless of the fleet's size.
 //! In its own availability zone it links to all entry VMs, or in a large zone to [`AZ_FANOUT`]
-//! chosen by hash plus the next one by name, which connects the zone as a ring. To each other zone
-//! it keeps a few links, or only some VMs do if its zone has more than [`LINKS_PER_REMOTE_AZ`].
+//! chosen by hash plus the next one by name, which connects the zone as a ring. It also keeps a few
+//! links to each other zone; in a zone with more than [`LINKS_PER_REMOTE_AZ`] VMs only some do so.
 
 use std::collections;
 use std::hash::{Hash, Hasher};
