--- a/src/decisions/policy.rs
+++ b/src/decisions/policy.rs
@@ -117,8 +117,7 @@
             /// When the attempt times out.
             deadline: Moment,
         },
-        /// Cancel an attempt whose answer is not needed. It still ends with
-        /// [`AttemptOutcome::Cancelled`].
+        /// Cancel an unneeded attempt. It still ends with [`AttemptOutcome::Cancelled`].
         Cancel {
             /// The request.
             req: RequestId,
@@ -185,8 +184,7 @@
     /// Handles a new request.
     fn arrive(&mut self, now: Moment, req: Arrival, out: &mut Vec<Action>);
 
-    /// Handles the end of an attempt. `report` is the state that the destination sent with its
-    /// answer.
+    /// Handles the end of an attempt. `report` is the state that the answer carried.
     fn ended(
         &mut self,
         now: Moment,
