--- a/src/coordination/plan_writer.rs
+++ b/src/coordination/plan_writer.rs
@@ -1,18 +1,18 @@
-//! The one process that writes the steering plan, picked by a lease.
+//! Elects one process by a lease to write the steering plan, and computes each new version.
 //!
-//! The lease only saves work: what keeps the plan sound is the compare-and-swap on the version that
-//! a new one was computed from. A writer that was paused past its lease, and wakes in the middle of
-//! a write, fails on the revision. Two writers that both believe they hold the lease write
-//! one chain of versions, and every node steps along it by its own bound in its own time
-//! ([`plan::AppliedPlan`]), so that even twice the versions move no caller faster.
+//! The lease only avoids duplicate work; consistency comes from the compare-and-swap on the
+//! revision that a new version was computed from. The write of a process that was paused beyond
+//! its lease fails on the revision. If two processes both assume that they hold the lease, they
+//! write a single sequence of versions, and every node limits its own steps along that sequence
+//! ([`plan::AppliedPlan`]), so twice as many versions do not shift callers faster.
 //!
-//! With the store down nothing is written and the last version holds. A store that was restored
-//! from an older state shows an older version than the nodes have: the next one is then numbered
-//! and computed from what this node has, so that no node waits for numbers that it has passed.
+//! While the store is down nothing is written and the last version stays in use. If the store was
+//! restored to an older state, the next version is computed and numbered from the newest one that
+//! this node has: nodes ignore versions below the one they have.
 //!
-//! Only readers of settings contend, so that the calls grow with availability zones and not with
-//! nodes: a contender reads one key every [`Config::retry`], the writer reads one key every
-//! [`Config::every`] and renews its lease.
+//! Only readers of settings contend, so that store calls grow with availability zones, not with
+//! nodes: a contender reads one key every [`Config::contend_interval`], the writer reads one key
+//! every [`Config::check_interval`] and renews its lease.
 
 use std::collections;
 use std::sync;
@@ -22,22 +22,22 @@
 use crate::decisions::{caps, drain, plan, policy};
 use crate::{id, settings};
 
-/// The key that the writer holds under its lease.
+/// Store key that the writer holds under its lease.
 pub const WRITER_KEY: &str = "steering/writer";
 
-/// The key of the plan.
+/// Store key of the plan.
 pub const PLAN_KEY: &str = "steering/plan";
 
-/// How the plan is written.
+/// Timing of the writer and parameters of the plan.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// How long the lease lasts. Ten seconds without a writer cost one step of the plan at most.
+    /// Duration of the lease. Ten seconds without a writer delay the plan by one step at most.
     pub ttl: time::Duration,
-    /// How often the writer looks whether a new version is due.
-    pub every: time::Duration,
-    /// How often a contender looks whether there is a writer.
-    pub retry: time::Duration,
-    /// How the plan trusts summaries.
+    /// Interval at which the writer checks whether a new version is due.
+    pub check_interval: time::Duration,
+    /// Interval at which a contender checks whether there is a writer.
+    pub contend_interval: time::Duration,
+    /// The parameters of the plan.
     pub plan: plan::Config,
 }
 
@@ -45,8 +45,8 @@
     fn default() -> Self {
         Self {
             ttl: time::Duration::from_secs(10),
-            every: time::Duration::from_secs(2),
-            retry: time::Duration::from_secs(5),
+            check_interval: time::Duration::from_secs(2),
+            contend_interval: time::Duration::from_secs(5),
             plan: plan::Config::default(),
         }
     }
@@ -55,94 +55,94 @@
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     id: store::LeaseId,
-    // Counted from before the call that took or renewed it.
+    // When the call that granted or renewed the lease was made.
     renewed: policy::Moment,
 }
 
-/// A contender for the writer's role on one node.
+/// One node's contender for the writer role.
 #[derive(Debug)]
 pub struct Writer<S> {
     cfg: Config,
-    me: id::VmId,
+    this_vm: id::VmId,
     store: S,
     lease: Option<Lease>,
-    next_look: policy::Moment,
-    // Since when each service's weights are as they are, as far as this process saw.
-    since: collections::BTreeMap<id::ServiceId, (plan::WeightsByRegion, policy::Moment)>,
+    next_check: policy::Moment,
+    // Each service's weights, and since when this process has seen them unchanged.
+    unchanged_since: collections::BTreeMap<id::ServiceId, (plan::WeightsByRegion, policy::Moment)>,
 }
 
-/// What a new version is computed from.
+/// The inputs of a new version.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs<'a> {
     /// The settings in force.
     pub settings: &'a settings::Settings,
-    /// The last summaries.
+    /// The latest load summaries.
     pub summaries: &'a [plan::Summary],
-    /// The time of day, in seconds since 1970, which drains are dated by.
+    /// Wall-clock time in seconds since 1970, for the schedules of drains.
     pub now_s: f64,
-    /// The newest version that this node knows.
+    /// The newest version that this node has received.
     pub known: &'a plan::Plan,
 }
 
 impl<S: store::Store> Writer<S> {
-    /// A contender that does not hold the role.
-    pub fn new(cfg: Config, me: id::VmId, store: S) -> Self {
+    /// Creates a contender without the lease.
+    pub fn new(cfg: Config, this_vm: id::VmId, store: S) -> Self {
         Self {
             cfg,
-            me,
+            this_vm,
             store,
             lease: None,
-            next_look: policy::Moment::ZERO,
-            since: collections::BTreeMap::new(),
+            next_check: policy::Moment::ZERO,
+            unchanged_since: collections::BTreeMap::new(),
         }
     }
 
-    /// Whether this process holds the role as far as it knows.
+    /// Whether this process assumes that it holds the lease.
     pub fn is_writer(&self) -> bool {
         self.lease.is_some()
     }
 
-    /// Contends for the role, or does its work. Returns the plan that the store holds where it
-    /// looked. Fails with what the store answered; the last version then holds.
+    /// Contends for the lease or, with the lease, writes a due version. Returns the current plan
+    /// if it read the store. Fails with the store's error; the last version then stays in use.
     pub fn tick(
         &mut self,
         now: policy::Moment,
         inputs: &Inputs<'_>,
     ) -> Result<Option<sync::Arc<plan::Plan>>, store::Error> {
-        if now < self.next_look {
+        if now < self.next_check {
             return Ok(None);
         }
-        let lapsed = |lease: Lease| now >= lease.renewed + self.cfg.ttl;
-        if self.lease.is_some_and(lapsed) {
+        let expired = |lease: Lease| now >= lease.renewed + self.cfg.ttl;
+        if self.lease.is_some_and(expired) {
             self.lease = None;
         }
-        self.next_look = now + self.cfg.retry;
-        let held = match self.lease {
+        self.next_check = now + self.cfg.contend_interval;
+        let has_lease = match self.lease {
             Some(lease) => self.renew(now, lease)?,
             None => self.contend(now)?,
         };
         let Some((plan, revision)) = self.read()? else {
             return Ok(None);
         };
-        if !held {
+        if !has_lease {
             return Ok(Some(sync::Arc::new(plan)));
         }
-        self.next_look = now + self.cfg.every;
+        self.next_check = now + self.cfg.check_interval;
         let base = if plan.version >= inputs.known.version {
             plan
         } else {
             inputs.known.clone()
         };
-        match self.next(now, &base, inputs) {
+        match self.next_version(now, &base, inputs) {
             Some(next) => self.write(next, revision).map(Some),
             None => Ok(Some(sync::Arc::new(base))),
         }
     }
 
-    /// Gives the role up, so that another can take it at once.
+    /// Revokes the lease, so that another process can take over at once.
     pub fn stop(&mut self) {
         if let Some(lease) = self.lease.take() {
-            // If this fails, the lease lapses by itself.
+            // If this fails, the lease expires.
             let _ = self.store.revoke(lease.id);
         }
     }
@@ -170,9 +170,12 @@
             return Ok(false);
         }
         let id = self.store.grant(self.cfg.ttl)?;
-        let me = self.me.as_str().as_bytes();
+        let name = self.this_vm.as_str().as_bytes();
         let none = store::Revision(0);
-        match self.store.compare_and_swap(WRITER_KEY, none, me, Some(id)) {
+        match self
+            .store
+            .compare_and_swap(WRITER_KEY, none, name, Some(id))
+        {
             Ok(_) => {
                 self.lease = Some(Lease { id, renewed: now });
                 Ok(true)
@@ -182,15 +185,15 @@
                 Ok(false)
             }
             Err(err) => {
-                // The write may stand. The lease is let lapse or given up, and its key with it.
+                // The write may have taken effect. The key is removed with the lease.
                 let _ = self.store.revoke(id);
                 Err(err)
             }
         }
     }
 
-    /// The plan in the store. `None`: a version of ours that this one cannot read wrote it, and
-    /// writing over it would turn an upgrade back.
+    /// The plan in the store. `None` if it cannot be decoded: a newer software version may have
+    /// written it, and overwriting it would undo that upgrade.
     fn read(&self) -> Result<Option<(plan::Plan, store::Revision)>, store::Error> {
         let Some(entry) = self.store.get(PLAN_KEY)? else {
             return Ok(Some((plan::Plan::default(), store::Revision(0))));
@@ -199,13 +202,13 @@
         Ok(plan.map(|plan| (plan, entry.revision)))
     }
 
-    fn next(
+    fn next_version(
         &mut self,
         now: policy::Moment,
         base: &plan::Plan,
         inputs: &Inputs<'_>,
     ) -> Option<plan::Plan> {
-        let left = drain::remaining_share_by_az(inputs.settings, inputs.now_s);
+        let capacity_shares = drain::remaining_share_by_az(inputs.settings, inputs.now_s);
         let mut next = base.clone();
         let mut changed = false;
         for service in inputs.settings.services() {
@@ -225,12 +228,12 @@
                     settings: inputs.settings,
                     service,
                     summaries: inputs.summaries,
-                    capacity_shares: &left,
+                    capacity_shares: &capacity_shares,
                     current: &current,
                 },
             );
-            let most = caps::Config::of(service).version_share();
-            if let Some(weights) = plan::step(&self.cfg.plan, &current, &target, most) {
+            let max_share = caps::Config::of(service).version_share();
+            if let Some(weights) = plan::step(&self.cfg.plan, &current, &target, max_share) {
                 next.services.insert(service.name.clone(), weights);
                 changed = true;
             }
@@ -239,8 +242,8 @@
         changed.then_some(next)
     }
 
-    /// Whether a service's weights have stood for a whole step, as far as this process saw. One
-    /// that just became writer does not know when its predecessor stepped, so it waits a step.
+    /// Whether a service's weights have been unchanged for a whole step. A new writer does not
+    /// know when the previous writer changed them, so it waits for one step.
     fn step_is_due(
         &mut self,
         now: policy::Moment,
@@ -248,11 +251,11 @@
         current: &plan::WeightsByRegion,
     ) -> bool {
         let step = time::Duration::from_millis(service.shift_step_ms);
-        match self.since.get(&service.name) {
+        match self.unchanged_since.get(&service.name) {
             Some((seen, since)) if seen == current => now >= *since + step,
             _ => {
                 let seen = (current.clone(), now);
-                self.since.insert(service.name.clone(), seen);
+                self.unchanged_since.insert(service.name.clone(), seen);
                 false
             }
         }
@@ -263,8 +266,8 @@
         next: plan::Plan,
         revision: store::Revision,
     ) -> Result<sync::Arc<plan::Plan>, store::Error> {
-        let value = serde_json::to_vec(&next).expect("a plan holds only what JSON can");
-        // No lease on this key: the plan outlives its writer.
+        let value = serde_json::to_vec(&next).expect("a plan can be encoded as JSON");
+        // No lease on this key: the plan stays when its writer stops.
         self.store
             .compare_and_swap(PLAN_KEY, revision, &value, None)?;
         Ok(sync::Arc::new(next))
@@ -290,7 +293,7 @@
         Writer::new(Config::default(), name.into(), store)
     }
 
-    /// Summaries in which khovd has fallen silent.
+    /// Summaries from all availability zones except those in khovd.
     fn summaries(settings: &settings::Settings) -> Vec<plan::Summary> {
         let ledger = settings.service("ledger").unwrap();
         let live = ledger
@@ -308,13 +311,13 @@
         .collect()
     }
 
-    struct Play {
+    struct Scenario {
         settings: settings::Settings,
         summaries: Vec<plan::Summary>,
         known: plan::Plan,
     }
 
-    impl Play {
+    impl Scenario {
         fn new() -> Self {
             let settings = cooperative();
             let summaries = summaries(&settings);
@@ -345,7 +348,7 @@
         serde_json::from_slice(&entry.value).unwrap()
     }
 
-    fn away(plan: &plan::Plan) -> f64 {
+    fn diverted_share(plan: &plan::Plan) -> f64 {
         let khovd = &plan.services["ledger"]["khovd"];
         khovd
             .iter()
@@ -355,23 +358,28 @@
     }
 
     #[test]
-    fn one_writes_and_the_others_follow() {
-        let (store, play) = (standin::Memory::default(), Play::new());
+    fn one_process_writes_and_the_others_read() {
+        let (store, scenario) = (standin::Memory::default(), Scenario::new());
         let mut fleet = ["a", "b", "c"].map(|name| writer(name, store.clone()));
         for s in 0..60 {
             for writer in &mut fleet {
-                play.tick(writer, S * s).unwrap();
+                scenario.tick(writer, S * s).unwrap();
             }
         }
         assert_eq!(fleet.iter().filter(|w| w.is_writer()).count(), 1);
         let plan = stored(&store);
-        let most = caps::Config::of(play.settings.service("ledger").unwrap()).version_share();
+        let max_share =
+            caps::Config::of(scenario.settings.service("ledger").unwrap()).version_share();
         assert!(plan.version >= 4, "{}", plan.version);
-        assert!(away(&plan) <= most * (plan.version - 1) as f64 + 1e-6);
-        assert!(away(&plan) >= most * 3.0, "{}", away(&plan));
+        assert!(diverted_share(&plan) <= max_share * (plan.version - 1) as f64 + 1e-6);
+        assert!(
+            diverted_share(&plan) >= max_share * 3.0,
+            "{}",
+            diverted_share(&plan)
+        );
     }
 
-    /// A store that hands the writer's process a pause in the middle of its write.
+    /// A store that runs `pause` before each write of the plan.
     struct Pausing<F> {
         inner: standin::Memory,
         pause: F,
@@ -425,12 +433,11 @@
         }
     }
 
-    /// A writer's process is paused between its read and its write. Its lease lapses, a second
-    /// writer goes on, and the first wakes and writes what it had computed. If that took effect,
-    /// callers would jump back and forth between places.
+    /// A process pauses between its read and its write, its lease expires, and a second writer
+    /// writes a version. The outdated write must fail, or callers would shift back and forth.
     #[test]
-    fn a_writer_that_wakes_past_its_lease_changes_nothing() {
-        let (store, play) = (standin::Memory::default(), Play::new());
+    fn a_write_after_the_lease_has_expired_fails() {
+        let (store, scenario) = (standin::Memory::default(), Scenario::new());
         let other = store.clone();
         let pause = move || {
             let later = other.get(PLAN_KEY).unwrap();
@@ -446,57 +453,57 @@
         };
         let inner = store.clone();
         let mut paused = writer("a", Pausing { inner, pause });
-        let woken = play.tick(&mut paused, S);
+        let result = scenario.tick(&mut paused, S);
         assert!(
-            matches!(woken, Err(store::Error::Conflict { .. })),
-            "{woken:?}"
+            matches!(result, Err(store::Error::Conflict { .. })),
+            "{result:?}"
         );
         assert_eq!(stored(&store).version, 77);
     }
 
-    /// The lease is gone at the store while its holder has not noticed, and a second process took
-    /// it: two write. Were each to step at its own pace, callers would move twice as fast.
+    /// The lease is revoked without its holder's knowledge and a second process takes it, so two
+    /// processes write. Independent steps of both would shift callers twice as fast.
     #[test]
-    fn two_writers_move_no_caller_faster() {
-        let (store, play) = (standin::Memory::default(), Play::new());
+    fn two_writers_do_not_shift_callers_faster() {
+        let (store, scenario) = (standin::Memory::default(), Scenario::new());
         let mut first = writer("a", store.clone());
-        play.tick(&mut first, policy::Moment::ZERO).unwrap();
+        scenario.tick(&mut first, policy::Moment::ZERO).unwrap();
         let lease = first.lease.unwrap();
         store.revoke(lease.id).unwrap();
         let mut second = writer("b", store.clone());
-        let service = play.settings.service("ledger").unwrap();
-        let most = caps::Config::of(service).version_share();
+        let service = scenario.settings.service("ledger").unwrap();
+        let max_share = caps::Config::of(service).version_share();
         let mut applied = plan::AppliedPlan::default();
         let mut seen = Vec::new();
         for s in 0..120 {
-            // The first keeps believing.
+            // The first process still assumes that it holds the lease.
             first.lease = Some(Lease {
                 renewed: S * s,
                 ..lease
             });
             for writer in [&mut first, &mut second] {
-                if let Ok(Some(plan)) = play.tick(writer, S * s) {
+                if let Ok(Some(plan)) = scenario.tick(writer, S * s) {
                     applied.offer(plan);
                 }
             }
-            let weights = applied.advance(S * s, &play.settings, service, most);
+            let weights = applied.advance(S * s, &scenario.settings, service, max_share);
             seen.push(weights["khovd"].clone());
         }
         assert!(second.is_writer());
         let step = service.shift_step_ms as usize / 1_000;
         for (before, after) in seen.iter().zip(&seen[step - 1..]) {
-            assert!(plan::churn(before, after) <= most + 1e-6);
+            assert!(plan::churn(before, after) <= max_share + 1e-6);
         }
-        assert!(plan::churn(&seen[0], seen.last().unwrap()) > 3.0 * most);
+        assert!(plan::churn(&seen[0], seen.last().unwrap()) > 3.0 * max_share);
     }
 
-    /// The store writes a version and loses its reply. A writer that took it for lost and wrote
-    /// the step again from memory would have moved callers by two steps.
+    /// The store writes a version but the reply is lost. A writer that repeated the step from
+    /// memory would shift callers by two steps.
     #[test]
     fn a_lost_reply_does_not_step_twice() {
-        let (store, play) = (standin::Memory::default(), Play::new());
+        let (store, scenario) = (standin::Memory::default(), Scenario::new());
         let mut writer = writer("a", store.clone());
-        play.tick(&mut writer, policy::Moment::ZERO).unwrap();
+        scenario.tick(&mut writer, policy::Moment::ZERO).unwrap();
         for s in 1..14 {
             let due = stored(&store).version;
             if s == 12 {
@@ -505,44 +512,47 @@
                     ..standin::Faults::default()
                 });
             }
-            let _ = play.tick(&mut writer, S * s);
+            let _ = scenario.tick(&mut writer, S * s);
             assert!(stored(&store).version <= due + 1);
         }
         store.set_faults(standin::Faults::default());
         let before = stored(&store);
-        play.tick(&mut writer, S * 20).unwrap();
-        assert_eq!(stored(&store), before, "the step that was written counts");
+        scenario.tick(&mut writer, S * 20).unwrap();
+        assert_eq!(stored(&store), before, "the written step takes effect once");
     }
 
-    /// The platform brings its store back from an hour-old copy. Nodes keep the newest version they
-    /// know; numbers that start over would leave them deaf to the plan for as many versions.
+    /// The store is restored from an older copy. Nodes ignore versions below the newest they have
+    /// received, so reused numbers would leave them without updates for as many versions.
     #[test]
-    fn a_restored_store_does_not_turn_the_plan_back() {
-        let (store, mut play) = (standin::Memory::default(), Play::new());
+    fn a_restored_store_does_not_revert_the_plan() {
+        let (store, mut scenario) = (standin::Memory::default(), Scenario::new());
         let mut writer = writer("a", store.clone());
-        play.tick(&mut writer, policy::Moment::ZERO).unwrap();
-        play.known = stored(&store);
-        play.known.version = 500;
+        scenario.tick(&mut writer, policy::Moment::ZERO).unwrap();
+        scenario.known = stored(&store);
+        scenario.known.version = 500;
         for s in 1..40 {
-            play.tick(&mut writer, S * s).unwrap();
+            scenario.tick(&mut writer, S * s).unwrap();
         }
         assert!(stored(&store).version > 500);
     }
 
     #[test]
-    fn an_outage_leaves_the_last_version() {
-        let (store, play) = (standin::Memory::default(), Play::new());
+    fn the_last_version_stays_during_an_outage() {
+        let (store, scenario) = (standin::Memory::default(), Scenario::new());
         let mut writer = writer("a", store.clone());
-        play.tick(&mut writer, policy::Moment::ZERO).unwrap();
+        scenario.tick(&mut writer, policy::Moment::ZERO).unwrap();
         let before = stored(&store);
         store.set_faults(standin::Faults {
             down: true,
             ..standin::Faults::default()
         });
         for s in 1..40 {
-            assert!(matches!(play.tick(&mut writer, S * s), Ok(None) | Err(_)));
+            assert!(matches!(
+                scenario.tick(&mut writer, S * s),
+                Ok(None) | Err(_)
+            ));
         }
-        assert!(!writer.is_writer(), "its lease is past");
+        assert!(!writer.is_writer(), "its lease has expired");
         store.set_faults(standin::Faults::default());
         assert_eq!(stored(&store), before);
     }
