--- a/src/coordination/driver.rs
+++ b/src/coordination/driver.rs
@@ -91,7 +91,7 @@
 }
 
 struct Loop<F> {
-    node: node::Node<reader::Accused>,
+    node: node::Node<reader::FewestAccusations>,
     feed: F,
     peers: Option<sync::Arc<peers::Peers>>,
     calls: [channel::Sender<Call>; 3],
@@ -272,7 +272,7 @@
     }
 
     fn dispatch(&mut self, from: id::VmId, message: peer::Message) {
-        if node::takes(&message) {
+        if node::handles(&message) {
             self.step(node::Event::Message(from, message));
         } else if self.inbox_tx.try_send((from, message)).is_err() {
             metrics::counter!(metric_names::PEER_DROPPED, "queue" => "inbox").increment(1);
@@ -297,7 +297,7 @@
     }
 
     fn report_status(&mut self) {
-        let versions = self.node.sync().book().versions().iter();
+        let versions = self.node.sync().held().versions().iter();
         let standing = Standing {
             versions: versions.map(|(t, r)| (t.clone(), r.version)).collect(),
             store_up: self.node.store_is_up(),
--- a/src/decisions/warming.rs
+++ b/src/decisions/warming.rs
@@ -1,17 +1,17 @@
-//! How many objects are handled for the first time at a backend server at once.
+//! Limits the concurrent requests for objects that are new at a backend server.
 //!
-//! Load pattern: caches that are cold, at a start or after a loss, and every object asked for. Work
-//! on an object that a backend server does not have warm takes three times as long and is late
-//! whatever is done. When it takes all slots, what could be in time waits behind it and is late as
-//! well. One notices it as the first seconds, in which one request of seven is in time although
-//! half of them ask for an object that is already warm.
+//! Load pattern: caches are cold after a start or a loss, and all objects are requested. Work on
+//! an object that is not in a backend server's cache takes three times as long and is always late.
+//! If it takes all slots, requests for warm objects wait behind it and are late as well. The
+//! symptom is that only one request in seven is in time during the first seconds, although half of
+//! them ask for an object that is already warm.
 //!
-//! So this VM keeps only a part of each backend server's slots busy with objects that it has not
-//! sent there before; others of them are refused at once and are back when there is room. An
-//! object is warm from the moment at which work on it begins.
+//! So this VM fills only part of each backend server's slots with objects that it has not sent
+//! there before; it refuses others at once, and their callers retry when there is room. An object
+//! counts as warm from the start of the work on it.
 //!
-//! A VM that has just started knows of no object, though all may be warm. Whether objects that are
-//! new to it are cold shows in whether they are late: when most are in time, nothing is held back.
+//! A VM that has just started has sent no objects, though all may be warm. Late answers for new
+//! objects show that caches are cold; when most are in time, the limit does not apply.
 
 use std::collections;
 use std::time;
@@ -22,103 +22,107 @@
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// The part of a backend server's slots that may work on objects that are new there, one slot
-    /// at least.
-    pub part: f64,
-    /// The share of late answers for new objects below which these count as warm.
-    pub late: f64,
+    /// The share of a backend server's slots that may work on objects that are new there; at least
+    /// one slot.
+    #[serde(rename = "part")]
+    pub max_new_share: f64,
+    /// The ratio of late answers for new objects up to which these count as warm.
+    #[serde(rename = "late")]
+    pub max_late_ratio: f64,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            part: 0.67,
-            late: 0.3,
+            max_new_share: 0.67,
+            max_late_ratio: 0.3,
         }
     }
 }
 
 impl Config {
-    /// Checks the ranges.
+    /// Returns an error for the first threshold that is out of range.
     pub fn check(&self) -> Result<(), range::Error> {
-        range::check("warming.part", self.part, 0.0..=100.0)?;
-        range::check("warming.late", self.late, 0.0..=1.0)
+        range::check("warming.part", self.max_new_share, 0.0..=100.0)?;
+        range::check("warming.late", self.max_late_ratio, 0.0..=1.0)
     }
 }
 
-/// How often answers for objects that are new to this VM are late, for one service.
+/// The moving ratio of late answers for objects that are new to this VM, for one service.
 #[derive(Clone, Copy, Debug)]
-pub struct Late(f64);
+pub struct LateRatio(f64);
 
-impl Default for Late {
+impl Default for LateRatio {
     fn default() -> Self {
         Self(1.0)
     }
 }
 
-impl Late {
-    /// An answer for a new object was late, or not.
+impl LateRatio {
+    /// Records whether an answer for a new object was late.
     pub fn answered(&mut self, late: bool) {
-        /// What one answer counts: six that are in time show that the caches are warm.
-        const NEW: f64 = 0.2;
-        self.0 += (f64::from(u8::from(late)) - self.0) * NEW;
+        /// The weight of one answer: six in time show that caches are warm.
+        const ANSWER_WEIGHT: f64 = 0.2;
+        self.0 += (f64::from(u8::from(late)) - self.0) * ANSWER_WEIGHT;
     }
 
     /// Whether objects that are new to this VM count as cold.
-    pub fn are_cold(&self, cfg: &Config) -> bool {
-        self.0 > cfg.late
+    pub fn caches_cold(&self, cfg: &Config) -> bool {
+        self.0 > cfg.max_late_ratio
     }
 }
 
 /// The objects that this VM has sent to one backend server.
 #[derive(Clone, Debug, Default)]
-pub struct Warming {
-    sent: collections::HashMap<u64, policy::Moment>,
-    /// When those were last forgotten that were not asked for.
-    swept: policy::Moment,
-    /// Requests at work whose objects were new.
-    new: u32,
+pub struct SentObjects {
+    last_sent: collections::HashMap<u64, policy::Moment>,
+    /// When expired objects were last removed.
+    last_sweep: policy::Moment,
+    /// In-flight requests whose objects were new.
+    new_in_flight: u32,
 }
 
-impl Warming {
-    /// Objects that are remembered. Backend servers keep a few dozen.
-    const MOST: usize = 512;
+impl SentObjects {
+    /// The maximum number of remembered objects. Backend servers cache a few dozen.
+    const MAX_OBJECTS: usize = 512;
 
-    /// How long an object is remembered that is not asked for.
-    const KEPT: time::Duration = time::Duration::from_secs(60);
+    /// How long an object is remembered after its last request.
+    const RETENTION: time::Duration = time::Duration::from_secs(60);
 
-    /// Whether a request may go to a backend server with so many slots now.
-    pub fn takes(&self, cfg: &Config, slots: f64, key: u64) -> bool {
-        let most = (slots * cfg.part).round().max(1.0);
-        self.sent.contains_key(&key) || f64::from(self.new) < most
+    /// Whether a backend server with `slots` may get a request for the object `key` now.
+    pub fn admits(&self, cfg: &Config, slots: f64, key: u64) -> bool {
+        let max_new = (slots * cfg.max_new_share).round().max(1.0);
+        self.last_sent.contains_key(&key) || f64::from(self.new_in_flight) < max_new
     }
 
-    /// Whether an object was sent there lately.
-    pub fn has(&self, now: policy::Moment, key: u64) -> bool {
-        self.sent.get(&key).is_some_and(|at| now < *at + Self::KEPT)
+    /// Whether the object was sent there within the retention time.
+    pub fn sent_recently(&self, now: policy::Moment, key: u64) -> bool {
+        self.last_sent
+            .get(&key)
+            .is_some_and(|at| now < *at + Self::RETENTION)
     }
 
-    /// How many objects were sent there lately.
-    pub fn objects(&self) -> usize {
-        self.sent.len()
+    /// The number of objects remembered for this backend server.
+    pub fn object_count(&self) -> usize {
+        self.last_sent.len()
     }
 
-    /// A request was sent. Returns whether its object is new there.
-    pub fn begun(&mut self, now: policy::Moment, key: u64) -> bool {
-        if now >= self.swept + Self::KEPT || self.sent.len() >= Self::MOST {
-            self.sent.retain(|_, at| now < *at + Self::KEPT);
-            self.swept = now;
+    /// Records a sent request. Returns whether its object is new there.
+    pub fn request_started(&mut self, now: policy::Moment, key: u64) -> bool {
+        if now >= self.last_sweep + Self::RETENTION || self.last_sent.len() >= Self::MAX_OBJECTS {
+            self.last_sent.retain(|_, at| now < *at + Self::RETENTION);
+            self.last_sweep = now;
         }
-        if self.sent.len() >= Self::MOST {
-            self.sent.clear();
+        if self.last_sent.len() >= Self::MAX_OBJECTS {
+            self.last_sent.clear();
         }
-        let new = self.sent.insert(key, now).is_none();
-        self.new += u32::from(new);
+        let new = self.last_sent.insert(key, now).is_none();
+        self.new_in_flight += u32::from(new);
         new
     }
 
-    /// A request whose object was new there has ended.
-    pub fn ended(&mut self) {
-        self.new = self.new.saturating_sub(1);
+    /// Records the end of a request whose object was new there.
+    pub fn request_ended(&mut self) {
+        self.new_in_flight = self.new_in_flight.saturating_sub(1);
     }
 }
--- a/src/gateway/beliefs.rs
+++ b/src/gateway/beliefs.rs
@@ -32,9 +32,9 @@
     pub fn learn_crash(&self, crash: &Crash, counts: bool) -> bool {
         let mut crashes = self.crashes.borrow_mut();
         if !counts {
-            return crashes.forget(crash.fingerprint, &crash.run);
+            return crashes.remove_crash(crash.fingerprint, &crash.run);
         }
-        let news = crashes.learn(crash.fingerprint, &crash.run);
+        let news = crashes.add_crash(crash.fingerprint, &crash.run);
         if news && crashes.is_banned(crash.fingerprint) {
             slog::warn!(self.log, "request refused from now on, it crashes backend servers"; "fingerprint" => format!("{:016x}", crash.fingerprint), "backend" => &crash.run);
         }
@@ -60,10 +60,13 @@
         match outcome {
             attempt::Outcome::Unknown(upstream::Failure::Lost) => {
                 let mut crashes = self.crashes.borrow_mut();
-                crashes.lost(self.now(), job.fingerprint, run);
+                crashes.connection_broke(self.now(), job.fingerprint, run);
             }
             attempt::Outcome::NotRun(attempt::NotRun::NoConnection) => {
-                let crashed = self.crashes.borrow_mut().refused(self.now(), run);
+                let crashed = self
+                    .crashes
+                    .borrow_mut()
+                    .connection_refused(self.now(), run);
                 self.crashed(run, crashed);
             }
             _ => {}
@@ -176,7 +179,7 @@
         slog::info!(self.log, "backend server started again"; "backend" => %id, "in_flight" => old.in_flight);
         old.ended().notify_waiters();
         let run = old.run_name();
-        let crashed = self.crashes.borrow_mut().started_again(self.now(), &run);
+        let crashed = self.crashes.borrow_mut().restarted(self.now(), &run);
         self.crashed(&run, crashed);
     }
 
@@ -235,7 +238,7 @@
         let az = entry.az.clone();
         self.quotas
             .borrow_mut()
-            .inherit(self.now(), &entry.near_limits);
+            .restore_near_limits(self.now(), &entry.near_limits);
         let news = self.entries.borrow_mut().put(vm.clone(), entry);
         if news && let Some(left_out) = self.lines.admit("entry listed", self.now()) {
             slog::info!(self.log, "entry VM listed"; "vm" => %vm, "az" => %az, "left_out" => left_out);
@@ -311,9 +314,9 @@
             _ => return false,
         };
         let (before, now) = self.with_desk(&job.service, |desk| {
-            let before = desk.declines.are_everywhere();
+            let before = desk.declines.is_service_wide();
             desk.declines.sent(declined);
-            (before, desk.declines.are_everywhere())
+            (before, desk.declines.is_service_wide())
         });
         if before != now {
             slog::info!(self.log, "service refuses with room"; "service" => %job.service, "everywhere" => now);
@@ -340,10 +343,10 @@
     fn may_eject(&self, backends: &backends::Backends, service: &id::ServiceId) -> bool {
         let out = backends
             .of(service)
-            .filter(|b| b.health.state() != ejection::State::In)
+            .filter(|b| b.health.state() != ejection::State::Active)
             .count();
         let members = backends.of(service).count();
-        ejection::room(&self.cfg.thresholds.ejection, members, out)
+        ejection::may_eject_outlier(&self.cfg.thresholds.ejection, members, out)
     }
 
     /// Writes and counts that a backend server gets no work for a while.
@@ -358,7 +361,7 @@
 
     /// What is due from time to time.
     pub async fn upkeep(self) {
-        let mut every = tokio::time::interval(self.cfg.thresholds.regions.every);
+        let mut every = tokio::time::interval(self.cfg.thresholds.regions.step_interval);
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             every.tick().await;
@@ -411,7 +414,10 @@
         let usable = |b: &&backends::Backend| {
             !b.listed.leaving
                 && !evacuated.contains(&b.listed.az)
-                && !matches!(b.health.state(), ejection::State::Out { down: true, .. })
+                && !matches!(
+                    b.health.state(),
+                    ejection::State::Ejected { down: true, .. }
+                )
         };
         let (mut own, mut all, mut load) = (0.0, 0.0, 0.0);
         for backend in backends.of(service).filter(usable) {
@@ -432,13 +438,13 @@
             .filter(|r| Some(*r) == self.region.as_ref())
             .count() as f64;
         regions::View {
-            own_slots: own,
+            local_slots: own,
             all_slots: all,
             callers: in_region / zones,
             load: load / f64::max(own, 1.0),
             traffic: self.with_desk(service, |desk| desk.traffic),
-            homed_here: homed.map_or(0.0, |h| h.part(self.region.as_ref())),
-            homed: homed.map_or(0.0, |h| h.all()),
+            pinned_here: homed.map_or(0.0, |h| h.part(self.region.as_ref())),
+            pinned: homed.map_or(0.0, |h| h.all()),
         }
     }
 }
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -74,7 +74,7 @@
         if let Some(backend) = known.filter(|b| self.run.is_of(b)) {
             backend.in_flight = backend.in_flight.saturating_sub(1);
             if self.new {
-                backend.warming.ended();
+                backend.warming.request_ended();
             }
         }
     }
@@ -116,24 +116,26 @@
         let now = self.now();
         let chosen = self.choose(need, now);
         if chosen == Err(Nowhere::Full) && !need.behind {
-            self.with_desk(need.service, |desk| desk.precedence.refused(now));
+            self.with_desk(need.service, |desk| desk.precedence.urgent_refused(now));
         }
         let chosen = chosen?;
         let cfg = &self.cfg.thresholds.warming;
-        let cold = self.with_desk(need.service, |desk| desk.late.are_cold(cfg));
+        let cold = self.with_desk(need.service, |desk| desk.late.caches_cold(cfg));
         let mut backends = self.backends.borrow_mut();
         let Some(backend) = backends.get_mut(&chosen) else {
             return Err(Nowhere::NoBackend);
         };
         let slots = f64::from(backend.listed.slots);
-        let takes = |key| backend.warming.takes(cfg, slots, key);
+        let takes = |key| backend.warming.admits(cfg, slots, key);
         if cold && !need.key.is_none_or(takes) {
             return Err(Nowhere::Cold);
         }
-        let new = need.key.is_some_and(|key| backend.warming.begun(now, key));
+        let new = need
+            .key
+            .is_some_and(|key| backend.warming.request_started(now, key));
         let ahead = backend.load(now);
         backend.in_flight += 1;
-        if backend.health.due(now) {
+        if backend.health.probe_due(now) {
             backend
                 .health
                 .probed(&self.cfg.thresholds.ejection, now, true);
@@ -197,15 +199,15 @@
     ) -> Option<Result<id::VmId, Nowhere>> {
         let few = self.few(side, need);
         let backends = self.backends.borrow();
-        let among = backends.count_on(need.service, side);
+        let region_backends = backends.count_on(need.service, side);
         let listed = few.iter().filter_map(|name| backends.get(name));
         let in_order = self.in_order(listed, need, now).in_order;
-        if in_order.len() >= affinity::HELD {
-            return Some(self.pick(&in_order, among, need, now));
+        if in_order.len() >= affinity::SMALL_REGION_REPLICAS {
+            return Some(self.pick(&in_order, region_backends, need, now));
         }
         let all = self.in_order(backends.on(need.service, side), need, now);
         all.usable
-            .then(|| self.pick(&all.in_order, among, need, now))
+            .then(|| self.pick(&all.in_order, region_backends, need, now))
     }
 
     /// Those among which the choice lies as a rule: the first of the object's order, or some drawn
@@ -238,7 +240,7 @@
     fn pick(
         &self,
         in_order: &[&backends::Backend],
-        among: usize,
+        region_backends: usize,
         need: &Need<'_>,
         now: policy::Moment,
     ) -> Result<id::VmId, Nowhere> {
@@ -250,17 +252,20 @@
                 slots: f64::from(b.listed.slots),
                 load: b.load(now),
                 full: b.in_flight as usize >= b.limit.shared(limit, now, self.alone.get()),
-                known: need.key.is_some_and(|key| b.warming.has(now, key)),
-                objects: b.warming.objects(),
+                recently_sent: need
+                    .key
+                    .is_some_and(|key| b.warming.sent_recently(now, key)),
+                recent_objects: b.warming.object_count(),
             })
             .collect();
-        let want = affinity::Want {
+        let request = affinity::PlacementRequest {
             key: need.key,
             tie: self.jitter().to_bits(),
-            among,
-            behind: need.behind && self.with_desk(need.service, |desk| desk.precedence.yields(now)),
+            region_backends,
+            low_priority: need.behind
+                && self.with_desk(need.service, |desk| desk.precedence.yields(now)),
         };
-        affinity::pick(&self.cfg.thresholds.placement, &want, &candidates)
+        affinity::pick(&self.cfg.thresholds.placement, &request, &candidates)
             .map(|i| in_order[i].id.clone())
             .ok_or(Nowhere::Full)
     }
@@ -276,14 +281,14 @@
         if need.tried.contains(&b.id) {
             return false;
         }
-        let out = matches!(b.health.state(), ejection::State::Out { .. });
-        !out || (b.health.due(now) && need.idempotent)
+        let out = matches!(b.health.state(), ejection::State::Ejected { .. });
+        !out || (b.health.probe_due(now) && need.idempotent)
     }
 
     /// Whether it has a place in the order of objects just now. One that is cold or on trial has
     /// one only for a request that it takes at once: its objects go elsewhere meanwhile.
     fn has_place(&self, b: &backends::Backend, need: &Need<'_>, now: policy::Moment) -> bool {
-        let on_trial = b.health.state() != ejection::State::In;
+        let on_trial = b.health.state() != ejection::State::Active;
         if on_trial && (b.in_flight > 0 || !need.idempotent) {
             return false;
         }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Entry VMs as processes of their own: what operators apply reaches them all.
+//! Entry VMs as separate processes: settings that operators apply reach all of them.
 
 use std::path;
 use std::thread;
@@ -6,29 +6,29 @@
 
 use bulrushwind::standin::{deployment, operator};
 
-/// Far more than any machine needs.
-const LIMIT: time::Duration = time::Duration::from_secs(90);
+/// Far more time than any machine needs.
+const WAIT_TIMEOUT: time::Duration = time::Duration::from_secs(90);
 
-fn start(dir: &tempfile::TempDir, series: u8) -> deployment::Deployment {
+fn deploy(dir: &tempfile::TempDir, series: u8) -> deployment::Deployment {
     let standin = path::Path::new(env!("CARGO_BIN_EXE_bulrushwind-standin"));
     let entry = path::Path::new(env!("CARGO_BIN_EXE_bulrushwind-entry"));
     deployment::Deployment::new(standin, entry, dir.path(), series, (3, 2)).unwrap()
 }
 
 fn wait_for<F: Fn() -> bool>(what: &str, holds: F) {
-    let until = time::Instant::now() + LIMIT;
+    let until = time::Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         assert!(time::Instant::now() < until, "never came true: {what}");
         thread::sleep(time::Duration::from_millis(20));
     }
 }
 
-/// An operator applies settings, and changes them. Callers are steered by them on every entry VM
-/// of all availability zones.
+/// An operator applies settings and then a change. Each must be in force on every entry VM of all
+/// availability zones.
 #[test]
 fn an_applied_change_reaches_every_entry_vm() {
     let dir = tempfile::tempdir().unwrap();
-    let mut fleet = start(&dir, 0);
+    let mut fleet = deploy(&dir, 0);
     let platform = fleet.platform();
     let version = operator::publish(&platform, "bays", "# first", 0).unwrap();
     fleet.start_all().unwrap();
@@ -45,13 +45,13 @@
     });
 }
 
-/// The store is down, and all VMs of an availability zone are replaced by empty ones. They learn
-/// the settings from the others; without that their callers would be refused until the store is
-/// back. When it is, the next change reaches them as well.
+/// The store is down and all VMs of an availability zone are replaced by empty ones. They must get
+/// the settings from peers, or callers would be refused until the store is up. After that, the
+/// next change must reach them too.
 #[test]
-fn empty_vms_learn_the_settings_during_an_outage() {
+fn empty_vms_get_the_settings_from_peers_during_an_outage() {
     let dir = tempfile::tempdir().unwrap();
-    let mut fleet = start(&dir, 1);
+    let mut fleet = deploy(&dir, 1);
     let platform = fleet.platform();
     let version = operator::publish(&platform, "bays", "# first", 0).unwrap();
     fleet.start_all().unwrap();
--- a/tests/rest.rs
+++ b/tests/rest.rs
@@ -1,8 +1,8 @@
-//! How long connections rest, played in virtual time.
+//! Tests of the idle limit of connections, in virtual time.
 
 use std::time;
 
-use bulrushwind::decisions::rest;
+use bulrushwind::decisions::idle_limit;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -10,81 +10,81 @@
     time::Duration::from_secs_f64(s)
 }
 
-/// What became of requests to one backend server.
+/// Outcome of the requests to one backend server.
 #[derive(Debug, Default)]
-struct Sent {
+struct Outcome {
     dialled: usize,
     broke: usize,
 }
 
-/// A request each 0.2 to 9 s, to backend servers that state ten seconds and forget connections after
-/// `kept`.
-fn play(kept: f64) -> Sent {
+/// Sends a request every 0.2 to 9 s to backend servers that state an idle timeout of 10 s and drop
+/// idle connections after `dropped_after_s` seconds.
+fn play(dropped_after_s: f64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
-    let mut rest = rest::Rest::default();
-    let mut sent = Sent::default();
+    let mut rest = idle_limit::IdleLimit::default();
+    let mut outcome = Outcome::default();
     for _ in 0..1000 {
-        let rested = secs(rng.random_range(0.2..9.0));
-        if rested >= rest.limit(Some(secs(10.0))) {
-            sent.dialled += 1;
-        } else if rested > secs(kept) {
-            sent.broke += 1;
-            rest.broke(rested);
+        let idle_time = secs(rng.random_range(0.2..9.0));
+        if idle_time >= rest.limit(Some(secs(10.0))) {
+            outcome.dialled += 1;
+        } else if idle_time > secs(dropped_after_s) {
+            outcome.broke += 1;
+            rest.record_break(idle_time);
         } else {
-            rest.held(rested);
+            rest.record_reuse(idle_time);
         }
     }
-    sent
+    outcome
 }
 
-/// Each of many backend servers gets a request every few seconds. Given up after four, most connections
-/// are dialled anew, and callers of another region wait for a further round trip.
+/// Guards against closing idle connections too early: each of many backend servers gets a request
+/// every few seconds, and a new connection costs callers of another region one more round trip.
 #[test]
-fn connections_rest_as_long_as_backend_servers_say() {
-    let sent = play(10.0);
-    assert_eq!((sent.dialled, sent.broke), (0, 0));
+fn connections_stay_idle_as_long_as_backend_servers_state() {
+    let outcome = play(10.0);
+    assert_eq!((outcome.dialled, outcome.broke), (0, 0));
 }
 
-/// Backend servers forget connections after a third of a second without a word. Requests sent on these
-/// break one after the other, and bookings among them end with their fate unknown.
+/// Backend servers drop connections after 0.3 s of idleness. Guards against requests that break one
+/// after the other on these; bookings among them end with unknown outcome.
 #[test]
-fn where_connections_are_forgotten_they_soon_rest_less() {
-    let sent = play(0.3);
-    // Of rests up to four seconds 420 of 1,000 would break.
-    assert!(sent.broke <= 20, "{sent:?}");
+fn where_connections_are_dropped_the_limit_soon_falls() {
+    let outcome = play(0.3);
+    // With a fixed idle limit of 4 s, 420 of 1,000 would break.
+    assert!(outcome.broke <= 20, "{outcome:?}");
 }
 
-/// Backend servers lose one answer of twenty and reset the connection, whether it is new or rested. Taken
-/// for a sign that connections are forgotten, all are dialled anew, and callers of another region are
-/// late by a round trip as long as the trouble lasts.
+/// Backend servers lose one answer of twenty and reset the connection, whether new or reused. Guards
+/// against taking this for dropped idle connections: a new connection per request would cost callers
+/// of another region a round trip.
 #[test]
-fn answers_that_are_lost_on_any_connection_are_no_reason_to_dial_anew() {
+fn answers_lost_on_any_connection_do_not_lower_the_limit() {
     let mut rng = ChaCha8Rng::seed_from_u64(10);
-    let mut rest = rest::Rest::default();
+    let mut rest = idle_limit::IdleLimit::default();
     for _ in 0..2000 {
         let lost = rng.random_range(0..20) == 0;
         if rng.random_range(0..4) == 0 {
-            rest.dialled(lost);
+            rest.record_new(lost);
         } else if lost {
-            assert!(!rest.broke(secs(rng.random_range(0.2..9.0))));
+            assert!(!rest.record_break(secs(rng.random_range(0.2..9.0))));
         } else {
-            rest.held(secs(1.0));
+            rest.record_reuse(secs(1.0));
         }
     }
     assert_eq!(rest.limit(Some(secs(10.0))), secs(9.5));
 }
 
-/// A backend server crashes while it works on a request that came on a rested connection.
+/// Guards against taking a crash during a request for a dropped idle connection.
 #[test]
-fn a_connection_that_breaks_at_work_was_not_forgotten() {
-    assert!(rest::at_once(secs(0.112), secs(0.11)));
-    assert!(!rest::at_once(secs(0.11 + 0.14), secs(0.11)));
-    assert!(!rest::at_once(secs(0.14), secs(0.002)));
+fn a_connection_that_breaks_during_a_request_was_not_dropped() {
+    assert!(idle_limit::was_stale(secs(0.112), secs(0.11)));
+    assert!(!idle_limit::was_stale(secs(0.11 + 0.14), secs(0.11)));
+    assert!(!idle_limit::was_stale(secs(0.14), secs(0.002)));
 }
 
 #[test]
-fn what_a_backend_server_states_counts() {
-    let rest = rest::Rest::default();
+fn the_stated_idle_timeout_is_kept() {
+    let rest = idle_limit::IdleLimit::default();
     assert_eq!(rest.limit(Some(secs(2.0))), secs(1.5));
     assert_eq!(rest.limit(None), secs(4.0));
     assert_eq!(rest.limit(Some(secs(0.0))), secs(0.0));
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -1,11 +1,12 @@
-//! The decisions of a gateway that routes by objects, played without a network.
+//! Tests of the gateway's routing decisions in virtual time, without a network.
 
 use std::collections;
 use std::time;
 
 use bulrushwind::coordination::{listing, mirror};
 use bulrushwind::decisions::{
-    affinity, cold, comeback, crashes, nearby, precedence, regions, resend, split, warming,
+    affinity, cold, crashes, entry_selection, precedence, regions, resend, retry_delay, split,
+    warming,
 };
 use bulrushwind::{id, protocol};
 use rand::{RngExt, SeedableRng};
@@ -22,36 +23,36 @@
             slots: 3.0,
             load: 0.0,
             full: false,
-            known: false,
-            objects: Fleet::KEPT,
+            recently_sent: false,
+            recent_objects: Fleet::CACHED_OBJECTS,
         })
         .collect()
 }
 
-fn want(key: Option<u64>) -> affinity::Want {
-    affinity::Want {
+fn request(key: Option<u64>) -> affinity::PlacementRequest {
+    affinity::PlacementRequest {
         key,
         tie: 0,
-        behind: false,
-        among: 12,
+        low_priority: false,
+        region_backends: 12,
     }
 }
 
-/// Backend servers with three slots that keep a few objects and answer three times as fast for
+/// Backend servers with three slots that cache a few objects and answer three times faster for
 /// these.
 struct Fleet {
     backends: Vec<affinity::Candidate>,
     caches: Vec<Vec<u64>>,
-    /// When each request that a backend server has will end, in milliseconds.
+    /// The end of each request at a backend server, in milliseconds.
     ends: Vec<Vec<f64>>,
 }
 
 impl Fleet {
     const SLOTS: usize = 3;
-    const KEPT: usize = 25;
+    const CACHED_OBJECTS: usize = 25;
     const COLD_MS: f64 = 640.0;
     const WARM_MS: f64 = 192.0;
-    const AIM_MS: f64 = 400.0;
+    const TARGET_MS: f64 = 400.0;
 
     fn new(n: usize) -> Self {
         Self {
@@ -61,8 +62,8 @@
         }
     }
 
-    /// What the backend servers have at a moment.
-    fn look(&mut self, now: f64) -> &[affinity::Candidate] {
+    /// The candidates with their load at the time `now`.
+    fn candidates_at(&mut self, now: f64) -> &[affinity::Candidate] {
         for (backend, ends) in self.backends.iter_mut().zip(&mut self.ends) {
             ends.retain(|end| *end > now);
             backend.load = ends.len() as f64;
@@ -70,12 +71,12 @@
         &self.backends
     }
 
-    /// Runs a request at a backend server, first come first served. Returns whether it is in time.
+    /// Runs a request at a backend server in FIFO order. Returns whether it is in time.
     fn run(&mut self, now: f64, i: usize, object: u64) -> bool {
         let warm = self.caches[i].contains(&object);
         self.caches[i].retain(|o| *o != object);
         self.caches[i].push(object);
-        if self.caches[i].len() > Self::KEPT {
+        if self.caches[i].len() > Self::CACHED_OBJECTS {
             self.caches[i].remove(0);
         }
         let mut busy = self.ends[i].clone();
@@ -86,12 +87,12 @@
         };
         let end = begin + if warm { Self::WARM_MS } else { Self::COLD_MS };
         self.ends[i].push(end);
-        end - now <= Self::AIM_MS
+        end - now <= Self::TARGET_MS
     }
 }
 
-/// A load that fits only when objects are warm. Spread over the least loaded, callers get nearly
-/// nothing in time. Returns the share of requests that were in time.
+/// Simulates a load that fits only if objects are warm; by least load, almost no answer is in time.
+/// Returns the share of requests that were in time.
 fn play_warm_objects(by_object: bool) -> f64 {
     const OBJECTS: u64 = 144;
     const PER_S: f64 = 82.0;
@@ -102,14 +103,14 @@
     for n in 0..8000 {
         let now = f64::from(n) * 1000.0 / PER_S;
         let object = rng.random_range(0..OBJECTS);
-        let want = affinity::Want {
+        let request = affinity::PlacementRequest {
             key: by_object.then(|| affinity::hash(&object.to_le_bytes())),
             tie: rng.random(),
-            behind: false,
-            among: 12,
+            low_priority: false,
+            region_backends: 12,
         };
         sent += 1.0;
-        if let Some(i) = affinity::pick(&cfg, &want, fleet.look(now))
+        if let Some(i) = affinity::pick(&cfg, &request, fleet.candidates_at(now))
             && fleet.run(now, i, object)
         {
             in_time += 1.0;
@@ -118,9 +119,9 @@
     in_time / sent
 }
 
-/// Each further place of an object's order costs one request a slot more, and all of them may be
-/// used: placement before it was held to two places.
-fn wander(key: u64, candidates: &[affinity::Candidate]) -> Option<usize> {
+/// Placement without the limit of two positions: any position of an object's order may be used,
+/// and each further one costs one more request per slot.
+fn place_anywhere(key: u64, candidates: &[affinity::Candidate]) -> Option<usize> {
     let mut order: Vec<usize> = (0..candidates.len()).collect();
     let rank = |i: &usize| affinity::rank(key, candidates[*i].hash, candidates[*i].slots);
     order.sort_by(|a, b| rank(b).total_cmp(&rank(a)));
@@ -133,9 +134,9 @@
     costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, i)| i)
 }
 
-/// All caches are cold and twice the usual load comes for four seconds; then it is as usual again.
-/// Returns the share of the requests of the twelve seconds after that which were in time.
-fn play_thaw(pick: impl Fn(u64, &[affinity::Candidate]) -> Option<usize>) -> f64 {
+/// Starts with cold caches and twice the usual load for four seconds, then the usual load. Returns
+/// the share of requests in time during the twelve seconds after the surge.
+fn play_after_surge(pick: impl Fn(u64, &[affinity::Candidate]) -> Option<usize>) -> f64 {
     const OBJECTS: u64 = 110;
     const PER_S: f64 = 64.0;
     let mut rng = ChaCha8Rng::seed_from_u64(8);
@@ -146,7 +147,7 @@
         now += 1000.0 / PER_S / if surge { 2.0 } else { 1.0 };
         let object = rng.random_range(0..OBJECTS);
         let key = affinity::hash(&object.to_le_bytes());
-        let chosen = pick(key, fleet.look(now));
+        let chosen = pick(key, fleet.candidates_at(now));
         let good = chosen.is_some_and(|i| fleet.run(now, i, object));
         if !surge {
             sent += 1.0;
@@ -156,28 +157,28 @@
     in_time / sent
 }
 
-/// Two zones of six are lost, callers press, and no cache holds what is asked for. Requests that
-/// go wherever there is room keep all caches cold: long after the surge callers wait for seconds.
+/// Two availability zones of six are lost during a surge, and all caches are cold. Requests placed
+/// wherever there is room keep all caches cold, and callers wait for seconds long after the surge.
 #[test]
-fn a_cold_fleet_under_a_surge_thaws() {
+fn a_cold_fleet_warms_up_after_a_surge() {
     let cfg = affinity::Config::default();
-    let ours = play_thaw(|key, all| affinity::pick(&cfg, &want(Some(key)), all));
-    let before = play_thaw(wander);
-    // Measured with this seed: 0.000 and 0.936.
+    let ours = play_after_surge(|key, all| affinity::pick(&cfg, &request(Some(key)), all));
+    let before = play_after_surge(place_anywhere);
+    // With this seed the shares are 0.000 and 0.936.
     assert!(before < 0.5, "wherever there is room: {before}");
     assert!(ours > 0.8, "at two places: {ours}");
 }
 
 #[test]
-fn by_object_callers_are_answered_in_time_that_least_loaded_leaves_late() {
+fn placement_by_object_answers_in_time_where_least_load_does_not() {
     let (naive, ours) = (play_warm_objects(false), play_warm_objects(true));
-    // Measured with this seed: 0.000 by least load, 0.966 by object.
+    // With this seed the shares are 0.000 by least load and 0.966 by object.
     assert!(naive < 0.3, "least loaded: {naive}");
     assert!(ours > 0.9, "by object: {ours}");
 }
 
-/// A backend server leaves. If that moved the objects of the others too, all caches would be cold
-/// at once, and callers would notice each release as a slow half minute.
+/// Guards against cold caches on each release: a backend server that leaves must not move the
+/// objects of the others.
 #[test]
 fn a_backend_server_that_leaves_moves_only_its_own_objects() {
     let all = candidates(12);
@@ -185,79 +186,79 @@
     let cfg = affinity::Config::default();
     for object in 0..500_u64 {
         let key = Some(affinity::hash(&object.to_le_bytes()));
-        let before = affinity::pick(&cfg, &want(key), &all).unwrap();
-        let after = affinity::pick(&cfg, &want(key), &fewer).unwrap();
+        let before = affinity::pick(&cfg, &request(key), &all).unwrap();
+        let after = affinity::pick(&cfg, &request(key), &fewer).unwrap();
         if before != 0 {
             assert_eq!(before, after + 1);
         }
     }
 }
 
-/// One object takes most of the load. Held to its backend server at any price, its callers would
-/// wait behind one another while the rest stands idle.
+/// One object gets most of the load. If only one backend server could handle it, its requests
+/// would queue there while the others are idle.
 #[test]
-fn a_busy_object_spills_to_the_second_of_its_order_and_no_farther_than_needed() {
+fn a_busy_object_overflows_to_the_second_position_only() {
     let cfg = affinity::Config::default();
     let mut all = candidates(4);
     let key = Some(affinity::hash(b"busy"));
-    let first = affinity::pick(&cfg, &want(key), &all).unwrap();
+    let first = affinity::pick(&cfg, &request(key), &all).unwrap();
     all[first].load = 3.0 * 2.5;
-    let second = affinity::pick(&cfg, &want(key), &all).unwrap();
+    let second = affinity::pick(&cfg, &request(key), &all).unwrap();
     assert_ne!(first, second);
     all[first].load = 3.0;
-    assert_eq!(affinity::pick(&cfg, &want(key), &all), Some(first));
-    // A cache elsewhere would lose another object, however idle it is.
+    assert_eq!(affinity::pick(&cfg, &request(key), &all), Some(first));
+    // On any other backend server, even an idle one, it would evict another object.
     all[second].load = 3.0;
     all[first].load = 3.0 * 2.5;
-    assert_eq!(affinity::pick(&cfg, &want(key), &all), None);
+    assert_eq!(affinity::pick(&cfg, &request(key), &all), None);
 }
 
-/// A backend server has just refused a request. If its objects moved to the third of their order
-/// for the moment that it rests, each refusal would make others cold.
+/// A backend server has just refused a request. If its objects moved to the third position for the
+/// backoff time, each refusal would evict other objects from a cache.
 #[test]
-fn one_that_is_full_keeps_its_place_in_the_order() {
+fn a_full_backend_server_keeps_its_position() {
     let cfg = affinity::Config::default();
     let mut all = candidates(6);
     let key = Some(affinity::hash(b"object"));
-    let first = affinity::pick(&cfg, &want(key), &all).unwrap();
+    let first = affinity::pick(&cfg, &request(key), &all).unwrap();
     all[first].full = true;
-    let second = affinity::pick(&cfg, &want(key), &all).unwrap();
+    let second = affinity::pick(&cfg, &request(key), &all).unwrap();
     all[second].load = 3.0;
-    assert_eq!(affinity::pick(&cfg, &want(key), &all), None);
+    assert_eq!(affinity::pick(&cfg, &request(key), &all), None);
 }
 
-/// A service gets twice what it can answer, one request in five of it a booking. Refused alike, as
-/// many bookings are lost as reads.
+/// A service gets twice the load that it can answer, one request in five a booking. Without
+/// precedence, bookings would be refused as often as reads.
 #[test]
 fn bookings_find_room_where_reads_are_refused() {
     let cfg = affinity::Config::default();
     let mut rng = ChaCha8Rng::seed_from_u64(4);
     let mut precedence = precedence::Precedence::default();
     let mut fleet = Fleet::new(4);
-    // Asked and placed, of the reads and of the bookings.
+    // Requests asked and placed, for reads and for bookings.
     let mut counts = [[0.0; 2]; 2];
     for n in 0..4000 {
         let now = f64::from(n) * 8.0;
         let object: u64 = rng.random_range(0..40);
         let read = rng.random_range(0..5) > 0;
-        let want = affinity::Want {
+        let request = affinity::PlacementRequest {
             key: Some(affinity::hash(&object.to_le_bytes())),
             tie: 0,
-            behind: read && precedence.yields(secs(now / 1000.0)),
-            among: 4,
+            low_priority: read && precedence.yields(secs(now / 1000.0)),
+            region_backends: 4,
         };
-        let chosen = affinity::pick(&cfg, &want, fleet.look(now));
+        let chosen = affinity::pick(&cfg, &request, fleet.candidates_at(now));
         if let Some(i) = chosen {
             fleet.run(now, i, object);
         } else if !read {
-            precedence.refused(secs(now / 1000.0));
+            precedence.urgent_refused(secs(now / 1000.0));
         }
         let count = &mut counts[usize::from(!read)];
         count[0] += 1.0;
         count[1] += f64::from(u8::from(chosen.is_some()));
     }
     let [reads, bookings] = counts.map(|[asked, placed]| placed / asked);
-    // Measured with this seed: 0.365 of the reads and 0.926 of the bookings.
+    // With this seed 0.365 of the reads and 0.926 of the bookings are placed.
     assert!(bookings > 0.9 && reads < 0.7, "{bookings} {reads}");
 }
 
@@ -267,14 +268,17 @@
     all.iter_mut().for_each(|c| c.load = 2.0);
     all[3].load = 1.0;
     for tie in 0..50 {
-        let want = affinity::Want { tie, ..want(None) };
-        let picked = affinity::pick(&affinity::Config::default(), &want, &all);
+        let request = affinity::PlacementRequest {
+            tie,
+            ..request(None)
+        };
+        let picked = affinity::pick(&affinity::Config::default(), &request, &all);
         assert_eq!(picked, Some(3));
     }
 }
 
-/// A tenth of a route goes to a new version, and a few objects take most of the requests. By object
-/// alone the new version gets nothing or a third.
+/// A route gives a tenth to a new version, and a few objects get most of the requests. Split by
+/// object alone, the new version would get nothing or a third.
 #[test]
 fn a_split_keeps_its_shares_though_a_few_objects_are_busy() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
@@ -294,8 +298,8 @@
     }
 }
 
-/// Backend servers refuse half of what they get, at eight VMs at once. Callers would notice retries
-/// that fill the queues of those that still work.
+/// Backend servers refuse half of the requests from eight VMs. Retries beyond the budget would
+/// fill the queues of the backend servers that still work.
 #[test]
 fn second_sends_of_all_vms_stay_within_the_bound_in_any_window() {
     let bound = resend::Bound {
@@ -306,12 +310,12 @@
     };
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let vms = 8;
-    let mut budgets = vec![resend::Resends::default(); vms];
+    let mut budgets = vec![resend::ResendBudget::default(); vms];
     let (mut requests, mut second) = (Vec::new(), Vec::new());
     for n in 0..20_000 {
         let now = secs(f64::from(n) * 0.002);
         let budget = &mut budgets[rng.random_range(0..vms)];
-        budget.request(&bound, now);
+        budget.count_request(&bound, now);
         requests.push(now);
         for _ in 0..rng.random_range(0..3) {
             if budget.take(&bound, now, vms) {
@@ -321,7 +325,7 @@
     }
     assert!(
         second.len() > 2000,
-        "the budget is of use: {}",
+        "the budget allows retries: {}",
         second.len()
     );
     let inside = |times: &[time::Duration], from: time::Duration| {
@@ -335,10 +339,10 @@
     }
 }
 
-/// A zone's backend servers come back cold. Each VM that sends its own few requests to one makes a
-/// sum that crashes it again.
+/// The backend servers of an availability zone return cold. If every VM sent a few requests to
+/// each, the sum would crash them again.
 #[test]
-fn a_cold_backend_server_gets_no_more_than_it_bears_from_all_vms_together() {
+fn a_cold_backend_server_gets_at_most_its_rate_from_all_vms_together() {
     let vms: Vec<u64> = (0..8).map(|n| affinity::hash(&[n])).collect();
     let rate = 2.9;
     for backend in 0..20_u64 {
@@ -360,47 +364,47 @@
 
 fn view(own: f64, load: f64, traffic: f64) -> regions::View {
     regions::View {
-        own_slots: own,
+        local_slots: own,
         all_slots: 36.0,
         callers: 1.0 / 3.0,
         load,
         traffic,
-        homed_here: 0.0,
-        homed: 0.0,
+        pinned_here: 0.0,
+        pinned: 0.0,
     }
 }
 
-/// A large customer is at home in a small region, and callers all over ask for it there. If the region
-/// kept as many of its own callers as it has slots, all of them would be refused together.
+/// Requests of a large customer must run in a small region, and its callers are in all regions.
+/// If the region kept local callers for all of its slots, it would refuse both kinds.
 #[test]
-fn a_region_leaves_room_for_those_who_are_at_home_there() {
+fn a_region_reserves_slots_for_requests_that_must_run_there() {
     let cfg = regions::Config::default();
-    let homed = regions::View {
-        homed_here: 0.1,
-        homed: 0.2,
+    let pinned = regions::View {
+        pinned_here: 0.1,
+        pinned: 0.2,
         ..view(6.0, 0.5, 1.0)
     };
-    // Served here: those at home, and what stays of a third of those who are at home nowhere.
+    // Load of this region: requests that must run here, and the local share of the others.
     let load = |view: &regions::View| {
-        let own = view.callers * (1.0 - view.homed) * (1.0 - view.by_slots(&cfg));
-        (view.homed_here + own) / (view.own_slots / view.all_slots)
+        let own = view.callers * (1.0 - view.pinned) * (1.0 - view.by_slots(&cfg));
+        (view.pinned_here + own) / (view.local_slots / view.all_slots)
     };
-    for view in [homed, view(6.0, 0.5, 1.0)] {
+    for view in [pinned, view(6.0, 0.5, 1.0)] {
         assert!(
-            (load(&view) - 1.0 / cfg.spare).abs() < 1e-9,
+            (load(&view) - 1.0 / cfg.slot_surplus).abs() < 1e-9,
             "{}",
             load(&view)
         );
     }
     let full = regions::View {
-        homed_here: 0.16,
-        ..homed
+        pinned_here: 0.16,
+        ..pinned
     };
     assert_eq!(full.by_slots(&cfg), 1.0);
 }
 
-/// A region with a third of the callers and a sixth of the slots. Without a steady share its own
-/// callers are refused while others' slots stand idle.
+/// A region has a third of the callers and a sixth of the slots. Without a steady share elsewhere,
+/// it refuses its callers while other regions' slots are idle.
 #[test]
 fn a_small_region_sends_a_steady_share_elsewhere_and_a_large_one_none() {
     let cfg = regions::Config::default();
@@ -416,9 +420,9 @@
     assert_eq!(share[0].get(), 0.0);
 }
 
-/// Three regions have the same callers and 6, 12 and 18 slots. The smallest serves twice what its
-/// slots are worth if it keeps its callers, and the middle one has nothing to spare when its callers
-/// come in a wave; both refuse then while the largest stands half idle.
+/// Three regions have equal numbers of callers and 6, 12 and 18 slots. If each served its own
+/// callers, the smallest would get twice the load of its slots and the middle one would have no
+/// reserve for peaks; both would refuse while the largest is half idle.
 #[test]
 fn regions_of_three_sizes_end_up_about_equally_loaded() {
     let (cfg, slots) = (regions::Config::default(), [6.0, 12.0, 18.0]);
@@ -442,8 +446,8 @@
     assert!(most.unwrap() / least.unwrap() < 1.3, "{loads:?}");
 }
 
-/// Half of a region's backend servers leave, as when a zone is emptied. If its callers moved at
-/// once, more than operators allow would land on caches elsewhere that are cold.
+/// Half of a region's backend servers leave, as in the drain of an availability zone. If all their
+/// callers moved at once, a shift above the operators' cap would hit cold caches elsewhere.
 #[test]
 fn shares_of_all_services_move_no_more_than_the_cap_in_two_seconds() {
     let cfg = regions::Config::default();
@@ -466,7 +470,7 @@
             .map(|(s, v)| s.get() * v.traffic)
             .sum()
     };
-    let window = (2.0 / cfg.every.as_secs_f64()) as usize;
+    let window = (2.0 / cfg.step_interval.as_secs_f64()) as usize;
     let mut last = served(&shares);
     for _ in 0..200 {
         for _ in 0..window {
@@ -478,26 +482,31 @@
     }
     assert!(
         last > 0.5,
-        "in the end the callers are served elsewhere: {last}"
+        "other regions serve most callers in the end: {last}"
     );
 }
 
-fn entry(near: bool, az: &id::AzId, requests: u32, told: u64) -> nearby::Entry<'_, u64> {
-    nearby::Entry {
-        near,
+fn entry(
+    in_region: bool,
+    az: &id::AzId,
+    requests_per_s: u32,
+    value: u64,
+) -> entry_selection::Candidate<'_, u64> {
+    entry_selection::Candidate {
+        in_region,
         az,
-        requests,
+        requests_per_s,
         busy: false,
-        hash: told,
-        told,
+        hash: value,
+        value,
     }
 }
 
-/// A region has a few large VMs and many small ones. Spread over all of them, callers meet VMs that
-/// know no backend server's load and dial anew for nearly each request. Both told VMs in one zone
-/// would leave callers alone when that zone is lost.
+/// A region has a few large VMs and many small ones. If callers spread over all of them, they reach
+/// VMs without load information that open a connection for nearly each request. If both advertised
+/// VMs were in one availability zone, its loss would leave callers without any.
 #[test]
-fn callers_are_told_the_largest_of_their_region_in_different_zones() {
+fn the_largest_vms_of_a_region_in_different_zones_are_advertised() {
     let (a, b, far) = ("a".into(), "b".into(), "far".into());
     let small = (10..30).map(|n| entry(true, if n % 2 == 0 { &a } else { &b }, 250, n));
     let large = [
@@ -507,31 +516,49 @@
     ];
     let beyond = (40..60).map(|n| entry(false, &far, 9000, n));
     let all: Vec<_> = small.chain(beyond).chain(large).collect();
-    assert_eq!(nearby::told(nearby::LEAST, all.iter().copied()), [1, 3]);
-    let only_far = all.iter().copied().filter(|e| !e.near);
-    assert_eq!(nearby::told(nearby::LEAST, only_far), [40, 41]);
+    assert_eq!(
+        entry_selection::select(entry_selection::DEFAULT_VM_COUNT, all.iter().copied()),
+        [1, 3]
+    );
+    let only_far = all.iter().copied().filter(|e| !e.in_region);
+    assert_eq!(
+        entry_selection::select(entry_selection::DEFAULT_VM_COUNT, only_far),
+        [40, 41]
+    );
     let one_zone = all.iter().copied().filter(|e| *e.az == a);
-    assert_eq!(nearby::told(nearby::LEAST, one_zone), [1, 2]);
-    assert!(nearby::told(nearby::LEAST, std::iter::empty::<nearby::Entry<'_, u64>>()).is_empty());
+    assert_eq!(
+        entry_selection::select(entry_selection::DEFAULT_VM_COUNT, one_zone),
+        [1, 2]
+    );
+    assert!(
+        entry_selection::select(
+            entry_selection::DEFAULT_VM_COUNT,
+            std::iter::empty::<entry_selection::Candidate<'_, u64>>()
+        )
+        .is_empty()
+    );
 }
 
-/// Callers come in numbers that two VMs cannot carry, and leave again. Told no others, they would
-/// meet VMs that answer late while the rest of the region stands idle; told all from then on, they
-/// would be late for the other reason.
+/// More callers arrive than two VMs can serve, and leave again. With no further VMs advertised,
+/// answers would be late while the rest of the region is idle; with all of them advertised for
+/// good, answers would be late because load is spread too thinly.
 #[test]
-fn more_entry_vms_are_told_while_these_are_busy_and_fewer_after() {
-    let capacity = nearby::Capacity {
+fn more_entry_vms_are_advertised_while_others_are_busy() {
+    let capacity = entry_selection::Capacity {
         cores: 0.5,
         link_mbps: 200.0,
     };
     let az = "a".into();
-    let mut busy = [nearby::Busy::default(); 20];
+    let mut busy = [entry_selection::Busy::default(); 20];
     let mut step = |crowd: f64| {
-        let all = busy.iter().zip(0..).map(|(busy, n)| nearby::Entry {
-            busy: busy.get(),
-            ..entry(true, &az, capacity.requests(), n)
-        });
-        let told = nearby::told(nearby::LEAST, all);
+        let all = busy
+            .iter()
+            .zip(0..)
+            .map(|(busy, n)| entry_selection::Candidate {
+                busy: busy.get(),
+                ..entry(true, &az, capacity.requests_per_s(), n)
+            });
+        let told = entry_selection::select(entry_selection::DEFAULT_VM_COUNT, all);
         let each = crowd / told.len() as f64;
         for (n, busy) in busy.iter_mut().enumerate() {
             let part = if told.contains(&(n as u64)) {
@@ -539,26 +566,33 @@
             } else {
                 0.0
             };
-            busy.step(capacity.used(part, part * 5_000.0));
+            busy.update(capacity.utilization(part, part * 5_000.0));
         }
-        (told.len(), capacity.used(each, each * 5_000.0))
+        (told.len(), capacity.utilization(each, each * 5_000.0))
     };
     let crowded: Vec<(usize, f64)> = (0..40).map(|_| step(12_000.0)).collect();
     let (told, used) = crowded[39];
     assert!(used <= 0.5 && told <= 14, "{crowded:?}");
-    assert_eq!(crowded[20..], [(told, used); 20], "it comes to rest");
+    assert_eq!(
+        crowded[20..],
+        [(told, used); 20],
+        "the number of VMs stabilizes"
+    );
     let calm: Vec<(usize, f64)> = (0..40).map(|_| step(500.0)).collect();
-    assert_eq!(calm[39].0, nearby::LEAST);
+    assert_eq!(calm[39].0, entry_selection::DEFAULT_VM_COUNT);
 }
 
-/// Plays one backend server with three slots and cold caches, asked for twelve objects at random.
-/// Returns the share of requests that are answered in time, a refused one coming back once.
-fn play_first_seconds(cfg: &warming::Config) -> f64 {
-    const AIM_S: f64 = 0.5;
+/// Simulates one backend server with three slots and cold caches, and random requests for twelve
+/// objects. Returns the share of requests in time; a refused request is retried once.
+fn play_cold_start(cfg: &warming::Config) -> f64 {
+    const TARGET_S: f64 = 0.5;
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let (mut in_time, mut all) = (0, 0);
     for _ in 0..40 {
-        let (mut here, mut late) = (warming::Warming::default(), warming::Late::default());
+        let (mut sent, mut late) = (
+            warming::SentObjects::default(),
+            warming::LateRatio::default(),
+        );
         let (mut free, mut ends) = ([0.0_f64; 3], Vec::<(f64, bool, bool)>::new());
         let mut due: collections::VecDeque<(f64, f64, u64, bool)> = (0..45)
             .map(|n| f64::from(n) / 15.0)
@@ -570,11 +604,11 @@
             ends = rest;
             for (_, new, was_late) in over {
                 if new {
-                    here.ended();
+                    sent.request_ended();
                     late.answered(was_late);
                 }
             }
-            if late.are_cold(cfg) && !here.takes(cfg, 3.0, object) {
+            if late.caches_cold(cfg) && !sent.admits(cfg, 3.0, object) {
                 if again {
                     let back = at + 0.3;
                     let place = due.partition_point(|(other, ..)| *other < back);
@@ -582,96 +616,105 @@
                 }
                 continue;
             }
-            let new = here.begun(secs(at), object);
+            let new = sent.request_started(secs(at), object);
             let work = if new { 0.64 } else { 0.192 };
             free.sort_by(f64::total_cmp);
             let end = free[0].max(at) + work;
             free[0] = end;
-            ends.push((end, new, end - at > AIM_S));
-            in_time += u32::from(end - asked <= AIM_S);
+            ends.push((end, new, end - at > TARGET_S));
+            in_time += u32::from(end - asked <= TARGET_S);
         }
     }
     f64::from(in_time) / all as f64
 }
 
-/// All caches are cold and every object is asked for. When the first requests for all of them are
-/// taken, they hold all slots, and users who ask for what is warm by then wait behind work that is
-/// late anyway.
+/// All caches are cold and every object is requested. If the first requests for all objects were
+/// admitted, they would hold all slots, and requests for objects that are warm by then would wait
+/// behind work that is late anyway.
 #[test]
-fn what_is_warm_gets_through_while_the_rest_is_warmed() {
-    let held = play_first_seconds(&warming::Config::default());
-    let free = play_first_seconds(&warming::Config {
-        part: 100.0,
+fn warm_objects_are_served_while_others_warm_up() {
+    let held = play_cold_start(&warming::Config::default());
+    let free = play_cold_start(&warming::Config {
+        max_new_share: 100.0,
         ..warming::Config::default()
     });
     assert!(held > free + 0.05, "{held} {free}");
 }
 
-/// An entry VM starts anew before caches that are warm. If it took every object for a cold one
-/// because it has not sent it yet, it would refuse requests that are answered in time.
+/// An entry VM restarts while caches are warm. If it took every object for cold because it has not
+/// sent it yet, it would refuse requests that could be answered in time.
 #[test]
-fn a_vm_that_knows_nothing_learns_that_caches_are_warm() {
+fn a_restarted_vm_detects_warm_caches() {
     let cfg = warming::Config::default();
-    let (mut here, mut late) = (warming::Warming::default(), warming::Late::default());
-    assert!(here.begun(secs(0.0), 1) && here.begun(secs(0.0), 2));
-    assert!(late.are_cold(&cfg) && !here.takes(&cfg, 3.0, 3));
-    assert!(here.takes(&cfg, 3.0, 1), "what it sent there is warm");
+    let (mut sent, mut late) = (
+        warming::SentObjects::default(),
+        warming::LateRatio::default(),
+    );
+    assert!(sent.request_started(secs(0.0), 1) && sent.request_started(secs(0.0), 2));
+    assert!(late.caches_cold(&cfg) && !sent.admits(&cfg, 3.0, 3));
+    assert!(
+        sent.admits(&cfg, 3.0, 1),
+        "an object that was sent there counts as warm"
+    );
     (0..6).for_each(|_| late.answered(false));
-    assert!(!late.are_cold(&cfg));
-    here.ended();
-    assert!(here.takes(&cfg, 3.0, 3));
+    assert!(!late.caches_cold(&cfg));
+    sent.request_ended();
+    assert!(sent.admits(&cfg, 3.0, 3));
 }
 
-/// A burst is refused. Told one and the same time, all would come back as the next burst; told a
-/// time beyond what they have left, they would not come back at all.
+/// A burst is refused. With equal retry delays, all callers would return as the next burst; with
+/// delays beyond their remaining time, they would not return at all.
 #[test]
-fn refused_callers_come_back_spread_and_in_time() {
+fn retry_delays_are_spread_and_within_the_deadline() {
     let left = secs(2.0);
-    let at = |jitter| comeback::after(secs(0.4), left, jitter);
+    let at = |jitter| retry_delay::after(secs(0.4), left, jitter);
     assert!(at(0.9) - at(0.1) > secs(0.2));
     assert!(at(1.0) <= left / 3);
-    assert!(comeback::after(secs(60.0), left, 1.0) <= left / 3);
-    assert!(comeback::after(secs(0.0), left, 0.0) > time::Duration::ZERO);
+    assert!(retry_delay::after(secs(60.0), left, 1.0) <= left / 3);
+    assert!(retry_delay::after(secs(0.0), left, 0.0) > time::Duration::ZERO);
 }
 
-/// One request crashes each backend server that runs it, and its caller sends it again through
-/// other entry VMs. Counted by each VM alone, it takes down twice as many as there are VMs.
+/// A request crashes each backend server that runs it, and its caller retries through other entry
+/// VMs. If each VM counted alone, it would crash twice as many backend servers as there are VMs.
 #[test]
-fn a_request_in_flight_at_three_crashes_is_refused_by_all_and_innocent_ones_are_not() {
+fn a_request_in_flight_at_three_crashes_is_banned_by_all_vms() {
     let mut vms = vec![crashes::Crashes::default(); 8];
     let bad = 7;
     for n in 0..3_u64 {
         let backend = format!("i-{n}");
         let (seen_by, now) = (n as usize, secs(n as f64 * 5.0));
-        vms[seen_by].lost(now, bad, &backend);
-        vms[seen_by].lost(now, 100 + n, &backend);
+        vms[seen_by].connection_broke(now, bad, &backend);
+        vms[seen_by].connection_broke(now, 100 + n, &backend);
         assert!(!vms[7].is_banned(bad));
-        for fingerprint in vms[seen_by].refused(now + secs(0.3), &backend) {
+        for fingerprint in vms[seen_by].connection_refused(now + secs(0.3), &backend) {
             vms.iter_mut().for_each(|vm| {
-                vm.learn(fingerprint, &backend);
+                vm.add_crash(fingerprint, &backend);
             });
         }
     }
     assert!(vms.iter().all(|vm| vm.is_banned(bad)));
     assert!((100..103).all(|innocent| !vms[0].is_banned(innocent)));
-    assert!(vms[0].forget(bad, "i-0"));
+    assert!(vms[0].remove_crash(bad, "i-0"));
     assert!(
         !vms[0].is_banned(bad),
-        "after a while it may be tried again"
+        "the request may run after its ban is lifted"
     );
 }
 
-/// Answers are lost on the way while their backend servers are sound. Taken for crashes, the most
-/// frequent requests would be refused.
+/// Answers are lost on the network while their backend servers are healthy. If each counted as a
+/// crash, the most frequent requests would be quarantined.
 #[test]
 fn a_broken_connection_alone_is_no_crash() {
     let mut crashes = crashes::Crashes::default();
     for n in 0..10 {
-        crashes.lost(secs(f64::from(n)), 7, "i-1");
+        crashes.connection_broke(secs(f64::from(n)), 7, "i-1");
     }
-    assert_eq!(crashes.refused(secs(30.0), "i-1"), Vec::<u64>::new());
-    crashes.lost(secs(31.0), 7, "i-1");
-    assert!(crashes.refused(secs(31.1), "i-2").is_empty());
+    assert_eq!(
+        crashes.connection_refused(secs(30.0), "i-1"),
+        Vec::<u64>::new()
+    );
+    crashes.connection_broke(secs(31.0), 7, "i-1");
+    assert!(crashes.connection_refused(secs(31.1), "i-2").is_empty());
 }
 
 fn names(n: usize) -> Vec<id::VmId> {
@@ -680,10 +723,10 @@
         .collect()
 }
 
-/// The store was away for longer than its leases last, and comes back with an empty list. Callers
+/// The store was unavailable for longer than its leases last and returns an empty list. Callers
 /// would be refused until all backend servers have registered again.
 #[test]
-fn what_a_returning_store_lost_as_a_whole_is_kept_until_it_can_have_come_back() {
+fn entries_lost_by_a_returning_store_are_kept_until_they_can_register_again() {
     let mut listing = listing::Listing::default();
     listing.heard(secs(1.0));
     listing.failed();
@@ -698,10 +741,10 @@
     assert!(!listing.lost(secs(11.1), &all[0]));
 }
 
-/// This VM alone was cut off, and one backend server left meanwhile. Kept for seconds after the
-/// return, it would still get requests when it ends, and cut them.
+/// Only this VM was disconnected, and one backend server left meanwhile. If its entry were kept for
+/// seconds after the reconnect, requests would be sent to it and cut when it ends.
 #[test]
-fn the_few_that_are_missing_after_a_cut_are_gone_at_once() {
+fn few_entries_missing_after_a_disconnect_are_removed_at_once() {
     let mut listing = listing::Listing::default();
     listing.heard(secs(1.0));
     listing.failed();
@@ -712,7 +755,7 @@
 }
 
 #[test]
-fn a_calm_list_is_taken_at_its_word() {
+fn removals_apply_at_once_while_the_store_is_reachable() {
     let mut listing = listing::Listing::default();
     listing.heard(secs(1.0));
     listing.heard(secs(1.5));
@@ -729,9 +772,9 @@
     }
 }
 
-/// Entry VMs that follow one another in a circle hear nothing and believe it to be calm.
+/// Guards against entry VMs that follow one another in a cycle and get no updates.
 #[test]
-fn each_follows_only_one_that_stands_before_it() {
+fn each_vm_follows_only_earlier_ones() {
     let all: Vec<mirror::Place> = (0..12)
         .map(|n| place(n, ["a", "b", "c"][n as usize % 3]))
         .collect();
@@ -751,10 +794,10 @@
     );
 }
 
-/// VMs of several sizes stand in one region, and the first by name has the narrowest link. What it
-/// passes on to all others is late.
+/// VMs of several sizes share a region, and the first by hash has the narrowest link. If it were
+/// the leader, updates to all others would be late.
 #[test]
-fn those_with_wide_links_are_followed() {
+fn vms_with_wide_links_become_leaders() {
     let mut all: Vec<mirror::Place> = (0..6).map(|n| place(n, "a")).collect();
     all[0].link_mbps = 10;
     all[4].link_mbps = 200;
@@ -764,9 +807,9 @@
     assert!(order.ask(secs(1.0), &all[4], &all).is_empty());
 }
 
-/// The first of the order is cut off from the store. All who wait for it have old routes.
+/// The first VM of the order is disconnected from the store. Its followers would keep stale routes.
 #[test]
-fn one_that_cannot_be_followed_is_left_alone_for_a_while() {
+fn an_unusable_leader_is_avoided_for_a_while() {
     let all: Vec<mirror::Place> = (0..3).map(|n| place(n, "a")).collect();
     let mut order = mirror::Order::default();
     order.avoid(secs(1.0), &all[0].vm, mirror::AVOID);
@@ -778,23 +821,23 @@
     assert!(unique.contains(&0));
 }
 
-/// Guards against a leader that feeds all of a large zone, and against a tree that grows deep.
+/// Guards against a leader that serves all of a large availability zone, and against a deep tree.
 #[test]
-fn nobody_feeds_more_than_its_link_carries() {
+fn no_leader_exceeds_its_link() {
     for vms in [16, 110, 220, 1_000] {
         let mut all: Vec<mirror::Place> = (0..vms).map(|n| place(n, "a")).collect();
         for vm in &mut all {
             vm.link_mbps = if vm.hash % 40 == 0 { 200 } else { 20 };
         }
-        let mut fed: collections::BTreeMap<u64, u32> = collections::BTreeMap::new();
+        let mut followers: collections::BTreeMap<u64, u32> = collections::BTreeMap::new();
         for own in &all {
             let asked = mirror::Order::default().ask(secs(1.0), own, &all);
             if let Some(leader) = asked.first() {
-                *fed.entry(leader.hash).or_default() += 1;
+                *followers.entry(leader.hash).or_default() += 1;
             }
             assert!(mirror::Order::depth(own, &all) <= 3);
         }
-        assert!(fed.values().all(|n| *n <= 40), "{vms}: {fed:?}");
+        assert!(followers.values().all(|n| *n <= 40), "{vms}: {followers:?}");
     }
 }
 
@@ -805,12 +848,12 @@
     }
 }
 
-/// Guards against followers that hear the whole list again when their leader dies, and against one
-/// that comes back and never hears of a removal.
+/// Guards against a full snapshot to every follower when their leader dies, and against a follower
+/// that reconnects and misses a removal.
 #[test]
-fn one_that_comes_back_hears_what_it_lacks() {
+fn a_returning_follower_gets_a_delta() {
     let mut leader = mirror::Records::default();
-    assert!(leader.delta_since(7).is_none(), "nothing is known yet");
+    assert!(leader.delta_since(7).is_none(), "there is no snapshot yet");
     for key in ["a", "b", "c"] {
         leader.put(&record(key, Some("1")), 10);
     }
@@ -824,7 +867,7 @@
         |records, revision| Some(protocol::mirror::Message::Changes { records, revision });
     assert!(
         leader.delta_since(9).is_none(),
-        "what was removed before is not known"
+        "earlier removals are not recorded"
     );
     let all = vec![record("b", Some("2")), record("c", None)];
     assert_eq!(leader.delta_since(10), changes(all, 16));
@@ -838,9 +881,9 @@
     );
 }
 
-/// Guards against memory that grows with each backend server that was ever there.
+/// Guards against memory that grows with every backend server that ever registered.
 #[test]
-fn removals_are_forgotten_in_time() {
+fn old_removals_are_dropped() {
     let mut leader = mirror::Records::default();
     leader.put(&record("a", Some("1")), 1);
     leader.complete(1);
