--- a/src/coordination/listing.rs
+++ b/src/coordination/removal_guard.rs
@@ -3,8 +3,8 @@
 //! The list is backed by leases in the store. During a store outage the leases of healthy backend
 //! servers may expire; afterwards the list is empty or nearly so, and fills again within about two
 //! seconds. Applying that list would leave no backend server to send to, and callers would be
-//! refused right after the outage. So for [`HOLD`] after an outage, missing backend servers are
-//! kept.
+//! refused right after the outage. So for [`REMOVAL_HOLD`] after an outage, missing backend servers
+//! are kept.
 //!
 //! If only this VM was cut off from the store, the missing backend servers have really stopped.
 //! Keeping one that is shutting down would send it requests that its shutdown then aborts. The
@@ -19,7 +19,7 @@
 
 /// How long after an outage a missing backend server is kept. Backend servers register again within
 /// two seconds.
-pub const HOLD: time::Duration = time::Duration::from_millis(2200);
+pub const REMOVAL_HOLD: time::Duration = time::Duration::from_millis(2200);
 
 /// How long after an outage missing backend servers are counted. The first answers after an outage
 /// arrive within this time.
@@ -34,21 +34,21 @@
 
 /// The state of the store and the backend servers that are held.
 #[derive(Debug, Default)]
-pub struct Listing {
+pub struct RemovalGuard {
     last_answer: Option<policy::Moment>,
     failing: bool,
     outage_ended: Option<policy::Moment>,
     held: collections::BTreeSet<id::VmId>,
 }
 
-impl Listing {
+impl RemovalGuard {
     /// Records a failed call. Returns whether it is the first since the last answer.
-    pub fn failed(&mut self) -> bool {
+    pub fn record_failure(&mut self) -> bool {
         !std::mem::replace(&mut self.failing, true)
     }
 
     /// Records an answer of the store. Returns the length of the outage if one has just ended.
-    pub fn heard(&mut self, now: policy::Moment) -> Option<time::Duration> {
+    pub fn record_answer(&mut self, now: policy::Moment) -> Option<time::Duration> {
         let gap = now.saturating_sub(self.last_answer.unwrap_or(now));
         self.last_answer = Some(now);
         if !std::mem::take(&mut self.failing) || gap < OUTAGE_MIN_DURATION {
@@ -59,13 +59,15 @@
     }
 
     /// The time since the store's last answer; `None` if it has not answered yet.
-    pub fn age(&self, now: policy::Moment) -> Option<time::Duration> {
+    pub fn answer_age(&self, now: policy::Moment) -> Option<time::Duration> {
         Some(now.saturating_sub(self.last_answer?))
     }
 
     /// Records that the list lacks a backend server. Returns whether to remove it at once.
-    pub fn lost(&mut self, now: policy::Moment, vm: &id::VmId) -> bool {
-        let holds = self.outage_ended.is_some_and(|ended| now < ended + HOLD);
+    pub fn record_missing(&mut self, now: policy::Moment, vm: &id::VmId) -> bool {
+        let holds = self
+            .outage_ended
+            .is_some_and(|ended| now < ended + REMOVAL_HOLD);
         if holds {
             self.held.insert(vm.clone());
         }
@@ -73,15 +75,15 @@
     }
 
     /// Records that the list contains a backend server.
-    pub fn found(&mut self, vm: &id::VmId) {
+    pub fn record_present(&mut self, vm: &id::VmId) {
         self.held.remove(vm);
     }
 
     /// Returns the held backend servers to remove now, given `known` backend servers in total.
-    pub fn overdue(&mut self, now: policy::Moment, known: usize) -> Vec<id::VmId> {
+    pub fn take_overdue(&mut self, now: policy::Moment, known: usize) -> Vec<id::VmId> {
         let likely_outage = self.held.len() as f64 >= known as f64 * OUTAGE_MIN_MISSING_SHARE;
         let wait = match likely_outage {
-            true => HOLD,
+            true => REMOVAL_HOLD,
             false => MISSING_COUNT_WINDOW,
         };
         if self.outage_ended.is_some_and(|ended| now < ended + wait) {
--- a/src/gateway/beliefs.rs
+++ b/src/gateway/beliefs.rs
@@ -5,7 +5,7 @@
 use std::time;
 
 use super::{Gateway, attempt, place};
-use crate::coordination::listing;
+use crate::coordination::removal_guard;
 use crate::decisions::{ejection, policy, regions};
 use crate::id;
 use crate::metrics as known;
@@ -109,7 +109,7 @@
 
     /// Takes what the list says of a backend server. Returns whether it is more than a heartbeat.
     pub fn learn_backend(&self, id: &id::VmId, listed: backends::Listed) -> bool {
-        self.listing.borrow_mut().found(id);
+        self.removal_guard.borrow_mut().record_present(id);
         let region = self.cfg.regions.get(&listed.az).cloned();
         let service = listed.service.clone();
         let mut before = self.backends.borrow().get(id).map(|b| b.listed.clone());
@@ -149,11 +149,14 @@
 
     /// The list no longer has a backend server.
     pub fn lose_backend(&self, id: &id::VmId) {
-        let at_once = self.listing.borrow_mut().lost(self.now(), id);
+        let at_once = self
+            .removal_guard
+            .borrow_mut()
+            .record_missing(self.now(), id);
         if at_once {
             self.forget(id, "not listed");
         } else {
-            slog::info!(self.log, "backend server missing, kept for now"; "backend" => %id, "hold_ms" => listing::HOLD.as_millis() as u64);
+            slog::info!(self.log, "backend server missing, kept for now"; "backend" => %id, "hold_ms" => removal_guard::REMOVAL_HOLD.as_millis() as u64);
         }
     }
 
@@ -164,7 +167,7 @@
         if let Some(left_out) = self.lines.admit("entry", self.now()) {
             slog::warn!(self.log, "backend server's entry cannot be read"; "backend" => %id, "error" => %why, "left_out" => left_out);
         }
-        self.listing.borrow_mut().found(id);
+        self.removal_guard.borrow_mut().record_present(id);
         self.forget(id, "entry cannot be read")
     }
 
@@ -196,7 +199,7 @@
 
     /// The store answered.
     pub fn heard_store(&self) {
-        let away = self.listing.borrow_mut().heard(self.now());
+        let away = self.removal_guard.borrow_mut().record_answer(self.now());
         if let Some(away) = away {
             slog::info!(self.log, "store is back"; "away_ms" => away.as_millis() as u64);
         }
@@ -204,12 +207,12 @@
 
     /// A call to the store failed. Returns whether it is the first in a row.
     pub fn lost_store(&self) -> bool {
-        self.listing.borrow_mut().failed()
+        self.removal_guard.borrow_mut().record_failure()
     }
 
     /// How long ago the store answered last.
     pub fn store_age(&self) -> Option<time::Duration> {
-        self.listing.borrow().age(self.now())
+        self.removal_guard.borrow().answer_age(self.now())
     }
 
     /// Nothing more goes to the backend servers of an availability zone, or it may again.
@@ -367,7 +370,10 @@
             every.tick().await;
             self.pool.borrow_mut().sweep();
             let known = self.backends.borrow().len();
-            let overdue = self.listing.borrow_mut().overdue(self.now(), known);
+            let overdue = self
+                .removal_guard
+                .borrow_mut()
+                .take_overdue(self.now(), known);
             for id in &overdue {
                 self.forget(id, "not listed");
             }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -28,7 +28,7 @@
 use rand::RngExt;
 use tokio::sync::{self, watch};
 
-use crate::coordination::listing;
+use crate::coordination::removal_guard;
 use crate::decisions::{
     affinity, crashes, declines, departures, entry_selection, policy, precedence, quota, regions,
     resend, split, warming,
@@ -154,7 +154,7 @@
     busy: cell::Cell<entry_selection::Busy>,
     /// Whether the callers of its region are told this VM and no other.
     alone: cell::Cell<bool>,
-    listing: cell::RefCell<listing::Listing>,
+    removal_guard: cell::RefCell<removal_guard::RemovalGuard>,
     desks: cell::RefCell<collections::HashMap<id::ServiceId, Desk>>,
     splits: cell::RefCell<collections::HashMap<String, split::Split>>,
     pool: cell::RefCell<pool::Pool>,
@@ -224,7 +224,7 @@
             told: cell::RefCell::default(),
             busy: cell::Cell::default(),
             alone: cell::Cell::default(),
-            listing: cell::RefCell::default(),
+            removal_guard: cell::RefCell::default(),
             desks: cell::RefCell::default(),
             splits: cell::RefCell::default(),
             pool: cell::RefCell::default(),
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -3,7 +3,7 @@
 use std::collections;
 use std::time;
 
-use bulrushwind::coordination::{listing, mirror};
+use bulrushwind::coordination::{mirror, removal_guard};
 use bulrushwind::decisions::{
     affinity, cold, crashes, entry_selection, precedence, regions, resend, retry_delay, split,
     warming,
@@ -727,39 +727,42 @@
 /// would be refused until all backend servers have registered again.
 #[test]
 fn entries_lost_by_a_returning_store_are_kept_until_they_can_register_again() {
-    let mut listing = listing::Listing::default();
-    listing.heard(secs(1.0));
-    listing.failed();
-    assert_eq!(listing.heard(secs(9.0)), Some(secs(8.0)));
+    let mut guard = removal_guard::RemovalGuard::default();
+    guard.record_answer(secs(1.0));
+    guard.record_failure();
+    assert_eq!(guard.record_answer(secs(9.0)), Some(secs(8.0)));
     let all = names(10);
-    assert!(all.iter().all(|name| !listing.lost(secs(9.0), name)));
-    assert!(listing.overdue(secs(10.0), 10).is_empty());
+    assert!(
+        all.iter()
+            .all(|name| !guard.record_missing(secs(9.0), name))
+    );
+    assert!(guard.take_overdue(secs(10.0), 10).is_empty());
     for name in &all[..9] {
-        listing.found(name);
+        guard.record_present(name);
     }
-    assert!(listing.overdue(secs(11.0), 10).len() <= 1);
-    assert!(!listing.lost(secs(11.1), &all[0]));
+    assert!(guard.take_overdue(secs(11.0), 10).len() <= 1);
+    assert!(!guard.record_missing(secs(11.1), &all[0]));
 }
 
 /// Only this VM was disconnected, and one backend server left meanwhile. If its entry were kept for
 /// seconds after the reconnect, requests would be sent to it and cut when it ends.
 #[test]
 fn few_entries_missing_after_a_disconnect_are_removed_at_once() {
-    let mut listing = listing::Listing::default();
-    listing.heard(secs(1.0));
-    listing.failed();
-    listing.heard(secs(13.0));
+    let mut guard = removal_guard::RemovalGuard::default();
+    guard.record_answer(secs(1.0));
+    guard.record_failure();
+    guard.record_answer(secs(13.0));
     let left = id::VmId::from("i-left");
-    assert!(!listing.lost(secs(13.0), &left));
-    assert_eq!(listing.overdue(secs(13.5), 46), [left]);
+    assert!(!guard.record_missing(secs(13.0), &left));
+    assert_eq!(guard.take_overdue(secs(13.5), 46), [left]);
 }
 
 #[test]
 fn removals_apply_at_once_while_the_store_is_reachable() {
-    let mut listing = listing::Listing::default();
-    listing.heard(secs(1.0));
-    listing.heard(secs(1.5));
-    assert!(listing.lost(secs(2.0), &id::VmId::from("i-1")));
+    let mut guard = removal_guard::RemovalGuard::default();
+    guard.record_answer(secs(1.0));
+    guard.record_answer(secs(1.5));
+    assert!(guard.record_missing(secs(2.0), &id::VmId::from("i-1")));
 }
 
 fn place(n: u64, az: &str) -> mirror::Place {
