--- a/src/coordination/pages.rs
+++ b/src/coordination/list_ranges.rs
@@ -19,7 +19,7 @@
 
 /// The starts of further ranges, given the sorted keys of the first page. Each range holds the keys
 /// after its start, up to and including the next start. Empty: one range holds the rest.
-pub fn beginnings(prefix: &str, page: &[&str]) -> Vec<String> {
+pub fn range_starts(prefix: &str, page: &[&str]) -> Vec<String> {
     let Some(key_space) = KeySpace::infer(prefix, page) else {
         return Vec::new();
     };
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -7,7 +7,7 @@
 use futures_util::future;
 use serde::de;
 
-use crate::coordination::pages;
+use crate::coordination::list_ranges;
 use crate::metrics as known;
 use crate::protocol::{http1, mirror};
 use crate::transport::{socket, upstream};
@@ -168,15 +168,15 @@
         }
         let keys: Vec<&str> = records.iter().map(|r| r.key.as_str()).collect();
         let last = keys[keys.len() - 1].to_owned();
-        let beginnings = pages::beginnings(prefix, &keys);
-        let mut ends = beginnings.iter().skip(1).map(String::as_str);
+        let range_starts = list_ranges::range_starts(prefix, &keys);
+        let mut ends = range_starts.iter().skip(1).map(String::as_str);
         let addr = self.addr;
-        let others = beginnings.iter().map(|after| {
+        let others = range_starts.iter().map(|after| {
             let until = ends.next();
             async move { Client::new(addr).rest(list, after, until).await }
         });
         let others = future::try_join_all(others);
-        let first = self.rest(list, &last, beginnings.first().map(String::as_str));
+        let first = self.rest(list, &last, range_starts.first().map(String::as_str));
         let (first, others) = tokio::try_join!(first, others)?;
         for (part, seen) in std::iter::once(first).chain(others) {
             records.extend(part);
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,6 +1,6 @@
 //! Reads long lists in parallel ranges, simulated without a network.
 
-use bulrushwind::coordination::pages;
+use bulrushwind::coordination::list_ranges;
 use rand::{RngExt, SeedableRng};
 
 /// Keys per page.
@@ -34,9 +34,9 @@
         return read;
     }
     let keys: Vec<&str> = first.iter().map(String::as_str).collect();
-    let beginnings = pages::beginnings(prefix, &keys);
-    let starts = std::iter::once(first[first.len() - 1].clone()).chain(beginnings.clone());
-    let mut ends = beginnings.into_iter();
+    let range_starts = list_ranges::range_starts(prefix, &keys);
+    let starts = std::iter::once(first[first.len() - 1].clone()).chain(range_starts.clone());
+    let mut ends = range_starts.into_iter();
     let mut longest = 0;
     for start in starts {
         let end = ends.next();
@@ -118,7 +118,7 @@
     }
     let list = random_keys(10_002, 9);
     let keys: Vec<&str> = list.iter().map(String::as_str).take(PAGE_SIZE).collect();
-    let mut on_range_starts = [list.clone(), pages::beginnings("servers/", &keys)].concat();
+    let mut on_range_starts = [list.clone(), list_ranges::range_starts("servers/", &keys)].concat();
     on_range_starts.sort_unstable();
     assert_eq!(read("servers/", &on_range_starts).keys, on_range_starts);
 }
