--- a/src/coordination/turns.rs
+++ b/src/coordination/read_schedule.rs
@@ -19,7 +19,7 @@
 use crate::decisions::policy;
 
 /// How many VMs read the store immediately: one may be dead or cut off yet still registered.
-pub const FIRST: usize = 2;
+pub const IMMEDIATE_READER_COUNT: usize = 2;
 
 /// The extra wait per doubling of the rank. Reading a long list from the most distant region takes
 /// most of a second; a list of a few hundred entries arrives within one step.
@@ -52,24 +52,26 @@
 ];
 
 /// How long a VM of this rank waits before it reads the store.
-pub fn patience(rank: usize) -> time::Duration {
+pub fn read_delay(rank: usize) -> time::Duration {
     (READ_DELAY_STEP * doublings(rank)).min(MAX_READ_DELAY)
 }
 
 /// The same for a VM whose first call to the store after its start took `call`. Only the first VM
 /// reads immediately: when all VMs start, full lists fill the store's link.
-pub fn patience_at_start(rank: usize, call: time::Duration) -> time::Duration {
+pub fn initial_read_delay(rank: usize, call: time::Duration) -> time::Duration {
     let step = READ_DELAY_STEP.max(call * FULL_READ_CALL_RATIO);
     (step * doublings(rank + 1)).min(MAX_INITIAL_READ_DELAY)
 }
 
 fn doublings(rank: usize) -> u32 {
-    (rank / FIRST).checked_ilog2().map_or(0, |n| n + 1)
+    (rank / IMMEDIATE_READER_COUNT)
+        .checked_ilog2()
+        .map_or(0, |n| n + 1)
 }
 
 /// When a VM reads the store next.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Turns {
+pub struct ReadSchedule {
     /// The earliest time of the next read; `None` while the VM has a leader.
     next_read: Option<policy::Moment>,
     /// The number of consecutive failed calls.
@@ -78,7 +80,7 @@
     first_call: Option<time::Duration>,
 }
 
-impl Turns {
+impl ReadSchedule {
     /// The schedule after a start, where `call` is the duration of the first call to the store.
     pub fn at_start(call: time::Duration) -> Self {
         Self {
@@ -88,31 +90,31 @@
     }
 
     /// Resets the schedule, because the VM has a leader or its read succeeded.
-    pub fn found(&mut self) {
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 
     /// Returns how long a VM of this rank, which has no leader, still waits before it reads the
     /// store.
-    pub fn wait(&mut self, now: policy::Moment, rank: usize) -> time::Duration {
+    pub fn remaining_delay(&mut self, now: policy::Moment, rank: usize) -> time::Duration {
         let delay = match self.first_call {
-            Some(call) => patience_at_start(rank, call),
-            None => patience(rank),
+            Some(call) => initial_read_delay(rank, call),
+            None => read_delay(rank),
         };
         let next_read = *self.next_read.get_or_insert(now + delay);
         next_read.saturating_sub(now)
     }
 
     /// Schedules the next read for now. It takes place unless the VM finds a leader first.
-    pub fn reads_on(&mut self, now: policy::Moment) {
+    pub fn read_now(&mut self, now: policy::Moment) {
         self.next_read = Some(now);
     }
 
     /// Records a failed call that began at `begun`. The backoff runs from then, so it includes the
     /// call: a full backoff after each call that hung delayed changes by up to half a second after
     /// an outage, and requests went to backend servers that had left.
-    pub fn failed(&mut self, begun: policy::Moment, rank: usize) {
-        let [first, longest] = match rank < FIRST {
+    pub fn record_failure(&mut self, begun: policy::Moment, rank: usize) {
+        let [first, longest] = match rank < IMMEDIATE_READER_COUNT {
             true => IMMEDIATE_READER_BACKOFF,
             false => DELAYED_READER_BACKOFF,
         };
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -10,7 +10,7 @@
 
 use super::Gateway;
 use crate::coordination::mirror as order;
-use crate::coordination::turns;
+use crate::coordination::read_schedule;
 use crate::decisions::policy;
 use crate::id;
 use crate::metrics as known;
@@ -119,7 +119,8 @@
         let mut order = order::Order::default();
         let begun = self.cx.now();
         let zone = source.read_zone().await;
-        let mut turns = turns::Turns::at_start(self.cx.now().saturating_sub(begun));
+        let mut schedule =
+            read_schedule::ReadSchedule::at_start(self.cx.now().saturating_sub(begun));
         match zone {
             // Those that were killed together are still registered, and of these all but the first
             // wait for these.
@@ -134,17 +135,17 @@
             }
         }
         loop {
-            let wait = turns.wait(self.cx.now(), self.place());
+            let wait = schedule.remaining_delay(self.cx.now(), self.place());
             let own_turn = self.cx.now() + wait;
             // One that knows nothing and is at the front does not wait for others that may be dead.
             let at_once = wait.is_zero() && self.records.borrow().revision() == 0;
             if !at_once && self.follow_any(&source, &mut order, own_turn).await {
-                turns.found();
+                schedule.reset();
                 continue;
             }
-            let wait = turns.wait(self.cx.now(), self.place());
+            let wait = schedule.remaining_delay(self.cx.now(), self.place());
             if wait.is_zero() {
-                self.read(&mut source, &mut order, &mut turns).await;
+                self.read(&mut source, &mut order, &mut schedule).await;
                 if self.records.borrow().revision() == 0 {
                     // Those that may know it may have started later, or have been too slow.
                     self.learn_from_any(&source, &seeds).await;
@@ -329,7 +330,7 @@
         &self,
         source: &mut S,
         order: &mut order::Order,
-        turns: &mut turns::Turns,
+        schedule: &mut read_schedule::ReadSchedule,
     ) {
         let until = self.cx.now() + order::RECHECK;
         let mut pause = time::Duration::ZERO;
@@ -349,11 +350,11 @@
                     if self.cx.lost_store() {
                         slog::warn!(self.cx.log, "store does not serve"; "error" => %err);
                     }
-                    turns.failed(begun, self.place());
+                    schedule.record_failure(begun, self.place());
                     return;
                 }
             }
-            turns.found();
+            schedule.reset();
             tokio::time::sleep(pause).await;
             let may_follow = !order
                 .ask(self.cx.now(), &self.own(), &self.near())
@@ -361,7 +362,7 @@
             if may_follow && self.cx.now() >= until {
                 // It still tells others what it has read: were it to say that it does not read, all
                 // that look at the same moment would find nobody to follow, again and again.
-                turns.reads_on(self.cx.now());
+                schedule.read_now(self.cx.now());
                 return;
             }
         }
--- a/tests/start.rs
+++ b/tests/start.rs
@@ -3,7 +3,7 @@
 
 use std::time;
 
-use bulrushwind::coordination::{mirror, turns};
+use bulrushwind::coordination::{mirror, read_schedule};
 use bulrushwind::id;
 
 const TICK: time::Duration = time::Duration::from_millis(10);
@@ -72,7 +72,7 @@
     let mut outcome = Outcome::default();
     let mut states = vec![State::Waiting; vms];
     let mut orders = vec![mirror::Order::default(); vms];
-    let mut turns = vec![turns::Turns::at_start(FIRST_CALL_TIME); vms];
+    let mut schedules = vec![read_schedule::ReadSchedule::at_start(FIRST_CALL_TIME); vms];
     let mut now = FIRST_CALL_TIME;
     while states[dead..].iter().any(|state| *state != State::Ready) {
         assert!(now < time::Duration::from_secs(60), "{states:?}");
@@ -88,7 +88,7 @@
         for vm in dead..vms {
             states[vm] = match states[vm] {
                 State::Waiting => {
-                    let wait = turns[vm].wait(now, vm);
+                    let wait = schedules[vm].remaining_delay(now, vm);
                     let asked = orders[vm].ask(now, &candidates[vm], &candidates);
                     let index = |asked: &mirror::Place| candidates.iter().position(|p| p == asked);
                     let asked: Vec<usize> = asked.iter().filter_map(index).collect();
--- a/tests/turns.rs
+++ b/tests/turns.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use bulrushwind::coordination::{mirror, registration, turns};
+use bulrushwind::coordination::{mirror, read_schedule, registration};
 
 fn ms(n: u64) -> time::Duration {
     time::Duration::from_millis(n)
@@ -23,7 +23,7 @@
 fn simulate(vms: usize, recovery: time::Duration, read_time: time::Duration) -> Outcome {
     const TICK_MS: u64 = 20;
     let mut outcome = Outcome::default();
-    let mut turns = vec![turns::Turns::default(); vms];
+    let mut schedules = vec![read_schedule::ReadSchedule::default(); vms];
     // When a VM will have read the store, and whether it has the records.
     let mut reading: Vec<Option<time::Duration>> = vec![None; vms];
     let mut has_records = vec![false; vms];
@@ -37,11 +37,13 @@
             if read || (retries && has_records[..rank].contains(&true)) {
                 has_records[rank] = true;
                 outcome.all_ready = now;
-            } else if reading[rank].is_none() && turns[rank].wait(now, rank).is_zero() {
+            } else if reading[rank].is_none()
+                && schedules[rank].remaining_delay(now, rank).is_zero()
+            {
                 outcome.calls += 1;
                 match now >= recovery {
                     true => reading[rank] = Some(now + read_time),
-                    false => turns[rank].failed(now, rank),
+                    false => schedules[rank].record_failure(now, rank),
                 }
             }
         }
@@ -86,9 +88,12 @@
 #[test]
 fn later_vms_wait_for_the_first_ones_only_for_a_limited_time() {
     for rank in [0, 1, 2, 3, 10, 100, 4400] {
-        let mut turns = turns::Turns::default();
-        assert_eq!(turns.wait(ms(5000), rank).is_zero(), rank < turns::FIRST);
-        assert!(turns.wait(ms(7000), rank).is_zero(), "{rank}");
+        let mut schedule = read_schedule::ReadSchedule::default();
+        assert_eq!(
+            schedule.remaining_delay(ms(5000), rank).is_zero(),
+            rank < read_schedule::IMMEDIATE_READER_COUNT
+        );
+        assert!(schedule.remaining_delay(ms(7000), rank).is_zero(), "{rank}");
     }
 }
 
@@ -97,16 +102,22 @@
 #[test]
 fn a_call_that_hung_is_retried_at_once() {
     for rank in [0, 1, 10, 100] {
-        let mut turns = turns::Turns::default();
-        turns.wait(ms(1000), rank);
+        let mut schedule = read_schedule::ReadSchedule::default();
+        schedule.remaining_delay(ms(1000), rank);
         for n in 0..3 {
             let begun = ms(5000 + n * 2100);
-            turns.failed(begun, rank);
-            assert!(turns.wait(begun + ms(2000), rank).is_zero(), "{rank}");
+            schedule.record_failure(begun, rank);
+            assert!(
+                schedule.remaining_delay(begun + ms(2000), rank).is_zero(),
+                "{rank}"
+            );
         }
         let refused = ms(20_000);
-        turns.failed(refused, rank);
-        assert!(turns.wait(refused + ms(100), rank) >= ms(100), "{rank}");
+        schedule.record_failure(refused, rank);
+        assert!(
+            schedule.remaining_delay(refused + ms(100), rank) >= ms(100),
+            "{rank}"
+        );
     }
 }
 
@@ -125,9 +136,12 @@
 #[test]
 fn at_a_start_far_from_the_store_later_vms_wait_for_a_full_read() {
     let call = ms(220);
-    assert!(turns::patience_at_start(0, call).is_zero());
-    assert!(turns::patience_at_start(1, call) >= ms(850));
-    assert!(turns::patience_at_start(100, call) >= ms(5000));
-    assert_eq!(turns::patience_at_start(4, ms(8)), turns::patience(4));
-    assert!(turns::patience_at_start(4400, call) <= ms(6000));
+    assert!(read_schedule::initial_read_delay(0, call).is_zero());
+    assert!(read_schedule::initial_read_delay(1, call) >= ms(850));
+    assert!(read_schedule::initial_read_delay(100, call) >= ms(5000));
+    assert_eq!(
+        read_schedule::initial_read_delay(4, ms(8)),
+        read_schedule::read_delay(4)
+    );
+    assert!(read_schedule::initial_read_delay(4400, call) <= ms(6000));
 }
