--- a/src/coordination/mirror.rs
+++ b/src/coordination/mirror.rs
@@ -28,33 +28,33 @@
 
 /// How many VMs of its own availability zone a VM tries before one outside it. Two, because a VM
 /// that has died stays registered for some seconds.
-pub const ASKED: usize = 2;
+pub const MAX_LEADERS_IN_AZ: usize = 2;
 
 /// How long a VM that did not answer is skipped.
-pub const AVOID: time::Duration = time::Duration::from_secs(3);
+pub const UNRESPONSIVE_SKIP_TIME: time::Duration = time::Duration::from_secs(3);
 
 /// How long a VM is skipped that does not read the store or has just started. Such a VM starts to
 /// read the store at that moment and has the records soon after.
-pub const AGAIN: time::Duration = time::Duration::from_millis(300);
+pub const LEADER_RETRY_DELAY: time::Duration = time::Duration::from_millis(300);
 
 /// How long a VM reads the store before it looks for a leader again. When all VMs start at once,
 /// each reads first; within this time all have registered.
-pub const RECHECK: time::Duration = time::Duration::from_millis(700);
+pub const LEADER_RECHECK_DELAY: time::Duration = time::Duration::from_millis(700);
 
 /// How long a reader may be silent. It sends a message after each answer of the store: every 0.6 s
 /// plus a round trip, or every 0.9 s with a slow store. With a read of the store on top, a change
 /// is in force within the required 2.5 s.
-pub const SILENCE: time::Duration = time::Duration::from_millis(1200);
+pub const SILENCE_TIMEOUT: time::Duration = time::Duration::from_millis(1200);
 
 /// The greatest staleness at which a VM accepts new followers. A VM that has just lost the store
-/// has not noticed yet; a new follower would wait for another [`SILENCE`] and apply the changes of
-/// that time late.
-pub const FRESH: time::Duration = time::Duration::from_millis(1000);
+/// has not noticed yet; a new follower would wait for another [`SILENCE_TIMEOUT`] and apply the
+/// changes of that time late.
+pub const MAX_LEADER_STALENESS: time::Duration = time::Duration::from_millis(1000);
 
 /// Extra silence allowed per hop to the reader. A leader whose own leader fails needs this long to
 /// read the store itself. If its followers left it at the same moment, the whole zone would read
 /// the store.
-pub const TURN: time::Duration = time::Duration::from_millis(300);
+pub const SILENCE_TIMEOUT_PER_HOP: time::Duration = time::Duration::from_millis(300);
 
 /// The bandwidth reserved for each follower, in Mbit/s. It carries a compressed list of ten
 /// thousand backend servers in less than a second.
@@ -98,12 +98,12 @@
     }
 
     /// Raises the revision to at least `revision`.
-    pub fn reached(&mut self, revision: u64) {
+    pub fn advance_to(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
     /// Marks the copy as complete: all records of `revision` are applied.
-    pub fn complete(&mut self, revision: u64) {
+    pub fn mark_complete(&mut self, revision: u64) {
         if !self.is_complete() {
             self.complete_from = revision;
         }
@@ -145,7 +145,7 @@
     }
 
     /// Whether the copy already holds this record.
-    pub fn knows(&self, record: &mirror::Record) -> bool {
+    pub fn contains(&self, record: &mirror::Record) -> bool {
         self.values
             .get(&record.key)
             .map(|versioned| &versioned.value)
@@ -153,7 +153,7 @@
     }
 
     /// Removals of all held keys that `records` lacks.
-    pub fn missing(&self, records: &[mirror::Record]) -> Vec<mirror::Record> {
+    pub fn removals_missing_from(&self, records: &[mirror::Record]) -> Vec<mirror::Record> {
         let listed: collections::BTreeSet<&str> = records.iter().map(|r| r.key.as_str()).collect();
         self.values
             .keys()
@@ -204,32 +204,40 @@
 
 /// Selects the leaders to try.
 #[derive(Clone, Debug, Default)]
-pub struct Order {
+pub struct LeaderOrder {
     skipped: collections::BTreeMap<id::VmId, policy::Moment>,
 }
 
-impl Order {
+impl LeaderOrder {
     /// Skips a VM for `span` because it could not be followed.
-    pub fn avoid(&mut self, now: policy::Moment, vm: &id::VmId, span: time::Duration) {
+    pub fn skip(&mut self, now: policy::Moment, vm: &id::VmId, span: time::Duration) {
         self.skipped.insert(vm.clone(), now + span);
     }
 
     /// This VM's rank: how many VMs precede it in the order, including those that are skipped.
-    pub fn place(local: &Place, near: &[Place]) -> usize {
-        near.iter().filter(|vm| vm.order(local).is_lt()).count()
+    pub fn rank(local: &Candidate, region_vms: &[Candidate]) -> usize {
+        region_vms
+            .iter()
+            .filter(|vm| vm.cmp_rank(local).is_lt())
+            .count()
     }
 
-    /// The leaders to try, best first; empty if this VM must read the store itself. `near` holds
-    /// the registered entry VMs of the region.
-    pub fn ask(&mut self, now: policy::Moment, local: &Place, near: &[Place]) -> Vec<Place> {
+    /// The leaders to try, best first; empty if this VM must read the store itself. `region_vms`
+    /// holds the registered entry VMs of the region.
+    pub fn leaders(
+        &mut self,
+        now: policy::Moment,
+        local: &Candidate,
+        region_vms: &[Candidate],
+    ) -> Vec<Candidate> {
         self.skipped.retain(|_, until| *until > now);
-        let mut preceding: Vec<&Place> = near
+        let mut preceding: Vec<&Candidate> = region_vms
             .iter()
-            .filter(|vm| vm.order(local).is_lt())
+            .filter(|vm| vm.cmp_rank(local).is_lt())
             .filter(|vm| !self.skipped.contains_key(&vm.vm))
             .collect();
-        preceding.sort_by(|a, b| a.order(b));
-        let (zone, outside): (Vec<&Place>, Vec<&Place>) =
+        preceding.sort_by(|a, b| a.cmp_rank(b));
+        let (zone, outside): (Vec<&Candidate>, Vec<&Candidate>) =
             preceding.into_iter().partition(|vm| vm.az == local.az);
         let ancestors = ancestors(&zone);
         // If the tree is flat, the next VM in the order replaces the first as the second choice.
@@ -239,7 +247,7 @@
             .iter()
             .copied()
             .chain(others)
-            .take(ASKED)
+            .take(MAX_LEADERS_IN_AZ)
             .collect();
         let in_zone = chosen.into_iter().map(|rank| zone[rank]);
         in_zone
@@ -249,19 +257,19 @@
     }
 
     /// The number of hops from a VM to the first VM of its availability zone.
-    pub fn depth(vm: &Place, near: &[Place]) -> u32 {
-        let mut zone: Vec<&Place> = near
+    pub fn depth(vm: &Candidate, region_vms: &[Candidate]) -> u32 {
+        let mut zone: Vec<&Candidate> = region_vms
             .iter()
-            .filter(|other| other.az == vm.az && other.order(vm).is_lt())
+            .filter(|other| other.az == vm.az && other.cmp_rank(vm).is_lt())
             .collect();
-        zone.sort_by(|a, b| a.order(b));
+        zone.sort_by(|a, b| a.cmp_rank(b));
         ancestors(&zone).len() as u32
     }
 }
 
 /// The ranks of a VM's leader, its leader's leader and so on. `zone` holds the VMs of its
 /// availability zone that precede it.
-fn ancestors(zone: &[&Place]) -> Vec<usize> {
+fn ancestors(zone: &[&Candidate]) -> Vec<usize> {
     let mut ancestors = Vec::new();
     let mut rank = zone.len();
     while rank > 0 {
@@ -273,7 +281,7 @@
 
 /// The rank of the leader for the VM at this rank of its availability zone: each VM serves the next
 /// ones that no earlier VM serves.
-fn leader(zone: &[&Place], rank: usize) -> usize {
+fn leader(zone: &[&Candidate], rank: usize) -> usize {
     let mut served = 0;
     for (leader, vm) in zone.iter().enumerate() {
         served += vm.max_followers();
@@ -286,7 +294,7 @@
 
 /// An entry VM with the properties that decide its rank.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
+pub struct Candidate {
     /// The hash of its name.
     pub hash: u64,
     /// Its name.
@@ -299,14 +307,14 @@
     pub link_mbps: u32,
 }
 
-impl Place {
+impl Candidate {
     /// The number of followers that it serves.
     fn max_followers(&self) -> usize {
         MIN_FOLLOWER_COUNT.max((self.link_mbps / FOLLOWER_MBPS) as usize)
     }
 
     /// Compares ranks. VMs with wider links come first, since they serve more followers.
-    pub fn order(&self, other: &Self) -> cmp::Ordering {
+    pub fn cmp_rank(&self, other: &Self) -> cmp::Ordering {
         let wider = other.link_mbps.cmp(&self.link_mbps);
         wider.then_with(|| (self.hash, &self.vm).cmp(&(other.hash, &other.vm)))
     }
--- a/src/gateway/fanout.rs
+++ b/src/gateway/fanout.rs
@@ -84,12 +84,12 @@
 
     fn is_fresh(&self) -> bool {
         let age = self.cx.store_age();
-        self.current.get() && age.is_some_and(|age| age <= order::FRESH)
+        self.current.get() && age.is_some_and(|age| age <= order::MAX_LEADER_STALENESS)
     }
 
     async fn feed(&self, stream: tokio::net::TcpStream) -> Result<(), transport::mirror::Error> {
         let mut link = transport::mirror::Link::accept(stream).await?;
-        let ask: mirror::Ask = link.receive(order::SILENCE).await?;
+        let ask: mirror::Ask = link.receive(order::SILENCE_TIMEOUT).await?;
         let mut news = self.news.subscribe();
         if ask.fresh && !self.is_fresh() {
             self.await_current(&mut news, ask.wait_ms, &mut link).await;
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -19,7 +19,7 @@
 use crate::transport;
 
 /// How long a watch waits for a change. Each answer is also the heartbeat for followers, so it must
-/// come well within [`order::SILENCE`].
+/// come well within [`order::SILENCE_TIMEOUT`].
 const WAIT: time::Duration = time::Duration::from_millis(600);
 
 /// The pause after changes came. When many come in a row, as in a release, taken one by one each
@@ -91,7 +91,7 @@
     /// Whether what is known comes from the store, by itself or by one that is followed.
     pub(super) current: rc::Rc<cell::Cell<bool>>,
     /// The entry VMs of the region, and the version of all that they were taken from.
-    near: rc::Rc<cell::RefCell<(u64, rc::Rc<[order::Place]>)>>,
+    near: rc::Rc<cell::RefCell<(u64, rc::Rc<[order::Candidate]>)>>,
     /// An encoded snapshot, and the version of the records that it shows.
     pub(super) snapshot: rc::Rc<cell::RefCell<(u64, Bytes)>>,
 }
@@ -116,7 +116,7 @@
 
     /// Keeps up with the store for good.
     pub async fn run<S: Source>(self, mut source: S, seeds: Vec<net::SocketAddr>) {
-        let mut order = order::Order::default();
+        let mut order = order::LeaderOrder::default();
         let begun = self.cx.now();
         let zone = source.read_zone().await;
         let mut schedule =
@@ -151,7 +151,7 @@
                     self.learn_from_any(&source, &seeds).await;
                 }
             } else {
-                tokio::time::sleep(order::AGAIN.min(wait)).await;
+                tokio::time::sleep(order::LEADER_RETRY_DELAY.min(wait)).await;
             }
         }
     }
@@ -181,7 +181,7 @@
 
     /// How many of the registered entry VMs of the region stand before this one.
     fn place(&self) -> usize {
-        order::Order::place(&self.own(), &self.near())
+        order::LeaderOrder::rank(&self.own(), &self.near())
     }
 
     /// Follows the first that can be followed, for as long as it goes. Returns whether one could.
@@ -189,21 +189,21 @@
     async fn follow_any<S: Source>(
         &self,
         source: &S,
-        order: &mut order::Order,
+        order: &mut order::LeaderOrder,
         own_turn: policy::Moment,
     ) -> bool {
-        for first in order.ask(self.cx.now(), &self.own(), &self.near()) {
+        for first in order.leaders(self.cx.now(), &self.own(), &self.near()) {
             let Some(addr) = first.peers else {
                 continue;
             };
             let (hops, open) = match first.az == self.cx.cfg.az {
                 true => (
-                    1 + order::Order::depth(&first, &self.near()),
+                    1 + order::LeaderOrder::depth(&first, &self.near()),
                     transport::mirror::OPEN_NEAR,
                 ),
                 false => (0, transport::mirror::OPEN),
             };
-            let silence = order::SILENCE + order::TURN * hops;
+            let silence = order::SILENCE_TIMEOUT + order::SILENCE_TIMEOUT_PER_HOP * hops;
             let wait = own_turn.saturating_sub(self.cx.now());
             let patience = Patience {
                 open,
@@ -215,10 +215,10 @@
                 self.current.set(false);
             }
             let left_alone = match ended.silent {
-                true => order::AVOID,
-                false => order::AGAIN,
+                true => order::UNRESPONSIVE_SKIP_TIME,
+                false => order::LEADER_RETRY_DELAY,
             };
-            order.avoid(self.cx.now(), &first.vm, left_alone);
+            order.skip(self.cx.now(), &first.vm, left_alone);
             if ended.told {
                 return true;
             }
@@ -226,8 +226,8 @@
         false
     }
 
-    fn own(&self) -> order::Place {
-        order::Place {
+    fn own(&self) -> order::Candidate {
+        order::Candidate {
             hash: self.cx.own_hash,
             vm: self.cx.cfg.vm.clone(),
             az: self.cx.cfg.az.clone(),
@@ -237,7 +237,7 @@
     }
 
     /// The registered entry VMs of the own region, worked out anew when the registered ones change.
-    fn near(&self) -> rc::Rc<[order::Place]> {
+    fn near(&self) -> rc::Rc<[order::Candidate]> {
         let entries = self.cx.entries.borrow();
         let mut near = self.near.borrow_mut();
         if near.0 != entries.version() {
@@ -246,12 +246,12 @@
         near.1.clone()
     }
 
-    fn places(&self, entries: &entries::Entries) -> rc::Rc<[order::Place]> {
+    fn places(&self, entries: &entries::Entries) -> rc::Rc<[order::Candidate]> {
         let region = self.cx.region.as_ref();
         entries
             .iter()
             .filter(|(_, _, entry)| self.cx.cfg.regions.get(&entry.az) == region)
-            .map(|(vm, hash, entry)| order::Place {
+            .map(|(vm, hash, entry)| order::Candidate {
                 hash,
                 vm: vm.clone(),
                 az: entry.az.clone(),
@@ -329,10 +329,10 @@
     async fn read<S: Source>(
         &self,
         source: &mut S,
-        order: &mut order::Order,
+        order: &mut order::LeaderOrder,
         schedule: &mut read_schedule::ReadSchedule,
     ) {
-        let until = self.cx.now() + order::RECHECK;
+        let until = self.cx.now() + order::LEADER_RECHECK_DELAY;
         let mut pause = time::Duration::ZERO;
         slog::debug!(self.cx.log, "reading the store"; "revision" => self.records.borrow().revision());
         loop {
@@ -357,7 +357,7 @@
             schedule.reset();
             tokio::time::sleep(pause).await;
             let may_follow = !order
-                .ask(self.cx.now(), &self.own(), &self.near())
+                .leaders(self.cx.now(), &self.own(), &self.near())
                 .is_empty();
             if may_follow && self.cx.now() >= until {
                 // It still tells others what it has read: were it to say that it does not read, all
@@ -379,7 +379,7 @@
             self.read_all(source, true).await?;
             // Where nobody was registered others start too, and by then there may be somebody to follow.
             return Ok(match self.near().len() {
-                0 => order::RECHECK,
+                0 => order::LEADER_RECHECK_DELAY,
                 _ => time::Duration::ZERO,
             });
         }
@@ -423,7 +423,7 @@
         records
             .iter()
             .for_each(|record| known.put(record, revision));
-        known.reached(revision);
+        known.advance_to(revision);
         drop(known);
         self.apply(source, records)
     }
@@ -442,16 +442,16 @@
         records: &[mirror::Record],
         revision: u64,
     ) -> Vec<mirror::Record> {
-        let gone = self.records.borrow().missing(records);
+        let gone = self.records.borrow().removals_missing_from(records);
         let mut known = self.records.borrow_mut();
         let knew_nothing = !known.is_complete();
         for record in records {
-            if !known.knows(record) {
+            if !known.contains(record) {
                 known.put(record, revision);
             }
         }
-        known.complete(revision);
-        known.reached(revision);
+        known.mark_complete(revision);
+        known.advance_to(revision);
         drop(known);
         if knew_nothing {
             slog::info!(self.cx.log, "list taken"; "records" => records.len(), "revision" => revision);
@@ -507,7 +507,7 @@
             since: 0,
         };
         link.send(mirror::encode(&ask)?.into()).await?;
-        match link.receive(order::SILENCE).await? {
+        match link.receive(order::SILENCE_TIMEOUT).await? {
             mirror::Message::Whole { records, revision } => {
                 self.replace(source, &records, revision);
                 Ok(records.len())
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -765,8 +765,8 @@
     assert!(guard.record_missing(secs(2.0), &id::VmId::from("i-1")));
 }
 
-fn place(n: u64, az: &str) -> mirror::Place {
-    mirror::Place {
+fn place(n: u64, az: &str) -> mirror::Candidate {
+    mirror::Candidate {
         hash: n,
         vm: id::VmId::from(format!("vm-{n}").as_str()),
         az: az.into(),
@@ -778,17 +778,17 @@
 /// Guards against entry VMs that follow one another in a cycle and get no updates.
 #[test]
 fn each_vm_follows_only_earlier_ones() {
-    let all: Vec<mirror::Place> = (0..12)
+    let all: Vec<mirror::Candidate> = (0..12)
         .map(|n| place(n, ["a", "b", "c"][n as usize % 3]))
         .collect();
     for own in &all {
-        let mut order = mirror::Order::default();
-        let asked = order.ask(secs(1.0), own, &all);
+        let mut order = mirror::LeaderOrder::default();
+        let asked = order.leaders(secs(1.0), own, &all);
         assert!(asked.iter().all(|other| other.hash < own.hash));
         assert_eq!(asked.is_empty(), own.hash == 0);
     }
-    let mut order = mirror::Order::default();
-    let asked = order.ask(secs(1.0), &all[11], &all);
+    let mut order = mirror::LeaderOrder::default();
+    let asked = order.leaders(secs(1.0), &all[11], &all);
     let hashes: Vec<u64> = asked.iter().map(|p| p.hash).collect();
     assert_eq!(
         hashes,
@@ -801,25 +801,25 @@
 /// the leader, updates to all others would be late.
 #[test]
 fn vms_with_wide_links_become_leaders() {
-    let mut all: Vec<mirror::Place> = (0..6).map(|n| place(n, "a")).collect();
+    let mut all: Vec<mirror::Candidate> = (0..6).map(|n| place(n, "a")).collect();
     all[0].link_mbps = 10;
     all[4].link_mbps = 200;
-    let mut order = mirror::Order::default();
-    let asked = order.ask(secs(1.0), &all[0], &all);
+    let mut order = mirror::LeaderOrder::default();
+    let asked = order.leaders(secs(1.0), &all[0], &all);
     assert_eq!(asked, [all[4].clone(), all[1].clone()]);
-    assert!(order.ask(secs(1.0), &all[4], &all).is_empty());
+    assert!(order.leaders(secs(1.0), &all[4], &all).is_empty());
 }
 
 /// The first VM of the order is disconnected from the store. Its followers would keep stale routes.
 #[test]
 fn an_unusable_leader_is_avoided_for_a_while() {
-    let all: Vec<mirror::Place> = (0..3).map(|n| place(n, "a")).collect();
-    let mut order = mirror::Order::default();
-    order.avoid(secs(1.0), &all[0].vm, mirror::AVOID);
-    let asked = order.ask(secs(1.5), &all[2], &all);
+    let all: Vec<mirror::Candidate> = (0..3).map(|n| place(n, "a")).collect();
+    let mut order = mirror::LeaderOrder::default();
+    order.skip(secs(1.0), &all[0].vm, mirror::UNRESPONSIVE_SKIP_TIME);
+    let asked = order.leaders(secs(1.5), &all[2], &all);
     assert_eq!(asked, [all[1].clone()]);
-    let later = secs(1.0) + mirror::AVOID + secs(0.1);
-    let asked = order.ask(later, &all[2], &all);
+    let later = secs(1.0) + mirror::UNRESPONSIVE_SKIP_TIME + secs(0.1);
+    let asked = order.leaders(later, &all[2], &all);
     let unique: collections::BTreeSet<u64> = asked.iter().map(|p| p.hash).collect();
     assert!(unique.contains(&0));
 }
@@ -828,17 +828,17 @@
 #[test]
 fn no_leader_exceeds_its_link() {
     for vms in [16, 110, 220, 1_000] {
-        let mut all: Vec<mirror::Place> = (0..vms).map(|n| place(n, "a")).collect();
+        let mut all: Vec<mirror::Candidate> = (0..vms).map(|n| place(n, "a")).collect();
         for vm in &mut all {
             vm.link_mbps = if vm.hash % 40 == 0 { 200 } else { 20 };
         }
         let mut followers: collections::BTreeMap<u64, u32> = collections::BTreeMap::new();
         for own in &all {
-            let asked = mirror::Order::default().ask(secs(1.0), own, &all);
+            let asked = mirror::LeaderOrder::default().leaders(secs(1.0), own, &all);
             if let Some(leader) = asked.first() {
                 *followers.entry(leader.hash).or_default() += 1;
             }
-            assert!(mirror::Order::depth(own, &all) <= 3);
+            assert!(mirror::LeaderOrder::depth(own, &all) <= 3);
         }
         assert!(followers.values().all(|n| *n <= 40), "{vms}: {followers:?}");
     }
@@ -860,12 +860,12 @@
     for key in ["a", "b", "c"] {
         leader.put(&record(key, Some("1")), 10);
     }
-    leader.complete(10);
-    leader.reached(10);
+    leader.mark_complete(10);
+    leader.advance_to(10);
     leader.put(&record("b", Some("2")), 12);
-    leader.reached(12);
+    leader.advance_to(12);
     leader.put(&record("c", None), 15);
-    leader.reached(16);
+    leader.advance_to(16);
     let changes =
         |records, revision| Some(protocol::mirror::Message::Changes { records, revision });
     assert!(
@@ -877,7 +877,7 @@
     assert_eq!(leader.delta_since(13), changes(vec![record("c", None)], 16));
     assert_eq!(leader.delta_since(16), changes(Vec::new(), 16));
     leader.put(&record("c", Some("3")), 18);
-    leader.reached(18);
+    leader.advance_to(18);
     assert_eq!(
         leader.delta_since(16),
         changes(vec![record("c", Some("3"))], 18)
@@ -889,11 +889,11 @@
 fn old_removals_are_dropped() {
     let mut leader = mirror::Records::default();
     leader.put(&record("a", Some("1")), 1);
-    leader.complete(1);
-    leader.reached(1);
+    leader.mark_complete(1);
+    leader.advance_to(1);
     for n in 0..5_000 {
         leader.put(&record(&format!("gone-{n}"), None), 2 + n);
-        leader.reached(2 + n);
+        leader.advance_to(2 + n);
     }
     assert!(leader.delta_since(1).is_none());
     assert!(leader.delta_since(5_001).is_some());
--- a/tests/start.rs
+++ b/tests/start.rs
@@ -51,16 +51,16 @@
 }
 
 /// The entry VMs of a zone: every fortieth has 200 Mbit/s, the others 20 Mbit/s.
-fn zone_candidates(vms: usize) -> Vec<mirror::Place> {
-    let candidate = |n: usize| mirror::Place {
+fn zone_candidates(vms: usize) -> Vec<mirror::Candidate> {
+    let candidate = |n: usize| mirror::Candidate {
         hash: (n as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         vm: id::VmId::from(format!("vm-{n}").as_str()),
         az: "az".into(),
         peers: None,
         link_mbps: if n.is_multiple_of(40) { 200 } else { 20 },
     };
-    let mut all: Vec<mirror::Place> = (0..vms).map(candidate).collect();
-    all.sort_by(mirror::Place::order);
+    let mut all: Vec<mirror::Candidate> = (0..vms).map(candidate).collect();
+    all.sort_by(mirror::Candidate::cmp_rank);
     all
 }
 
@@ -71,7 +71,7 @@
     let decode = DECODE_TIME_PER_BACKEND * backend_servers as u32;
     let mut outcome = Outcome::default();
     let mut states = vec![State::Waiting; vms];
-    let mut orders = vec![mirror::Order::default(); vms];
+    let mut orders = vec![mirror::LeaderOrder::default(); vms];
     let mut schedules = vec![read_schedule::ReadSchedule::at_start(FIRST_CALL_TIME); vms];
     let mut now = FIRST_CALL_TIME;
     while states[dead..].iter().any(|state| *state != State::Ready) {
@@ -89,11 +89,16 @@
             states[vm] = match states[vm] {
                 State::Waiting => {
                     let wait = schedules[vm].remaining_delay(now, vm);
-                    let asked = orders[vm].ask(now, &candidates[vm], &candidates);
-                    let index = |asked: &mirror::Place| candidates.iter().position(|p| p == asked);
+                    let asked = orders[vm].leaders(now, &candidates[vm], &candidates);
+                    let index =
+                        |asked: &mirror::Candidate| candidates.iter().position(|p| p == asked);
                     let asked: Vec<usize> = asked.iter().filter_map(index).collect();
                     for other in asked.iter().filter(|other| **other < dead) {
-                        orders[vm].avoid(now, &candidates[*other].vm, mirror::AVOID);
+                        orders[vm].skip(
+                            now,
+                            &candidates[*other].vm,
+                            mirror::UNRESPONSIVE_SKIP_TIME,
+                        );
                     }
                     // A VM answers a follower once it has the list, until the follower reads the
                     // store itself.
--- a/tests/turns.rs
+++ b/tests/turns.rs
@@ -33,7 +33,9 @@
                 continue;
             }
             let read = reading[rank].is_some_and(|at| now >= at);
-            let retries = now.as_millis().is_multiple_of(mirror::AGAIN.as_millis());
+            let retries = now
+                .as_millis()
+                .is_multiple_of(mirror::LEADER_RETRY_DELAY.as_millis());
             if read || (retries && has_records[..rank].contains(&true)) {
                 has_records[rank] = true;
                 outcome.all_ready = now;
