--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -71,7 +71,7 @@
     }
 
     /// Replaces the platform's list. False: the list is unchanged or empty.
-    pub fn listed(&mut self, mut rows: Vec<store::Vm>) -> bool {
+    pub fn set_list(&mut self, mut rows: Vec<store::Vm>) -> bool {
         rows.sort_by(|a, b| a.id.cmp(&b.id));
         let hash = hash_of(&rows);
         if rows.is_empty() || hash == self.hash {
@@ -87,7 +87,7 @@
     }
 
     /// Updates the open links. True: the set of lost VMs changed.
-    pub fn linked(&mut self, now: policy::Moment, links: &[peers::Linked]) -> bool {
+    pub fn set_links(&mut self, now: policy::Moment, links: &[peers::Linked]) -> bool {
         for (vm, peer) in &mut self.peers {
             let open = links.iter().any(|link| link.vm == *vm);
             peer.down_since = (!open).then(|| peer.down_since.unwrap_or(now));
@@ -114,7 +114,7 @@
     }
 
     /// Records a VM's announced stop. False: it is known, or the VM has restarted since.
-    pub fn left(&mut self, vm: &id::VmId, incarnation: id::Incarnation) -> bool {
+    pub fn mark_leaving(&mut self, vm: &id::VmId, incarnation: id::Incarnation) -> bool {
         let restarted = self
             .peers
             .get(vm)
@@ -165,17 +165,17 @@
     }
 
     /// Whether messages are forwarded inside the availability zone: not all VMs are linked.
-    pub fn relays(&self) -> bool {
+    pub fn needs_relay(&self) -> bool {
         self.local_entries().count() > MAX_FULL_MESH_VMS
     }
 
     /// The number of entry VMs on the list, including this one.
-    pub fn entries(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.rows.iter().filter(|row| is_entry(row)).count()
     }
 
     /// Whether the list has other entry VMs in this availability zone but none is linked.
-    pub fn is_alone(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         let others = self.local_entries().filter(|row| row.id != self.vm).count();
         let linked = self
             .peers
@@ -290,7 +290,7 @@
 
     fn view(rows: Vec<store::Vm>) -> View {
         let mut view = View::new(name(0, 0), "az-0".into());
-        view.listed(rows);
+        view.set_list(rows);
         view
     }
 
@@ -318,7 +318,7 @@
             let mut graph = collections::BTreeMap::<id::VmId, Vec<id::VmId>>::new();
             for row in &rows {
                 let mut view = View::new(row.id.clone(), row.az.clone());
-                view.listed(rows.clone());
+                view.set_list(rows.clone());
                 for target in view.targets() {
                     let vm = target.vm.unwrap();
                     *degree.entry(vm.clone()).or_default() += 1;
@@ -347,12 +347,12 @@
     fn a_dead_entry_vm_is_marked_before_the_list_shows_it() {
         let mut view = view(fleet(1, 4));
         let at = policy::Moment::from_secs;
-        view.linked(at(1), &[link(1, 1), link(2, 1), link(3, 1)]);
-        assert!(!view.linked(at(2), &[link(2, 1), link(3, 1)]));
+        view.set_links(at(1), &[link(1, 1), link(2, 1), link(3, 1)]);
+        assert!(!view.set_links(at(2), &[link(2, 1), link(3, 1)]));
         assert_eq!(state(&view, &name(0, 1)), store::VmState::Live);
-        assert!(view.linked(at(6), &[link(2, 1), link(3, 1)]));
+        assert!(view.set_links(at(6), &[link(2, 1), link(3, 1)]));
         assert_eq!(state(&view, &name(0, 1)), store::VmState::Leaving);
-        view.linked(at(7), &[link(1, 2), link(2, 1), link(3, 1)]);
+        view.set_links(at(7), &[link(1, 2), link(2, 1), link(3, 1)]);
         assert_eq!(state(&view, &name(0, 1)), store::VmState::Live);
     }
 
@@ -362,8 +362,8 @@
     fn a_vm_without_links_keeps_the_list() {
         let mut view = view(fleet(1, 4));
         let at = policy::Moment::from_secs;
-        view.linked(at(1), &[link(1, 1), link(2, 1), link(3, 1)]);
-        view.linked(at(2), &[]);
+        view.set_links(at(1), &[link(1, 1), link(2, 1), link(3, 1)]);
+        view.set_links(at(2), &[]);
         assert_eq!(state(&view, &name(0, 1)), store::VmState::Live);
     }
 
@@ -373,13 +373,13 @@
     fn a_restart_voids_an_announced_stop() {
         let mut view = view(fleet(1, 4));
         let at = policy::Moment::from_secs;
-        view.linked(at(1), &[link(1, 1), link(2, 1)]);
-        assert!(view.left(&name(0, 1), id::Incarnation(1)));
+        view.set_links(at(1), &[link(1, 1), link(2, 1)]);
+        assert!(view.mark_leaving(&name(0, 1), id::Incarnation(1)));
         assert_eq!(state(&view, &name(0, 1)), store::VmState::Leaving);
-        view.linked(at(2), &[link(1, 2), link(2, 1)]);
+        view.set_links(at(2), &[link(1, 2), link(2, 1)]);
         assert_eq!(state(&view, &name(0, 1)), store::VmState::Live);
         assert!(
-            !view.left(&name(0, 1), id::Incarnation(1)),
+            !view.mark_leaving(&name(0, 1), id::Incarnation(1)),
             "late announcement"
         );
     }
@@ -388,7 +388,7 @@
     #[test]
     fn an_empty_list_is_ignored() {
         let mut view = view(fleet(1, 4));
-        assert!(!view.listed(Vec::new()));
+        assert!(!view.set_list(Vec::new()));
         assert_eq!(view.list().len(), 4);
     }
 }
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -176,8 +176,8 @@
         self.election.tick(now, &mut outgoing);
         self.send_election_messages(outgoing, out);
         self.update_reader(out);
-        let other_readers = if self.view.is_alone() {
-            self.view.entries()
+        let other_readers = if self.view.is_isolated() {
+            self.view.entry_count()
         } else {
             0
         };
@@ -224,7 +224,7 @@
             peer::Message::Vms(list) => {
                 let from_reader = self.election.reader() == Some(&list.reader);
                 if (from_reader || self.view.list_hash() == 0)
-                    && self.view.listed(list.rows.clone())
+                    && self.view.set_list(list.rows.clone())
                 {
                     self.relay(true, from, &message, out);
                     self.vm_list_changed(out);
@@ -232,7 +232,7 @@
             }
             peer::Message::WantVms => self.send_vm_list(from, out),
             peer::Message::Leaving(leaving) => {
-                if self.view.left(&leaving.vm, leaving.incarnation) {
+                if self.view.mark_leaving(&leaving.vm, leaving.incarnation) {
                     self.relay(true, from, &message, out);
                     out.push(Action::Vms(self.view.vms()));
                 }
@@ -249,7 +249,7 @@
         links: &[peers::Linked],
         out: &mut Vec<Action>,
     ) {
-        if self.view.linked(now, links) {
+        if self.view.set_links(now, links) {
             out.push(Action::Vms(self.view.vms()));
         }
         let processes = links.iter().map(|l| (l.vm.clone(), l.incarnation));
@@ -272,7 +272,7 @@
         self.reading_vm_list = false;
         self.next_vm_list_read = now + VM_LIST_READ_INTERVAL;
         let Ok(rows) = result else { return };
-        if self.view.listed(rows) {
+        if self.view.set_list(rows) {
             let message = self.vm_list_message();
             out.push(Action::ToOwnAz {
                 except: None,
@@ -389,7 +389,7 @@
     }
 
     fn relay(&self, first: bool, from: &id::VmId, message: &peer::Message, out: &mut Vec<Action>) {
-        if first && self.view.relays() {
+        if first && self.view.needs_relay() {
             out.push(Action::ToOwnAz {
                 except: Some(from.clone()),
                 message: message.clone(),
--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -211,7 +211,7 @@
     wait_until_in_force(&mut fleet, version, MAX_DISTRIBUTION_TIME);
     let rows = inside.iter().map(|i| {
         let node = fleet.processes[*i].node.as_ref().unwrap();
-        node.view().entries()
+        node.view().entry_count()
     });
     assert!(rows.eq([6, 6]), "the list of VMs came with it");
 }
