--- a/src/coordination/driver.rs
+++ b/src/coordination/driver.rs
@@ -2,7 +2,7 @@
 //! three call the store (one per watch, one for other calls), so a slow store delays neither peers
 //! nor timers.
 //!
-//! The request path waits for none of them: results are passed to a [`Feed`].
+//! The request path waits for none of them: results are passed to an [`Observer`].
 
 use std::collections;
 use std::net;
@@ -34,7 +34,7 @@
 const MAX_INBOX_MESSAGES: usize = 8192;
 
 /// Receives the results of coordination.
-pub trait Feed: Send + 'static {
+pub trait Observer: Send + 'static {
     /// Called when new settings come into force.
     fn settings(&self, settings: sync::Arc<settings::Settings>);
 
@@ -42,16 +42,16 @@
     fn vms(&self, vms: Vec<store::Vm>);
 
     /// Called when the status changes.
-    fn standing(&self, standing: Standing);
+    fn status(&self, status: Status);
 
     /// Whether the results are still used. If not, the driver stops.
-    fn is_wanted(&self) -> bool;
+    fn is_active(&self) -> bool;
 }
 
 data! {
     /// The state of the store and of the links to peers, as this process sees it.
     #[derive(Eq, Default)]
-    pub struct Standing {
+    pub struct Status {
         /// The version of each team's settings in force.
         pub versions: collections::BTreeMap<id::TeamId, u64>,
         /// Whether the store answered the last call of the availability zone's reader.
@@ -90,9 +90,9 @@
     Vms,
 }
 
-struct Loop<F> {
+struct Loop<O> {
     node: node::Node<reader::FewestAccusations>,
-    feed: F,
+    observer: O,
     peers: Option<sync::Arc<peers::Peers>>,
     calls: [channel::Sender<Call>; 3],
     store_events: channel::Receiver<node::Event>,
@@ -103,17 +103,17 @@
     next_tick: policy::Moment,
     next_links: policy::Moment,
     linked_count: u64,
-    standing: Standing,
+    status: Status,
     actions: Vec<Action>,
     log: slog::Logger,
 }
 
 impl Driver {
     /// Starts links and threads. Fails if the address cannot be bound or a thread cannot start.
-    pub fn start<S: store::Store, F: Feed>(
+    pub fn start<S: store::Store, O: Observer>(
         cfg: Config,
         platform: S,
-        feed: F,
+        observer: O,
         log: &slog::Logger,
     ) -> std::io::Result<Self> {
         let (peers, messages) = start_links(&cfg, log)?;
@@ -124,7 +124,7 @@
         let (control, control_rx) = channel::unbounded();
         let mut event_loop = Loop {
             node: node::Node::new(cfg.node, policy::Moment::ZERO),
-            feed,
+            observer,
             peers: peers.clone(),
             calls,
             store_events,
@@ -135,7 +135,7 @@
             next_tick: policy::Moment::ZERO,
             next_links: policy::Moment::ZERO,
             linked_count: 0,
-            standing: Standing::default(),
+            status: Status::default(),
             actions: Vec::new(),
             log: log.clone(),
         };
@@ -160,7 +160,7 @@
     }
 
     /// Announces a planned stop to the peers. Waits at most a second for the message to be queued.
-    pub fn leave(&self) {
+    pub fn announce_stop(&self) {
         let (tx, rx) = channel::bounded(1);
         if self.control.send(Control::Leave(tx)).is_ok() {
             let _ = rx.recv_timeout(time::Duration::from_secs(1));
@@ -243,9 +243,9 @@
     metrics::counter!(metric_names::STORE_CALLS, "call" => call, "outcome" => outcome).increment(1);
 }
 
-impl<F: Feed> Loop<F> {
+impl<O: Observer> Loop<O> {
     fn run(&mut self) {
-        while self.feed.is_wanted() && self.handle_next() {}
+        while self.observer.is_active() && self.handle_next() {}
     }
 
     /// Waits for one event and handles it. False: the driver was dropped.
@@ -298,14 +298,14 @@
 
     fn report_status(&mut self) {
         let versions = self.node.sync().held().versions().iter();
-        let standing = Standing {
+        let status = Status {
             versions: versions.map(|(t, r)| (t.clone(), r.version)).collect(),
             store_up: self.node.store_is_up(),
             peers: self.linked_count,
         };
-        if standing != self.standing {
-            self.feed.standing(standing.clone());
-            self.standing = standing;
+        if status != self.status {
+            self.observer.status(status.clone());
+            self.status = status;
         }
     }
 
@@ -328,8 +328,8 @@
                 self.queue_call(2, Call::Write(key, expect, value))
             }
             Action::ReadVms => self.queue_call(2, Call::Vms),
-            Action::InForce(settings) => self.feed.settings(settings),
-            Action::Vms(vms) => self.feed.vms(vms),
+            Action::InForce(settings) => self.observer.settings(settings),
+            Action::Vms(vms) => self.observer.vms(vms),
             Action::Log(note) => self.log_note(&note),
             action => self.send_to_peers(action),
         }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -354,7 +354,7 @@
         self.core.stopping.store(true, atomic::Ordering::SeqCst);
         self.server.leave();
         if let Some(driver) = &self.driver {
-            driver.leave();
+            driver.announce_stop();
         }
         let ttl = self.core.cfg.lookup_ttl_ms.max(self.core.cfg.ticket_ttl_ms);
         let until = time::Instant::now() + time::Duration::from_millis(ttl);
--- a/src/entry/feed.rs
+++ b/src/entry/feed.rs
@@ -17,7 +17,7 @@
     log: slog::Logger,
 }
 
-impl driver::Feed for Feed {
+impl driver::Observer for Feed {
     fn settings(&self, settings: sync::Arc<settings::Settings>) {
         let Some(shared) = self.shared.upgrade() else {
             return;
@@ -37,17 +37,17 @@
         }
     }
 
-    fn standing(&self, standing: driver::Standing) {
+    fn status(&self, status: driver::Status) {
         if let Some(shared) = self.shared.upgrade() {
             shared.links.store(sync::Arc::new(super::Links {
-                versions: standing.versions,
-                store_up: standing.store_up,
-                peers: standing.peers,
+                versions: status.versions,
+                store_up: status.store_up,
+                peers: status.peers,
             }));
         }
     }
 
-    fn is_wanted(&self) -> bool {
+    fn is_active(&self) -> bool {
         self.shared.strong_count() > 0
     }
 }
