--- a/src/coordination/driver.rs
+++ b/src/coordination/driver.rs
@@ -342,10 +342,10 @@
                 peers.send(&to, &message);
             }
             Action::ToAll { except, message } => {
-                peers.to_all(except.as_ref(), &message);
+                peers.send_to_all(except.as_ref(), &message);
             }
             Action::ToOwnAz { except, message } => {
-                peers.to_own_az(except.as_ref(), &message);
+                peers.send_to_own_az(except.as_ref(), &message);
             }
             Action::Targets(targets) => peers.set_targets(&targets),
             _ => {}
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -179,18 +179,18 @@
     }
 
     /// Sends to every linked peer of an availability zone and returns their number.
-    pub fn to_az(&self, az: &id::AzId, message: &peer::Message) -> usize {
+    pub fn send_to_az(&self, az: &id::AzId, message: &peer::Message) -> usize {
         self.send_where(message, |_, open| open.az == *az)
     }
 
     /// Sends to every linked peer except `except` and returns their number.
-    pub fn to_all(&self, except: Option<&id::VmId>, message: &peer::Message) -> usize {
+    pub fn send_to_all(&self, except: Option<&id::VmId>, message: &peer::Message) -> usize {
         self.send_where(message, |vm, _| Some(vm) != except)
     }
 
     /// Sends to every linked peer of this VM's availability zone except `except` and returns their
     /// number.
-    pub fn to_own_az(&self, except: Option<&id::VmId>, message: &peer::Message) -> usize {
+    pub fn send_to_own_az(&self, except: Option<&id::VmId>, message: &peer::Message) -> usize {
         let az = &self.shared.me.az;
         self.send_where(message, |vm, open| open.az == *az && Some(vm) != except)
     }
@@ -482,7 +482,7 @@
         b.set_targets(&[target(&a)]);
         wait_until("linked", || a.linked().len() + b.linked().len() == 2);
         assert!(a.send(&"b".into(), &want("x")));
-        assert_eq!(b.to_az(&"az-1".into(), &want("y")), 1);
+        assert_eq!(b.send_to_az(&"az-1".into(), &want("y")), 1);
         assert_eq!(b_rx.recv().unwrap(), ("a".into(), want("x")));
         assert_eq!(a_rx.recv().unwrap(), ("b".into(), want("y")));
         assert!(!a.send(&"c".into(), &want("x")));
--- a/src/entry/steer.rs
+++ b/src/entry/steer.rs
@@ -218,7 +218,7 @@
         }
         peer::Message::Loads(loads) => {
             if steer.loads.lock().receive_loads(now, loads) {
-                peers.to_az(&core.cfg.az, message);
+                peers.send_to_az(&core.cfg.az, message);
             }
         }
         peer::Message::AskGrant(wish) => {
@@ -255,7 +255,7 @@
             service: service.clone(),
             entries: entries.to_vec(),
         };
-        peers.to_all(None, &peer::Message::Bans(bans));
+        peers.send_to_all(None, &peer::Message::Bans(bans));
     }
 }
 
@@ -281,9 +281,9 @@
         .lock()
         .offer(sync::Arc::new(plan.clone()));
     if news && *from == core.cfg.vm {
-        peers.to_all(None, &peer::Message::Plan(plan.clone()));
+        peers.send_to_all(None, &peer::Message::Plan(plan.clone()));
     } else if news {
-        peers.to_az(&core.cfg.az, &peer::Message::Plan(plan.clone()));
+        peers.send_to_az(&core.cfg.az, &peer::Message::Plan(plan.clone()));
     }
 }
 
@@ -484,9 +484,9 @@
         table.next_report()
     };
     let Some(peers) = peers else { return };
-    peers.to_az(&core.cfg.az, &peer::Message::Work(work));
+    peers.send_to_az(&core.cfg.az, &peer::Message::Work(work));
     if let Some(loads) = told {
-        peers.to_all(None, &peer::Message::Loads(loads));
+        peers.send_to_all(None, &peer::Message::Loads(loads));
     }
 }
 
