--- a/src/coordination/registration.rs
+++ b/src/coordination/registration.rs
@@ -17,7 +17,7 @@
 const RENEWALS_PER_LEASE: u32 = 3;
 
 /// The length of the lease, where `max_dead_named` is how long a dead VM may still be named.
-pub fn lease(on_standby: bool, max_dead_named: time::Duration) -> time::Duration {
+pub fn lease_ttl(on_standby: bool, max_dead_named: time::Duration) -> time::Duration {
     match on_standby {
         true => max_dead_named
             .saturating_sub(MAX_LOOKUP_LAG)
@@ -27,6 +27,6 @@
 }
 
 /// The interval between renewals of a lease.
-pub fn renewal(lease: time::Duration) -> time::Duration {
-    lease / RENEWALS_PER_LEASE
+pub fn renewal_interval(lease_ttl: time::Duration) -> time::Duration {
+    lease_ttl / RENEWALS_PER_LEASE
 }
--- a/src/platform/feed.rs
+++ b/src/platform/feed.rs
@@ -181,7 +181,7 @@
             held = self.round(&mut client, held).await;
             self.tell_crashes(&mut client).await;
             let pause = match &held {
-                Some(held) => registration::renewal(held.lasts),
+                Some(held) => registration::renewal_interval(held.lasts),
                 None => RETRY,
             };
             tokio::select! {
@@ -268,7 +268,7 @@
     }
 
     fn lasts(&self) -> time::Duration {
-        registration::lease(self.cx.stands_by(), self.settings.dead_named)
+        registration::lease_ttl(self.cx.stands_by(), self.settings.dead_named)
     }
 
     async fn register(&self, client: &mut store::Client) -> Option<Held> {
--- a/tests/turns.rs
+++ b/tests/turns.rs
@@ -128,9 +128,9 @@
 #[test]
 fn standby_vms_renew_seldom_and_dead_ones_are_removed_in_time() {
     for (max_dead_named, lease) in [(3000, 3000), (6000, 3000), (7000, 4000), (9000, 6000)] {
-        assert_eq!(registration::lease(true, ms(max_dead_named)), ms(lease));
-        assert_eq!(registration::lease(false, ms(max_dead_named)), ms(3000));
-        assert!(registration::renewal(ms(lease)) * 3 <= ms(lease));
+        assert_eq!(registration::lease_ttl(true, ms(max_dead_named)), ms(lease));
+        assert_eq!(registration::lease_ttl(false, ms(max_dead_named)), ms(3000));
+        assert!(registration::renewal_interval(ms(lease)) * 3 <= ms(lease));
     }
 }
 
