--- a/src/gateway/beliefs.rs
+++ b/src/gateway/beliefs.rs
@@ -5,7 +5,7 @@
 use std::time;
 
 use super::{Gateway, attempt, place};
-use crate::coordination::listing;
+use crate::coordination::removal_guard;
 use crate::decisions::{ejection, policy, regions};
 use crate::id;
 use crate::metrics as metric_names;
@@ -109,7 +109,7 @@
 
     /// Applies a backend server's entry. Returns whether it is more than a heartbeat.
     pub fn learn_backend(&self, id: &id::VmId, listed: backends::Listed) -> bool {
-        self.listing.borrow_mut().found(id);
+        self.removal_guard.borrow_mut().record_present(id);
         let region = self.cfg.regions.get(&listed.az).cloned();
         let service = listed.service.clone();
         let mut before = self.backends.borrow().get(id).map(|b| b.listed.clone());
@@ -149,11 +149,14 @@
 
     /// Handles the removal of a backend server's entry.
     pub fn lose_backend(&self, id: &id::VmId) {
-        let at_once = self.listing.borrow_mut().lost(self.now(), id);
+        let at_once = self
+            .removal_guard
+            .borrow_mut()
+            .record_missing(self.now(), id);
         if at_once {
             self.drop_backend(id, "not listed");
         } else {
-            slog::info!(self.log, "backend server's entry missing; keeping the backend server for now"; "backend" => %id, "hold_ms" => listing::HOLD.as_millis() as u64);
+            slog::info!(self.log, "backend server's entry missing; keeping the backend server for now"; "backend" => %id, "hold_ms" => removal_guard::REMOVAL_HOLD.as_millis() as u64);
         }
     }
 
@@ -163,7 +166,7 @@
         if let Some(left_out) = self.log_limiter.admit("entry", self.now()) {
             slog::warn!(self.log, "backend server's entry cannot be read"; "backend" => %id, "error" => %why, "left_out" => left_out);
         }
-        self.listing.borrow_mut().found(id);
+        self.removal_guard.borrow_mut().record_present(id);
         self.drop_backend(id, "entry cannot be read")
     }
 
@@ -195,7 +198,7 @@
 
     /// Notes an answer from the store.
     pub fn heard_store(&self) {
-        let outage = self.listing.borrow_mut().heard(self.now());
+        let outage = self.removal_guard.borrow_mut().record_answer(self.now());
         if let Some(outage) = outage {
             slog::info!(self.log, "store is back"; "away_ms" => outage.as_millis() as u64);
         }
@@ -203,12 +206,12 @@
 
     /// Notes a failed call to the store. Returns whether it is the first in a row.
     pub fn lost_store(&self) -> bool {
-        self.listing.borrow_mut().failed()
+        self.removal_guard.borrow_mut().record_failure()
     }
 
     /// Time since the store last answered; `None` if it never did.
     pub fn store_age(&self) -> Option<time::Duration> {
-        self.listing.borrow().age(self.now())
+        self.removal_guard.borrow().answer_age(self.now())
     }
 
     /// Starts or ends an availability zone's evacuation, during which its backend servers get no
@@ -367,7 +370,10 @@
             every.tick().await;
             self.pool.borrow_mut().sweep();
             let known = self.backends.borrow().len();
-            let overdue = self.listing.borrow_mut().overdue(self.now(), known);
+            let overdue = self
+                .removal_guard
+                .borrow_mut()
+                .take_overdue(self.now(), known);
             for id in &overdue {
                 self.drop_backend(id, "not listed");
             }
--- a/src/gateway/fanout.rs
+++ b/src/gateway/fanout.rs
@@ -86,7 +86,7 @@
 
     fn is_fresh(&self) -> bool {
         let age = self.cx.store_age();
-        self.current.get() && age.is_some_and(|age| age <= follow_order::FRESH)
+        self.current.get() && age.is_some_and(|age| age <= follow_order::MAX_LEADER_STALENESS)
     }
 
     async fn serve_follower(
@@ -94,7 +94,7 @@
         stream: tokio::net::TcpStream,
     ) -> Result<(), transport::mirror::Error> {
         let mut link = transport::mirror::Link::accept(stream).await?;
-        let ask: mirror::Ask = link.receive(follow_order::SILENCE).await?;
+        let ask: mirror::Ask = link.receive(follow_order::SILENCE_TIMEOUT).await?;
         let mut updates = self.updates.subscribe();
         if ask.fresh && !self.is_fresh() {
             self.await_current(&mut updates, ask.wait_ms, &mut link)
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -14,7 +14,7 @@
 
 use super::Gateway;
 use crate::coordination::mirror as follow_order;
-use crate::coordination::turns;
+use crate::coordination::read_schedule;
 use crate::decisions::policy;
 use crate::id;
 use crate::metrics as metric_names;
@@ -23,7 +23,7 @@
 use crate::transport;
 
 /// Timeout of a watch call. Each answer is also the heartbeat for followers, so it must arrive well
-/// within [`follow_order::SILENCE`].
+/// within [`follow_order::SILENCE_TIMEOUT`].
 const WATCH_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 
 /// Pause after an answer with changes. During a release, a call for each change would be costly. A
@@ -95,7 +95,7 @@
     /// Whether the records come from the store, read here or by the followed VM.
     pub(super) current: rc::Rc<cell::Cell<bool>>,
     /// The entry VMs of the region, and the version of the list that they were computed from.
-    region_entries: rc::Rc<cell::RefCell<(u64, rc::Rc<[follow_order::Place]>)>>,
+    region_entries: rc::Rc<cell::RefCell<(u64, rc::Rc<[follow_order::Candidate]>)>>,
     /// An encoded snapshot, and the version of the records in it.
     pub(super) snapshot: rc::Rc<cell::RefCell<(u64, Bytes)>>,
 }
@@ -120,10 +120,11 @@
 
     /// Keeps the records current until the process ends.
     pub async fn run<S: Source>(self, mut source: S, seeds: Vec<net::SocketAddr>) {
-        let mut order = follow_order::Order::default();
+        let mut order = follow_order::LeaderOrder::default();
         let started = self.cx.now();
         let zone = source.read_zone().await;
-        let mut turns = turns::Turns::at_start(self.cx.now().saturating_sub(started));
+        let mut schedule =
+            read_schedule::ReadSchedule::at_start(self.cx.now().saturating_sub(started));
         match zone {
             // VMs that were killed together are still registered. All but the first in the order
             // wait for those before them.
@@ -138,23 +139,23 @@
             }
         }
         loop {
-            let wait = turns.wait(self.cx.now(), self.rank());
+            let wait = schedule.remaining_delay(self.cx.now(), self.rank());
             let read_at = self.cx.now() + wait;
             // Without records, the first VM in the order does not wait for VMs that may be dead.
             let at_once = wait.is_zero() && self.records.borrow().revision() == 0;
             if !at_once && self.follow_any(&source, &mut order, read_at).await {
-                turns.found();
+                schedule.reset();
                 continue;
             }
-            let wait = turns.wait(self.cx.now(), self.rank());
+            let wait = schedule.remaining_delay(self.cx.now(), self.rank());
             if wait.is_zero() {
-                self.read(&mut source, &mut order, &mut turns).await;
+                self.read(&mut source, &mut order, &mut schedule).await;
                 if self.records.borrow().revision() == 0 {
                     // Other VMs with records may have started later, or answered too slowly before.
                     self.load_from_any(&source, &seeds).await;
                 }
             } else {
-                tokio::time::sleep(follow_order::AGAIN.min(wait)).await;
+                tokio::time::sleep(follow_order::LEADER_RETRY_DELAY.min(wait)).await;
             }
         }
     }
@@ -188,7 +189,7 @@
 
     /// This VM's position in the order of its region: how many registered entry VMs precede it.
     fn rank(&self) -> usize {
-        follow_order::Order::place(&self.own_place(), &self.region_entries())
+        follow_order::LeaderOrder::rank(&self.own_candidate(), &self.region_entries())
     }
 
     /// Follows the first VM that can be followed, until that ends. Returns whether one could be
@@ -196,21 +197,23 @@
     async fn follow_any<S: Source>(
         &self,
         source: &S,
-        order: &mut follow_order::Order,
+        order: &mut follow_order::LeaderOrder,
         read_at: policy::Moment,
     ) -> bool {
-        for candidate in order.ask(self.cx.now(), &self.own_place(), &self.region_entries()) {
+        for candidate in order.leaders(self.cx.now(), &self.own_candidate(), &self.region_entries())
+        {
             let Some(addr) = candidate.peers else {
                 continue;
             };
             let (hops, open) = match candidate.az == self.cx.cfg.az {
                 true => (
-                    1 + follow_order::Order::depth(&candidate, &self.region_entries()),
+                    1 + follow_order::LeaderOrder::depth(&candidate, &self.region_entries()),
                     transport::mirror::OPEN_NEAR,
                 ),
                 false => (0, transport::mirror::OPEN),
             };
-            let silence = follow_order::SILENCE + follow_order::TURN * hops;
+            let silence =
+                follow_order::SILENCE_TIMEOUT + follow_order::SILENCE_TIMEOUT_PER_HOP * hops;
             let first_message = read_at.saturating_sub(self.cx.now());
             let timeouts = Timeouts {
                 open,
@@ -221,11 +224,11 @@
             if ended.received {
                 self.current.set(false);
             }
-            let avoid_for = match ended.timed_out {
-                true => follow_order::AVOID,
-                false => follow_order::AGAIN,
+            let skip_for = match ended.timed_out {
+                true => follow_order::UNRESPONSIVE_SKIP_TIME,
+                false => follow_order::LEADER_RETRY_DELAY,
             };
-            order.avoid(self.cx.now(), &candidate.vm, avoid_for);
+            order.skip(self.cx.now(), &candidate.vm, skip_for);
             if ended.received {
                 return true;
             }
@@ -233,8 +236,8 @@
         false
     }
 
-    fn own_place(&self) -> follow_order::Place {
-        follow_order::Place {
+    fn own_candidate(&self) -> follow_order::Candidate {
+        follow_order::Candidate {
             hash: self.cx.own_hash,
             vm: self.cx.cfg.vm.clone(),
             az: self.cx.cfg.az.clone(),
@@ -244,21 +247,21 @@
     }
 
     /// The registered entry VMs of this VM's region, recomputed when the list changes.
-    fn region_entries(&self) -> rc::Rc<[follow_order::Place]> {
+    fn region_entries(&self) -> rc::Rc<[follow_order::Candidate]> {
         let entries = self.cx.entries.borrow();
         let mut region_entries = self.region_entries.borrow_mut();
         if region_entries.0 != entries.version() {
-            *region_entries = (entries.version(), self.region_places(&entries));
+            *region_entries = (entries.version(), self.region_candidates(&entries));
         }
         region_entries.1.clone()
     }
 
-    fn region_places(&self, entries: &entries::Entries) -> rc::Rc<[follow_order::Place]> {
+    fn region_candidates(&self, entries: &entries::Entries) -> rc::Rc<[follow_order::Candidate]> {
         let region = self.cx.region.as_ref();
         entries
             .iter()
             .filter(|(_, _, entry)| self.cx.cfg.regions.get(&entry.az) == region)
-            .map(|(vm, hash, entry)| follow_order::Place {
+            .map(|(vm, hash, entry)| follow_order::Candidate {
                 hash,
                 vm: vm.clone(),
                 az: entry.az.clone(),
@@ -339,10 +342,10 @@
     async fn read<S: Source>(
         &self,
         source: &mut S,
-        order: &mut follow_order::Order,
-        turns: &mut turns::Turns,
+        order: &mut follow_order::LeaderOrder,
+        schedule: &mut read_schedule::ReadSchedule,
     ) {
-        let until = self.cx.now() + follow_order::RECHECK;
+        let until = self.cx.now() + follow_order::LEADER_RECHECK_DELAY;
         let mut pause = time::Duration::ZERO;
         slog::debug!(self.cx.log, "reading the store"; "revision" => self.records.borrow().revision());
         loop {
@@ -360,19 +363,19 @@
                     if self.cx.lost_store() {
                         slog::warn!(self.cx.log, "store does not serve"; "error" => %err);
                     }
-                    turns.failed(started, self.rank());
+                    schedule.record_failure(started, self.rank());
                     return;
                 }
             }
-            turns.found();
+            schedule.reset();
             tokio::time::sleep(pause).await;
             let may_follow = !order
-                .ask(self.cx.now(), &self.own_place(), &self.region_entries())
+                .leaders(self.cx.now(), &self.own_candidate(), &self.region_entries())
                 .is_empty();
             if may_follow && self.cx.now() >= until {
                 // This VM still serves followers: if it refused, VMs that look for one to follow at
                 // the same moment would find none, repeatedly.
-                turns.reads_on(self.cx.now());
+                schedule.read_now(self.cx.now());
                 return;
             }
         }
@@ -389,7 +392,7 @@
             self.read_all(source, true).await?;
             // If no VM was registered, others are starting too and can soon be followed.
             return Ok(match self.region_entries().len() {
-                0 => follow_order::RECHECK,
+                0 => follow_order::LEADER_RECHECK_DELAY,
                 _ => time::Duration::ZERO,
             });
         }
@@ -433,7 +436,7 @@
         records
             .iter()
             .for_each(|record| stored.put(record, revision));
-        stored.reached(revision);
+        stored.advance_to(revision);
         drop(stored);
         self.apply_records(source, records)
     }
@@ -456,16 +459,16 @@
         records: &[mirror::Record],
         revision: u64,
     ) -> Vec<mirror::Record> {
-        let removed = self.records.borrow().missing(records);
+        let removed = self.records.borrow().removals_missing_from(records);
         let mut stored = self.records.borrow_mut();
         let was_incomplete = !stored.is_complete();
         for record in records {
-            if !stored.knows(record) {
+            if !stored.contains(record) {
                 stored.put(record, revision);
             }
         }
-        stored.complete(revision);
-        stored.reached(revision);
+        stored.mark_complete(revision);
+        stored.advance_to(revision);
         drop(stored);
         if was_incomplete {
             slog::info!(self.cx.log, "list taken"; "records" => records.len(), "revision" => revision);
@@ -523,7 +526,7 @@
             since: 0,
         };
         link.send(mirror::encode(&ask)?.into()).await?;
-        match link.receive(follow_order::SILENCE).await? {
+        match link.receive(follow_order::SILENCE_TIMEOUT).await? {
             mirror::Message::Whole { records, revision } => {
                 self.replace_all(source, &records, revision);
                 Ok(records.len())
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -29,7 +29,7 @@
 use rand::RngExt;
 use tokio::sync::{self, watch};
 
-use crate::coordination::listing;
+use crate::coordination::removal_guard;
 use crate::decisions::{
     affinity, crashes, declines, departures, entry_selection, policy, precedence, quota, regions,
     resend, split, warming,
@@ -155,7 +155,7 @@
     busy: cell::Cell<entry_selection::Busy>,
     /// Whether this is the only entry VM advertised to the callers of its region.
     is_sole_entry: cell::Cell<bool>,
-    listing: cell::RefCell<listing::Listing>,
+    removal_guard: cell::RefCell<removal_guard::RemovalGuard>,
     services: cell::RefCell<collections::HashMap<id::ServiceId, ServiceState>>,
     splits: cell::RefCell<collections::HashMap<String, split::Split>>,
     pool: cell::RefCell<pool::Pool>,
@@ -225,7 +225,7 @@
             advertised: cell::RefCell::default(),
             busy: cell::Cell::default(),
             is_sole_entry: cell::Cell::default(),
-            listing: cell::RefCell::default(),
+            removal_guard: cell::RefCell::default(),
             services: cell::RefCell::default(),
             splits: cell::RefCell::default(),
             pool: cell::RefCell::default(),
