--- a/benches/capacity/gateway.rs
+++ b/benches/capacity/gateway.rs
@@ -4,7 +4,7 @@
 use std::net;
 
 use bulrushwind::decisions::{affinity, policy};
-use bulrushwind::gateway::{self, place};
+use bulrushwind::gateway::{self, placement};
 use bulrushwind::protocol::routes;
 use bulrushwind::state::{backends, entries};
 use bulrushwind::{id, logging};
@@ -32,7 +32,7 @@
     };
     let cx = gateway::Gateway::new(cfg, logging::silent());
     let table = routes::Table::new(1, Vec::new(), Vec::new(), routes::Limits::default());
-    cx.learn_routes(table);
+    cx.update_routes(table);
     cx
 }
 
@@ -48,7 +48,7 @@
             cold_until: policy::Moment::ZERO,
             start: None,
         };
-        cx.learn_backend(&format!("backend-{i}").as_str().into(), listed);
+        cx.update_backend(&format!("backend-{i}").as_str().into(), listed);
     }
     cx
 }
@@ -67,16 +67,16 @@
                 for _ in 0..requests {
                     next += 1;
                     let object: u64 = next % objects;
-                    let need = place::Need {
+                    let need = placement::Need {
                         service: &"archive".into(),
                         key: Some(affinity::hash(&object.to_le_bytes())),
                         remote: false,
                         homes: routes::Homes::default(),
                         idempotent: true,
-                        behind: false,
+                        low_priority: false,
                         tried: &[],
                     };
-                    drop(hint::black_box(cx.place(&need)));
+                    drop(hint::black_box(cx.reserve(&need)));
                 }
             });
             took / requests as f64 * 1e6
@@ -110,7 +110,7 @@
                 busy: false,
                 near_limits: Vec::new(),
             };
-            cx.learn_entry(&format!("vm-{i}").as_str().into(), entry);
+            cx.update_entry(&format!("vm-{i}").as_str().into(), entry);
         }
         let runs = 200;
         let took = best_of(3, || {
--- a/src/gateway/advertising.rs
+++ b/src/gateway/advertising.rs
@@ -114,7 +114,7 @@
 
     /// Whether this VM is neither advertised to its region's callers nor among the next ones in the
     /// order of selection.
-    pub fn stands_by(&self) -> bool {
+    pub fn is_spare(&self) -> bool {
         /// VMs next in the order. Their registrations must expire as soon as those of advertised
         /// ones.
         const STANDBY_COUNT: usize = 6;
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 use tokio::task;
 
-use super::{Gateway, place, pool};
+use super::{Gateway, placement, pool};
 use crate::decisions::{idle_limit, policy};
 use crate::id;
 use crate::protocol::{customers, http1, names};
@@ -111,7 +111,7 @@
         self,
         job: rc::Rc<Job>,
         mut payload: upstream::Payload,
-        reservation: place::Reservation,
+        reservation: placement::Reservation,
     ) -> (id::VmId, Outcome) {
         let (run, new_object) = (reservation.run.clone(), reservation.new_object);
         let started = self.now();
@@ -128,7 +128,7 @@
         &self,
         job: &Job,
         payload: &mut upstream::Payload,
-        reservation: place::Reservation,
+        reservation: placement::Reservation,
     ) -> Outcome {
         let max_idle = match job.idempotent {
             true => time::Duration::MAX,
@@ -171,7 +171,7 @@
         job: &Job,
         pooled: pool::IdleConnection,
         payload: &mut upstream::Payload,
-        reservation: &place::Reservation,
+        reservation: &placement::Reservation,
     ) -> Option<(socket::Wire, Result<upstream::Received, upstream::Failure>)> {
         let mut wire = pooled.wire;
         let sent = self.exchange(job, &mut wire, payload, reservation).await;
@@ -191,7 +191,7 @@
         }
     }
 
-    fn record_idle_break(&self, reservation: &place::Reservation, idle_for: time::Duration) {
+    fn record_idle_break(&self, reservation: &placement::Reservation, idle_for: time::Duration) {
         if !self.pool.borrow_mut().idle_limit.record_break(idle_for) {
             return;
         }
@@ -205,7 +205,7 @@
         job: &Job,
         wire: &mut socket::Wire,
         payload: &mut upstream::Payload,
-        reservation: &place::Reservation,
+        reservation: &placement::Reservation,
     ) -> SendResult {
         let started = self.now();
         let head = self.head_for(job, payload, &reservation.run.id);
@@ -273,7 +273,7 @@
         &self,
         mut wire: socket::Wire,
         received: upstream::Received,
-        reservation: place::Reservation,
+        reservation: placement::Reservation,
     ) -> Outcome {
         let head = received.head;
         let names = &self.cfg.names;
@@ -331,7 +331,7 @@
         head: http1::ResponseHead,
         mut reader: http1::BodyReader,
         body: BytesMut,
-        reservation: place::Reservation,
+        reservation: placement::Reservation,
     ) -> Outcome {
         let length = match head.framing {
             http1::Framing::Length(n) => Some(n),
@@ -382,7 +382,7 @@
     }
 }
 
-async fn connect(reservation: &place::Reservation) -> Result<socket::Wire, Outcome> {
+async fn connect(reservation: &placement::Reservation) -> Result<socket::Wire, Outcome> {
     let wire = socket::Wire::connect(reservation.addr, CONNECT_TIMEOUT)
         .await
         .map_err(|_| Outcome::NotRun(NotRun::NoConnection))?;
--- a/src/gateway/beliefs.rs
+++ b/src/gateway/cluster_state.rs
@@ -4,7 +4,7 @@
 use std::rc;
 use std::time;
 
-use super::{Gateway, attempt, place};
+use super::{Gateway, attempt, placement};
 use crate::coordination::removal_guard;
 use crate::decisions::{ejection, policy, regions};
 use crate::id;
@@ -29,7 +29,7 @@
 impl Gateway {
     /// Records a crash report, or drops an expired one if `active` is false. Returns whether this
     /// changed anything.
-    pub fn learn_crash(&self, crash: &Crash, active: bool) -> bool {
+    pub fn apply_crash_report(&self, crash: &Crash, active: bool) -> bool {
         let mut crashes = self.crashes.borrow_mut();
         if !active {
             return crashes.remove_crash(crash.fingerprint, &crash.run);
@@ -42,12 +42,12 @@
     }
 
     /// Takes the crashes seen here that are not yet reported to other entry VMs.
-    pub fn untold_crashes(&self) -> Vec<Crash> {
+    pub fn take_crash_reports(&self) -> Vec<Crash> {
         self.pending_crashes.take()
     }
 
     /// Queues crash reports for the next attempt to write them.
-    pub fn keep_untold(&self, crashes: Vec<Crash>) {
+    pub fn queue_crash_reports(&self, crashes: Vec<Crash>) {
         /// More add no information: a lost availability zone breaks this many requests of one VM.
         const MAX_PENDING_CRASH_REPORTS: usize = 128;
         let mut pending_crashes = self.pending_crashes.borrow_mut();
@@ -83,13 +83,13 @@
             })
             .collect();
         for crash in &crashed {
-            self.learn_crash(crash, true);
+            self.apply_crash_report(crash, true);
         }
-        self.keep_untold(crashed);
+        self.queue_crash_reports(crashed);
     }
 
     /// Applies a version of the routes. Returns false if it is not newer than the one in force.
-    pub fn learn_routes(&self, table: routes::Table) -> bool {
+    pub fn update_routes(&self, table: routes::Table) -> bool {
         let known = self.table().map(|t| t.version);
         if known == Some(table.version) {
             return false;
@@ -108,7 +108,7 @@
     }
 
     /// Applies a backend server's entry. Returns whether it is more than a heartbeat.
-    pub fn learn_backend(&self, id: &id::VmId, listed: backends::Listed) -> bool {
+    pub fn update_backend(&self, id: &id::VmId, listed: backends::Listed) -> bool {
         self.removal_guard.borrow_mut().record_present(id);
         let region = self.cfg.regions.get(&listed.az).cloned();
         let service = listed.service.clone();
@@ -148,7 +148,7 @@
     }
 
     /// Handles the removal of a backend server's entry.
-    pub fn lose_backend(&self, id: &id::VmId) {
+    pub fn remove_backend(&self, id: &id::VmId) {
         let at_once = self
             .removal_guard
             .borrow_mut()
@@ -162,7 +162,7 @@
 
     /// Removes a backend server whose entry cannot be read: its earlier entry need not hold any
     /// more, and requests would go to an unconfirmed address. Returns whether it was known.
-    pub fn disown_backend(&self, id: &id::VmId, why: &impl std::fmt::Display) -> bool {
+    pub fn remove_unreadable_backend(&self, id: &id::VmId, why: &impl std::fmt::Display) -> bool {
         if let Some(left_out) = self.log_limiter.admit("entry", self.now()) {
             slog::warn!(self.log, "backend server's entry cannot be read"; "backend" => %id, "error" => %why, "left_out" => left_out);
         }
@@ -197,7 +197,7 @@
     }
 
     /// Notes an answer from the store.
-    pub fn heard_store(&self) {
+    pub fn record_store_answer(&self) {
         let outage = self.removal_guard.borrow_mut().record_answer(self.now());
         if let Some(outage) = outage {
             slog::info!(self.log, "store is back"; "away_ms" => outage.as_millis() as u64);
@@ -205,7 +205,7 @@
     }
 
     /// Notes a failed call to the store. Returns whether it is the first in a row.
-    pub fn lost_store(&self) -> bool {
+    pub fn record_store_failure(&self) -> bool {
         self.removal_guard.borrow_mut().record_failure()
     }
 
@@ -237,7 +237,7 @@
     }
 
     /// Adds or updates an entry VM. Returns whether this changed anything.
-    pub fn learn_entry(&self, vm: &id::VmId, entry: entries::Entry) -> bool {
+    pub fn update_entry(&self, vm: &id::VmId, entry: entries::Entry) -> bool {
         let az = entry.az.clone();
         self.quotas
             .borrow_mut()
@@ -250,7 +250,7 @@
     }
 
     /// Removes an entry VM. Returns whether it was known.
-    pub fn lose_entry(&self, vm: &id::VmId) -> bool {
+    pub fn remove_entry(&self, vm: &id::VmId) -> bool {
         let changed = self.entries.borrow_mut().remove(vm);
         if changed && let Some(left_out) = self.log_limiter.admit("entry gone", self.now()) {
             slog::info!(self.log, "entry VM gone"; "vm" => %vm, "left_out" => left_out);
@@ -262,7 +262,7 @@
     pub(super) fn record_outcome(
         &self,
         job: &attempt::Job,
-        at: &place::Run,
+        at: &placement::Run,
         started: policy::Moment,
         outcome: &attempt::Outcome,
     ) {
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -25,7 +25,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                task::spawn_local(callers::serve(stream, handler.clone(), cx.stopping()));
+                task::spawn_local(callers::serve(stream, handler.clone(), cx.subscribe_stop()));
             }
             Err(err) => {
                 slog::warn!(cx.log, "cannot accept a connection"; "error" => %err);
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -134,7 +134,7 @@
             }
             Err(err) => {
                 slog::warn!(self.cx.log, "store does not serve"; "error" => %err);
-                self.cx.lost_store();
+                self.cx.record_store_failure();
                 self.load_from_any(&source, &seeds).await;
             }
         }
@@ -333,7 +333,7 @@
                 slog::info!(self.cx.log, "following"; "vm" => %vm, "revision" => revision, "whole" => whole, "bytes" => len);
             }
             self.current.set(true);
-            self.cx.heard_store();
+            self.cx.record_store_answer();
             self.publish(updates, revision);
         }
     }
@@ -360,7 +360,7 @@
                 Ok(next) => pause = next,
                 Err(err) => {
                     self.current.set(false);
-                    if self.cx.lost_store() {
+                    if self.cx.record_store_failure() {
                         slog::warn!(self.cx.log, "store does not serve"; "error" => %err);
                     }
                     schedule.record_failure(started, self.rank());
@@ -402,7 +402,7 @@
                     true => time::Duration::ZERO,
                     false => PAUSE_AFTER_CHANGES,
                 };
-                self.cx.heard_store();
+                self.cx.record_store_answer();
                 self.current.set(true);
                 let updates = self.apply_changes(source, &records, revision);
                 self.publish(updates, revision);
@@ -419,7 +419,7 @@
 
     async fn read_all<S: Source>(&self, source: &mut S, stale: bool) -> Result<(), S::Error> {
         let (records, revision) = source.read(stale).await?;
-        self.cx.heard_store();
+        self.cx.record_store_answer();
         let updates = self.replace_all(source, &records, revision);
         self.publish(updates, revision);
         Ok(())
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -8,12 +8,12 @@
 
 mod advertising;
 pub mod attempt;
-pub mod beliefs;
+pub mod cluster_state;
 mod facts;
 mod fanout;
 pub mod front;
 pub mod mirror;
-pub mod place;
+pub mod placement;
 pub mod pool;
 mod quotas;
 mod record;
@@ -60,12 +60,12 @@
     /// Bound on resends, summed over all entry VMs.
     pub resend: resend::Bound,
     /// Largest share of a region's requests that may run in a different region than 2 s earlier.
-    pub shift_most: f64,
+    pub max_region_shift_share: f64,
     /// Bound on a customer's requests, summed over all entry VMs.
     pub quota: quota::Bound,
     /// Address for usage reports between entry VMs; `None` disables them. The port is the same on
     /// all VMs.
-    pub usage: Option<net::SocketAddr>,
+    pub usage_addr: Option<net::SocketAddr>,
     /// Thresholds of request decisions.
     pub thresholds: thresholds::Thresholds,
     /// Maximum duration of a planned stop.
@@ -84,9 +84,9 @@
             capacity: entry_selection::Capacity::default(),
             names: names::Names::default(),
             resend: resend::Bound::default(),
-            shift_most: 0.15,
+            max_region_shift_share: 0.15,
             quota: quota::Bound::default(),
-            usage: None,
+            usage_addr: None,
             thresholds: thresholds::Thresholds::default(),
             grace: time::Duration::from_secs(6),
             first_start: false,
@@ -172,7 +172,7 @@
     departures: cell::RefCell<departures::Departures>,
     crashes: cell::RefCell<crashes::Crashes>,
     /// Crashes seen here and not yet reported to other entry VMs.
-    pending_crashes: cell::RefCell<Vec<beliefs::Crash>>,
+    pending_crashes: cell::RefCell<Vec<cluster_state::Crash>>,
     log_limiter: logging::Limiter,
     labels: metrics::Bounded,
     stop: watch::Sender<bool>,
@@ -280,7 +280,7 @@
     }
 
     /// Waits until the first routes or the first backend server are known.
-    pub async fn came(&self) {
+    pub async fn wait_for_data(&self) {
         self.data_arrived.notified().await;
     }
 
@@ -297,17 +297,17 @@
     }
 
     /// Whether a planned stop is complete: it accepts no requests, and none is running.
-    pub fn is_done(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         self.is_closed() && self.in_progress.get() == 0
     }
 
     /// Subscribes to the start of a planned stop.
-    pub fn stopping(&self) -> watch::Receiver<bool> {
+    pub fn subscribe_stop(&self) -> watch::Receiver<bool> {
         self.stop.subscribe()
     }
 
     /// Number of requests in progress.
-    pub fn in_hand(&self) -> usize {
+    pub fn requests_in_progress(&self) -> usize {
         self.in_progress.get()
     }
 
--- a/src/gateway/place.rs
+++ b/src/gateway/placement.rs
@@ -27,7 +27,7 @@
     /// Whether the request may run more than once.
     pub idempotent: bool,
     /// Whether other requests of the service have a higher priority.
-    pub behind: bool,
+    pub low_priority: bool,
     /// Backend servers that the request was already sent to.
     pub tried: &'a [id::VmId],
 }
@@ -115,10 +115,10 @@
 
 impl Gateway {
     /// Reserves a slot at a backend server that takes the request now.
-    pub fn place(&self, need: &Need<'_>) -> Result<Reservation, PlacementError> {
+    pub fn reserve(&self, need: &Need<'_>) -> Result<Reservation, PlacementError> {
         let now = self.now();
         let chosen = self.choose(need, now);
-        if chosen == Err(PlacementError::Full) && !need.behind {
+        if chosen == Err(PlacementError::Full) && !need.low_priority {
             self.with_service(need.service, |state| state.precedence.urgent_refused(now));
         }
         let chosen = chosen?;
@@ -267,7 +267,7 @@
             key: need.key,
             tie: self.jitter().to_bits(),
             region_backends,
-            low_priority: need.behind
+            low_priority: need.low_priority
                 && self.with_service(need.service, |state| state.precedence.yields(now)),
         };
         affinity::pick(&self.cfg.thresholds.placement, &request, &candidates)
--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -247,7 +247,7 @@
     /// The VMs that need this VM's usage: those advertised to callers, and those that reported
     /// recently.
     fn report_recipients(&self) -> Vec<net::SocketAddr> {
-        let Some(own_addr) = self.cfg.usage else {
+        let Some(own_addr) = self.cfg.usage_addr else {
             return Vec::new();
         };
         let now = self.now();
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -9,7 +9,7 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 
-use super::{Gateway, attempt, facts, place, quotas, record};
+use super::{Gateway, attempt, facts, placement, quotas, record};
 use crate::decisions::{policy, regions, retry_delay};
 use crate::id;
 use crate::protocol::{http1, routes};
@@ -163,7 +163,7 @@
         let now = self.now();
         let leaves = reach == regions::Reach::Elsewhere;
         let mut departures = self.departures.borrow_mut();
-        if leaves && !departures.may_leave(now, self.cfg.shift_most) {
+        if leaves && !departures.may_leave(now, self.cfg.max_region_shift_share) {
             return false;
         }
         departures.count(now, leaves);
@@ -222,7 +222,7 @@
 
 impl Dispatch<'_> {
     async fn answer(&mut self) -> callers::Answer {
-        let reservation = match self.cx.place(&self.need()) {
+        let reservation = match self.cx.reserve(&self.need()) {
             Ok(reservation) => reservation,
             Err(why) => {
                 self.refund();
@@ -297,14 +297,14 @@
         }
     }
 
-    fn need(&self) -> place::Need<'_> {
-        place::Need {
+    fn need(&self) -> placement::Need<'_> {
+        placement::Need {
             service: &self.job.service,
             key: self.facts.key,
             remote: self.remote,
             homes: self.homes(),
             idempotent: self.facts.route.idempotent,
-            behind: self
+            low_priority: self
                 .facts
                 .table
                 .is_behind(self.facts.rank(), &self.job.service),
@@ -319,7 +319,7 @@
         }
     }
 
-    fn note_reservation(&mut self, reservation: &place::Reservation) {
+    fn note_reservation(&mut self, reservation: &placement::Reservation) {
         self.tried.push(reservation.run.id.clone());
         self.new_object = reservation.new_object;
         self.ahead = reservation.ahead;
@@ -373,7 +373,7 @@
     }
 
     /// One more send while another is in flight. Both may run, so two attempts must remain.
-    fn hedge(&mut self) -> Option<(upstream::Payload, place::Reservation)> {
+    fn hedge(&mut self) -> Option<(upstream::Payload, placement::Reservation)> {
         if self.possible_runs + 2 > self.facts.route.attempts {
             return None;
         }
@@ -381,18 +381,18 @@
     }
 
     /// One more send after the previous one failed.
-    fn after_failure(&mut self) -> Option<(upstream::Payload, place::Reservation)> {
+    fn after_failure(&mut self) -> Option<(upstream::Payload, placement::Reservation)> {
         if self.possible_runs > 0 && !self.facts.route.idempotent {
             return None;
         }
         self.resend()
     }
 
-    fn resend(&mut self) -> Option<(upstream::Payload, place::Reservation)> {
+    fn resend(&mut self) -> Option<(upstream::Payload, placement::Reservation)> {
         if !self.is_still_allowed() {
             return None;
         }
-        let reservation = self.cx.place(&self.need()).ok()?;
+        let reservation = self.cx.reserve(&self.need()).ok()?;
         if !self.may_send() || !self.charge_resend() {
             return None;
         }
--- a/src/platform/decode.rs
+++ b/src/platform/decode.rs
@@ -4,7 +4,7 @@
 use std::time;
 
 use crate::decisions::policy;
-use crate::gateway::beliefs;
+use crate::gateway::cluster_state;
 use crate::id;
 use crate::protocol::{customers, routes};
 use crate::state::{backends, entries};
@@ -309,15 +309,15 @@
 }
 
 /// A crash from the rest of its key.
-pub fn crash(rest: &str) -> Option<beliefs::Crash> {
+pub fn crash(rest: &str) -> Option<cluster_state::Crash> {
     let (fingerprint, run) = rest.split_once('/')?;
-    Some(beliefs::Crash {
+    Some(cluster_state::Crash {
         fingerprint: u64::from_str_radix(fingerprint, 16).ok()?,
         run: run.to_owned(),
     })
 }
 
 /// The key of a crash.
-pub fn crash_key(crash: &beliefs::Crash) -> String {
+pub fn crash_key(crash: &cluster_state::Crash) -> String {
     format!("{}{:016x}/{}", names::CRASHES, crash.fingerprint, crash.run)
 }
--- a/src/platform/feed.rs
+++ b/src/platform/feed.rs
@@ -4,7 +4,7 @@
 use std::time;
 
 use crate::coordination::registration;
-use crate::gateway::{beliefs, mirror as following};
+use crate::gateway::{cluster_state, mirror as following};
 use crate::protocol::mirror;
 use crate::state::entries;
 use crate::{gateway, id};
@@ -58,29 +58,31 @@
             return self.entry(&vm.into(), value);
         }
         if let Some(crash) = key.strip_prefix(names::CRASHES).and_then(decode::crash) {
-            return Ok(self.cx.learn_crash(&crash, value.is_some()));
+            return Ok(self.cx.apply_crash_report(&crash, value.is_some()));
         }
         match value {
-            Some(value) if key == names::CONFIG => Ok(self.cx.learn_routes(decode::config(value)?)),
+            Some(value) if key == names::CONFIG => {
+                Ok(self.cx.update_routes(decode::config(value)?))
+            }
             _ => Ok(false),
         }
     }
 
     fn backend(&self, name: &id::VmId, value: Option<&[u8]>) -> Result<bool, decode::Error> {
         let Some(value) = value else {
-            self.cx.lose_backend(name);
+            self.cx.remove_backend(name);
             return Ok(true);
         };
         Ok(match decode::backend(value, self.cx.now()) {
-            Ok(listed) => self.cx.learn_backend(name, listed),
-            Err(err) => self.cx.disown_backend(name, &err),
+            Ok(listed) => self.cx.update_backend(name, listed),
+            Err(err) => self.cx.remove_unreadable_backend(name, &err),
         })
     }
 
     fn entry(&self, vm: &id::VmId, value: Option<&[u8]>) -> Result<bool, decode::Error> {
         match value {
-            Some(value) => Ok(self.cx.learn_entry(vm, decode::entry(value)?)),
-            None => Ok(self.cx.lose_entry(vm)),
+            Some(value) => Ok(self.cx.update_entry(vm, decode::entry(value)?)),
+            None => Ok(self.cx.remove_entry(vm)),
         }
     }
 }
@@ -175,7 +177,7 @@
     /// Keeps this VM registered while it is ready, until a planned stop.
     pub async fn keep(self) {
         let mut client = store::Client::new(self.settings.store);
-        let mut stop = self.cx.stopping();
+        let mut stop = self.cx.subscribe_stop();
         let mut held = None;
         while !self.cx.is_stopping() {
             held = self.round(&mut client, held).await;
@@ -186,7 +188,7 @@
             };
             tokio::select! {
                 () = tokio::time::sleep(pause) => {}
-                () = self.cx.came(), if held.is_none() => {}
+                () = self.cx.wait_for_data(), if held.is_none() => {}
                 _ = stop.changed() => {}
             }
         }
@@ -227,20 +229,20 @@
 
     /// Tells all entry VMs of the crashes seen here.
     async fn tell_crashes(&self, client: &mut store::Client) {
-        let untold = self.cx.untold_crashes();
+        let untold = self.cx.take_crash_reports();
         if untold.is_empty() {
             return;
         }
         if let Err(err) = self.write_crashes(client, &untold).await {
             slog::info!(self.cx.log, "crashes not told yet"; "crashes" => untold.len(), "error" => %err);
-            self.cx.keep_untold(untold);
+            self.cx.queue_crash_reports(untold);
         }
     }
 
     async fn write_crashes(
         &self,
         client: &mut store::Client,
-        crashes: &[beliefs::Crash],
+        crashes: &[cluster_state::Crash],
     ) -> Result<(), store::Error> {
         let lease = client.lease(CRASH_COUNTS).await?;
         let keys: Vec<String> = crashes.iter().map(decode::crash_key).collect();
@@ -268,7 +270,7 @@
     }
 
     fn lasts(&self) -> time::Duration {
-        registration::lease_ttl(self.cx.stands_by(), self.settings.dead_named)
+        registration::lease_ttl(self.cx.is_spare(), self.settings.dead_named)
     }
 
     async fn register(&self, client: &mut store::Client) -> Option<Held> {
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -59,7 +59,7 @@
     if let Some(addr) = settings.peers {
         task::spawn_local(mirror.clone().serve(bind(addr, "control")?));
     }
-    if let Some(addr) = settings.gateway.usage {
+    if let Some(addr) = settings.gateway.usage_addr {
         match bind_datagrams(addr) {
             Ok(socket) => drop(task::spawn_local(cx.clone().share_quotas(socket))),
             // The others then count on it as on one that they never heard.
@@ -78,7 +78,7 @@
     task::spawn_local(count(cx.clone()));
     until_told(&cx).await?;
     leave(&cx, registered).await;
-    slog::info!(log, "stop"; "in_hand" => cx.in_hand());
+    slog::info!(log, "stop"; "in_hand" => cx.requests_in_progress());
     Ok(())
 }
 
@@ -142,14 +142,14 @@
 /// Takes this VM out of use and ends once what is in hand has ended.
 async fn leave(cx: &gateway::Gateway, registered: task::JoinHandle<()>) {
     let begun = cx.now();
-    slog::info!(cx.log, "planned stop"; "in_hand" => cx.in_hand());
+    slog::info!(cx.log, "planned stop"; "in_hand" => cx.requests_in_progress());
     cx.stop();
     // A panic in it was logged by its own task; the lease then lapses.
     let _ = registered.await;
     let end = begun + cx.cfg.grace.saturating_sub(MARGIN);
     loop {
         tokio::time::sleep(time::Duration::from_millis(50)).await;
-        if cx.is_done() || cx.now() >= end {
+        if cx.is_drained() || cx.now() >= end {
             return;
         }
     }
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -142,9 +142,9 @@
             },
             names: names::FIELDS,
             resend,
-            shift_most: bound("shift_most", defaults.shift_most),
+            max_region_shift_share: bound("shift_most", defaults.max_region_shift_share),
             quota,
-            usage: Some(net::SocketAddr::new(front.ip(), file.port_range[1])),
+            usage_addr: Some(net::SocketAddr::new(front.ip(), file.port_range[1])),
             grace: time::Duration::from_secs_f64(grace),
             first_start: file.bootstrap,
             ..defaults
--- a/tests/gateway/at_most_once.rs
+++ b/tests/gateway/at_most_once.rs
@@ -82,7 +82,7 @@
             aim: time::Duration::from_millis(200),
             ..route("/read/", true)
         };
-        harness.cx.learn_routes(table(2, vec![quick]));
+        harness.cx.update_routes(table(2, vec![quick]));
         let answer = harness.caller().await.ask(&get("/read/a", "r1")).await;
         assert_eq!(answer.status, 503);
         assert_eq!(harness.runs("r1"), 0);
@@ -109,12 +109,12 @@
         assert!(
             harness
                 .cx
-                .learn_routes(table(5, vec![route("/new/", true)]))
+                .update_routes(table(5, vec![route("/new/", true)]))
         );
         assert!(
             !harness
                 .cx
-                .learn_routes(table(4, vec![route("/read/", true)]))
+                .update_routes(table(4, vec![route("/read/", true)]))
         );
         let mut caller = harness.caller().await;
         assert_eq!(caller.ask(&get("/new/a", "r1")).await.status, 200);
@@ -131,7 +131,7 @@
         let mut caller = harness.caller().await;
         let answer = caller.ask(&get("/read/a", "r1")).await;
         let first = answer.head.fields.text("x-proof").unwrap().to_owned();
-        harness.cx.lose_backend(&first.as_str().into());
+        harness.cx.remove_backend(&first.as_str().into());
         let answer = caller.ask(&get("/read/a", "r2")).await;
         assert_ne!(answer.head.fields.text("x-proof"), Some(first.as_str()));
     });
--- a/tests/gateway/customers.rs
+++ b/tests/gateway/customers.rs
@@ -1,6 +1,6 @@
 //! Callers' keys, their customers, and the regions where their requests may run.
 
-use bulrushwind::gateway::place;
+use bulrushwind::gateway::placement;
 use bulrushwind::id;
 use bulrushwind::protocol::{customers, routes};
 use bulrushwind::state::{backends, entries};
@@ -36,11 +36,11 @@
 /// A harness with a recent answer from the store, where `pilots` hold the keys `k1` and `k2`.
 async fn harness(script: &[Reaction]) -> Harness {
     let harness = Harness::new(2, script).await;
-    harness.cx.learn_routes(routes_for(
+    harness.cx.update_routes(routes_for(
         2,
         customer_list(&[(&customer("pilots"), &["k1", "k2"])]),
     ));
-    harness.cx.heard_store();
+    harness.cx.record_store_answer();
     harness
 }
 
@@ -111,7 +111,7 @@
     run_test(async || {
         let harness = Harness::new(2, &[]).await;
         let known = customer_list(&[(&customer("pilots"), &["k1"])]);
-        harness.cx.learn_routes(routes_for(2, known));
+        harness.cx.update_routes(routes_for(2, known));
         let mut caller = harness.caller().await;
         let keys = ["no", "k1", "k1"];
         let reads = keys.iter().enumerate().map(|(n, key)| {
@@ -190,12 +190,12 @@
     run_test(async || {
         let harness = Harness::new(1, &[]).await;
         let customers = customer_list(&[(&customer("pilots"), &["k1"])]);
-        harness.cx.learn_routes(routes_for(2, customers));
+        harness.cx.update_routes(routes_for(2, customers));
         let answer = ask(&harness, "x-key: new\r\n").await;
         assert_eq!(answer.0, 503);
         assert!(answer.1, "it says when to come back");
         assert_eq!(ask(&harness, "x-key: k1\r\n").await.0, 200);
-        harness.cx.heard_store();
+        harness.cx.record_store_answer();
         assert_eq!(ask(&harness, "x-key: new\r\n").await.0, 401);
     });
 }
@@ -222,7 +222,7 @@
             .await;
         harness.until("it arrives", |seen| seen.arrived == 1).await;
         let left = customer_list(&[(&customer("pilots"), &["k2"])]);
-        harness.cx.learn_routes(routes_for(3, left));
+        harness.cx.update_routes(routes_for(3, left));
         let mut other = harness.caller().await;
         let answer = other
             .ask(&with(&get("/read/b", "r2"), "x-key: k2\r\n"))
@@ -246,7 +246,7 @@
         harness.until("it arrives", |seen| seen.arrived == 1).await;
         let (pilots, herders) = (customer("pilots"), customer("herders"));
         let moved = customer_list(&[(&pilots, &["k2"]), (&herders, &["k1"])]);
-        harness.cx.learn_routes(routes_for(3, moved));
+        harness.cx.update_routes(routes_for(3, moved));
         let mut other = harness.caller().await;
         let answer = other
             .ask(&with(&get("/read/b", "r2"), "x-key: k2\r\n"))
@@ -264,18 +264,18 @@
 /// Finds a backend server for a request with these homes; returns whether it is in another region.
 fn find_remote(harness: &Harness, homes: routes::Homes<'_>) -> Option<bool> {
     let service = id::ServiceId::from("svc");
-    let need = place::Need {
+    let need = placement::Need {
         service: &service,
         key: Some(1),
         remote: false,
         homes,
         idempotent: true,
-        behind: false,
+        low_priority: false,
         tried: &[],
     };
     harness
         .cx
-        .place(&need)
+        .reserve(&need)
         .ok()
         .map(|reservation| reservation.remote)
 }
@@ -290,7 +290,7 @@
             az: "az-far".into(),
             ..harness.start_backend("far", None).await
         };
-        harness.cx.learn_backend(&"far".into(), far);
+        harness.cx.update_backend(&"far".into(), far);
         let (here, there, both) = (
             regions(&["region"]),
             regions(&["far"]),
@@ -323,7 +323,7 @@
         };
         harness
             .cx
-            .learn_routes(routes_for(2, customer_list(&[(&homed, &["k1"])])));
+            .update_routes(routes_for(2, customer_list(&[(&homed, &["k1"])])));
         assert_eq!(ask(&harness, "x-key: k1\r\n").await, (503, true));
         assert_eq!(harness.seen.borrow().arrived, 0);
     });
@@ -367,7 +367,7 @@
         };
         harness
             .cx
-            .learn_routes(routes_for(2, customer_list(&[(&limited, &["k1"])])));
+            .update_routes(routes_for(2, customer_list(&[(&limited, &["k1"])])));
         for (name, az) in [("vm-2", "az"), ("vm-3", "az-far"), ("vm-4", "az-far")] {
             let entry = entries::Entry {
                 front: "127.0.0.1:9".parse().unwrap(),
@@ -378,7 +378,7 @@
                 busy: false,
                 near_limits: Vec::new(),
             };
-            harness.cx.learn_entry(&name.into(), entry);
+            harness.cx.update_entry(&name.into(), entry);
         }
         let mut admitted = 0;
         for _ in 0..80 {
--- a/tests/gateway/harness.rs
+++ b/tests/gateway/harness.rs
@@ -158,7 +158,7 @@
         let listener = socket::listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let front = listener.local_addr().unwrap();
         task::spawn_local(front::accept(listener, cx.clone(), cx.clone()));
-        cx.learn_routes(table(
+        cx.update_routes(table(
             1,
             vec![route("/read/", true), route("/book/", false)],
         ));
@@ -171,7 +171,7 @@
             busy: false,
             near_limits: Vec::new(),
         };
-        cx.learn_entry(&"vm".into(), entry);
+        cx.update_entry(&"vm".into(), entry);
         let harness = Self {
             cx,
             front,
@@ -202,7 +202,7 @@
             cold_until: time::Duration::ZERO,
             start: start.map(id::Incarnation),
         };
-        self.cx.learn_backend(&name.into(), listed.clone());
+        self.cx.update_backend(&name.into(), listed.clone());
         let (seen, script, started) =
             (self.seen.clone(), self.script.clone(), self.started.clone());
         let name = name.to_owned();
--- a/tests/gateway/restart.rs
+++ b/tests/gateway/restart.rs
@@ -1,6 +1,6 @@
 //! Backend servers that restart under the same name.
 
-use bulrushwind::gateway::place;
+use bulrushwind::gateway::placement;
 use bulrushwind::id;
 use tokio::net::TcpListener;
 
@@ -43,7 +43,7 @@
         let nobody = TcpListener::bind("127.0.0.1:0").await.unwrap();
         listed.addr = nobody.local_addr().unwrap();
         drop(nobody);
-        harness.cx.learn_backend(&"i-0".into(), listed);
+        harness.cx.update_backend(&"i-0".into(), listed);
         let mut caller = harness.caller().await;
         for n in 0..2 {
             let answer = caller.ask(&post("/book/a", &format!("b{n}"), "x")).await;
@@ -62,7 +62,7 @@
         let harness = Harness::new(0, &[]).await;
         let before = harness.start_backend("i-0", Some(100)).await;
         let after = harness.start_backend("i-0", Some(200)).await;
-        assert!(!harness.cx.learn_backend(&"i-0".into(), before));
+        assert!(!harness.cx.update_backend(&"i-0".into(), before));
         let reservation = reserve(&harness);
         assert_eq!(reservation.addr, after.addr);
         assert_eq!(reservation.run.name, "i-0@c8");
@@ -78,7 +78,7 @@
         harness.start_backend("i-0", Some(100)).await;
         let old = reserve(&harness);
         harness.start_backend("i-0", Some(200)).await;
-        let reservations: Vec<place::Reservation> =
+        let reservations: Vec<placement::Reservation> =
             std::iter::from_fn(|| try_reserve(&harness)).collect();
         drop(old);
         assert!(try_reserve(&harness).is_none());
@@ -110,20 +110,20 @@
     });
 }
 
-fn reserve(harness: &Harness) -> place::Reservation {
+fn reserve(harness: &Harness) -> placement::Reservation {
     try_reserve(harness).unwrap()
 }
 
-fn try_reserve(harness: &Harness) -> Option<place::Reservation> {
+fn try_reserve(harness: &Harness) -> Option<placement::Reservation> {
     let service = id::ServiceId::from("svc");
-    let need = place::Need {
+    let need = placement::Need {
         service: &service,
         key: Some(1),
         remote: false,
         homes: bulrushwind::protocol::routes::Homes::default(),
         idempotent: true,
-        behind: false,
+        low_priority: false,
         tried: &[],
     };
-    harness.cx.place(&need).ok()
+    harness.cx.reserve(&need).ok()
 }
--- a/tests/gateway/stop.rs
+++ b/tests/gateway/stop.rs
@@ -42,6 +42,6 @@
         assert!(answer.head.fields.get("retry-after").is_some());
         assert!(caller.is_closed().await);
         assert_eq!(harness.seen.borrow().arrived, 0);
-        assert!(harness.cx.is_done());
+        assert!(harness.cx.is_drained());
     });
 }
--- a/tests/platform/entries.rs
+++ b/tests/platform/entries.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use bulrushwind::gateway::{self, mirror as following, place};
+use bulrushwind::gateway::{self, mirror as following, placement};
 use bulrushwind::id;
 use bulrushwind::logging;
 use bulrushwind::platform::feed;
@@ -26,16 +26,16 @@
         .filter(|other| *other != name)
         .map(id::VmId::from)
         .collect();
-    let need = place::Need {
+    let need = placement::Need {
         service: &service,
         key: None,
         remote: false,
         homes: bulrushwind::protocol::routes::Homes::default(),
         idempotent: true,
-        behind: false,
+        low_priority: false,
         tried: &others,
     };
-    cx.place(&need).is_ok()
+    cx.reserve(&need).is_ok()
 }
 
 async fn until(what: &str, holds: impl Fn() -> bool) {
