--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -1,20 +1,20 @@
-//! Which VMs there are: the platform's list, which lags, joined with what the links to peers show.
+//! Maintains the set of VMs from the platform's list, which lags, and the links to peers.
 //!
-//! The list says late that an entry VM died and late that it is leaving; the links show both at
-//! once, but only for the VMs that this process is linked to, and a link that broke may be our own
-//! fault. So [`View::vms`] takes the list and marks as leaving an entry VM that said so itself, or
-//! that was linked and has not been for [`LOST_AFTER`]. Otherwise look-ups would go on naming a
-//! dead entry VM until the list caught up, and callers would wait for their timeouts. When most
-//! links are lost the fault is more likely ours, and the list stands.
+//! The list reports the death or the stop of an entry VM late. A link shows both at once, but only
+//! for linked VMs, and a broken link may be this VM's own fault. So [`View::vms`] returns the list
+//! and marks an entry VM as leaving if it announced its stop or if its link has been down for
+//! [`LINK_LOST_TIMEOUT`]. Otherwise look-ups would name a dead entry VM until the list caught up,
+//! and callers would wait for their timeouts. If most links are down, the fault is more likely
+//! local, and the list stays as it is.
 //!
-//! A VM that starts anew has a larger incarnation, which ends what was said of the earlier one. A
-//! paused process loses its links and gets them back; one that returns after a partition does so
-//! as well. A list without a single row is taken for a fault of the platform and left out.
+//! A restarted VM has a larger incarnation, which voids announcements of earlier ones. A VM that
+//! was paused or partitioned reconnects its links. An empty list is ignored as a fault of the
+//! platform.
 //!
-//! Links cost memory and messages, so a process keeps few of them however large the fleet is:
-//! all of its availability zone while that is small, else [`FANOUT`] drawn by hash and the next by
-//! name, which joins all into one ring; and a few to each other availability zone, shared out
-//! over the VMs of our own once there are more than [`LINKS_PER_AZ`] of these.
+//! Links cost memory and messages, so a process keeps few of them regardless of the fleet's size.
+//! In its own availability zone it links to all entry VMs, or in a large zone to [`AZ_FANOUT`]
+//! chosen by hash plus the next one by name, which connects the zone as a ring. It also keeps a few
+//! links to each other zone; in a zone with more than [`LINKS_PER_REMOTE_AZ`] VMs only some do so.
 
 use std::collections;
 use std::hash::{Hash, Hasher};
@@ -24,23 +24,23 @@
 use crate::decisions::policy;
 use crate::id;
 
-/// An availability zone with up to so many entry VMs is linked in full.
-pub const FULL_AZ: usize = 12;
+/// The greatest number of entry VMs of an availability zone that all link to each other.
+pub const MAX_FULL_MESH_VMS: usize = 12;
 
-/// Links drawn inside a larger availability zone. Each is drawn by one side and used by both.
-pub const FANOUT: usize = 6;
+/// Links that each entry VM opens in a larger availability zone. Both ends use a link.
+pub const AZ_FANOUT: usize = 6;
 
-/// Entry VMs of ours that keep links to one other availability zone, and links of each.
-pub const LINKS_PER_AZ: usize = 2;
+/// How many entry VMs of an availability zone link to another zone, and how many links each opens.
+pub const LINKS_PER_REMOTE_AZ: usize = 2;
 
-/// How long a link may be gone before its VM is taken for lost: a restart of a process takes less,
-/// and a link that broke is dialled again several times meanwhile.
-pub const LOST_AFTER: time::Duration = time::Duration::from_secs(3);
+/// How long a link may be down before its VM counts as lost. A process restarts in less time, and a
+/// broken link is dialled again several times.
+pub const LINK_LOST_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
-/// What this process knows of the VMs.
+/// The VMs that this process knows.
 #[derive(Debug)]
 pub struct View {
-    own: id::VmId,
+    vm: id::VmId,
     az: id::AzId,
     rows: Vec<store::Vm>,
     hash: u64,
@@ -53,14 +53,14 @@
 struct Peer {
     incarnation: id::Incarnation,
     az: id::AzId,
-    lost: Option<policy::Moment>,
+    down_since: Option<policy::Moment>,
 }
 
 impl View {
-    /// The view of an entry VM that knows no other yet.
-    pub fn new(own: id::VmId, az: id::AzId) -> Self {
+    /// The view of an entry VM that knows no other VM yet.
+    pub fn new(vm: id::VmId, az: id::AzId) -> Self {
         Self {
-            own,
+            vm,
             az,
             rows: Vec::new(),
             hash: 0,
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Takes the platform's list. False: it is the one that we have, or none.
-    pub fn listed(&mut self, mut rows: Vec<store::Vm>) -> bool {
+    /// Replaces the platform's list. False: the list is unchanged or empty.
+    pub fn set_list(&mut self, mut rows: Vec<store::Vm>) -> bool {
         rows.sort_by(|a, b| a.id.cmp(&b.id));
         let hash = hash_of(&rows);
         if rows.is_empty() || hash == self.hash {
@@ -79,24 +79,24 @@
         }
         let listed: collections::BTreeSet<_> = rows.iter().map(|vm| &vm.id).collect();
         self.peers
-            .retain(|vm, peer| peer.lost.is_none() || listed.contains(vm));
+            .retain(|vm, peer| peer.down_since.is_none() || listed.contains(vm));
         self.leaving.retain(|vm, _| listed.contains(vm));
         self.rows = rows;
         self.hash = hash;
         true
     }
 
-    /// Takes the links as they are now. True: the view changed.
-    pub fn linked(&mut self, now: policy::Moment, links: &[peers::Linked]) -> bool {
+    /// Updates the open links. True: the set of lost VMs changed.
+    pub fn set_links(&mut self, now: policy::Moment, links: &[peers::Linked]) -> bool {
         for (vm, peer) in &mut self.peers {
             let open = links.iter().any(|link| link.vm == *vm);
-            peer.lost = (!open).then(|| peer.lost.unwrap_or(now));
+            peer.down_since = (!open).then(|| peer.down_since.unwrap_or(now));
         }
         for link in links {
             let peer = Peer {
                 incarnation: link.incarnation,
                 az: link.az.clone(),
-                lost: None,
+                down_since: None,
             };
             self.peers.insert(link.vm.clone(), peer);
             if self
@@ -107,14 +107,14 @@
                 self.leaving.remove(&link.vm);
             }
         }
-        let lost = self.lost(now);
+        let lost = self.lost_vms(now);
         let changed = lost != self.lost;
         self.lost = lost;
         changed
     }
 
-    /// An entry VM said that it stops. False: we knew, or it has started anew since.
-    pub fn left(&mut self, vm: &id::VmId, incarnation: id::Incarnation) -> bool {
+    /// Records a VM's announced stop. False: it is known, or the VM has restarted since.
+    pub fn mark_leaving(&mut self, vm: &id::VmId, incarnation: id::Incarnation) -> bool {
         let restarted = self
             .peers
             .get(vm)
@@ -122,17 +122,17 @@
         !restarted && self.leaving.insert(vm.clone(), incarnation) != Some(incarnation)
     }
 
-    /// A hash of the platform's list, to see whether another process has the same. 0: none yet.
+    /// A hash of the platform's list, to compare with other processes. 0: no list yet.
     pub fn list_hash(&self) -> u64 {
         self.hash
     }
 
-    /// The platform's list as it came.
+    /// The platform's list, unchanged.
     pub fn list(&self) -> &[store::Vm] {
         &self.rows
     }
 
-    /// The list, with the entry VMs marked as leaving that are lost or said that they leave.
+    /// The list, with entry VMs marked as leaving if they are lost or announced their stop.
     pub fn vms(&self) -> Vec<store::Vm> {
         let mut rows = self.rows.clone();
         for row in &mut rows {
@@ -144,19 +144,19 @@
         rows
     }
 
-    /// The entry VMs to keep links to.
+    /// The entry VMs that this VM should link to.
     pub fn targets(&self) -> Vec<peers::Target> {
         let mut wanted = collections::BTreeSet::new();
-        let azs = self.azs();
-        let none = Vec::new();
-        let own = azs.get(&self.az).unwrap_or(&none);
-        wanted.extend(self.inside(own));
+        let azs = self.entries_by_az();
+        let empty = Vec::new();
+        let local_vms = azs.get(&self.az).unwrap_or(&empty);
+        wanted.extend(self.targets_in_az(local_vms));
         for (az, vms) in &azs {
-            if *az != self.az && self.links_to(az, own) {
-                wanted.extend(draw(self.own.as_str(), vms, LINKS_PER_AZ));
+            if *az != self.az && self.links_to_az(az, local_vms) {
+                wanted.extend(select_by_hash(self.vm.as_str(), vms, LINKS_PER_REMOTE_AZ));
             }
         }
-        wanted.remove(&self.own);
+        wanted.remove(&self.vm);
         self.rows
             .iter()
             .filter(|row| wanted.contains(&row.id))
@@ -164,33 +164,33 @@
             .collect()
     }
 
-    /// Whether messages inside the availability zone have to be passed on: not all are linked.
-    pub fn relays(&self) -> bool {
-        self.own_az().count() > FULL_AZ
+    /// Whether messages are forwarded inside the availability zone: not all VMs are linked.
+    pub fn needs_relay(&self) -> bool {
+        self.local_entries().count() > MAX_FULL_MESH_VMS
     }
 
-    /// Entry VMs on the list, ourselves too.
-    pub fn entries(&self) -> usize {
+    /// The number of entry VMs on the list, including this one.
+    pub fn entry_count(&self) -> usize {
         self.rows.iter().filter(|row| is_entry(row)).count()
     }
 
-    /// Whether our availability zone has other entry VMs on the list and none of them is linked.
-    pub fn is_alone(&self) -> bool {
-        let others = self.own_az().filter(|row| row.id != self.own).count();
+    /// Whether the list has other entry VMs in this availability zone but none is linked.
+    pub fn is_isolated(&self) -> bool {
+        let others = self.local_entries().filter(|row| row.id != self.vm).count();
         let linked = self
             .peers
             .values()
-            .any(|p| p.lost.is_none() && p.az == self.az);
+            .any(|p| p.down_since.is_none() && p.az == self.az);
         others > 0 && !linked
     }
 
-    fn own_az(&self) -> impl Iterator<Item = &store::Vm> {
+    fn local_entries(&self) -> impl Iterator<Item = &store::Vm> {
         self.rows
             .iter()
             .filter(|row| is_entry(row) && row.az == self.az)
     }
 
-    fn azs(&self) -> collections::BTreeMap<id::AzId, Vec<id::VmId>> {
+    fn entries_by_az(&self) -> collections::BTreeMap<id::AzId, Vec<id::VmId>> {
         let mut azs = collections::BTreeMap::<_, Vec<_>>::new();
         for row in self.rows.iter().filter(|row| is_entry(row)) {
             azs.entry(row.az.clone()).or_default().push(row.id.clone());
@@ -198,27 +198,31 @@
         azs
     }
 
-    fn inside(&self, own: &[id::VmId]) -> Vec<id::VmId> {
-        if own.len() <= FULL_AZ {
-            return own.to_vec();
+    fn targets_in_az(&self, local_vms: &[id::VmId]) -> Vec<id::VmId> {
+        if local_vms.len() <= MAX_FULL_MESH_VMS {
+            return local_vms.to_vec();
         }
-        let mut wanted = draw(self.own.as_str(), own, FANOUT);
-        let next = own.iter().find(|vm| **vm > self.own);
-        wanted.extend(next.or(own.first()).cloned());
+        let mut wanted = select_by_hash(self.vm.as_str(), local_vms, AZ_FANOUT);
+        let next = local_vms.iter().find(|vm| **vm > self.vm);
+        wanted.extend(next.or(local_vms.first()).cloned());
         wanted
     }
 
-    /// Whether this VM is one of those that link our availability zone to another.
-    fn links_to(&self, az: &id::AzId, own: &[id::VmId]) -> bool {
-        own.len() <= LINKS_PER_AZ || draw(az.as_str(), own, LINKS_PER_AZ).contains(&self.own)
+    /// Whether this VM is one of those that link its availability zone to another.
+    fn links_to_az(&self, az: &id::AzId, local_vms: &[id::VmId]) -> bool {
+        local_vms.len() <= LINKS_PER_REMOTE_AZ
+            || select_by_hash(az.as_str(), local_vms, LINKS_PER_REMOTE_AZ).contains(&self.vm)
     }
 
-    /// Entry VMs whose links are gone for long, unless most are.
-    fn lost(&self, now: policy::Moment) -> collections::BTreeSet<id::VmId> {
+    /// Entry VMs whose links have been down for [`LINK_LOST_TIMEOUT`]; none if most links are down.
+    fn lost_vms(&self, now: policy::Moment) -> collections::BTreeSet<id::VmId> {
         let lost: collections::BTreeSet<_> = self
             .peers
             .iter()
-            .filter(|(_, peer)| peer.lost.is_some_and(|at| now >= at + LOST_AFTER))
+            .filter(|(_, peer)| {
+                peer.down_since
+                    .is_some_and(|at| now >= at + LINK_LOST_TIMEOUT)
+            })
             .map(|(vm, _)| vm.clone())
             .collect();
         if 2 * lost.len() > self.peers.len() {
@@ -234,7 +238,7 @@
 
 fn target(vm: &store::Vm) -> Option<peers::Target> {
     match vm.role {
-        // Port 0: it listens for no peers.
+        // Port 0: the VM does not listen for peers.
         store::VmRole::Entry { peers } if peers.port() != 0 => Some(peers::Target {
             vm: Some(vm.id.clone()),
             addr: peers,
@@ -243,16 +247,16 @@
     }
 }
 
-/// Draws `count` VMs by a hash with `salt`: each caller draws its own, and the same ones again
-/// when others come and go.
-fn draw(salt: &str, vms: &[id::VmId], count: usize) -> Vec<id::VmId> {
+/// Selects `count` VMs by rendezvous hashing with `salt`: each salt selects other VMs, and a
+/// selection changes little when VMs join or leave.
+fn select_by_hash(salt: &str, vms: &[id::VmId], count: usize) -> Vec<id::VmId> {
     let mut ranked: Vec<_> = vms.iter().filter(|vm| vm.as_str() != salt).collect();
     ranked.sort_by_key(|vm| hash_of(&(salt, vm.as_str())));
     ranked.truncate(count);
     ranked.into_iter().cloned().collect()
 }
 
-/// The same in every process of one version: the keys of this hasher are fixed.
+/// Equal in all processes of one version, because this hasher has fixed keys.
 fn hash_of<T: Hash>(value: &T) -> u64 {
     let mut hasher = collections::hash_map::DefaultHasher::new();
     value.hash(&mut hasher);
@@ -286,7 +290,7 @@
 
     fn view(rows: Vec<store::Vm>) -> View {
         let mut view = View::new(name(0, 0), "az-0".into());
-        view.listed(rows);
+        view.set_list(rows);
         view
     }
 
@@ -303,10 +307,10 @@
         rows.iter().find(|row| row.id == *vm).unwrap().state
     }
 
-    /// The fleet grows to thousands of VMs. If each kept links to all, heartbeats and memory
-    /// would grow with the fleet until control took more than the callers' requests.
+    /// The fleet grows to thousands of VMs. If each linked to all others, heartbeats and memory
+    /// would grow with the fleet and exceed the cost of the callers' requests.
     #[test]
-    fn links_stay_few_and_join_all_as_the_fleet_grows() {
+    fn links_stay_few_and_connect_a_growing_fleet() {
         assert_eq!(view(fleet(6, 2)).targets().len(), 11, "12 VMs: all");
         for (azs, per_az) in [(10, 20), (14, 40)] {
             let rows = fleet(azs, per_az);
@@ -314,7 +318,7 @@
             let mut graph = collections::BTreeMap::<id::VmId, Vec<id::VmId>>::new();
             for row in &rows {
                 let mut view = View::new(row.id.clone(), row.az.clone());
-                view.listed(rows.clone());
+                view.set_list(rows.clone());
                 for target in view.targets() {
                     let vm = target.vm.unwrap();
                     *degree.entry(vm.clone()).or_default() += 1;
@@ -333,55 +337,58 @@
                     }
                 }
             }
-            assert_eq!(seen.len(), rows.len(), "all are joined");
+            assert_eq!(seen.len(), rows.len(), "all are connected");
         }
     }
 
-    /// An entry VM dies and the platform's list still has it as live. Look-ups that go on naming
-    /// it send callers into a timeout.
+    /// An entry VM dies while the platform's list still has it as live. Look-ups that still name it
+    /// make callers wait for a timeout.
     #[test]
-    fn a_dead_entry_vm_is_marked_before_the_list_says_so() {
+    fn a_dead_entry_vm_is_marked_before_the_list_shows_it() {
         let mut view = view(fleet(1, 4));
         let at = policy::Moment::from_secs;
-        view.linked(at(1), &[link(1, 1), link(2, 1), link(3, 1)]);
-        assert!(!view.linked(at(2), &[link(2, 1), link(3, 1)]));
+        view.set_links(at(1), &[link(1, 1), link(2, 1), link(3, 1)]);
+        assert!(!view.set_links(at(2), &[link(2, 1), link(3, 1)]));
         assert_eq!(state(&view, &name(0, 1)), store::VmState::Live);
-        assert!(view.linked(at(6), &[link(2, 1), link(3, 1)]));
+        assert!(view.set_links(at(6), &[link(2, 1), link(3, 1)]));
         assert_eq!(state(&view, &name(0, 1)), store::VmState::Leaving);
-        view.linked(at(7), &[link(1, 2), link(2, 1), link(3, 1)]);
+        view.set_links(at(7), &[link(1, 2), link(2, 1), link(3, 1)]);
         assert_eq!(state(&view, &name(0, 1)), store::VmState::Live);
     }
 
-    /// This VM loses its own way to the peers. If it took all others for dead, its look-ups would
-    /// name itself alone, and every caller of its region would come to it.
+    /// This VM loses all its links. If it counted the peers as dead, its look-ups would name only
+    /// itself, and every caller of its region would connect to it.
     #[test]
-    fn a_vm_that_is_cut_off_believes_the_list() {
+    fn a_vm_without_links_keeps_the_list() {
         let mut view = view(fleet(1, 4));
         let at = policy::Moment::from_secs;
-        view.linked(at(1), &[link(1, 1), link(2, 1), link(3, 1)]);
-        view.linked(at(2), &[]);
+        view.set_links(at(1), &[link(1, 1), link(2, 1), link(3, 1)]);
+        view.set_links(at(2), &[]);
         assert_eq!(state(&view, &name(0, 1)), store::VmState::Live);
     }
 
-    /// An entry VM stops as planned and is started again under the same address. Peers that kept
-    /// the word of the earlier process would never use it again.
+    /// An entry VM stops as planned and restarts under the same address. Peers that apply the old
+    /// announcement to the new process would never use it again.
     #[test]
-    fn a_restart_ends_the_word_that_it_leaves() {
+    fn a_restart_voids_an_announced_stop() {
         let mut view = view(fleet(1, 4));
         let at = policy::Moment::from_secs;
-        view.linked(at(1), &[link(1, 1), link(2, 1)]);
-        assert!(view.left(&name(0, 1), id::Incarnation(1)));
+        view.set_links(at(1), &[link(1, 1), link(2, 1)]);
+        assert!(view.mark_leaving(&name(0, 1), id::Incarnation(1)));
         assert_eq!(state(&view, &name(0, 1)), store::VmState::Leaving);
-        view.linked(at(2), &[link(1, 2), link(2, 1)]);
+        view.set_links(at(2), &[link(1, 2), link(2, 1)]);
         assert_eq!(state(&view, &name(0, 1)), store::VmState::Live);
-        assert!(!view.left(&name(0, 1), id::Incarnation(1)), "late word");
+        assert!(
+            !view.mark_leaving(&name(0, 1), id::Incarnation(1)),
+            "late announcement"
+        );
     }
 
-    /// The platform answers with no VMs at all. Taken at its word, no caller would be served.
+    /// The platform returns an empty list. If it were applied, no caller would be served.
     #[test]
-    fn an_empty_list_is_not_believed() {
+    fn an_empty_list_is_ignored() {
         let mut view = view(fleet(1, 4));
-        assert!(!view.listed(Vec::new()));
+        assert!(!view.set_list(Vec::new()));
         assert_eq!(view.list().len(), 4);
     }
 }
--- a/src/gateway/facts.rs
+++ b/src/gateway/facts.rs
@@ -1,4 +1,4 @@
-//! What a request's head says, held against the routes in force, and answers of our own.
+//! Matches a request's head with the routes in force, and builds the gateway's own answers.
 
 use std::rc;
 use std::time;
@@ -11,81 +11,79 @@
 use crate::protocol::{customers, http1, names, routes};
 use crate::transport::{callers, upstream};
 
-/// The longest time that a caller who names none is taken to wait.
-const NO_TIMEOUT: time::Duration = time::Duration::from_secs(30);
+/// Timeout of callers that state none.
+const DEFAULT_CALLER_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-/// When a caller may come back whom this VM no longer takes: at once, to another.
-const ELSEWHERE: time::Duration = time::Duration::from_millis(20);
+/// Retry delay during a planned stop: the caller can connect to another VM at once.
+const STOPPING_RETRY_DELAY: time::Duration = time::Duration::from_millis(20);
 
-/// When a caller may come back to a VM that knows no routes yet. In another region than the store a
-/// start takes three round trips, and a list through a small window. Callers who come back too early have
-/// no further try.
-const UNREADY: time::Duration = time::Duration::from_millis(700);
+/// Retry delay until the first routes are known. In a region without the store, a start takes three
+/// round trips and the transfer of a list through a small TCP window. A caller that returns too
+/// early has no attempt left.
+const NOT_READY_RETRY_DELAY: time::Duration = time::Duration::from_millis(700);
 
-/// How old what is known may be for a key that is not known to be wrong. One that was just given out
-/// is unknown to a VM that the store does not serve: told that it is wrong, its caller would not ask
-/// again, though another VM knows it.
-const KEYS_FRESH: time::Duration = time::Duration::from_millis(2500);
+/// Maximum age of the store's last answer for an unknown key to be rejected. A VM that the store
+/// does not serve lacks newly issued keys: after a rejection the caller would not retry, although
+/// another VM knows its key.
+const KEY_REJECTION_MAX_STORE_AGE: time::Duration = time::Duration::from_millis(2500);
 
-/// Why nobody is known to ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Nobody {
+enum Unidentified {
     NoKey,
     TwoKeys,
-    NotAKey,
-    Unknown,
+    InvalidKey,
+    UnknownKey,
 }
 
-impl Nobody {
+impl Unidentified {
     fn as_str(self) -> &'static str {
         match self {
             Self::NoKey => "no key",
             Self::TwoKeys => "more than one key",
-            Self::NotAKey => "the key is empty or too long",
-            Self::Unknown => "no customer has the key",
+            Self::InvalidKey => "the key is empty or too long",
+            Self::UnknownKey => "no customer has the key",
         }
     }
 }
 
-/// The digest of a request's key.
-fn key_of(fields: &http1::Fields, name: &str) -> Result<customers::KeyDigest, Nobody> {
+/// The digest of the request's only key; an error unless there is exactly one valid key.
+fn key_of(fields: &http1::Fields, name: &str) -> Result<customers::KeyDigest, Unidentified> {
     let mut keys = fields
         .iter()
         .filter(|(field, _)| field.eq_ignore_ascii_case(name.as_bytes()))
         .map(|(_, value)| value.trim_ascii());
-    let (key, second) = (keys.next().ok_or(Nobody::NoKey)?, keys.next());
+    let (key, second) = (keys.next().ok_or(Unidentified::NoKey)?, keys.next());
     if second.is_some() {
-        return Err(Nobody::TwoKeys);
+        return Err(Unidentified::TwoKeys);
     }
     if key.is_empty() || key.len() > customers::LONGEST_KEY {
-        return Err(Nobody::NotAKey);
+        return Err(Unidentified::InvalidKey);
     }
     Ok(customers::KeyDigest::of(key))
 }
 
-/// Who asks, and by which key.
+/// The customer that sent a request, and the digest of its key.
 #[derive(Clone, Debug)]
-pub(super) struct Asker {
+pub(super) struct KeyHolder {
     pub(super) customer: rc::Rc<customers::Customer>,
     key: customers::KeyDigest,
 }
 
-/// What a request's head and the routes in force say.
+/// The data of a request's head and of its route.
 #[derive(Debug)]
 pub(super) struct Facts {
     pub(super) table: rc::Rc<routes::Table>,
     pub(super) route: rc::Rc<routes::Route>,
-    /// Who asks; `None` where the route serves everybody.
-    pub(super) asker: Option<Asker>,
+    /// The customer that sent the request; `None` on routes that need no key.
+    pub(super) key_holder: Option<KeyHolder>,
     pub(super) key: Option<u64>,
     pub(super) id: Bytes,
     pub(super) received: policy::Moment,
-    /// When the caller, or the route, gives up.
+    /// When the caller or the route times out.
     pub(super) deadline: policy::Moment,
 }
 
 impl Facts {
-    /// Where the request may run.
     pub(super) fn homes(&self) -> routes::Homes<'_> {
         routes::Homes {
             route: &self.route.regions,
@@ -93,24 +91,25 @@
         }
     }
 
-    /// Its rank; 0 goes first.
+    /// The request's priority rank; 0 is the most urgent.
     pub(super) fn rank(&self) -> u32 {
         self.route.rank(self.customer())
     }
 
-    /// The customer who asks, where one must be known.
+    /// The customer that sent the request; `None` on routes that need no key.
     pub(super) fn customer(&self) -> Option<&customers::Customer> {
-        self.asker.as_ref().map(|asker| &*asker.customer)
+        self.key_holder
+            .as_ref()
+            .map(|key_holder| &*key_holder.customer)
     }
 
-    /// The customer's name, for logs.
     pub(super) fn customer_name(&self) -> &str {
         self.customer().map_or("", |c| c.name.as_str())
     }
 }
 
 impl Gateway {
-    /// Where a request with these homes may run, seen from this VM's region.
+    /// Where a request with these homes may run, relative to this VM's region.
     pub(super) fn reach(&self, homes: &routes::Homes<'_>) -> regions::Reach {
         if homes.are_open() {
             return regions::Reach::Anywhere;
@@ -124,12 +123,12 @@
         }
     }
 
-    /// Reads a request's head; an error is the answer that it gets.
+    /// Reads a request's head. An error is the answer to a request that is refused.
     pub(super) fn facts(&self, req: &callers::Request) -> Result<Facts, callers::Answer> {
         let fields = &req.head.fields;
         let received = self.moment(req.received);
         let id = fields.get(self.cfg.names.id).map(Bytes::copy_from_slice);
-        let refuse = |status| Err(self.own_answer(status, id.as_deref()));
+        let refuse = |status| Err(self.gateway_answer(status, id.as_deref()));
         let (Some(host), Some(id)) = (fields.text("host"), id.clone()) else {
             return refuse(400);
         };
@@ -137,26 +136,26 @@
             return refuse(400);
         }
         if self.is_closed() {
-            return Err(self.not_here(&id, ELSEWHERE, "planned stop"));
+            return Err(self.refuse_temporarily(&id, STOPPING_RETRY_DELAY, "planned stop"));
         }
         let Some(table) = self.table() else {
-            return Err(self.not_here(&id, UNREADY, "no routes yet"));
+            return Err(self.refuse_temporarily(&id, NOT_READY_RETRY_DELAY, "no routes yet"));
         };
         let Some(route) = table.select(host, req.head.path()) else {
             slog::trace!(self.log, "no route"; "request" => %String::from_utf8_lossy(&id), "host" => host, "path" => req.head.path(), "version" => table.version);
             return refuse(404);
         };
-        let asker = match self.asker(&table, route, fields) {
-            Ok(asker) => asker,
-            Err(why) => return Err(self.turn_away(&id, why)),
+        let key_holder = match self.key_holder(&table, route, fields) {
+            Ok(key_holder) => key_holder,
+            Err(why) => return Err(self.refuse_unidentified(&id, why)),
         };
         let stated = fields.text(self.cfg.names.timeout_ms);
-        let patience = match stated.map(str::parse::<f64>) {
+        let timeout = match stated.map(str::parse::<f64>) {
             Some(Ok(ms)) if ms >= 0.0 && ms.is_finite() => {
                 time::Duration::from_secs_f64((ms / 1000.0).min(3600.0))
             }
             Some(_) => return refuse(400),
-            None => NO_TIMEOUT,
+            None => DEFAULT_CALLER_TIMEOUT,
         };
         let object = fields
             .text("cookie")
@@ -171,57 +170,66 @@
             key,
             id,
             received,
-            deadline: received + patience.min(route.timeout),
+            deadline: received + timeout.min(route.timeout),
             route: route.clone(),
-            asker,
+            key_holder,
             table,
         })
     }
 
-    /// Who asks, by the key that the request carries.
-    fn asker(
+    /// Identifies the customer by the request's key; `None` on routes that need no key.
+    fn key_holder(
         &self,
         table: &routes::Table,
         route: &routes::Route,
         fields: &http1::Fields,
-    ) -> Result<Option<Asker>, Nobody> {
+    ) -> Result<Option<KeyHolder>, Unidentified> {
         if !table.needs_key(route) {
             return Ok(None);
         }
         let key = key_of(fields, self.cfg.names.key)?;
-        let customer = table.customers.holder(key).ok_or(Nobody::Unknown)?;
-        Ok(Some(Asker {
+        let customer = table
+            .customers
+            .holder(key)
+            .ok_or(Unidentified::UnknownKey)?;
+        Ok(Some(KeyHolder {
             customer: customer.clone(),
             key,
         }))
     }
 
-    /// Answers a request of nobody that is known.
-    fn turn_away(&self, id: &[u8], why: Nobody) -> callers::Answer {
-        let fresh = self.store_age().is_some_and(|age| age <= KEYS_FRESH);
-        if why == Nobody::Unknown && !fresh {
-            return self.not_here(id, UNREADY, "the key may be newer than what is known here");
+    /// Refuses a request whose customer is not known.
+    fn refuse_unidentified(&self, id: &[u8], why: Unidentified) -> callers::Answer {
+        let is_recent = self
+            .store_age()
+            .is_some_and(|age| age <= KEY_REJECTION_MAX_STORE_AGE);
+        if why == Unidentified::UnknownKey && !is_recent {
+            return self.refuse_temporarily(
+                id,
+                NOT_READY_RETRY_DELAY,
+                "the key may be newer than what is known here",
+            );
         }
         self.record_turned_away(id, why.as_str());
-        self.own_answer(401, Some(id))
+        self.gateway_answer(401, Some(id))
     }
 
-    /// Who asks by the configuration in force now; an error where the key was taken away meanwhile.
-    pub(super) fn still(&self, facts: &Facts) -> Result<Option<Asker>, ()> {
-        let (Some(asker), Some(table)) = (&facts.asker, self.table()) else {
-            return Ok(facts.asker.clone());
+    /// The customer that holds the request's key now; an error if the key was revoked meanwhile.
+    pub(super) fn current_key_holder(&self, facts: &Facts) -> Result<Option<KeyHolder>, ()> {
+        let (Some(key_holder), Some(table)) = (&facts.key_holder, self.table()) else {
+            return Ok(facts.key_holder.clone());
         };
         if table.version == facts.table.version {
-            return Ok(Some(asker.clone()));
+            return Ok(Some(key_holder.clone()));
         }
-        let customer = table.customers.holder(asker.key).ok_or(())?.clone();
-        Ok(Some(Asker {
+        let customer = table.customers.holder(key_holder.key).ok_or(())?.clone();
+        Ok(Some(KeyHolder {
             customer,
-            ..asker.clone()
+            ..key_holder.clone()
         }))
     }
 
-    /// The service that serves a request.
+    /// The service that serves a request, chosen by the weights of the route's parts.
     pub(super) fn service_for(&self, facts: &Facts) -> id::ServiceId {
         let parts = &facts.route.parts;
         if let [only] = parts.as_slice() {
@@ -234,19 +242,24 @@
         parts[split.pick(&weights, point)].service.clone()
     }
 
-    /// This VM cannot take the request just now; another may.
-    pub(super) fn not_here(&self, id: &[u8], after: time::Duration, why: &str) -> callers::Answer {
-        if let Some(left_out) = self.lines.admit("not here", self.now()) {
+    /// Refuses a request that this VM cannot serve now but another VM may.
+    pub(super) fn refuse_temporarily(
+        &self,
+        id: &[u8],
+        after: time::Duration,
+        why: &str,
+    ) -> callers::Answer {
+        if let Some(left_out) = self.log_limiter.admit("not here", self.now()) {
             slog::info!(self.log, "refused"; "request" => %String::from_utf8_lossy(id), "why" => why, "left_out" => left_out);
         }
-        let mut answer = self.own_answer(503, Some(id));
+        let mut answer = self.gateway_answer(503, Some(id));
         answer.close = true;
         put_retry_after(&mut answer.fields, after);
         answer
     }
 
-    /// An answer of our own.
-    pub(super) fn own_answer(&self, status: u16, id: Option<&[u8]>) -> callers::Answer {
+    /// An answer with a status and no body, made by the gateway itself.
+    pub(super) fn gateway_answer(&self, status: u16, id: Option<&[u8]>) -> callers::Answer {
         let mut answer = callers::Answer::bare(status);
         if let Some(id) = id {
             http1::put_field(&mut answer.fields, self.cfg.names.id.as_bytes(), id);
@@ -255,7 +268,7 @@
     }
 }
 
-/// What is the same in requests that are sent again: target, object and body.
+/// A hash of target, host, cookie and body, which are the same when a request is sent again.
 pub(super) fn fingerprint(req: &callers::Request) -> u64 {
     let head = affinity::hash(req.head.target().as_bytes());
     let host = affinity::hash(req.head.fields.get("host").unwrap_or_default());
@@ -267,7 +280,7 @@
     [host, object, body].into_iter().fold(head, affinity::mix)
 }
 
-/// Tells a refused caller when to come back.
+/// Adds the header that states when a refused caller may retry.
 pub(super) fn put_retry_after(fields: &mut BytesMut, after: time::Duration) {
     let text = format!("{:.3}", after.as_secs_f64());
     http1::put_field(fields, b"Retry-After", text.as_bytes());
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -1,4 +1,4 @@
-//! Where callers' requests come in.
+//! Accepts callers' connections.
 
 use std::io;
 
@@ -20,25 +20,25 @@
     }
 }
 
-/// Takes connections and serves them until the process ends.
+/// Accepts connections and serves them until the process ends.
 pub async fn accept<H: callers::Handler>(listener: TcpListener, handler: H, cx: Gateway) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                task::spawn_local(callers::serve(stream, handler.clone(), cx.stopping()));
+                task::spawn_local(callers::serve(stream, handler.clone(), cx.subscribe_stop()));
             }
             Err(err) => {
                 slog::warn!(cx.log, "cannot accept a connection"; "error" => %err);
-                rest(&err).await;
+                pause_after_error(&err).await;
             }
         }
     }
 }
 
-/// Without descriptors, accepting again at once would fail again at once.
-async fn rest(err: &io::Error) {
-    const REST: std::time::Duration = std::time::Duration::from_millis(20);
+/// Pauses after an error: without free file descriptors an immediate retry would fail too.
+async fn pause_after_error(err: &io::Error) {
+    const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(20);
     if err.kind() != io::ErrorKind::ConnectionAborted {
-        tokio::time::sleep(REST).await;
+        tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
     }
 }
--- a/src/platform/decode.rs
+++ b/src/platform/decode.rs
@@ -5,7 +5,7 @@
 use std::time;
 
 use crate::decisions::policy;
-use crate::gateway::beliefs;
+use crate::gateway::cluster_state;
 use crate::id;
 use crate::protocol::{customers, routes};
 use crate::state::{backends, entries};
@@ -312,16 +312,16 @@
 }
 
 /// Decodes a crash record from its key without the prefix; `None` if malformed.
-pub fn crash(key_suffix: &str) -> Option<beliefs::Crash> {
+pub fn crash(key_suffix: &str) -> Option<cluster_state::Crash> {
     let (fingerprint, run) = key_suffix.split_once('/')?;
-    Some(beliefs::Crash {
+    Some(cluster_state::Crash {
         fingerprint: u64::from_str_radix(fingerprint, 16).ok()?,
         run: run.to_owned(),
     })
 }
 
 /// Returns the store key of a crash record.
-pub fn crash_key(crash: &beliefs::Crash) -> String {
+pub fn crash_key(crash: &cluster_state::Crash) -> String {
     format!(
         "{}{:016x}/{}",
         names::CRASH_PREFIX,
--- a/src/platform/feed.rs
+++ b/src/platform/feed.rs
@@ -5,7 +5,7 @@
 use std::time;
 
 use crate::coordination::registration;
-use crate::gateway::{beliefs, mirror as store_mirror};
+use crate::gateway::{cluster_state, mirror as store_mirror};
 use crate::protocol::mirror;
 use crate::state::entries;
 use crate::{gateway, id};
@@ -66,11 +66,11 @@
             .strip_prefix(names::CRASH_PREFIX)
             .and_then(decode::crash)
         {
-            return Ok(self.cx.learn_crash(&crash, value.is_some()));
+            return Ok(self.cx.apply_crash_report(&crash, value.is_some()));
         }
         match value {
             Some(value) if key == names::CONFIG_KEY => {
-                Ok(self.cx.learn_routes(decode::config(value)?))
+                Ok(self.cx.update_routes(decode::config(value)?))
             }
             _ => Ok(false),
         }
@@ -78,19 +78,19 @@
 
     fn backend(&self, name: &id::VmId, value: Option<&[u8]>) -> Result<bool, decode::Error> {
         let Some(value) = value else {
-            self.cx.lose_backend(name);
+            self.cx.remove_backend(name);
             return Ok(true);
         };
         Ok(match decode::backend(value, self.cx.now()) {
-            Ok(listed) => self.cx.learn_backend(name, listed),
-            Err(err) => self.cx.disown_backend(name, &err),
+            Ok(listed) => self.cx.update_backend(name, listed),
+            Err(err) => self.cx.remove_unreadable_backend(name, &err),
         })
     }
 
     fn entry(&self, vm: &id::VmId, value: Option<&[u8]>) -> Result<bool, decode::Error> {
         match value {
-            Some(value) => Ok(self.cx.learn_entry(vm, decode::entry(value)?)),
-            None => Ok(self.cx.lose_entry(vm)),
+            Some(value) => Ok(self.cx.update_entry(vm, decode::entry(value)?)),
+            None => Ok(self.cx.remove_entry(vm)),
         }
     }
 }
@@ -190,18 +190,18 @@
     /// Registers this VM once it is ready, and ends the registration on a planned stop.
     pub async fn maintain(self) {
         let mut client = store::Client::new(self.settings.store);
-        let mut stop = self.cx.stopping();
+        let mut stop = self.cx.subscribe_stop();
         let mut active = None;
         while !self.cx.is_stopping() {
             active = self.renew_or_register(&mut client, active).await;
             self.publish_crashes(&mut client).await;
             let pause = match &active {
-                Some(active) => registration::renewal(active.ttl),
+                Some(active) => registration::renewal_interval(active.ttl),
                 None => RETRY_DELAY,
             };
             tokio::select! {
                 () = tokio::time::sleep(pause) => {}
-                () = self.cx.came(), if active.is_none() => {}
+                () = self.cx.wait_for_data(), if active.is_none() => {}
                 _ = stop.changed() => {}
             }
         }
@@ -253,20 +253,20 @@
 
     /// Publishes the crashes that this VM has observed to all entry VMs.
     async fn publish_crashes(&self, client: &mut store::Client) {
-        let pending = self.cx.untold_crashes();
+        let pending = self.cx.take_crash_reports();
         if pending.is_empty() {
             return;
         }
         if let Err(err) = self.write_crashes(client, &pending).await {
             slog::info!(self.cx.log, "cannot publish crashes; will retry"; "crashes" => pending.len(), "error" => %err);
-            self.cx.keep_untold(pending);
+            self.cx.queue_crash_reports(pending);
         }
     }
 
     async fn write_crashes(
         &self,
         client: &mut store::Client,
-        crashes: &[beliefs::Crash],
+        crashes: &[cluster_state::Crash],
     ) -> Result<(), store::Error> {
         let lease = client.lease(CRASH_RECORD_TTL).await?;
         let keys: Vec<String> = crashes.iter().map(decode::crash_key).collect();
@@ -298,7 +298,7 @@
     }
 
     fn lease_ttl(&self) -> time::Duration {
-        registration::lease(self.cx.stands_by(), self.settings.dead_vm_ttl)
+        registration::lease_ttl(self.cx.is_spare(), self.settings.dead_vm_ttl)
     }
 
     async fn register(&self, client: &mut store::Client) -> Option<ActiveRegistration> {
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -60,7 +60,7 @@
     if let Some(addr) = settings.peers {
         task::spawn_local(mirror.clone().serve(bind(addr, "control")?));
     }
-    if let Some(addr) = settings.gateway.usage {
+    if let Some(addr) = settings.gateway.usage_addr {
         match bind_datagrams(addr) {
             Ok(socket) => drop(task::spawn_local(cx.clone().share_quotas(socket))),
             // Other VMs then treat this one as a VM that has never reported quota usage.
@@ -79,7 +79,7 @@
     task::spawn_local(update_metrics(cx.clone()));
     wait_for_sigterm(&cx).await?;
     drain(&cx, registration_task).await;
-    slog::info!(log, "stop"; "in_hand" => cx.in_hand());
+    slog::info!(log, "stop"; "in_hand" => cx.requests_in_progress());
     Ok(())
 }
 
@@ -142,14 +142,14 @@
 /// Deregisters this VM and waits until its requests have ended, at most for the grace period.
 async fn drain(cx: &gateway::Gateway, registration: task::JoinHandle<()>) {
     let started = cx.now();
-    slog::info!(cx.log, "planned stop"; "in_hand" => cx.in_hand());
+    slog::info!(cx.log, "planned stop"; "in_hand" => cx.requests_in_progress());
     cx.stop();
     // The task logs its own panic; the registration's lease then expires.
     let _ = registration.await;
     let deadline = started + cx.cfg.grace.saturating_sub(SHUTDOWN_MARGIN);
     loop {
         tokio::time::sleep(time::Duration::from_millis(50)).await;
-        if cx.is_done() || cx.now() >= deadline {
+        if cx.is_drained() || cx.now() >= deadline {
             return;
         }
     }
--- a/src/platform/names.rs
+++ b/src/platform/names.rs
@@ -17,7 +17,7 @@
 };
 
 /// Environment variable with the path of the settings file.
-pub const SETTINGS: &str = "BULRUSHWIND_SETTINGS";
+pub const SETTINGS_FILE_VAR: &str = "BULRUSHWIND_SETTINGS";
 
 /// Prefix of the keys that operators write.
 pub const OPERATOR_PREFIX: &str = "op/";
--- a/tests/platform/decoding.rs
+++ b/tests/platform/decoding.rs
@@ -288,5 +288,5 @@
 #[test]
 fn wire_names_match_the_platforms_documentation() {
     assert_eq!(names::FIELDS.id, "Bulrushwind-Try-Id");
-    assert_eq!(names::SETTINGS, "BULRUSHWIND_SETTINGS");
+    assert_eq!(names::SETTINGS_FILE_VAR, "BULRUSHWIND_SETTINGS");
 }
--- a/tests/platform/explaining.rs
+++ b/tests/platform/explaining.rs
@@ -84,7 +84,10 @@
         let scene = Scene::new();
         let (ports, _gateway) = scene.start("vm-1", scene.store.addr, &[]);
         wait_for_status(ports.front, "/read/a", 200).await;
-        scene.backends.iter().for_each(|b| b.loses.set(true));
+        scene
+            .backends
+            .iter()
+            .for_each(|b| b.drops_responses.set(true));
         let (status, _) = get(ports.front, "/book/a", "unknown-1").await.unwrap();
         assert_eq!(status, 504);
         let wanted = [
@@ -117,7 +120,7 @@
         scene
             .backends
             .iter()
-            .for_each(|b| b.delay(time::Duration::from_millis(1300)));
+            .for_each(|b| b.set_service_time(time::Duration::from_millis(1300)));
         let (status, _) = get(ports.front, "/read/a", "late-1").await.unwrap();
         assert_eq!(status, 200);
         let wanted = ["store does not serve: ", "request: ", "fate=late"];
--- a/tests/platform/processes.rs
+++ b/tests/platform/processes.rs
@@ -80,8 +80,8 @@
         node: &str,
         store: net::SocketAddr,
         seeds: &[net::SocketAddr],
-    ) -> process::Start {
-        process::Start {
+    ) -> process::GatewayOptions {
+        process::GatewayOptions {
             program: path::PathBuf::from(env!("CARGO_BIN_EXE_bulrushwind-gateway")),
             dir: self.dir.path().to_owned(),
             node: node.to_owned(),
@@ -200,7 +200,7 @@
             wait_for_status(ports.ready, "/ready", 200).await;
             scene.store.set_mode(mode);
             scene.store.write("op/config", &config(2, &["/new/"]));
-            scene.store.forget_history();
+            scene.store.discard_history();
             for n in 0..20 {
                 let (status, _) = get(ports.front, "/read/a", &format!("r{n}")).await.unwrap();
                 assert_eq!(status, 200);
@@ -219,10 +219,10 @@
         let (first, _gateway) = scene.start("vm-1", scene.store.addr, &[]);
         wait_for_status(first.ready, "/ready", 200).await;
         let store_proxy = proxy::Proxy::start(scene.store.addr);
-        store_proxy.set(proxy::Harm::Resets);
+        store_proxy.set(proxy::Fault::Resets);
         let (second, _other) = scene.start("vm-2", store_proxy.addr, &[first.control]);
         wait_for_status(second.front, "/read/a", 200).await;
-        store_proxy.set(proxy::Harm::None);
+        store_proxy.set(proxy::Fault::None);
         scene.store.write("op/config", &config(2, &["/new/"]));
         wait_for_status(second.front, "/new/a", 200).await;
     });
@@ -268,7 +268,7 @@
     run_scenario(|| async {
         let scene = Scene::new();
         let store_proxy = proxy::Proxy::start(scene.store.addr);
-        store_proxy.set(proxy::Harm::Resets);
+        store_proxy.set(proxy::Fault::Resets);
         let first = scene.options("vm-1", scene.store.addr, &[]);
         let (second, _other) = scene.start("vm-2", store_proxy.addr, &[first.ports.control]);
         wait_for_status(second.ready, "/ready", 503).await;
@@ -285,7 +285,7 @@
         let scene = Scene::new();
         let names = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5", "vm-6"];
         let started = names.map(|node| {
-            let options = process::Start {
+            let options = process::GatewayOptions {
                 bootstrap: true,
                 ..scene.options(node, scene.store.addr, &[])
             };
@@ -319,7 +319,7 @@
     run_scenario(|| async {
         let scene = Scene::new();
         let store_proxy = proxy::Proxy::start(scene.store.addr);
-        store_proxy.set(proxy::Harm::Delay(time::Duration::from_millis(100)));
+        store_proxy.set(proxy::Fault::Delay(time::Duration::from_millis(100)));
         let (ports, _gateway) = scene.start("vm-1", store_proxy.addr, &[]);
         wait_for_status(ports.front, "/read/a", 200).await;
         let removed = &scene.backends[0];
@@ -352,7 +352,7 @@
         prefixes.push("/late/");
         scene.store.write("op/config", &config(2, &prefixes));
         let store_proxy = proxy::Proxy::start(scene.store.addr);
-        store_proxy.set(proxy::Harm::Delay(time::Duration::from_millis(20)));
+        store_proxy.set(proxy::Fault::Delay(time::Duration::from_millis(20)));
         let (ports, _gateway) = scene.start("vm-1", store_proxy.addr, &[]);
         wait_for_status(ports.front, "/late/a", 200).await;
     });
@@ -390,7 +390,7 @@
 fn a_registration_with_lost_responses_is_repaired() {
     run_scenario(|| async {
         let scene = Scene::new();
-        scene.store.set_mode(store::Mode::LosesAnswers);
+        scene.store.set_mode(store::Mode::DropsResponses);
         let (ports, _gateway) = scene.start("vm-1", scene.store.addr, &[]);
         wait_for_status(ports.front, "/read/a", 200).await;
         scene.store.set_mode(store::Mode::Up);
@@ -399,7 +399,7 @@
             assert!(begun.elapsed() < TEST_TIMEOUT, "never registered");
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
-        assert!(scene.backends.iter().all(|b| !b.loses.get()));
+        assert!(scene.backends.iter().all(|b| !b.drops_responses.get()));
     });
 }
 
--- a/tests/support/backend.rs
+++ b/tests/support/backend.rs
@@ -21,8 +21,8 @@
 pub(crate) struct Log {
     /// Number of runs of each request, by request id.
     pub(crate) runs: collections::BTreeMap<String, u32>,
-    /// Requests that arrived later than [`DRAIN`] after their backend server began to drain.
-    pub(crate) late: Vec<String>,
+    /// Requests that arrived later than [`DRAIN_GRACE`] after their backend server began to drain.
+    pub(crate) late_requests: Vec<String>,
 }
 
 /// A backend server.
@@ -38,7 +38,7 @@
     /// When draining began.
     drain_started: rc::Rc<cell::Cell<Option<time::Instant>>>,
     /// Whether responses are dropped.
-    pub(crate) loses: rc::Rc<cell::Cell<bool>>,
+    pub(crate) drops_responses: rc::Rc<cell::Cell<bool>>,
     accept_task: rc::Rc<cell::RefCell<Option<task::JoinHandle<()>>>>,
 }
 
@@ -47,7 +47,7 @@
 const QUEUE_LENGTH: u32 = 9;
 
 /// How long after its draining state was written a backend server may still receive requests.
-pub(crate) const DRAIN: time::Duration = time::Duration::from_millis(2500);
+pub(crate) const DRAIN_GRACE: time::Duration = time::Duration::from_millis(2500);
 
 impl Backend {
     pub(crate) fn start(
@@ -67,7 +67,7 @@
             running: rc::Rc::default(),
             log,
             drain_started: rc::Rc::default(),
-            loses: rc::Rc::default(),
+            drops_responses: rc::Rc::default(),
             accept_task: rc::Rc::default(),
         };
         let served = backend.clone();
@@ -94,7 +94,7 @@
     }
 
     /// Sets how long each further request runs.
-    pub(crate) fn delay(&self, service_time: time::Duration) {
+    pub(crate) fn set_service_time(&self, service_time: time::Duration) {
         self.service_time.set(service_time);
     }
 
@@ -117,15 +117,15 @@
         if self
             .drain_started
             .get()
-            .is_some_and(|at| at.elapsed() > DRAIN)
+            .is_some_and(|at| at.elapsed() > DRAIN_GRACE)
         {
             let late_request = format!("{id} {}", req.head.target());
-            self.log.borrow_mut().late.push(late_request);
+            self.log.borrow_mut().late_requests.push(late_request);
         }
         *self.log.borrow_mut().runs.entry(id.clone()).or_default() += 1;
         let _running = RunningGuard::new(&self.running);
         tokio::time::sleep(self.service_time.get()).await;
-        if self.loses.get() {
+        if self.drops_responses.get() {
             return std::future::pending().await;
         }
         let mut answer = callers::Answer::bare(200);
--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -33,7 +33,7 @@
 
 /// Settings of a process to start.
 #[derive(Clone, Debug)]
-pub(crate) struct Start {
+pub(crate) struct GatewayOptions {
     pub(crate) program: path::PathBuf,
     pub(crate) dir: path::PathBuf,
     pub(crate) node: String,
@@ -45,7 +45,7 @@
     pub(crate) bootstrap: bool,
 }
 
-impl Start {
+impl GatewayOptions {
     /// The settings file as the platform writes it.
     pub(crate) fn settings(&self) -> String {
         let Ports {
--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -11,7 +11,7 @@
 
 /// Fault that a proxy injects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Harm {
+pub(crate) enum Fault {
     /// Forwards unchanged.
     #[default]
     None,
@@ -20,7 +20,7 @@
     /// Drops data from the client.
     DropsRequests,
     /// Drops data from the server.
-    DropsAnswers,
+    DropsResponses,
     /// Resets connections.
     Resets,
 }
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Proxy {
     pub(crate) addr: net::SocketAddr,
-    harm: rc::Rc<cell::Cell<Harm>>,
+    fault: rc::Rc<cell::Cell<Fault>>,
 }
 
 impl Proxy {
@@ -37,24 +37,24 @@
         let listener = super::listen();
         let proxy = Self {
             addr: listener.local_addr().unwrap(),
-            harm: rc::Rc::default(),
+            fault: rc::Rc::default(),
         };
-        let harm = proxy.harm.clone();
+        let fault = proxy.fault.clone();
         task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                task::spawn_local(pass(stream, to, harm.clone()));
+                task::spawn_local(pass(stream, to, fault.clone()));
             }
         });
         proxy
     }
 
-    pub(crate) fn set(&self, harm: Harm) {
-        self.harm.set(harm);
+    pub(crate) fn set(&self, fault: Fault) {
+        self.fault.set(fault);
     }
 }
 
-async fn pass(from: TcpStream, to: net::SocketAddr, harm: rc::Rc<cell::Cell<Harm>>) {
-    if harm.get() == Harm::Resets {
+async fn pass(from: TcpStream, to: net::SocketAddr, fault: rc::Rc<cell::Cell<Fault>>) {
+    if fault.get() == Fault::Resets {
         return reset(&from);
     }
     let Ok(to) = TcpStream::connect(to).await else {
@@ -63,13 +63,13 @@
     let reset_on = socket2::SockRef::from(&from).try_clone().unwrap();
     let (mut from_rx, mut from_tx) = from.into_split();
     let (mut to_rx, mut to_tx) = to.into_split();
-    let out = copy(&mut from_rx, &mut to_tx, &harm, Harm::DropsRequests);
-    let back = copy(&mut to_rx, &mut from_tx, &harm, Harm::DropsAnswers);
+    let out = copy(&mut from_rx, &mut to_tx, &fault, Fault::DropsRequests);
+    let back = copy(&mut to_rx, &mut from_tx, &fault, Fault::DropsResponses);
     tokio::select! {
         () = out => {}
         () = back => {}
     }
-    if harm.get() == Harm::Resets {
+    if fault.get() == Fault::Resets {
         let _ = reset_on.set_linger(Some(time::Duration::ZERO));
     }
 }
@@ -82,15 +82,15 @@
 async fn copy(
     rx: &mut (impl AsyncReadExt + Unpin),
     tx: &mut (impl AsyncWriteExt + Unpin),
-    harm: &cell::Cell<Harm>,
-    dropping: Harm,
+    fault: &cell::Cell<Fault>,
+    dropping: Fault,
 ) {
     let mut buf = vec![0; 8 << 10];
     while let Ok(n @ 1..) = rx.read(&mut buf).await {
-        match harm.get() {
-            Harm::Resets => return,
-            Harm::Delay(delay) => tokio::time::sleep(delay).await,
-            harm if harm == dropping => continue,
+        match fault.get() {
+            Fault::Resets => return,
+            Fault::Delay(delay) => tokio::time::sleep(delay).await,
+            fault if fault == dropping => continue,
             _ => {}
         }
         if tx.write_all(&buf[..n]).await.is_err() {
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -24,7 +24,7 @@
     /// Refuses every call with 503.
     Busy,
     /// Performs writes but drops their responses.
-    LosesAnswers,
+    DropsResponses,
 }
 
 #[derive(Clone, Debug)]
@@ -141,7 +141,7 @@
     }
 
     /// Discards all past events, so that watches from earlier revisions fail with 410.
-    pub(crate) fn forget_history(&self) {
+    pub(crate) fn discard_history(&self) {
         let mut inner = self.inner.borrow_mut();
         inner.discarded_revision = inner.revision;
         inner.events.clear();
@@ -191,11 +191,11 @@
         match mode {
             Mode::Silent => return std::future::pending().await,
             Mode::Busy => return callers::Answer::bare(503),
-            Mode::Up | Mode::LosesAnswers => {}
+            Mode::Up | Mode::DropsResponses => {}
         }
         let answer = self.handle(&req).await;
         let write = req.head.method() != b"GET";
-        if mode == Mode::LosesAnswers && write {
+        if mode == Mode::DropsResponses && write {
             return std::future::pending().await;
         }
         answer
