--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,8 +1,8 @@
-//! The entry process: it assembles the layers and runs until it is told to stop.
+//! The entry process: assembles the layers and runs until SIGTERM or SIGINT.
 //!
-//! Connections live on a small runtime; whole requests and ended attempts come as events over
-//! a channel to a pool of workers, which work on the shared tables and never block on a socket. A
-//! request that waits for a slot is a row in its service's desk and holds no thread.
+//! Connections run on a small Tokio runtime. Complete requests and ended attempts are events on a
+//! channel to a pool of workers, which use the shared tables and never block on a socket. A request
+//! that waits for a slot is an entry in its service's executor and occupies no thread.
 
 mod answers;
 pub mod args;
@@ -33,21 +33,21 @@
 use crate::{config, error, id, metrics, protocol, settings};
 use policy::Policy;
 
-/// How often time passes for the policies.
+/// Interval at which policies receive a tick.
 const TICK: time::Duration = time::Duration::from_millis(5);
 
-/// How often dated drains and the words of backend servers are looked at again.
+/// Interval at which scheduled drains and leave reports of backend servers are re-evaluated.
 const REFRESH: time::Duration = time::Duration::from_millis(250);
 
-/// Threads that move bytes. They hand everything else to the workers.
+/// Threads for socket input and output. All other work runs on the workers.
 const SOCKET_THREADS: usize = 4;
 
-/// Builds and updates the policies of services.
+/// Builds the policy of each service.
 pub trait MakePolicy: Send + Sync + 'static {
-    /// What it builds.
+    /// The policy type.
     type Policy: Policy + 'static;
 
-    /// The policy of a service.
+    /// Builds the policy of a service.
     fn make(
         &self,
         cfg: &config::Config,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Builds the decisions of this VM: inside its availability zone, and across.
+/// Builds the production policy, which decides within and across availability zones.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MakeDispatch;
 
@@ -95,25 +95,25 @@
     }
 }
 
-/// What the request path reads and coordination feeds. Both parts are replaced whole.
+/// Tables that coordination updates and the request path reads. Each is replaced atomically.
 #[derive(Debug, Default)]
 pub struct Shared {
     settings: arc_swap::ArcSwap<settings::Settings>,
     regions: arc_swap::ArcSwap<lookup::Regions>,
     /// The platform's list of VMs.
     pub fleet: arc_swap::ArcSwap<fleet::Fleet>,
-    /// How it goes with the platform and the peers, for operators.
+    /// State of the connections to the platform's store and the peers, for operators.
     pub links: arc_swap::ArcSwap<Links>,
 }
 
-/// How an entry process stands with the platform and its peers.
+/// State of an entry process's connections to the platform's store and its peers.
 #[derive(Clone, Debug, Default)]
 pub struct Links {
     /// The version of each team's settings in force.
     pub versions: collections::BTreeMap<id::TeamId, u64>,
     /// Whether the last call to the platform's store was answered.
     pub store_up: bool,
-    /// Entry VMs that this one hears from.
+    /// Live peer entry VMs.
     pub peers: u64,
 }
 
@@ -123,11 +123,11 @@
         self.settings.load_full()
     }
 
-    /// Puts settings in force, and the table of callers' addresses that goes with them.
+    /// Applies new settings and rebuilds the table from caller addresses to regions.
     ///
     /// # Errors
     ///
-    /// The settings name more regions than the table can number. Those before stay in force.
+    /// The settings name more regions than the table can number. The previous settings stay.
     pub fn put_in_force(&self, settings: settings::Settings) -> Result<(), lookup::Error> {
         let regions = lookup::Regions::build(&settings)?;
         self.regions.store(sync::Arc::new(regions));
@@ -136,11 +136,11 @@
     }
 }
 
-/// What the workers take from their channel.
+/// An event on the workers' channel.
 enum Event<P> {
-    /// A whole request came in.
+    /// A complete request arrived.
     Request(server::Request),
-    /// The caller of a request went away.
+    /// The caller of a request disconnected.
     Gone(policy::RequestId),
     /// An attempt ended.
     Ended(sync::Arc<desk::Desk<P>>, desk::AttemptEnd),
@@ -150,13 +150,13 @@
         id::VmId,
         Result<server::Answer, client::Failure>,
     ),
-    /// The home of a key answered, or did not.
+    /// The home VM of a key answered or failed to answer.
     Home(route::Home, Result<server::Answer, client::Failure>),
 }
 
 type Desks<P> = collections::HashMap<id::ServiceId, sync::Arc<desk::Desk<P>>>;
 
-/// The entry VMs that look-ups name, and what they were worked out from.
+/// The entry VMs that look-ups return, with the settings and VM list used to compute them.
 #[derive(Default)]
 struct Named {
     settings: sync::Arc<settings::Settings>,
@@ -164,7 +164,7 @@
     directory: directory::Directory,
 }
 
-/// Everything that the workers share.
+/// State shared by the workers and the listeners.
 struct Core<M: MakePolicy> {
     cfg: config::Config,
     make: M,
@@ -187,7 +187,7 @@
         self.started.elapsed()
     }
 
-    /// The name of a request, unique in the fleet.
+    /// The request's fleet-wide unique id.
     fn name(&self, id: u64) -> Option<hyper::header::HeaderValue> {
         let name = format!("{}-{}-{id}", self.cfg.vm, self.incarnation);
         name.parse().ok()
@@ -239,12 +239,12 @@
     server: server::Server,
     driver: Option<driver::Driver>,
     operators: pool::Pool,
-    /// Dropped last: every connection lives on it.
+    /// Declared last so that it is dropped last: every connection runs on it.
     _runtime: tokio::runtime::Runtime,
 }
 
 impl<M: MakePolicy> Entry<M> {
-    /// Starts an entry process, which watches settings and VMs in `platform`.
+    /// Starts an entry process that reads settings and VMs from `platform`.
     pub fn start<S: store::Store>(
         cfg: config::Config,
         make: M,
@@ -261,7 +261,7 @@
         Ok(entry)
     }
 
-    /// Starts an entry process that something else feeds.
+    /// Starts an entry process without coordination; the caller updates `shared`.
     pub fn start_with(
         cfg: config::Config,
         make: M,
@@ -297,7 +297,7 @@
             events,
             stopping: atomic::AtomicBool::new(false),
         });
-        // What is known already counts from the first request on.
+        // Settings that `shared` already holds apply from the first request.
         desk::refresh(&core);
         let server = server::start(
             runtime.handle(),
@@ -327,29 +327,30 @@
         })
     }
 
-    /// Where callers connect.
+    /// Address of the listener for callers.
     pub fn addr(&self) -> net::SocketAddr {
         self.server.addr()
     }
 
-    /// Where other entry VMs connect; `None` where there are no links to them.
+    /// Address of the listener for other entry VMs; `None` without peer links.
     pub fn peers_addr(&self) -> Option<net::SocketAddr> {
         let links = self.driver.as_ref()?.peers()?;
         Some(links.addr())
     }
 
-    /// Answers a look-up as a caller at that address gets it. `None`: no such service.
+    /// Answers a look-up for a caller at the given address. `None`: unknown service.
     pub fn look_up(&self, caller: net::IpAddr, service: &str) -> Option<protocol::lookup::Lookup> {
         route::find(&self.core, caller, service)
     }
 
-    /// Where operators connect.
+    /// Address of the listener for operators.
     pub fn operators_addr(&self) -> net::SocketAddr {
         self.operators.addr()
     }
 
-    /// Stops as planned: look-ups stop naming this VM and new requests are told where to go, while
-    /// what is in flight ends and kept answers stay within reach until the last ticket expired.
+    /// Shuts down gracefully: look-ups no longer return this VM and new requests are refused as
+    /// `stopping`. Waits for in-flight requests, and serves stored answers until the last ticket
+    /// has expired.
     pub fn stop(self) {
         self.core.stopping.store(true, atomic::Ordering::SeqCst);
         self.server.leave();
@@ -368,7 +369,7 @@
     }
 }
 
-/// How long the last answers may take to leave after everything else has ended.
+/// Maximum time for sending the last answers after all requests have ended.
 const LAST_BYTES: time::Duration = time::Duration::from_secs(10);
 
 fn work<M: MakePolicy>(core: &sync::Weak<Core<M>>, rx: &channel::Receiver<Event<M::Policy>>) {
@@ -380,15 +381,14 @@
     }
 }
 
-/// Goes on after a panic. A fault in the handling of one request would otherwise end a worker for
-/// good, and a request that is sent again would end them all; one would notice an entry process
-/// that takes connections and answers nothing. The request at fault ends as unknown, since its
-/// reply is dropped.
+/// Catches a panic of `work`, so that the thread goes on. Without this, each panic would end one
+/// worker, and a retried request could end them all: the process would accept connections and
+/// answer nothing. The request that panicked ends as unknown because its reply is dropped.
 fn survive(log: &slog::Logger, work: impl FnOnce()) {
     if panic::catch_unwind(panic::AssertUnwindSafe(work)).is_err() {
         slog::crit!(
             log,
-            "the handling of an event failed; please report the message before this"
+            "handling an event panicked; its request ends as unknown and the process goes on; please report the panic message above"
         );
     }
 }
@@ -416,8 +416,8 @@
     }
 }
 
-/// A restart gets a larger number as long as the wall clock does not go back; the random part
-/// keeps two starts apart even then.
+/// Returns an incarnation that grows with each restart as long as the wall clock does not go back.
+/// Its random part distinguishes two starts even if the clock does.
 fn new_incarnation() -> id::Incarnation {
     let ms = time::SystemTime::now()
         .duration_since(time::UNIX_EPOCH)
@@ -426,14 +426,14 @@
     id::Incarnation((ms << 16) | u64::from(rand::rng().random::<u16>()))
 }
 
-/// Runs an entry process until it is told to stop by SIGTERM or SIGINT. Prints one line with the
-/// address for callers once it listens.
+/// Runs an entry process until SIGTERM or SIGINT. Once it listens, prints the addresses for callers
+/// and for operators, one line each.
 pub fn run(cfg: config::Config, log: slog::Logger) -> Result<(), error::Error> {
     let mut signals = signal_hook::iterator::Signals::new([
         signal_hook::consts::SIGTERM,
         signal_hook::consts::SIGINT,
     ])
-    .map_err(|err| error::Error::Config(format!("cannot wait for signals: {err}")))?;
+    .map_err(|err| error::Error::Config(format!("cannot install signal handlers: {err}")))?;
     let platform = store_http::Client::new(cfg.store);
     let entry = Entry::start(cfg, MakeDispatch, platform, log)?;
     println!("listening {}", entry.addr());
@@ -441,7 +441,10 @@
     let _ = std::io::stdout().flush();
     slog::info!(entry.core.log, "listening"; "addr" => entry.addr().to_string());
     signals.forever().next();
-    slog::info!(entry.core.log, "stopping; look-ups no longer name this VM");
+    slog::info!(
+        entry.core.log,
+        "shutting down; look-ups no longer return this VM"
+    );
     entry.stop();
     Ok(())
 }
--- a/src/entry/answers.rs
+++ b/src/entry/answers.rs
@@ -1,4 +1,4 @@
-//! The HTTP answers of the entry process.
+//! Builds the entry process's HTTP answers.
 
 use std::time;
 
@@ -8,12 +8,13 @@
 use crate::protocol::{backend, headers, lookup, outcome};
 use crate::transport::server;
 
-/// When to ask again about a request that got lost in this process.
+/// Retry delay for a request whose reply this process dropped.
 const RETRY_AFTER: time::Duration = time::Duration::from_secs(1);
 
-/// The answer that tells a problem.
+/// The answer for a problem.
 pub(super) fn problem(problem: &outcome::Problem) -> server::Answer {
-    let body = serde_json::to_vec(&problem.body()).expect("a problem is text and numbers");
+    let body =
+        serde_json::to_vec(&problem.body()).expect("a problem contains only text and numbers");
     let mut answer = json(problem.status(), problem.outcome(), body);
     if let Some(after) = problem.retry_after() {
         let seconds = whole_seconds(after);
@@ -22,14 +23,14 @@
     answer
 }
 
-/// Rounded up: a caller that came back early would be refused again.
+/// Rounds up: a caller that retried early would be refused again.
 fn whole_seconds(after: time::Duration) -> u64 {
     after.as_secs() + u64::from(after.subsec_nanos() > 0)
 }
 
 /// The answer to a look-up.
 pub(super) fn look_up(lookup: &lookup::Lookup) -> server::Answer {
-    let body = serde_json::to_vec(lookup).expect("a look-up is text and numbers");
+    let body = serde_json::to_vec(lookup).expect("a look-up contains only text and numbers");
     let mut answer = json(StatusCode::OK, outcome::Outcome::Answered, body);
     let age = format!("private, max-age={}", lookup.ttl_ms / 1000);
     if let Ok(age) = age.parse() {
@@ -38,7 +39,7 @@
     answer
 }
 
-/// A backend server's answer as its caller gets it.
+/// A backend server's answer, converted for the caller.
 pub(super) fn backend(answer: &backend::Answer) -> server::Answer {
     let mut headers = headers::end_to_end(&answer.headers);
     for name in [headers::LOAD, headers::REQUEST] {
@@ -53,7 +54,7 @@
     }
 }
 
-/// Why a request never became whole.
+/// The problem for a request that was not received completely.
 pub(super) fn fault(fault: server::Fault) -> outcome::Problem {
     match fault {
         server::Fault::TooLarge(most) => outcome::Problem::TooLarge(most),
--- a/src/entry/desk.rs
+++ b/src/entry/desk.rs
@@ -1,11 +1,10 @@
-//! The desk of one service: its policy, its requests in hand, and the attempts under way.
+//! Executes the policy of one service: owns its pending requests and its attempts in flight.
 //!
-//! One lock covers all three. Actions are carried out while it is held, so that a cancellation
-//! can never overtake the attempt that it is for. Nothing that is done under it waits.
+//! One lock covers policy, requests and attempts. Actions are executed while it is held, so that a
+//! cancellation cannot overtake its attempt. No operation under the lock blocks.
 //!
-//! Two promises are checked here once more, whatever the policy decides: a non-idempotent request
-//! of which an attempt may have run is not sent again, and nothing that may have run is called
-//! not run.
+//! Two guarantees are enforced here independently of the policy: a non-idempotent request that may
+//! have run is not sent again, and a request that may have run is never reported as not run.
 
 mod upkeep;
 
@@ -31,50 +30,50 @@
 
 pub(super) use upkeep::{all_in_hand, end_overdue, in_flight_at, observe, refresh, wall_clock_s};
 
-/// How long a probe may take.
+/// Timeout of a probe.
 const PROBE_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
-/// The most bytes of an answer to a probe.
+/// Maximum size of an answer to a probe.
 const PROBE_BYTES: usize = 4096;
 
-/// How long to come back after where the policy has no say.
+/// Retry delay where the policy gives none.
 const RETRY_AFTER: time::Duration = time::Duration::from_secs(1);
 
-/// A request in hand.
+/// A request that has not been answered yet.
 pub(super) struct Pending {
-    /// Where the answer goes; `None` once the caller is gone.
+    /// The caller's reply channel; `None` after the caller disconnected.
     pub(super) reply: Option<server::Reply>,
     /// The method.
     pub(super) method: Method,
-    /// The path under the service, with its query.
+    /// The path below the service's name, with the query.
     pub(super) path: String,
     /// The caller's headers.
     pub(super) headers: HeaderMap,
     /// The body.
     pub(super) body: Bytes,
-    /// The key, where the request has one.
+    /// The idempotency key, if any.
     pub(super) key: Option<String>,
-    /// Whether it may run twice.
+    /// Whether the operation is idempotent and may run twice.
     pub(super) idempotent: bool,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     pub(super) deadline: policy::Moment,
-    /// Holds the body's share of the process's memory.
+    /// Reserves memory for the body until the request ends.
     pub(super) _permit: Option<tokio::sync::OwnedSemaphorePermit>,
-    /// What operators see of it.
+    /// Request data for logs and metrics.
     pub(super) seen: observe::Seen,
-    /// Attempts that were made.
+    /// Number of attempts sent so far.
     pub(super) tries: u32,
-    /// Holds the slot of the grant under which the request came from another availability zone.
+    /// Occupies a slot of the grant under which another availability zone sent the request.
     pub(super) _admitted: Option<grants::Admitted>,
-    /// Attempts under way.
+    /// Attempts in flight.
     pub(super) attempts: Vec<(Destination, client::Attempt)>,
-    /// An attempt ended of which nobody can say that it did not run.
+    /// Whether an ended attempt may have run.
     pub(super) maybe_run: bool,
-    /// The answer that came in last.
+    /// The most recent answer.
     pub(super) answer: Option<backend::Answer>,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 pub(super) struct AttemptEnd {
     req: policy::RequestId,
     number: u64,
@@ -83,7 +82,7 @@
     result: Result<server::Answer, client::Failure>,
 }
 
-/// A backend server as the desk reaches it.
+/// Connection data of a backend server.
 struct Known {
     addr: net::SocketAddr,
     wire: sync::Arc<backend_http::Http>,
@@ -99,7 +98,7 @@
     actions: Vec<Action>,
 }
 
-/// The desk of one service.
+/// The executor of one service.
 pub(super) struct Desk<P> {
     service: id::ServiceId,
     body_bytes: atomic::AtomicUsize,
@@ -124,7 +123,7 @@
 }
 
 impl<P: Policy> Desk<P> {
-    /// Asks the policy's sending side something. `None`: it has none.
+    /// Runs a query on the policy's cross-zone router. `None`: the policy has none.
     pub(super) fn with_cross_az<R>(
         &self,
         ask: impl FnOnce(&mut cross_az::CrossAzRouter) -> R,
@@ -132,18 +131,18 @@
         self.with_policy(|policy| policy.cross_az().map(ask))
     }
 
-    /// Asks the policy something that leads to no action.
+    /// Runs a query on the policy that produces no actions.
     pub(super) fn with_policy<R>(&self, ask: impl FnOnce(&mut P) -> R) -> R {
         ask(&mut self.inner.lock().policy)
     }
 
-    /// Requests in hand.
+    /// Number of pending requests.
     pub(super) fn pending(&self) -> u32 {
         u32::try_from(self.inner.lock().pending.len()).unwrap_or(u32::MAX)
     }
 }
 
-/// Brings a request to a service's desk.
+/// Passes a request to its service's policy.
 pub(super) fn arrive<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
     desk: &sync::Arc<Desk<M::Policy>>,
@@ -156,7 +155,7 @@
     step(core, desk, &mut inner, |policy, out| {
         policy.arrive(now, arrival, out);
     });
-    // The caller may have gone before the request got here, and nothing else would tell.
+    // If the caller disconnected before the insertion, its event found no pending request.
     let closed = |reply: &server::Reply| reply.is_closed();
     let gone = inner
         .pending
@@ -167,7 +166,7 @@
     }
 }
 
-/// The caller of a request went away.
+/// Handles the disconnection of a request's caller.
 pub(super) fn gone<M: MakePolicy>(core: &sync::Arc<Core<M>>, req: policy::RequestId) {
     for desk in core.desks.load().values() {
         let mut inner = desk.inner.lock();
@@ -177,7 +176,7 @@
     }
 }
 
-/// Idempotent work stops. Other work goes on, and its answer is kept for the resend.
+/// Cancels an idempotent request. Any other continues, and its answer is stored for a retry.
 fn caller_gone<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
     desk: &sync::Arc<Desk<M::Policy>>,
@@ -196,7 +195,7 @@
     }
 }
 
-/// An attempt ended.
+/// Handles the end of an attempt.
 pub(super) fn ended<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
     desk: &sync::Arc<Desk<M::Policy>>,
@@ -225,7 +224,7 @@
     });
 }
 
-/// What an attempt's end means, with the answer if there is one for the caller.
+/// Interprets an attempt's result. Includes the answer if it is valid for the caller.
 fn read(
     end: &AttemptEnd,
 ) -> (
@@ -262,7 +261,7 @@
     }
 }
 
-/// A probe ended.
+/// Handles the end of a probe.
 pub(super) fn probed<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
     desk: &sync::Arc<Desk<M::Policy>>,
@@ -288,21 +287,21 @@
     }
 }
 
-/// Time passed.
+/// Lets the policy act on the passage of time.
 pub(super) fn tick<M: MakePolicy>(core: &sync::Arc<Core<M>>, desk: &sync::Arc<Desk<M::Policy>>) {
     let now = core.now();
     let mut inner = desk.inner.lock();
     step(core, desk, &mut inner, |policy, out| policy.tick(now, out));
 }
 
-/// Requests in hand at all desks.
+/// Number of pending requests of all services.
 pub(super) fn in_hand<M: MakePolicy>(core: &Core<M>) -> usize {
     let desks = core.desks.load();
     let in_hand = |desk: &sync::Arc<Desk<M::Policy>>| desk.inner.lock().pending.len();
     desks.values().map(in_hand).sum()
 }
 
-/// Tells the policy something and carries out what it decides.
+/// Applies an input to the policy and executes the resulting actions.
 fn step<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
     desk: &sync::Arc<Desk<M::Policy>>,
@@ -339,7 +338,7 @@
     };
     let twice = !pending.idempotent && (pending.maybe_run || !pending.attempts.is_empty());
     if twice {
-        slog::crit!(core.log, "the policy would run a request twice"; "service" => desk.service.as_str());
+        slog::crit!(core.log, "the policy tried to send a non-idempotent request again; the attempt is suppressed"; "service" => desk.service.as_str());
     }
     let events = core.events.clone();
     let (at, ended_at) = (to.clone(), desk.clone());
@@ -351,7 +350,7 @@
             wire,
             result,
         };
-        // Nobody listens once the process is about to end.
+        // Fails only while the process shuts down and has dropped the workers.
         let _ = events.send(Event::Ended(ended_at, end));
     };
     let (Some((addr, wire, prefix)), false) = (target, twice) else {
@@ -398,7 +397,7 @@
 
 type Target = (net::SocketAddr, sync::Arc<backend_http::Http>, String);
 
-/// Where an attempt goes, and the prefix of its path there.
+/// Resolves an attempt's address, protocol and path prefix.
 fn target<M: MakePolicy>(
     core: &Core<M>,
     desk: &Desk<M::Policy>,
@@ -411,7 +410,7 @@
             Some((known.addr, known.wire.clone(), String::new()))
         }
         Destination::Az(az) => {
-            // Only the entry VM that gave the grant honours it.
+            // A grant is valid only at the entry VM that issued it.
             let vm = inner.policy.cross_az()?.grant(core.now(), az)?.vm.clone();
             let addr = core.shared.fleet.load().vm(&vm)?.addr;
             Some((addr, sync::Arc::default(), format!("/{}", desk.service)))
@@ -419,7 +418,7 @@
     }
 }
 
-/// The text that names the grant under which a request goes to another availability zone.
+/// Header value with the grant for a request that goes to another availability zone.
 fn grant<M: MakePolicy>(
     core: &Core<M>,
     inner: &mut Inner<M::Policy>,
@@ -483,7 +482,7 @@
     tell(core, pending.reply, pending.key.as_deref(), end, &told);
 }
 
-/// Tells the caller, and everybody who sent the same key meanwhile. No `end`: it did not run.
+/// Replies to the caller and to all waiting requests with the same key. No `end`: it did not run.
 fn tell<M: MakePolicy>(
     core: &Core<M>,
     reply: Option<server::Reply>,
--- a/src/entry/desk/upkeep.rs
+++ b/src/entry/desk/upkeep.rs
@@ -1,9 +1,9 @@
-//! What the desks do from time to time, and what is read off them.
+//! Periodic maintenance of the executors, and their statistics for operators.
 //!
-//! A request that is still in hand well after its deadline has been forgotten by a fault of ours:
-//! a policy that never settled it, or a worker that failed in the middle. Its caller would wait
-//! until its own timeout, and a planned stop for ever. [`end_overdue`] ends it as unknown, which
-//! is true whatever became of it; one notices the fault in the log.
+//! A request still pending well after its deadline was lost through a defect of this process: its
+//! policy never settled it, or a worker panicked while handling it. Its caller would wait until its
+//! own timeout, and a graceful shutdown would never end. [`end_overdue`] ends such a request as
+//! unknown, which is correct whether or not it ran, and logs the defect.
 
 use std::collections;
 use std::sync;
@@ -19,11 +19,11 @@
 use crate::{id, settings};
 use policy::{Destination, Policy, RequestOutcome};
 
-/// How long after its deadline a request is taken for forgotten. Attempts end at the deadline and
-/// a tick settles what waits, so that seconds are far more than either needs.
+/// Time after its deadline when a pending request counts as lost. Attempts end at the deadline and
+/// the next tick settles waiting requests, so a few seconds are ample for both.
 const OVERDUE: time::Duration = time::Duration::from_secs(5);
 
-/// Ends requests that should have ended long ago.
+/// Ends lost requests as unknown.
 pub(in crate::entry) fn end_overdue<M: MakePolicy>(core: &sync::Arc<Core<M>>) {
     let now = core.now();
     for desk in core.desks.load().values() {
@@ -34,7 +34,7 @@
             .filter(|(_, pending)| pending.deadline + OVERDUE <= now);
         let overdue: Vec<_> = overdue.map(|(id, _)| *id).collect();
         for req in overdue {
-            slog::crit!(core.log, "a request was forgotten; its caller is told that it may have run";
+            slog::crit!(core.log, "request is still pending long after its deadline; ending it as unknown";
                 "service" => desk.service.as_str(), "request" => req.0);
             let fate = RequestOutcome::Unknown {
                 retry_after: RETRY_AFTER,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Brings the desks in line with the settings, the list of VMs and what backend servers said.
+/// Updates the executors from the settings, the VM list and the leave reports of backend servers.
 pub(in crate::entry) fn refresh<M: MakePolicy>(core: &sync::Arc<Core<M>>) {
     let settings = core.shared.settings.load_full();
     let fleet = core.shared.fleet.load_full();
@@ -60,7 +60,7 @@
         set_backends(core, &desk, service, &settings, &fleet);
         desks.insert(service.name.clone(), desk);
     }
-    // A service that was taken out ends what it has in hand first.
+    // The executor of a removed service stays until its pending requests have ended.
     for (name, desk) in old.iter() {
         if !desks.contains_key(name) && !desk.inner.lock().pending.is_empty() {
             desks.insert(name.clone(), desk.clone());
@@ -72,7 +72,7 @@
     }
 }
 
-/// Works out anew which entry VMs look-ups name, if anything that decides it may have changed.
+/// Recomputes the entry VMs that look-ups return, if their inputs may have changed.
 fn name_entries<M: MakePolicy>(
     core: &Core<M>,
     settings: sync::Arc<settings::Settings>,
@@ -81,12 +81,12 @@
     let old = core.named.load();
     let same_fleet = sync::Arc::ptr_eq(&old.fleet, &fleet);
     if !same_fleet {
-        // VMs are replaced all day long; connections to those that went would pile up.
+        // VMs are replaced frequently; connections to removed VMs would accumulate.
         let addrs = fleet.addrs();
         core.client.retain(|addr| addrs.contains(addr));
     }
     let same = same_fleet && sync::Arc::ptr_eq(&old.settings, &settings);
-    // A drain begins and ends by the clock, without any change.
+    // Drains start and end by the clock, without a change of settings or VM list.
     if same && settings.drains().next().is_none() {
         return;
     }
@@ -137,7 +137,7 @@
     inner.shown = Some(shown);
 }
 
-/// Collects what operators see of each service.
+/// Records each service's policy notes and number of pending requests.
 pub(in crate::entry) fn observe<M: MakePolicy>(core: &sync::Arc<Core<M>>) {
     let now = core.now();
     for (name, desk) in core.desks.load().iter() {
@@ -153,7 +153,7 @@
     core.observer.tick(now);
 }
 
-/// Each service's slots and requests in hand.
+/// Each service's slots, requests in flight and queued requests.
 pub(in crate::entry) fn all_in_hand<M: MakePolicy>(
     core: &Core<M>,
 ) -> collections::BTreeMap<id::ServiceId, operators::Service> {
@@ -175,7 +175,7 @@
         .collect()
 }
 
-/// Requests of this VM that an availability zone works on.
+/// Number of this VM's attempts in flight in an availability zone.
 pub(in crate::entry) fn in_flight_at<M: MakePolicy>(core: &Core<M>, az: &id::AzId) -> u64 {
     let there = |place: &Destination| match place {
         Destination::Backend(_) => *az == core.cfg.az,
@@ -190,7 +190,7 @@
     desks.values().map(count).sum()
 }
 
-/// Seconds since 1970, for drains that operators dated.
+/// Seconds since the Unix epoch, the time base of scheduled drains.
 pub(in crate::entry) fn wall_clock_s() -> u64 {
     time::SystemTime::now()
         .duration_since(time::UNIX_EPOCH)
--- a/src/entry/feed.rs
+++ b/src/entry/feed.rs
@@ -1,6 +1,6 @@
-//! Feeds the request path with settings and the list of VMs that coordination finds out.
+//! Copies the settings and VM list that coordination reads into the request path's tables.
 //!
-//! While the store is out of reach, the last settings and the last list stay in force.
+//! While the store is unreachable, the last settings and the last list stay in force.
 
 use std::net;
 use std::sync;
@@ -11,7 +11,7 @@
 use crate::state::fleet;
 use crate::{config, error, settings};
 
-/// Hands what comes to the shared tables, as long as somebody reads them.
+/// Writes updates to the shared tables until the process's core is dropped.
 struct Feed {
     shared: sync::Weak<Shared>,
     log: slog::Logger,
@@ -23,14 +23,14 @@
             return;
         };
         if let Err(err) = shared.put_in_force(sync::Arc::unwrap_or_clone(settings)) {
-            slog::error!(self.log, "settings refused"; "error" => err.to_string());
+            slog::error!(self.log, "settings cannot be applied; the previous settings stay in force"; "error" => err.to_string());
         }
     }
 
     fn vms(&self, vms: Vec<store::Vm>) {
         if let Some(shared) = self.shared.upgrade() {
             let fleet = fleet::Fleet::new(vms);
-            // An unchanged list must not cause work that grows with the fleet.
+            // Skips an unchanged list, because a replaced list causes work that grows with the fleet.
             if fleet != **shared.fleet.load() {
                 shared.fleet.store(sync::Arc::new(fleet));
             }
@@ -52,7 +52,7 @@
     }
 }
 
-/// Starts agreement with the peers and the platform.
+/// Starts coordination with the peers and the platform's store.
 pub(super) fn start<M: MakePolicy, S: store::Store>(
     core: &Core<M>,
     platform: S,
@@ -65,7 +65,7 @@
     if cfg.root_keys.is_empty() {
         slog::error!(
             core.log,
-            "no settings will be taken: name the root keys' public halves in `root_keys`"
+            "no root keys are configured, so all settings are refused; set `root_keys` to the root keys' public halves"
         );
     }
     let driven = driver::Config {
--- a/src/entry/observe.rs
+++ b/src/entry/observe.rs
@@ -1,10 +1,10 @@
-//! What operators see of each request: counts, log lines, and why it was decided so.
+//! Metrics, log lines and decision records of requests, for operators.
 //!
-//! Everything that refuses, spills, ejects or quarantines passes here. The log holds back lines
-//! that come too often; the ring of decisions does not, so that any recent request can be
-//! explained by its id. No body, header or credential of a caller is ever logged.
+//! Every refusal, spill, ejection and quarantine is recorded here. The log is rate-limited per
+//! event; the ring of decisions is not, so that any recent request can be explained by its id. No
+//! body, header or credential of a caller is ever logged.
 //!
-//! The locks here are taken last and held for a few additions.
+//! Lock order: the locks here are taken last, and only for short updates.
 
 use std::collections;
 use std::time;
@@ -17,10 +17,10 @@
 use crate::{id, logging, metrics as names, settings};
 use policy::{AttemptOutcome, Destination, Moment};
 
-/// Characters of a caller's text that go into a log line.
+/// Maximum length of caller-supplied text in a log line, in characters.
 const MOST_TEXT: usize = 96;
 
-/// Counts, logs and explains.
+/// Records metrics, log lines, recent decisions and the history of totals.
 pub(super) struct Observer {
     log: slog::Logger,
     limiter: logging::Limiter,
@@ -30,20 +30,20 @@
     sent: Mutex<collections::BTreeMap<id::AzId, Moment>>,
 }
 
-/// What is known of a request from its arrival on.
+/// Data of a request that is fixed at its arrival.
 #[derive(Clone, Debug)]
 pub(super) struct Seen {
-    /// Its number.
+    /// The request's number on this VM.
     pub(super) id: u64,
-    /// When it arrived.
+    /// Time of arrival.
     pub(super) at: Moment,
-    /// Its operation.
+    /// The operation's name.
     pub(super) operation: String,
-    /// What its answer counts.
+    /// The operation's worth.
     pub(super) worth: u32,
-    /// The latency that counts as in time.
+    /// The service's latency objective.
     pub(super) in_time: time::Duration,
-    /// The name that the entry VM gave it which sent it across; `None` for an own caller's.
+    /// The id given by the sending entry VM of another availability zone; `None` if a caller sent it.
     pub(super) sent_as: Option<String>,
 }
 
@@ -68,14 +68,14 @@
     }
 }
 
-/// How a request ended, as a label.
+/// The end of a request, for labels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum End {
     /// A backend server answered.
     Answered,
-    /// A backend server answered that it failed.
+    /// A backend server answered with a server error.
     Failed,
-    /// There is no backend server's answer, for this reason.
+    /// No backend server answered, with the outcome and the reason.
     Problem(outcome::Outcome, &'static str),
 }
 
@@ -96,7 +96,7 @@
 
 impl Observer {
     pub(super) fn new(log: &slog::Logger) -> Self {
-        // Counting starts before the first request.
+        // Installs the metrics recorder before the first request.
         let _ = names::exporter();
         Self {
             log: log.clone(),
@@ -108,7 +108,7 @@
         }
     }
 
-    /// A request was turned away before it came to a service's desk.
+    /// Records a request refused before it reached its service's executor.
     pub(super) fn turned_away(
         &self,
         now: Moment,
@@ -122,7 +122,7 @@
         self.decided(now, request, "refused", &short(service), why);
     }
 
-    /// A request that came to a service's desk ended.
+    /// Records the end of a request that reached its service's executor.
     pub(super) fn ended(&self, now: Moment, service: &id::ServiceId, seen: &Seen, end: End) {
         let (fate, why) = end.labels();
         if matches!(end, End::Problem(..)) {
@@ -135,7 +135,7 @@
             let why = format!("{why}{}", sent_as.collect::<String>());
             self.decided(now, seen.id, event, service.as_str(), &why);
         }
-        // The entry VM that the caller asked counts the request.
+        // The entry VM that received the request from its caller counts it.
         if seen.sent_as.is_some() {
             return;
         }
@@ -160,7 +160,7 @@
         }
     }
 
-    /// A request goes to a backend server or another availability zone.
+    /// Records an attempt sent to a backend server or another availability zone.
     pub(super) fn sent(
         &self,
         now: Moment,
@@ -187,7 +187,7 @@
         self.sent.lock().insert(az.clone(), now);
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt.
     pub(super) fn attempt_ended(&self, service: &id::ServiceId, how: AttemptOutcome) {
         let how = match how {
             AttemptOutcome::Answered => "answered",
@@ -202,19 +202,19 @@
         metrics::counter!(names::ATTEMPTS, "service" => label, "ended" => how).increment(1);
     }
 
-    /// A probe was sent.
+    /// Records a sent probe.
     pub(super) fn probed(&self, service: &id::ServiceId) {
         let label = self.services.label(service.as_str());
         metrics::counter!(names::PROBES, "service" => label).increment(1);
     }
 
-    /// A look-up was answered.
+    /// Records an answered look-up.
     pub(super) fn looked_up(&self, service: &id::ServiceId) {
         let label = self.services.label(service.as_str());
         metrics::counter!(names::LOOKUPS, "service" => label).increment(1);
     }
 
-    /// The policy decided something beside its actions.
+    /// Records an ejection, restoration, suspicion or quarantine reported by the policy.
     pub(super) fn noted(&self, now: Moment, service: &id::ServiceId, note: &note::Note) {
         let label = self.services.label(service.as_str());
         let (event, vm, detail) = match note {
@@ -244,7 +244,7 @@
         self.warn(now, event, service, vm, &detail);
     }
 
-    /// Another entry VM told of a request that crashes backend servers.
+    /// Records a quarantine received from another entry VM.
     pub(super) fn told_of_ban(
         &self,
         now: Moment,
@@ -273,8 +273,7 @@
             "vm" => vm.as_str(), "detail" => detail, "held_back" => held_back);
     }
 
-    /// A decision about one request: kept for its explanation, and logged unless there are too
-    /// many like it.
+    /// Stores a decision about one request and logs it within the event's rate limit.
     fn decided(&self, now: Moment, request: u64, event: &'static str, service: &str, why: &str) {
         self.recent.lock().keep(request, now, event, service, why);
         let Some(held_back) = self.limiter.admit(event, now) else {
@@ -284,38 +283,38 @@
             "service" => service, "why" => why, "held_back" => held_back);
     }
 
-    /// What was decided about a request.
+    /// The recent decisions about a request.
     pub(super) fn about(&self, request: u64) -> Vec<explain::Decision> {
         self.recent.lock().about(request)
     }
 
-    /// Notes how many requests of a service are in hand.
+    /// Records the number of pending requests of a service.
     pub(super) fn in_hand(&self, service: &id::ServiceId, count: u64) {
         self.history.lock().in_hand(service, count);
     }
 
-    /// Keeps the past.
+    /// Advances the history's time windows.
     pub(super) fn tick(&self, now: Moment) {
         self.history.lock().tick(now);
     }
 
-    /// When a request last went to an availability zone.
+    /// Time of the last request to an availability zone.
     pub(super) fn last_sent(&self, az: &id::AzId) -> Option<Moment> {
         self.sent.lock().get(az).copied()
     }
 
-    /// The past of every service.
+    /// Reads the history of all services.
     pub(super) fn with_history<T>(&self, read: impl FnOnce(&totals::History) -> T) -> T {
         read(&self.history.lock())
     }
 
-    /// The label of a service.
+    /// The bounded metric label of a service.
     pub(super) fn label(&self, service: &id::ServiceId) -> std::sync::Arc<str> {
         self.services.label(service.as_str())
     }
 }
 
-/// Text that came from outside, cut to what a log line should bear.
+/// Truncates caller-supplied text for a log line.
 fn short(text: &str) -> String {
     text.chars().take(MOST_TEXT).collect()
 }
--- a/src/entry/operate.rs
+++ b/src/entry/operate.rs
@@ -1,4 +1,4 @@
-//! What the entry process answers on its operators' listener.
+//! Data source of the operators' listener: status, history, decisions and gauges.
 
 use std::collections;
 use std::fs;
@@ -10,7 +10,7 @@
 use crate::transport::operators;
 use crate::{id, metrics as names, settings};
 
-/// Answers from the entry process's shared tables.
+/// Reads the entry process's shared state.
 pub(super) struct Source<M: MakePolicy>(pub(super) sync::Weak<Core<M>>);
 
 impl<M: MakePolicy> operators::Source for Source<M> {
@@ -45,13 +45,13 @@
     fn history(&self, query: &str) -> String {
         let answer = self.0.upgrade().map(|core| past(&core, query));
         serde_json::to_string(&answer.unwrap_or_default())
-            .expect("a history has only values that JSON can hold")
+            .expect("all values of a history are representable in JSON")
     }
 
     fn explain(&self, request: u64) -> String {
         let answer = self.0.upgrade().map(|core| core.observer.about(request));
         serde_json::to_string(&answer.unwrap_or_default())
-            .expect("decisions have only values that JSON can hold")
+            .expect("all values of decisions are representable in JSON")
     }
 
     fn refresh(&self) {
@@ -122,7 +122,7 @@
     }
 }
 
-/// How each drain that has begun goes, as far as this VM's own requests tell.
+/// Progress of each active drain, based on this VM's own requests.
 fn drains<M: MakePolicy>(core: &Core<M>) -> Vec<history::Drain> {
     let settings = core.shared.settings();
     let now_s = desk::wall_clock_s();
@@ -157,13 +157,13 @@
     }
 }
 
-/// A share cannot be told from one VM's requests alone: all or nothing is left.
+/// Remaining share of traffic, 0 or 1: one VM's requests alone do not show a finer share.
 fn remaining(drain: &history::Drain) -> f64 {
     let quiet = drain.quiet_s >= QUIET.as_secs() && drain.in_flight == 0;
     if quiet { 0.0 } else { 1.0 }
 }
 
-/// A place that got no request for so long is empty for this VM.
+/// Time without requests from this VM after which a drained target counts as empty.
 const QUIET: time::Duration = time::Duration::from_secs(5);
 
 fn target(target: &settings::DrainTarget) -> String {
@@ -174,16 +174,16 @@
     }
 }
 
-/// Ticks of processor time a second, as Linux counts them for processes.
+/// Unit of processor time in Linux's `/proc/self/stat`.
 const TICKS_A_SECOND: f64 = 100.0;
 
-/// Bytes of a page, as Linux on our machines has them.
+/// Page size on the Linux VMs that run the entry process.
 const PAGE_BYTES: f64 = 4096.0;
 
-/// The process's own cost, where the system tells it.
+/// Updates the gauges of the process's processor time and memory, where `/proc` exists.
 fn process() {
     let read = |path| fs::read_to_string(path).unwrap_or_default();
-    // The process's name stands in parentheses and may hold spaces.
+    // The process's name is in parentheses and may contain spaces.
     let stat = read("/proc/self/stat");
     let fields: Vec<&str> = stat
         .rsplit(')')
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -1,4 +1,7 @@
-//! What a request asks for, and whether it may go on to its service's desk.
+//! Routes incoming requests: answers look-ups, and validates and admits requests to services.
+//!
+//! Inputs are the request, the settings, the key table and the steering plan. A keyed request is
+//! decided by its key's home VM, the entry VM that issued its ticket; others forward it there.
 
 use std::hash;
 use std::hash::Hasher;
@@ -20,10 +23,10 @@
 use crate::{id, settings};
 use outcome::Problem;
 
-/// The path of look-ups.
+/// First path segment of look-ups.
 const LOOKUP: &str = "lookup";
 
-/// Takes a request.
+/// Handles an incoming request.
 pub(super) fn request<M: MakePolicy>(core: &sync::Arc<Core<M>>, req: server::Request) {
     let path = req.uri.path().to_owned();
     let mut parts = path.trim_start_matches('/').splitn(2, '/');
@@ -66,7 +69,7 @@
     }
 }
 
-/// The answer to a look-up; `None` where the service is not declared.
+/// Builds the answer to a look-up; `None` if the service is not declared.
 pub(super) fn find<M: MakePolicy>(
     core: &Core<M>,
     caller: net::IpAddr,
@@ -112,7 +115,7 @@
     }
 }
 
-/// What a request asks for, in the words of the settings.
+/// A validated request, resolved against the settings.
 struct Asked<'a> {
     service: &'a settings::Service,
     op: &'a settings::Operation,
@@ -197,8 +200,8 @@
         .map_err(Problem::BadTimeout)?
         .unwrap_or(patience);
     let key = match headers::text(&req.headers, headers::KEY) {
-        // A key on an idempotent operation does no harm and decides nothing. The entry VM that
-        // sent a request across has decided about its key.
+        // Ignores the key of an idempotent operation, and of a request from another availability
+        // zone, whose entry VM has already checked the key.
         _ if op.idempotent || sent_across => None,
         None => return Err(Problem::NoKey),
         Some(own) => {
@@ -214,7 +217,7 @@
     })
 }
 
-/// Brings a request that may run to its service's desk.
+/// Admits a request and passes it to its service's executor.
 fn bring<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
     req: server::Request,
@@ -287,11 +290,11 @@
     desk::arrive(core, &desk, arrival, pending);
 }
 
-/// Why a request may not come to this availability zone.
+/// Why a request is not admitted to this availability zone.
 enum Turned {
-    /// Its grant has no room now, and may have in a moment.
+    /// Its grant has no free slot at the moment.
     Full,
-    /// It has no live grant, or the cap is reached.
+    /// It has no valid grant, or the cap is reached. Holds the retry delay.
     Away(time::Duration),
 }
 
@@ -305,9 +308,9 @@
     }
 }
 
-/// Whether a request may come to this availability zone. One that another entry VM sent needs a
-/// live grant of ours. One of a caller who belongs to another region by the plan is a shift, and
-/// counts against the cap. Whatever is refused here has not run.
+/// Decides whether this availability zone admits a request. A request from another entry VM needs a
+/// valid grant issued by this VM. A request of a caller whom the plan assigns to another region is
+/// displaced traffic and counts against the shift cap. A request refused here has not run.
 fn let_in<M: MakePolicy>(
     core: &Core<M>,
     req: &server::Request,
@@ -355,7 +358,7 @@
     }
 }
 
-/// Who asks: credentials where there are some, since many callers may share one address.
+/// Identifies the caller by its credentials, if any, since many callers may share one address.
 fn caller(req: &server::Request) -> policy::CallerId {
     let mut hasher = hash::DefaultHasher::new();
     match req.headers.get(header::AUTHORIZATION) {
@@ -365,8 +368,8 @@
     policy::CallerId(hasher.finish())
 }
 
-/// What is asked. Credentials count, so that two callers who share a ticket and happen on one key
-/// never get one another's answer.
+/// Hash of the request's content. It includes the credentials, so that two callers that share a
+/// ticket and use the same key never get each other's answer.
 fn fingerprint(req: &server::Request, path: &str) -> policy::Fingerprint {
     let mut hasher = hash::DefaultHasher::new();
     hash::Hash::hash(req.method.as_str(), &mut hasher);
@@ -380,8 +383,8 @@
     policy::Fingerprint(hasher.finish())
 }
 
-/// Where a request entered. Only entry VMs are believed: a caller that could say so would get
-/// around the check of its key.
+/// Origin of a request. The origin header counts only from an entry VM's address: otherwise a
+/// caller could set it to bypass the check of its key.
 fn origin<M: MakePolicy>(core: &Core<M>, req: &server::Request) -> policy::Origin {
     let Some(az) = headers::text(&req.headers, headers::ORIGIN_AZ) else {
         return policy::Origin::Caller;
@@ -398,8 +401,8 @@
     }
 }
 
-/// Passes a request on to the home of its key, which alone knows whether the key is new. If the
-/// home does not answer, nobody can tell whether an earlier send of the key ran.
+/// Forwards a request to its key's home VM, which alone knows whether the key is new. If the home
+/// does not answer, it is unknown whether an earlier request with the key ran.
 fn ask_home<M: MakePolicy>(core: &sync::Arc<Core<M>>, req: server::Request, asked: &Asked<'_>) {
     let Some(key) = &asked.key else {
         return refuse(
@@ -411,7 +414,7 @@
         );
     };
     let fleet = core.shared.fleet.load();
-    // A request that was passed on once and still is not at home would go round for ever.
+    // Forwards a request only once; otherwise it could loop between entry VMs forever.
     let passed_on = req.headers.contains_key(headers::VIA);
     let home = fleet.vm(&key.ticket.vm).filter(|_| !passed_on);
     let Some(home) = home else {
@@ -453,14 +456,14 @@
     });
 }
 
-/// A request that was passed on to the home of its key.
+/// A request that was forwarded to its key's home VM.
 pub(super) struct Home {
     id: u64,
     service: id::ServiceId,
     reply: server::Reply,
 }
 
-/// The home of a key answered, or did not.
+/// Passes the home VM's answer to the caller, or a problem if there is none.
 pub(super) fn home_answered<M: MakePolicy>(
     core: &Core<M>,
     home: Home,
@@ -470,7 +473,7 @@
         let problem = Problem::HomeSilent;
         return refuse(core, home.id, home.service.as_str(), home.reply, &problem);
     };
-    // The home's own word about the outcome stands.
+    // Keeps the outcome that the home VM reported.
     let mut told = answers::backend(&backend::Answer {
         status: answer.status,
         headers: answer.headers.clone(),
--- a/src/entry/steer.rs
+++ b/src/entry/steer.rs
@@ -1,7 +1,8 @@
-//! Steering on one entry VM: where look-ups send callers, what goes across, what is let in.
+//! Global steering on one entry VM: availability zones for look-ups, grants, loads and the plan.
 //!
-//! The decisions are those of [`crate::decisions`]; this module feeds them with settings, loads and
-//! messages. Its locks are leaves, taken one at a time and after a desk's lock, never before it.
+//! The decisions are made in [`crate::decisions`]; this module supplies settings, loads and peers'
+//! messages, and sends the results. Lock order: its locks are taken one at a time, after an
+//! executor's lock and never before it.
 
 use std::collections;
 use std::net;
@@ -22,10 +23,10 @@
 use crate::{id, settings};
 use policy::Policy;
 
-/// How often wishes and loads are looked at.
+/// Interval at which grant requests, loads and waiting requests are processed.
 pub(super) const EVERY: time::Duration = time::Duration::from_millis(100);
 
-/// What steering knows on this entry VM.
+/// Steering state of this entry VM.
 pub(super) struct Steer {
     lenders: sync::Arc<exchange::GrantIssuers>,
     asker: Mutex<exchange::GrantRequester>,
@@ -38,17 +39,18 @@
     answers: Mutex<collections::BTreeMap<id::ServiceId, f64>>,
 }
 
-/// Requests under a live grant that wait for room, and since when each does.
+/// Requests under a valid grant that wait for a free slot, with the time since when each waits.
 #[derive(Default)]
 struct Held {
     reqs: Vec<server::Request>,
     since: collections::HashMap<u64, policy::Moment>,
 }
 
-/// What remains of the longest answer with each that comes. A link is rather counted too full.
+/// Decay of the maximum answer size per answer. The slow decay overestimates a link's usage rather
+/// than underestimating it.
 const ANSWER_FADE: f64 = 0.99;
 
-/// Requests that may wait for room at a time.
+/// Maximum number of requests that wait for a free slot.
 const MAX_HELD: usize = 256;
 
 impl Steer {
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Lets a request in that another entry VM sent under the grant that it names.
+    /// Admits a request from another entry VM under the grant in its headers.
     pub(super) fn admit(
         &self,
         now: policy::Moment,
@@ -78,14 +80,14 @@
         self.lenders.admit(now, service, &from, grant)
     }
 
-    /// An answer of a service came.
+    /// Records the size of an answer of a service.
     pub(super) fn answered(&self, service: &id::ServiceId, bytes: usize) {
         let mut answers = self.answers.lock();
         let longest = answers.entry(service.clone()).or_insert(0.0);
         *longest = (*longest * ANSWER_FADE).max(bytes as f64);
     }
 
-    /// The bytes that an answer of a service is expected to have: links count them before it comes.
+    /// Expected answer size in bytes; link usage includes it before the answer arrives.
     pub(super) fn answer_bytes(&self, service: &id::ServiceId) -> u64 {
         self.answers
             .lock()
@@ -93,35 +95,35 @@
             .map_or(0, |bytes| *bytes as u64)
     }
 
-    /// How long a request has waited for room so far.
+    /// How long a request has waited for a free slot.
     pub(super) fn waited(&self, now: policy::Moment, req: u64) -> time::Duration {
         let since = self.held.lock().since.get(&req).copied();
         since.map_or(time::Duration::ZERO, |since| now.saturating_sub(since))
     }
 
-    /// Whether a request that has waited so long may wait on.
+    /// Whether a request that has waited for `waited` may wait longer.
     pub(super) fn may_wait(&self, waited: time::Duration) -> bool {
         waited < cross_az::MAX_SLOT_WAIT && self.held.lock().reqs.len() < MAX_HELD
     }
 
-    /// Keeps a request until time passes.
+    /// Queues a request until the next tick.
     pub(super) fn hold(&self, now: policy::Moment, req: server::Request) {
         let mut held = self.held.lock();
         held.since.entry(req.id).or_insert(now);
         held.reqs.push(req);
     }
 
-    /// A request waits no longer.
+    /// Removes a request's waiting time.
     pub(super) fn forget(&self, req: u64) {
         self.held.lock().since.remove(&req);
     }
 
-    /// The requests that wait, to be looked at again.
+    /// Takes all waiting requests for another admission check.
     pub(super) fn release(&self) -> Vec<server::Request> {
         std::mem::take(&mut self.held.lock().reqs)
     }
 
-    /// A caller brought work.
+    /// Records the demand of a caller's request.
     pub(super) fn count(
         &self,
         service: &id::ServiceId,
@@ -131,8 +133,8 @@
         self.demand.lock().record(service, region, work);
     }
 
-    /// The availability zones for one caller, its own first. None before a plan is known: then the
-    /// nearest are as good as any.
+    /// A caller's availability zones in the plan's order, the assigned one first. Empty until a plan
+    /// is known; look-ups then return the nearest entry VMs.
     pub(super) fn order(
         &self,
         now: policy::Moment,
@@ -151,7 +153,7 @@
     }
 }
 
-/// A number for a caller's address, the same on every node and in every version.
+/// FNV-1a hash of a caller's address, identical on every VM and in every version.
 pub(super) fn caller_number(addr: net::IpAddr) -> u64 {
     let hash = |bytes: &[u8]| {
         bytes.iter().fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
@@ -164,8 +166,8 @@
     }
 }
 
-/// Starts what steering does beside requests: it reads messages, tells loads, asks for grants and
-/// contends for writing the plan. The threads end with the process's core.
+/// Starts the steering threads, which handle peers' messages, report loads, request grants and
+/// compete for the plan writer's role. They end when the process's core is dropped.
 pub(super) fn start<M: MakePolicy, S: store::Store>(
     core: &sync::Arc<Core<M>>,
     peers: Option<sync::Arc<peers::Peers>>,
@@ -188,7 +190,7 @@
         channel::select! {
             recv(inbox) -> received => {
                 let (Ok((from, message)), Some(peers)) = (received, peers) else {
-                    // The links are gone; time alone still passes.
+                    // Without links, only the ticks remain; the sleep avoids a busy loop.
                     thread::sleep(EVERY);
                     continue;
                 };
@@ -203,7 +205,7 @@
     }
 }
 
-/// Takes in a message. False: it is none of ours.
+/// Handles a peer's message. Returns false for a message that steering does not handle.
 pub(super) fn handle<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
     peers: &peers::Peers,
@@ -241,8 +243,8 @@
     true
 }
 
-/// A request that crashed backend servers here would crash as many more behind each other entry
-/// VM that it is sent through, so every VM that is linked is told.
+/// Sends a service's quarantined fingerprints to all linked entry VMs. Otherwise a request that
+/// crashed backend servers here would crash as many more through each other entry VM.
 fn tell_bans<P: Policy>(
     desk: &desk::Desk<P>,
     now: policy::Moment,
@@ -273,7 +275,7 @@
     }
 }
 
-/// Takes a version of the plan in and passes it on if it is new.
+/// Applies a version of the plan and, if it is new, sends it to peers.
 fn offer<M: MakePolicy>(core: &Core<M>, peers: &peers::Peers, plan: &plan::Plan, from: &id::VmId) {
     let news = core
         .steer
@@ -287,7 +289,7 @@
     }
 }
 
-/// Looks at wishes and loads. Called every [`EVERY`]; `peers` is absent where there are no links.
+/// Processes grant requests and loads, once per [`EVERY`]. `peers` is `None` without links.
 pub(super) fn tick<M: MakePolicy>(core: &sync::Arc<Core<M>>, peers: Option<&peers::Peers>) {
     let now = core.now();
     let settings = core.shared.settings.load_full();
@@ -342,7 +344,7 @@
     })
 }
 
-/// Entry VMs of some availability zones by the platform's list, leaving ones too: they still send.
+/// Number of entry VMs listed in `azs`. Includes leaving ones, which still send requests.
 fn entries_in(fleet: &fleet::Fleet, azs: &[id::AzId]) -> u32 {
     fleet.entries().filter(|vm| azs.contains(&vm.az)).count() as u32
 }
@@ -375,8 +377,7 @@
     links::Links::retain(&mut shared, |region| declared.contains(region));
 }
 
-/// The other availability zones that may take a service's callers, without those that a drain
-/// empties.
+/// The other availability zones that may receive a service's requests, without draining ones.
 fn routes<M: MakePolicy>(
     core: &Core<M>,
     settings: &settings::Settings,
@@ -404,7 +405,7 @@
         .collect()
 }
 
-/// One-way delay that is assumed between availability zones of one region: the settings have none.
+/// Assumed one-way delay between availability zones of one region, which the settings do not give.
 const NEAR_MS: f64 = 2.0;
 
 fn row<M: MakePolicy>(
@@ -446,7 +447,7 @@
     let load = grants::Load {
         slots: own.slots,
         max_load: max_load(core, settings),
-        // A list that was never read tells nothing of the others.
+        // An empty list has not been read yet, so the number of members is unknown.
         members: if listed == 0 { 0 } else { listed.max(heard) },
         local_requests: row.in_hand.saturating_sub(lent),
         az_in_flight: in_hand.max(own.in_flight + own.queued),
@@ -490,7 +491,7 @@
     }
 }
 
-/// Contends for writing the plan, or writes it, until the process ends.
+/// Competes for the plan writer's role, and writes the plan while holding it, until the process ends.
 pub(super) fn write_plan<M: MakePolicy, S: store::Store>(
     core: &sync::Weak<Core<M>>,
     platform: S,
@@ -522,7 +523,7 @@
     };
     let known = core.steer.applied.lock().newest().clone();
     let settings = core.shared.settings.load_full();
-    // One of each availability zone contends, so that the store's calls do not grow with VMs.
+    // Only one VM per availability zone competes, so that store calls do not grow with the fleet.
     if !tells || settings.services().next().is_none() {
         return;
     }
