--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,7 @@
-//! Structured logs: one JSON object a line, on standard error.
+//! Structured logs, one JSON object per line, and a rate limiter for repeated events.
+//!
+//! A slow log reader never blocks a request: lines that do not fit in a buffer are dropped and
+//! counted.
 
 use std::collections;
 use std::io;
@@ -7,10 +10,10 @@
 
 use slog::Drain;
 
-/// Builds the root logger of a process. Lines that cannot be queued are counted and dropped, so
-/// that a slow reader of the log never holds up a request.
+/// Builds a process's root logger to standard error. Lines that do not fit in the queue are dropped
+/// and counted, so that a slow log reader never blocks a request.
 pub fn root(process: &str) -> slog::Logger {
-    // One write a line: pieces of lines of several processes would mix on a shared terminal.
+    // One write per line; otherwise lines of several processes would interleave on a terminal.
     let json = slog_json::Json::new(io::LineWriter::new(io::stderr()))
         .add_default_keys()
         .build()
@@ -19,12 +22,12 @@
     slog::Logger::root(drain, slog::o!("process" => process.to_owned()))
 }
 
-/// How many bytes of lines wait for a slow reader. What does not fit is dropped and counted: 256
-/// KB are about a thousand lines, more than a process writes in a second.
+/// Buffer size for lines that a slow reader has not taken. Further lines are dropped and counted.
+/// 256 KB are about a thousand lines, more than a process writes in a second.
 const WAITING: usize = 256 << 10;
 
-/// How long lines are gathered before they are written. One write for many costs the processor
-/// far less than one write each.
+/// Interval between writes of buffered lines. One write for many lines costs far less processor
+/// time than one write per line.
 const GATHER: time::Duration = time::Duration::from_millis(200);
 
 #[derive(Debug, Default)]
@@ -33,7 +36,7 @@
     dropped: u64,
 }
 
-/// Takes lines into memory; a thread of its own writes them out.
+/// In-memory buffer of lines, which a dedicated thread writes out.
 #[derive(Clone, Debug, Default)]
 struct Gathered(sync::Arc<(parking_lot::Mutex<Lines>, parking_lot::Condvar)>);
 
@@ -56,7 +59,7 @@
 }
 
 impl Gathered {
-    /// Writes lines out as they come, for good.
+    /// Writes buffered lines to `to` forever.
     fn write_out(&self, mut to: impl io::Write) {
         let (lines, filled) = &*self.0;
         loop {
@@ -67,7 +70,7 @@
                 }
                 std::mem::take(&mut *lines)
             };
-            // With nobody to read them, lines have no use; the process goes on.
+            // Without a reader the lines are lost; the process continues.
             let _ = to.write_all(&taken.text);
             if taken.dropped > 0 {
                 let _ = writeln!(
@@ -81,13 +84,12 @@
     }
 }
 
-/// Builds the root logger of a process whose lines go to standard output. A reader that stops
-/// holds up nothing but the lines.
+/// Builds a process's root logger to standard output. A reader that stalls delays only the lines.
 pub fn buffered(process: &str) -> slog::Logger {
     let gathered = Gathered::default();
     let writer = gathered.clone();
     std::thread::spawn(move || writer.write_out(io::stdout()));
-    // Lines are put together whole before they are taken, so that none is dropped in part.
+    // Each line reaches the buffer in one write, so that no partial line is dropped.
     let json = slog_json::Json::new(io::LineWriter::with_capacity(8 << 10, gathered))
         .add_default_keys()
         .build();
@@ -95,17 +97,17 @@
     slog::Logger::root(drain, slog::o!("process" => process.to_owned()))
 }
 
-/// A logger that writes nothing, for tests.
+/// Builds a logger that discards all lines, for tests.
 pub fn silent() -> slog::Logger {
     slog::Logger::root(sync::Arc::new(slog::Discard), slog::o!())
 }
 
-/// How many lines of one event are written.
+/// Rate limit for the lines of one event (token bucket).
 #[derive(Clone, Copy, Debug)]
 pub struct Rate {
-    /// In a row, before the limit counts.
+    /// Bucket size: lines that pass at once.
     pub burst: f64,
-    /// A second, once the burst is used up.
+    /// Refill rate, in lines per second.
     pub a_second: f64,
 }
 
@@ -118,9 +120,8 @@
     }
 }
 
-/// Holds back lines that come too often. When a region fails, each refused request would write a
-/// line; the log would take the processor that callers need, and the first line, which tells the
-/// cause, would scroll away.
+/// Rate limiter for log lines, per event. When a region fails, a line per refused request would
+/// consume processor time that requests need and bury the first line, which shows the cause.
 #[derive(Debug, Default)]
 pub struct Limiter {
     rate: Rate,
@@ -135,7 +136,7 @@
 }
 
 impl Limiter {
-    /// A limiter that lets so many lines of each event pass.
+    /// Creates a limiter with `rate` for each event.
     pub fn new(rate: Rate) -> Self {
         Self {
             rate,
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Whether a line of this event may be written now, and then how many were held back before
-    /// it.
+    /// Returns the number of lines suppressed since the last admitted one, or `None` if this line
+    /// is suppressed too.
     pub fn admit(&self, event: &'static str, now: time::Duration) -> Option<u64> {
         let mut events = self.events.lock();
         let bucket = events.entry(event).or_insert(Bucket {
@@ -168,7 +169,7 @@
 mod tests {
     use super::*;
 
-    /// A region fails and each refused request would write a line.
+    /// Guards against a line per refused request when a region fails.
     #[test]
     fn a_flood_of_alike_lines_is_held_back_and_counted() {
         let limiter = Limiter::default();
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,111 +1,111 @@
 //! The names of all metrics, and their exporter in Prometheus' text format.
 //!
-//! Code that counts uses the `metrics` macros with the names declared here, so that no name is
-//! spelt twice. Every label takes its values from a bounded set: services and operations that the
-//! settings declare, availability zones, and the variants of our own enums. Nothing that a caller
-//! sends becomes a label; otherwise a caller could fill the memory of an entry VM by asking for
-//! ever new paths. [`Bounded`] holds the line where the settings themselves grow large.
+//! All code uses the `metrics` macros with the names declared here, so that each name is spelt
+//! once. Every label has a bounded set of values: services and operations declared in the settings,
+//! availability zones, and variants of enums. Text from callers never becomes a label; otherwise a
+//! caller could exhaust an entry VM's memory with ever new paths. [`Bounded`] limits the number of
+//! values of a label when the settings themselves are large.
 
 use std::collections;
 use std::sync;
 
 use metrics_exporter_prometheus as prometheus;
 
-/// Requests that callers sent, by how they ended.
+/// Requests from callers, by fate.
 pub const REQUESTS: &str = "bulrushwind_requests_total";
-/// Worth of the requests that callers sent, by how they ended.
+/// Worth of the requests from callers, by fate.
 pub const WORTH: &str = "bulrushwind_worth_total";
-/// Answers that came within the objective's latency.
+/// Answers within the objective's latency.
 pub const IN_TIME: &str = "bulrushwind_in_time_total";
-/// From a request's last byte in to its answer's first byte out.
+/// Latency from a request's last byte received to its answer's first byte sent.
 pub const LATENCY: &str = "bulrushwind_request_seconds";
-/// Attempts at backend servers and other availability zones, by how they ended.
+/// Attempts at backend servers and other availability zones, by result.
 pub const ATTEMPTS: &str = "bulrushwind_attempts_total";
-/// Attempts after a request's first.
+/// Attempts of a request after its first attempt.
 pub const RETRIES: &str = "bulrushwind_retries_total";
 /// Requests sent to another availability zone.
 pub const SPILLS: &str = "bulrushwind_spills_total";
-/// Requests that backend servers work on for this VM.
+/// Requests of this VM in flight at backend servers.
 pub const IN_FLIGHT: &str = "bulrushwind_in_flight";
-/// Requests that wait on this VM.
+/// Requests queued on this VM.
 pub const QUEUED: &str = "bulrushwind_queued";
-/// Slots of the backend servers that take work from this VM.
+/// Slots of the backend servers that accept requests from this VM.
 pub const SLOTS: &str = "bulrushwind_slots";
-/// Backend servers that were ejected.
+/// Ejections of backend servers.
 pub const EJECTIONS: &str = "bulrushwind_ejections_total";
-/// Request fingerprints that were quarantined.
+/// Quarantined request fingerprints.
 pub const QUARANTINES: &str = "bulrushwind_quarantines_total";
 /// Probes sent to backend servers.
 pub const PROBES: &str = "bulrushwind_probes_total";
-/// Requests beyond their customers' quotas.
+/// Requests refused because their customers' quotas were used up.
 pub const BEYOND_QUOTA: &str = "bulrushwind_beyond_quota_total";
 /// Look-ups answered.
 pub const LOOKUPS: &str = "bulrushwind_lookups_total";
-/// Share of the own traffic that still stands in a place that is draining.
+/// Share of this VM's traffic that still goes to a draining target.
 pub const DRAIN_REMAINING: &str = "bulrushwind_drain_remaining_share";
-/// How long the last drain took until nothing was left.
+/// Duration of the last drain until the target was empty.
 pub const DRAIN_SECONDS: &str = "bulrushwind_drain_seconds";
-/// Version of a team's settings in force here.
+/// Version of a team's settings in force on this VM.
 pub const SETTINGS_VERSION: &str = "bulrushwind_settings_version";
-/// Settings that were offered and not taken.
+/// Received settings that were refused.
 pub const SETTINGS_REFUSED: &str = "bulrushwind_settings_refused_total";
 /// Calls to the platform's store.
 pub const STORE_CALLS: &str = "bulrushwind_store_calls_total";
-/// Whether the last call to the store brought an answer.
+/// Whether the last call to the platform's store was answered.
 pub const STORE_UP: &str = "bulrushwind_store_up";
-/// Entry VMs that this one hears from.
+/// Live peer entry VMs.
 pub const PEERS: &str = "bulrushwind_peers";
-/// Entry VMs that hear of the platform's store from this one.
+/// Entry VMs that mirror the platform's store from this one.
 pub const FOLLOWERS: &str = "bulrushwind_followers";
-/// Bytes to and from other entry VMs.
+/// Bytes sent to and received from other entry VMs.
 pub const PEER_BYTES: &str = "bulrushwind_peer_bytes_total";
-/// Messages and connections from peers that were refused.
+/// Refused messages and connections from peers.
 pub const PEER_REFUSED: &str = "bulrushwind_peer_refused_total";
-/// Messages to or from peers that were dropped because a queue was full.
+/// Messages to or from peers dropped because a queue was full.
 pub const PEER_DROPPED: &str = "bulrushwind_peer_dropped_total";
-/// Log lines that were held back because too many were alike.
+/// Log lines suppressed by the rate limit.
 pub const LOG_SUPPRESSED: &str = "bulrushwind_log_suppressed_total";
 /// Processor time of the process.
 pub const CPU_SECONDS: &str = "bulrushwind_cpu_seconds";
 /// Resident memory of the process.
 pub const RESIDENT_BYTES: &str = "bulrushwind_resident_bytes";
-/// How long the process has run.
+/// Time since the process started.
 pub const UPTIME_SECONDS: &str = "bulrushwind_uptime_seconds";
 
-/// The upper bounds of [`LATENCY`]'s buckets, in seconds, from answers inside an availability zone
-/// to the longest patience. Each is at most twice the one before, up to 2 s.
+/// Upper bounds of [`LATENCY`]'s buckets, in seconds. They cover latencies from answers within an
+/// availability zone to the longest timeout. Up to 2 s, each bound is at most twice the previous.
 pub const LATENCY_BUCKETS: [f64; 20] = [
     0.001, 0.002, 0.003, 0.005, 0.0075, 0.01, 0.015, 0.02, 0.03, 0.05, 0.075, 0.1, 0.15, 0.2, 0.3,
     0.5, 1.0, 2.0, 5.0, 15.0,
 ];
 
-/// The label value that stands for all beyond a label's bound.
+/// Label value for all values beyond a label's limit.
 pub const OTHER: &str = "other";
 
-/// The most values that a label taken from settings can have.
+/// Maximum number of values of a label whose values come from settings.
 pub const MAX_LABEL_VALUES: usize = 64;
 
-/// What kind of metric a name is.
+/// The type of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Only grows.
+    /// A value that only increases.
     Counter,
-    /// Goes up and down.
+    /// A value that increases and decreases.
     Gauge,
-    /// Counts by buckets.
+    /// Counts of observations per bucket.
     Histogram,
 }
 
-/// What a name stands for.
+/// The declaration of a metric.
 #[derive(Clone, Copy, Debug)]
 pub struct Metric {
-    /// The name.
+    /// The exported name.
     pub name: &'static str,
-    /// Its kind.
+    /// The metric's type.
     pub kind: Kind,
-    /// Its labels.
+    /// The label keys.
     pub labels: &'static [&'static str],
-    /// What it says, for operators.
+    /// The help text for operators.
     pub help: &'static str,
 }
 
@@ -123,7 +123,7 @@
     }
 }
 
-/// Every metric. docs/operators/metrics.md is tested against this.
+/// All metrics. A test compares docs/operators/metrics.md with this list.
 pub const ALL: &[Metric] = &[
     metric(
         REQUESTS,
@@ -302,7 +302,7 @@
     ),
 ];
 
-/// Renders what the `metrics` macros counted.
+/// Renders the values recorded through the `metrics` macros.
 #[derive(Clone, Debug)]
 pub struct Exporter(prometheus::PrometheusHandle);
 
@@ -312,21 +312,21 @@
         self.0.render()
     }
 
-    /// Folds recent observations into the histograms. Without a call every few seconds they pile
-    /// up in memory until the next [`Exporter::render`].
+    /// Moves recent observations into the histograms. Without a call every few seconds, they
+    /// accumulate in memory until the next [`Exporter::render`].
     pub fn upkeep(&self) {
         self.0.run_upkeep();
     }
 }
 
-/// The exporter of this process. The first call starts the counting; several entry processes
-/// that a test runs inside one process share it.
+/// The process-wide exporter. The first call installs the recorder. Several entry processes that a
+/// test runs in one process share it.
 pub fn exporter() -> &'static Exporter {
     static EXPORTER: sync::OnceLock<Exporter> = sync::OnceLock::new();
     EXPORTER.get_or_init(|| {
         let recorder = recorder();
         let handle = recorder.handle();
-        // Only a second recorder can be refused, and then the first goes on counting.
+        // Fails only if a recorder is already installed, which then stays in use.
         let _ = metrics::set_global_recorder(recorder);
         describe();
         Exporter(handle)
@@ -339,7 +339,7 @@
             prometheus::Matcher::Full(LATENCY.to_owned()),
             &LATENCY_BUCKETS,
         )
-        .expect("there are buckets")
+        .expect("the list of buckets is not empty")
         .build_recorder()
 }
 
@@ -353,14 +353,14 @@
     }
 }
 
-/// The values that one label has taken, at most [`MAX_LABEL_VALUES`].
+/// Set of one label's values, limited to [`MAX_LABEL_VALUES`].
 #[derive(Debug, Default)]
 pub struct Bounded {
     seen: parking_lot::RwLock<collections::BTreeSet<sync::Arc<str>>>,
 }
 
 impl Bounded {
-    /// `value`, or [`OTHER`] once the label has taken as many values as it may.
+    /// Returns `value`, or [`OTHER`] for a new value once the limit is reached.
     pub fn label(&self, value: &str) -> sync::Arc<str> {
         if let Some(known) = self.seen.read().get(value) {
             return known.clone();
@@ -404,7 +404,7 @@
         assert_eq!(
             rows.count(),
             ALL.len(),
-            "the page has rows for gone metrics"
+            "the page has rows for removed metrics"
         );
     }
 
@@ -424,8 +424,8 @@
         assert!(text.contains(bucket), "{text}");
     }
 
-    /// A team declares services without end, or a caller's text gets into a label by mistake.
-    /// Each new value would take memory for good, until the VM dies of it.
+    /// Guards against memory exhaustion when a team declares ever more services or caller text
+    /// becomes a label by mistake: each new value takes memory permanently.
     #[test]
     fn a_label_takes_a_bounded_set_of_values() {
         let bounded = Bounded::default();
