--- a/src/bin/bulrushwind-burn.rs
+++ b/src/bin/bulrushwind-burn.rs
@@ -1,4 +1,4 @@
-//! The report on service-level burn.
+//! Reports how fast services consume the error budgets of their objectives.
 
 use std::process;
 
--- a/src/bin/bulrushwind-entry.rs
+++ b/src/bin/bulrushwind-entry.rs
@@ -1,4 +1,4 @@
-//! The process on each entry VM.
+//! The entry process, which runs on each entry VM.
 
 use std::env;
 use std::process;
--- a/src/bin/bulrushwind-standin.rs
+++ b/src/bin/bulrushwind-standin.rs
@@ -1,4 +1,4 @@
-//! Runs a stand-in of the platform's store or of a backend server as a process of its own.
+//! Runs a stand-in for the platform's store or for a backend server as a separate process.
 
 use std::process;
 
--- a/src/bin/bulrushwind.rs
+++ b/src/bin/bulrushwind.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! The command-line tool for operators.
 
 use std::process;
 
--- a/src/id.rs
+++ b/src/id.rs
@@ -1,4 +1,4 @@
-//! Names of the things that operators declare and of the processes that run.
+//! Names of declared objects, VMs and customers, and the incarnation of a process.
 
 name! {
     /// A service that operators declare.
@@ -7,7 +7,7 @@
     RegionId;
     /// An availability zone.
     AzId;
-    /// A VM, entry VM or backend server alike.
+    /// A VM, either an entry VM or a backend server.
     VmId;
     /// A customer.
     CustomerId;
@@ -16,7 +16,7 @@
 }
 
 key! {
-    /// One start of a process. A restart under the same address gets another, larger one.
+    /// Identifies one start of a process. A restart at the same address gets a larger value.
     pub struct Incarnation(pub u64);
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
-//! Global traffic steering: every caller's request reaches a backend server that can answer it.
+//! Global traffic steering: routes each caller's request to a backend server that can answer it.
 //!
-//! The crate is laid out in layers. [`transport`] knows sockets, bytes and deadlines;
-//! [`protocol`] knows messages and headers; [`coordination`] agrees with other processes and with
-//! the platform's store; [`state`] holds the shared tables. [`decisions`] stands beside them: it
-//! takes inputs and a time and returns a decision, and touches neither the network nor a clock.
+//! The crate has layers. [`transport`] handles sockets, bytes and deadlines; [`protocol`] defines
+//! messages and headers; [`coordination`] synchronises with other processes and with the platform's
+//! store; [`state`] holds the shared tables. [`decisions`] is separate from the layers: it takes
+//! inputs and a time and returns a decision, and uses neither the network nor a clock.
 //!
-//! Data flows one way on the request path: request, transport, protocol, decisions over state,
-//! transport. Settings and measurements flow in from coordination to state.
+//! A request passes through transport, protocol, decisions (which read state) and transport again.
+//! Settings and measurements flow from coordination to state.
 
 #[macro_use]
 mod macros;
--- a/src/macros.rs
+++ b/src/macros.rs
@@ -1,7 +1,6 @@
-//! The derives that most of our types share.
+//! Macros for the derives that most types of the crate share.
 
-/// Gives plain data the derives that all of it carries: it can be copied, compared, printed and
-/// sent.
+/// Adds the derives of plain data: clone, compare, print and serialise.
 macro_rules! data {
     ($($item:item)*) => {
         $(
@@ -11,7 +10,7 @@
     };
 }
 
-/// Gives a small value the derives of a key: it can also be ordered, hashed and copied for free.
+/// Adds the derives of a small key: those of plain data, and copy, order and hash.
 macro_rules! key {
     ($($item:item)*) => {
         $(
@@ -24,7 +23,7 @@
     };
 }
 
-/// Declares a name type: text that is cheap to clone and that cannot be mistaken for another name.
+/// Declares a newtype for a name. It is cheap to clone and is not interchangeable with other names.
 macro_rules! name {
     ($($(#[$meta:meta])* $name:ident;)*) => {
         $(
--- a/src/nearest.rs
+++ b/src/nearest.rs
@@ -1,10 +1,10 @@
-//! Finds the name that an operator probably meant.
+//! Suggests the known name closest to a mistyped one.
 
-/// How alike two names must be, from 0 to 1, to be offered: a letter or two wrong, not another
-/// word.
+/// Minimum Jaro-Winkler similarity of a suggestion, from 0 to 1. It accepts one or two wrong letters
+/// but not a different word.
 const ALIKE: f64 = 0.75;
 
-/// The known name that is most like `name`, if one is like it at all.
+/// Returns the known name most similar to `name`, if any is similar enough.
 pub fn name<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     known
         .into_iter()
@@ -14,7 +14,7 @@
         .map(|(_, known)| known)
 }
 
-/// Adds the nearest known name to a parser's message about an unknown one.
+/// Suggests a known name for a parser's message about an unknown one.
 pub fn hint(message: &str) -> Option<String> {
     let rest = &message[message.find("unknown ")?..];
     let mut quoted = rest.split('`').skip(1).step_by(2);
