--- a/tests/path/answers.rs
+++ b/tests/path/answers.rs
@@ -1,5 +1,5 @@
-//! Whatever a backend server sends, each caller gets the complete answer to its own request, or a
-//! true word that there is none.
+//! Whatever a backend server sends, each caller gets the complete answer to its own request or a
+//! correct outcome without an answer.
 
 use std::io;
 use std::io::Write;
@@ -16,7 +16,7 @@
     Err(io::ErrorKind::ConnectionReset.into())
 }
 
-/// Answers the first request so, and each later one properly.
+/// How a backend server answers a request; an error closes the connection.
 type Script = fn(&local::Got, &mut net::TcpStream) -> io::Result<()>;
 
 fn read_path(n: usize) -> String {
@@ -31,8 +31,8 @@
     }
 }
 
-/// Reads follow one another while the first answer is broken. Each that is answered must get its
-/// own answer; the entry process may try a read again.
+/// Sends reads in sequence, of which the first gets a broken answer. Each answered read must get its
+/// own answer; the entry process may retry a read.
 fn reads_get_their_own_answers(name: &str, script: Script) {
     let raw = local::Raw::start(move |n, got, stream| {
         if n == 0 {
@@ -54,8 +54,8 @@
     }
 }
 
-/// A booking meets the broken answer. It may have run, so the only true word is `unknown`, and it
-/// must not be sent again, neither by the entry process nor for the caller's resend.
+/// Sends a booking that gets the broken answer. It may have run, so its outcome must be `unknown`,
+/// and neither the entry process nor the caller's retry may send it to a backend server again.
 fn a_booking_is_unknown_and_sent_once(name: &str, script: Script) {
     let raw = local::Raw::start(move |_, got, stream| script(got, stream));
     let entry = local::entry(&[raw.addr]);
@@ -90,8 +90,8 @@
     a_booking_is_unknown_and_sent_once(name, script);
 }
 
-/// A backend server's process dies in the middle of an answer. Half an answer that looks whole
-/// tells a pilot that half of the bays exist.
+/// Guards against truncated answers when a backend server crashes while it sends one. A truncated
+/// list of bays that looks complete would be wrong.
 #[test]
 fn a_truncated_answer_is_none() {
     both("stated length", |got, stream| {
@@ -124,7 +124,7 @@
     });
 }
 
-/// A backend server runs amok, or something else listens at its address by now.
+/// A backend server sends malformed data, or another program listens at its address.
 #[test]
 fn garbage_is_no_answer() {
     both("no HTTP", |_, stream| {
@@ -142,7 +142,7 @@
     });
 }
 
-/// An answer larger than its service allows would fill the memory of the entry VM.
+/// Guards against exhaustion of the entry VM's memory by an answer larger than the service allows.
 #[test]
 fn an_oversized_answer_is_refused() {
     both("oversized", |got, stream| {
@@ -154,7 +154,7 @@
     });
 }
 
-/// A backend server takes a request and never answers, or long after the caller stopped waiting.
+/// A backend server answers after the caller's timeout. Its answer must not go to a later request.
 #[test]
 fn a_late_answer_reaches_nobody_else() {
     both("late", |got, stream| {
@@ -163,7 +163,7 @@
     });
 }
 
-/// A backend server mixes up two requests and sends the answer to another one.
+/// A backend server confuses two requests and sends the other request's answer.
 #[test]
 fn an_answer_to_another_request_is_none() {
     both("another request's", |got, stream| {
@@ -175,8 +175,8 @@
     });
 }
 
-/// A backend server answers a request twice, and the second copy comes just when the next request
-/// goes out on the same connection. The next caller would read it as its own.
+/// A backend server answers a request twice, and the duplicate arrives while the next request is
+/// sent on the same connection. The next caller must not receive it.
 #[test]
 fn a_doubled_answer_reaches_nobody_else() {
     for delay_ms in [0, 1, 5] {
@@ -197,8 +197,8 @@
     }
 }
 
-/// Nothing listens where a backend server should be. Not a byte of the booking left, so "not run"
-/// is true, and the member may book elsewhere at once.
+/// No process listens at a backend server's address. No byte of the booking was sent, so "not run"
+/// is correct and the caller may retry elsewhere at once.
 #[test]
 fn a_backend_that_cannot_be_reached_ran_nothing() {
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -220,7 +220,7 @@
     assert!(told.retry_after.is_some(), "{told:?}");
 }
 
-/// A backend server answers probes and fails all work. Its word goes to the caller as it is.
+/// A backend server answers probes but fails all requests. The caller gets its answer unchanged.
 #[test]
 fn a_failure_is_told_as_the_backend_server_said_it() {
     let raw = local::Raw::start(|_, got, stream| {
--- a/tests/path/callers.rs
+++ b/tests/path/callers.rs
@@ -1,4 +1,4 @@
-//! What callers send wrongly is told apart, named with its remedy, and runs nothing.
+//! Invalid requests get distinct errors with a remedy and never run.
 
 use std::io::{Read, Write};
 use std::net;
@@ -89,8 +89,8 @@
     assert_eq!(raw.got().len(), 0);
 }
 
-/// A phone on a bad line sends half of a booking and stops. Run as it is, it would book with half
-/// of the data; waited for without an end, such callers would fill the entry VM.
+/// A caller's connection breaks in the middle of a booking's body. The truncated booking must not
+/// run, and waiting for the rest without a limit would exhaust the entry VM.
 #[test]
 fn a_half_sent_booking_never_runs() {
     let raw = echo();
@@ -108,8 +108,8 @@
     assert_eq!(raw.got().len(), 0);
 }
 
-/// Two hundred callers stop in the middle of a body, and two thousand hold idle connections. All
-/// others must be served as if nothing were.
+/// 200 callers stall in the middle of a body, and 2,000 hold idle connections. Other callers must
+/// still be answered.
 #[test]
 fn slow_senders_hold_up_nobody() {
     let raw = echo();
@@ -135,8 +135,8 @@
     }
 }
 
-/// Two requests come on one connection without a wait in between. Each gets its own answer, in
-/// the order in which they were sent.
+/// A caller sends two requests on one connection without waiting for the first answer. The answers
+/// must arrive in the order of the requests.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let raw = echo();
@@ -173,7 +173,7 @@
     assert!(got[0].headers.contains_key("x-end"));
 }
 
-/// What a caller may state as its patience reaches the backend server as what is left of it.
+/// A caller's timeout reaches the backend server as the time that remains.
 #[test]
 fn the_deadline_goes_along() {
     let raw = echo();
--- a/tests/path/cancel.rs
+++ b/tests/path/cancel.rs
@@ -1,4 +1,4 @@
-//! Work that nobody waits for ends; work that may not run twice goes on.
+//! Idempotent requests are cancelled when their caller disconnects.
 
 use std::time;
 
@@ -6,8 +6,8 @@
 
 use super::testenv;
 
-/// A pilot closes the page while the archive works on a long history. Left to run, the work of
-/// impatient callers fills the slots and makes everybody else wait.
+/// A caller disconnects during a long read. Without cancellation, abandoned requests would occupy
+/// the slots and delay all other callers.
 #[test]
 fn a_read_whose_caller_is_gone_is_cancelled() {
     let env = testenv::TestEnv::new();
--- a/tests/path/decisions.rs
+++ b/tests/path/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions inside an availability zone, under real HTTP and with real processes.
+//! Decisions within an availability zone, over real HTTP and with separate processes.
 
 use std::net;
 
@@ -15,7 +15,7 @@
     caller::Caller::default().ask(entry, &ask).unwrap()
 }
 
-/// An entry VM before backend servers that behave as told.
+/// Starts an entry VM and one backend server per behaviour.
 fn start(
     env: &testenv::TestEnv,
     behaviours: &[backend::Behaviour],
@@ -31,8 +31,8 @@
     (entry, backends)
 }
 
-/// One of two backend servers refuses all work, as one does whose disk is full. Callers are
-/// answered all the same, and the one that refuses is left alone more and more.
+/// One of two backend servers sheds all requests, for example because its disk is full. All callers
+/// must be answered, and the shedding server must receive fewer and fewer requests.
 #[test]
 fn a_backend_server_that_sheds_costs_no_caller_an_answer() {
     let env = testenv::TestEnv::new();
@@ -49,8 +49,8 @@
     assert!(shed < 100, "{shed} of 200 were tried there");
 }
 
-/// One of two backend servers fails each request at once. It always looks idle, so it would draw
-/// more work than the sound one, and callers would get its errors.
+/// One of two backend servers fails every request immediately. It always appears idle, so without
+/// ejection it would attract most requests, and callers would get its errors.
 #[test]
 fn a_backend_server_that_fails_is_put_out() {
     let env = testenv::TestEnv::new();
@@ -67,8 +67,8 @@
     assert!(started < 50, "{started} of 200 were tried there");
 }
 
-/// One request crashes each backend server that runs it, and its caller sends it again. After two
-/// crashes it is refused as not run, and the last backend server goes on answering others.
+/// A request crashes each backend server that runs it, and its caller retries. After two crashes it
+/// must be refused as not run, and the last backend server must keep answering other requests.
 #[test]
 fn a_request_that_crashes_backend_servers_is_refused() {
     let env = testenv::TestEnv::new();
--- a/tests/path/end_to_end.rs
+++ b/tests/path/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path with every part as a process of its own.
+//! The complete request path with every component as a separate process.
 
 use super::testenv;
 use bulrushwind::protocol::outcome;
--- a/tests/path/faulty.rs
+++ b/tests/path/faulty.rs
@@ -1,4 +1,4 @@
-//! A fault in the decisions themselves costs the request that it strikes, and no other.
+//! A defect in a policy affects only the requests that trigger it.
 
 use std::io::Write;
 use std::time;
@@ -10,14 +10,14 @@
 
 use super::local;
 
-/// The worth of a booking and of a release, as the cooperative declares them.
+/// Worth of a booking and of a release in the example settings.
 const BOOKING: u32 = 20;
 const RELEASE: u32 = 10;
 
-/// Requests at fault, more than there are workers.
+/// Number of requests that panic, more than there are workers.
 const FAULTS: usize = 80;
 
-/// Never settles bookings, and panics on releases.
+/// A policy that never settles bookings and panics on releases.
 #[derive(Clone)]
 struct Faulty;
 
@@ -31,7 +31,7 @@
     ) {
         match req.worth {
             BOOKING => {}
-            RELEASE => panic!("a fault that this test brings about"),
+            RELEASE => panic!("deliberate panic of this test"),
             _ => naive.arrive(now, req, out),
         }
     }
@@ -41,8 +41,8 @@
     local::Raw::start(|_, got, stream| stream.write_all(got.answer().as_bytes()))
 }
 
-/// A policy forgets a request. Its caller would hang until it gave up by itself and not know
-/// whether to ask again, and a planned stop of the entry VM would never end.
+/// A policy never settles a request. Without the overdue check, its caller would wait until its own
+/// timeout without an outcome, and a graceful shutdown of the entry VM would never end.
 #[test]
 fn a_forgotten_request_ends_as_unknown() {
     let raw = raw();
@@ -63,9 +63,8 @@
     assert_eq!(raw.got().len(), 0);
 }
 
-/// The handling of some requests panics, and their callers send them again. Each panic would end
-/// a worker, and after as many as there are workers the entry process would take requests and
-/// answer none.
+/// Requests panic while they are handled, more of them than there are workers. If each panic ended
+/// a worker, the entry process would accept requests and answer none.
 #[test]
 fn workers_outlive_requests_that_panic() {
     let raw = raw();
--- a/tests/path/local.rs
+++ b/tests/path/local.rs
@@ -1,4 +1,4 @@
-//! An entry process inside the test, before backend servers whose every byte the test chooses.
+//! An entry process inside the test, with backend servers whose raw answers the test defines.
 
 use std::collections;
 use std::io;
@@ -15,7 +15,7 @@
 
 use super::testenv;
 
-/// The head and body of a request as it reached a backend server.
+/// A request as a backend server received it.
 #[derive(Clone, Debug)]
 pub(crate) struct Got {
     pub(crate) path: String,
@@ -24,7 +24,7 @@
 }
 
 impl Got {
-    /// The bytes of a sound answer that names the request.
+    /// The bytes of a valid answer to this request.
     pub(crate) fn answer(&self) -> String {
         let attempt = &self.headers["bulrushwind-request"];
         let body = self.path.as_str();
@@ -42,8 +42,8 @@
 }
 
 impl Raw {
-    /// Starts one. `script` gets each request with its number, from 0; the connection is closed
-    /// when it returns an error.
+    /// Starts a backend server. `script` receives each request with its number, from 0. If it
+    /// returns an error, the connection is closed.
     pub(crate) fn start<F>(script: F) -> Self
     where
         F: Fn(usize, &Got, &mut net::TcpStream) -> io::Result<()> + Send + Sync + 'static,
@@ -61,7 +61,7 @@
         Self { addr, got }
     }
 
-    /// What reached it so far.
+    /// The requests received so far.
     pub(crate) fn got(&self) -> Vec<Got> {
         self.got.lock().clone()
     }
@@ -110,12 +110,12 @@
     })
 }
 
-/// An entry process before backend servers of the ledger.
+/// Starts an entry process with the naive policy and backend servers of the ledger.
 pub(crate) fn entry(backends: &[net::SocketAddr]) -> entry::Entry<entry::MakeNaive> {
     entry_with(entry::MakeNaive, backends)
 }
 
-/// An entry process with a policy of the test's own.
+/// Starts an entry process with the test's policy.
 pub(crate) fn entry_with<M: entry::MakePolicy>(
     make: M,
     backends: &[net::SocketAddr],
--- a/tests/path/main.rs
+++ b/tests/path/main.rs
@@ -1,4 +1,4 @@
-//! The whole path under failure, from callers to backend servers.
+//! The complete request path under failures, from callers to backend servers.
 
 mod answers;
 mod callers;
--- a/tests/path/once.rs
+++ b/tests/path/once.rs
@@ -1,4 +1,4 @@
-//! Bookings run at most once, and whoever is told "not run" can rely on it.
+//! A non-idempotent request runs at most once, and the outcome "not run" is reliable.
 
 use std::net;
 use std::thread;
@@ -62,8 +62,8 @@
     caller.ask(entry, &ask).unwrap()
 }
 
-/// A caller did not see its answer and books again, at the same entry VM and at another one. It
-/// must get the first answer, not a second bay.
+/// A caller misses its answer and retries the booking at the same entry VM and at another one. It
+/// must get the first answer without a second booking.
 #[test]
 fn a_resend_gets_the_first_answer() {
     let ledger = Ledger::new("5");
@@ -76,8 +76,8 @@
     assert_eq!(ledger.runs(&key), 1);
 }
 
-/// An impatient caller sends one booking through both entry VMs at the same moment, several times
-/// over. Each of them could take it for the first.
+/// A caller sends one booking several times through both entry VMs concurrently. Each entry VM
+/// could treat it as new and run it.
 #[test]
 fn two_at_once_run_once() {
     let ledger = Ledger::new("100");
@@ -96,9 +96,8 @@
     assert_eq!(ledger.runs(&key), 1);
 }
 
-/// The entry VM that issued the ticket dies after the booking ran, and another process starts
-/// under its name. Neither it nor the other entry VM can know about the booking, so neither may
-/// run it, and neither may say that it did not run.
+/// The entry VM that issued the ticket crashes after the booking ran and restarts under its name.
+/// Neither entry VM knows about the booking any more, so neither may run it or report it as not run.
 #[test]
 fn a_key_whose_home_restarted_is_unknown() {
     let mut ledger = Ledger::new("5");
@@ -117,14 +116,14 @@
     let mut told = ledger.book(0, &key);
     assert_eq!(told.outcome, Some(Outcome::Unknown), "{told:?}");
     assert_eq!(told.problem().unwrap().reason, "ticket-void");
-    // The other entry VM may still hold the address of the dead one.
+    // The other entry VM may still have the crashed one's address.
     told = ledger.book(1, &key);
     assert_eq!(told.outcome, Some(Outcome::Unknown), "{told:?}");
     assert_eq!(ledger.runs(&key), 1);
 }
 
-/// The entry VM that issued the ticket is frozen by its host. The booking comes to the other one,
-/// which cannot find out, and then the frozen one goes on with what it had been sent.
+/// The entry VM that issued the ticket is paused. The other one forwards the booking to it without
+/// an answer, and the paused one handles the forwarded booking when it resumes.
 #[test]
 fn a_key_whose_home_is_paused_runs_once() {
     let ledger = Ledger::new("5");
@@ -140,8 +139,8 @@
     assert_eq!(ledger.runs(&key), 1);
 }
 
-/// A backend server dies while it works on a booking. The booking may have run: sent to the next
-/// backend server it could run twice, and called "not run" it would be booked again by its member.
+/// A backend server crashes while it runs a booking. The booking may have run: another attempt could
+/// run it twice, and the outcome "not run" would make the caller book again.
 #[test]
 fn a_booking_on_a_crashed_backend_is_unknown() {
     let mut ledger = Ledger::new("5");
@@ -170,8 +169,8 @@
     assert_eq!(ledger.runs(&key), 0, "it ran on the other one too");
 }
 
-/// A member's phone numbers its requests anew and uses a key for another booking. The answer to
-/// the first booking would be shown for the second.
+/// A caller reuses a key for another booking, for example after its counter restarted. It must not
+/// get the first booking's answer.
 #[test]
 fn another_booking_under_a_spent_key_is_refused() {
     let ledger = Ledger::new("5");
@@ -185,8 +184,8 @@
     assert_eq!(ledger.runs(&key), 1);
 }
 
-/// The member's phone loses its line while the booking runs. The booking goes on, and the resend
-/// gets its answer.
+/// The caller disconnects while the booking runs. The booking must continue, and the retry must get
+/// its answer.
 #[test]
 fn a_booking_goes_on_when_its_caller_is_gone() {
     let ledger = Ledger::new("200");
--- a/tests/path/stop.rs
+++ b/tests/path/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops and drains cut nothing.
+//! Graceful shutdowns and drains interrupt no request.
 
 use std::thread;
 use std::time;
@@ -9,7 +9,7 @@
 use bulrushwind::settings;
 use bulrushwind::standin::{backend, caller};
 
-/// Work that is in flight when something is told to stop.
+/// Service time of requests in flight during a shutdown, in milliseconds.
 const LONG_WORK: &str = "1500";
 
 fn booking(key: &str) -> caller::Ask<'_> {
@@ -22,8 +22,8 @@
     }
 }
 
-/// An entry VM is told to stop while bookings and reads are in flight. Whoever is cut off waits,
-/// worries and asks again; whoever is sent there by an old look-up must be told where to go.
+/// An entry VM shuts down while bookings are in flight. They must be answered, and a request that an
+/// older look-up sends there must be refused as `stopping`.
 #[test]
 fn a_planned_stop_of_an_entry_vm_cuts_nothing() {
     let env = testenv::TestEnv::new();
@@ -69,7 +69,7 @@
             assert_eq!(told.outcome, Some(Outcome::Answered), "{told:?}");
         }
     });
-    // The kept answer is still within reach, here and through the other one.
+    // The stored answer is still available here and through the other entry VM.
     for entry in [leaving.addr(), staying.addr()] {
         let again = caller.ask(entry, &booking(&keys[0])).unwrap();
         assert_eq!(again.outcome, Some(Outcome::Answered), "{again:?}");
@@ -79,7 +79,7 @@
     assert_eq!(log.runs.values().copied().collect::<Vec<_>>(), vec![1; 3]);
 }
 
-/// How a backend server's leave becomes known.
+/// How a backend server's leave is announced.
 #[derive(Clone, Copy, Debug)]
 enum Word {
     List,
@@ -87,8 +87,8 @@
     Settings,
 }
 
-/// A backend server is about to go, and one of the three places says so. Work that still goes
-/// there would be cut when it goes; what it has in hand must end.
+/// A backend server is about to leave, and one source announces it. Requests still sent to it would
+/// be interrupted, so it must get no new ones.
 fn drain(word: Word) {
     let env = testenv::TestEnv::new();
     let [leaving, staying] = ["l1", "l2"].map(|name| env.backend(name, "ledger", &[]));
@@ -157,8 +157,8 @@
     drain(Word::Settings);
 }
 
-/// A backend server goes a moment after it said so, with a booking in hand. The booking's caller
-/// must get its answer.
+/// A backend server is removed from the list shortly after it is marked as leaving, with a booking
+/// in flight. The caller must get its answer.
 #[test]
 fn a_drain_leaves_what_is_in_flight_alone() {
     let env = testenv::TestEnv::new();
--- a/tests/path/testenv.rs
+++ b/tests/path/testenv.rs
@@ -1,4 +1,4 @@
-//! A small deployment of separate processes for the tests of the whole path.
+//! A small deployment of separate processes for the tests of the complete path.
 
 use std::net;
 use std::path;
@@ -10,20 +10,20 @@
 use bulrushwind::standin::{caller, control, operator, processes};
 use bulrushwind::{config, settings};
 
-/// How long a condition may take. Far more than any machine needs.
+/// Timeout of a condition, ample even on a slow machine.
 pub(crate) const LIMIT: time::Duration = time::Duration::from_secs(60);
 
-/// The availability zone of everything that a test does not place elsewhere.
+/// The default availability zone.
 pub(crate) const AZ: &str = "ub-a";
 
-/// A store, and what runs with it.
+/// A store process and the directory for configuration files.
 pub(crate) struct TestEnv {
     pub(crate) store: processes::Process,
     dir: tempfile::TempDir,
 }
 
 impl TestEnv {
-    /// A store that holds the cooperative's settings.
+    /// Starts a store with the example settings.
     pub(crate) fn new() -> Self {
         let program = path::Path::new(env!("CARGO_BIN_EXE_bulrushwind-standin"));
         let store = processes::Process::start(program, ["store"]).unwrap();
@@ -33,7 +33,7 @@
         env
     }
 
-    /// Changes the settings in the store.
+    /// Writes the example settings with `change` applied to the store.
     pub(crate) fn change_settings(&self, change: impl FnOnce(&mut settings::Settings)) {
         let root = path::Path::new("examples/cooperative");
         let mut settings = settings::Settings::read(root).unwrap();
@@ -41,7 +41,7 @@
         processes::put_settings(self.store.addr(), &settings).unwrap();
     }
 
-    /// Takes a VM off the list.
+    /// Removes a VM from the list.
     pub(crate) fn unlist(&self, name: &str) {
         let vm = name.into();
         control::send(self.store.addr(), &control::Control::RemoveVm { vm }).unwrap();
@@ -56,7 +56,7 @@
         backend
     }
 
-    /// Puts a backend server on the list of VMs.
+    /// Adds a backend server to the list of VMs.
     pub(crate) fn list_backend(
         &self,
         name: &str,
@@ -75,17 +75,17 @@
         });
     }
 
-    /// Puts a VM on the list.
+    /// Adds a VM to the list.
     pub(crate) fn list(&self, vm: store::Vm) {
         control::send(self.store.addr(), &control::Control::PutVm { vm }).unwrap();
     }
 
-    /// Starts an entry VM and waits until it knows the settings.
+    /// Starts an entry VM and waits until it has the settings and the list of VMs.
     pub(crate) fn entry(&self, name: &str) -> processes::Process {
         self.entry_with(name, |_| {})
     }
 
-    /// Starts an entry VM with a change of its configuration.
+    /// Starts an entry VM with `change` applied to its configuration.
     pub(crate) fn entry_with(
         &self,
         name: &str,
@@ -112,7 +112,7 @@
         entry
     }
 
-    /// Starts an entry VM that must fail, and returns its status and what it said.
+    /// Starts an entry VM that must fail; returns its exit status and standard error.
     pub(crate) fn entry_fails(
         &self,
         name: &str,
@@ -154,12 +154,15 @@
 pub(crate) fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let until = time::Instant::now() + LIMIT;
     while !condition() {
-        assert!(time::Instant::now() < until, "never came true: {what}");
+        assert!(
+            time::Instant::now() < until,
+            "timed out while waiting for: {what}"
+        );
         thread::sleep(time::Duration::from_millis(10));
     }
 }
 
-/// Waits until an entry VM brings requests of a service to a backend server.
+/// Waits until an entry VM answers requests for `path` through a backend server.
 pub(crate) fn wait_answered(entry: net::SocketAddr, path: &str) {
     let caller = caller::Caller::default();
     wait_for("a request is answered", || {
--- a/tests/steering_path.rs
+++ b/tests/steering_path.rs
@@ -1,5 +1,5 @@
-//! Requests that go to another availability zone, over real HTTP and real links between processes'
-//! parts: two entry VMs, each in an availability zone of its own.
+//! Requests sent to another availability zone, over real HTTP and real peer links between two entry
+//! VMs in different availability zones.
 
 use std::net;
 use std::sync;
@@ -13,7 +13,7 @@
 use bulrushwind::{config, entry, logging};
 use policy::{Action, Policy};
 
-/// How long a condition may take. Far more than any machine needs.
+/// Timeout of a condition, ample even on a slow machine.
 const LIMIT: time::Duration = time::Duration::from_secs(60);
 
 const SECRET: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
@@ -51,7 +51,7 @@
 typical_ms = 40.0
 "#;
 
-/// Starts an entry VM and puts it on the platform's list.
+/// Starts an entry VM and adds it to the platform's list.
 fn start_entry<M: entry::MakePolicy>(
     platform: &standin::Memory,
     name: &str,
@@ -86,7 +86,8 @@
 }
 
 impl Fleet {
-    /// An entry VM and a backend server in each of `a` and `b`; the one in `a` has `slots` slots.
+    /// Starts an entry VM and a backend server in each of `a` and `b`; the backend server in `a` has
+    /// `slots` slots.
     fn start(slots: usize) -> Self {
         let platform = standin::Memory::default();
         operator::publish(&platform, "places", SETTINGS, 0).unwrap();
@@ -139,7 +140,7 @@
         self.entries.push(entry);
     }
 
-    /// How often each key ran, on all backend servers.
+    /// Number of runs of each key on all backend servers.
     fn runs(&self) -> std::collections::BTreeMap<String, u32> {
         let mut all = std::collections::BTreeMap::new();
         for backend in &self.backends {
@@ -154,13 +155,15 @@
 fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let until = time::Instant::now() + LIMIT;
     while !condition() {
-        assert!(time::Instant::now() < until, "never came true: {what}");
+        assert!(
+            time::Instant::now() < until,
+            "timed out while waiting for: {what}"
+        );
         thread::sleep(time::Duration::from_millis(20));
     }
 }
 
-/// Books with a ticket, again and again, until told to stop. Returns each key with what its caller
-/// was told.
+/// Sends bookings with keys of one ticket until `stop` is set. Returns each key with its outcome.
 fn book(entry: net::SocketAddr, thread: usize, stop: &sync::atomic::AtomicBool) -> Vec<Booked> {
     let caller = caller::Caller::default();
     let ticket = caller.look_up(entry, "ledger").unwrap().ticket.unwrap();
@@ -203,9 +206,8 @@
     outcome: Option<outcome::Outcome>,
 }
 
-/// A place has a single slot left and a surge comes in, while the place next to it is idle. Without
-/// spilling, most of its callers would be refused; with careless spilling, a booking would be sent
-/// to both places and bill one bay twice.
+/// A surge hits an availability zone with a single slot while another one is idle. Without spilling,
+/// most callers would be refused; faulty spilling could run a booking in both zones.
 #[test]
 fn a_surge_spills_and_nothing_runs_twice() {
     let fleet = Fleet::start(1);
@@ -216,7 +218,7 @@
         let callers: Vec<_> = (0..16)
             .map(|i| scope.spawn(move || book(entry, i, stop)))
             .collect();
-        // The idle place has answered the one read that the start waited for.
+        // The idle zone has already run the reads of `Fleet::start`.
         wait_for("bookings run in the other place", || {
             fleet.backends[1].log().started > 20
         });
@@ -238,8 +240,8 @@
     }
 }
 
-/// A sender's grant has run out, or was never given: its requests come after a partition, or from
-/// a process that makes them up. Let in, they would take the place that own callers need.
+/// Requests arrive from another availability zone with an expired, unknown or malformed grant, for
+/// example after a partition. If admitted, they would take capacity that local callers need.
 #[test]
 fn without_a_live_grant_nothing_is_let_in() {
     let fleet = Fleet::start(8);
@@ -261,8 +263,8 @@
     assert!(fleet.runs().is_empty());
 }
 
-/// Bans the first request that it sees, as if it had crashed two backend servers, and tells of it
-/// again and again, as links may not be up the first time.
+/// A policy that bans the first request it receives, as if it had crashed two backend servers. It
+/// reports the ban repeatedly, since the links may not be up at first.
 #[derive(Clone, Default)]
 struct Banning {
     banned: Option<policy::Fingerprint>,
@@ -287,8 +289,8 @@
     }
 }
 
-/// A request crashes backend servers behind one entry VM, and its caller sends it through another.
-/// If that one did not know, the request would crash two more there, and so on through the fleet.
+/// A request crashes backend servers behind one entry VM, and its caller retries through another. If
+/// the ban did not reach that one, the request would crash two more at each entry VM of the fleet.
 #[test]
 fn a_request_that_is_banned_at_one_entry_vm_is_refused_at_another() {
     let mut fleet = Fleet::start(8);
