--- a/src/config.rs
+++ b/src/config.rs
@@ -86,9 +86,9 @@
     pub fn layered(path: Option<&path::Path>, overrides: &Overrides) -> Result<Self, error::Error> {
         let mut table = path.map_or_else(|| Ok(toml::Table::new()), read_table)?;
         for (key, text) in overrides.env.iter().chain(&overrides.flags) {
-            table.insert(key.clone(), checked(key, text)?);
+            table.insert(key.clone(), parse_checked(key, text)?);
         }
-        let cfg = Self::deserialize(table).map_err(|err| missing(&err))?;
+        let cfg = Self::deserialize(table).map_err(|err| missing_key_error(&err))?;
         cfg.check()?;
         Ok(cfg)
     }
@@ -117,9 +117,9 @@
             0..=64,
         )?;
         for name in [self.vm.as_str(), self.az.as_str()] {
-            if name.is_empty() || name.len() > MAX_NAME || name.contains([' ', '/']) {
+            if name.is_empty() || name.len() > MAX_NAME_BYTES || name.contains([' ', '/']) {
                 return Err(error::Error::Config(format!(
-                    "`{name}` is not a valid name; set `vm` and `az` to 1 to {MAX_NAME} characters without spaces and /"
+                    "`{name}` is not a valid name; set `vm` and `az` to 1 to {MAX_NAME_BYTES} characters without spaces and /"
                 )));
             }
         }
@@ -147,7 +147,7 @@
 }
 
 /// Maximum length of the name of a VM or an availability zone.
-const MAX_NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
 /// Maximum size of a configuration file.
 const MAX_FILE_BYTES: u64 = 64 * 1024;
@@ -170,13 +170,13 @@
         flags: &[String],
     ) -> Result<Self, error::Error> {
         let known = known_keys();
-        let named = |(name, text): (String, String)| {
+        let key_and_text = |(name, text): (String, String)| {
             let key = name.strip_prefix(ENV_PREFIX)?.to_lowercase();
-            let counts = known.contains_key(&key) && !text.is_empty();
-            counts.then_some((key, text))
+            let is_override = known.contains_key(&key) && !text.is_empty();
+            is_override.then_some((key, text))
         };
         let mut overrides = Self {
-            env: env.filter_map(named).collect(),
+            env: env.filter_map(key_and_text).collect(),
             flags: Vec::new(),
         };
         for flag in flags {
@@ -212,43 +212,43 @@
 }
 
 fn read_table(path: &path::Path) -> Result<toml::Table, error::Error> {
-    let read = |source| error::Error::Read {
+    let read_error = |source| error::Error::Read {
         path: path.to_owned(),
         source,
     };
-    if fs::metadata(path).map_err(read)?.len() > MAX_FILE_BYTES {
+    if fs::metadata(path).map_err(read_error)?.len() > MAX_FILE_BYTES {
         return Err(error::Error::Config(format!(
             "{}: larger than {MAX_FILE_BYTES} bytes; check that this is an entry process's configuration file",
             path.display()
         )));
     }
-    let text = fs::read_to_string(path).map_err(read)?;
+    let text = fs::read_to_string(path).map_err(read_error)?;
     let name = path.display().to_string();
-    let fault = |err: toml::de::Error| error::Error::Config(format!("{name}: {err}"));
-    let table: toml::Table = toml::from_str(&text).map_err(fault)?;
+    let parse_error = |err: toml::de::Error| error::Error::Config(format!("{name}: {err}"));
+    let table: toml::Table = toml::from_str(&text).map_err(parse_error)?;
     for key in table.keys() {
         let line = text.lines().position(|line| {
             line.split('=')
                 .next()
                 .is_some_and(|name| name.trim() == key)
         });
-        let at = line.map_or_else(|| name.clone(), |line| format!("{name}:{}", line + 1));
-        check_key(&at, key)?;
+        let location = line.map_or_else(|| name.clone(), |line| format!("{name}:{}", line + 1));
+        check_key(&location, key)?;
     }
     // Parsing the file alone gives the line of a value of the wrong type. Missing keys are no error
     // here, since the environment or a flag may set them.
     match toml::from_str::<Config>(&text) {
-        Err(err) if !err.message().starts_with(MISSING) => Err(fault(err)),
+        Err(err) if !err.message().starts_with(MISSING_FIELD_PREFIX) => Err(parse_error(err)),
         _ => Ok(table),
     }
 }
 
 /// Start of the parser's message about a missing key.
-const MISSING: &str = "missing field";
+const MISSING_FIELD_PREFIX: &str = "missing field";
 
-fn missing(err: &toml::de::Error) -> error::Error {
+fn missing_key_error(err: &toml::de::Error) -> error::Error {
     let message = err.message();
-    let Some(key) = message.strip_prefix(MISSING) else {
+    let Some(key) = message.strip_prefix(MISSING_FIELD_PREFIX) else {
         return error::Error::Config(message.to_owned());
     };
     let key = key.trim().trim_matches('`');
@@ -259,11 +259,11 @@
 }
 
 /// Parses a value from the environment or a flag and checks that its key accepts it.
-fn checked(key: &str, text: &str) -> Result<toml::Value, error::Error> {
-    let value = value(key, text);
-    let mut alone = known_keys();
-    alone.insert(key.to_owned(), value.clone());
-    match Config::deserialize(alone) {
+fn parse_checked(key: &str, text: &str) -> Result<toml::Value, error::Error> {
+    let value = parse_value(key, text);
+    let mut defaults_with_value = known_keys();
+    defaults_with_value.insert(key.to_owned(), value.clone());
+    match Config::deserialize(defaults_with_value) {
         Ok(_) => Ok(value),
         Err(err) => Err(error::Error::Config(format!(
             "`{key}` cannot be `{text}`: {}; see its form in a file or with --print-config",
@@ -273,7 +273,7 @@
 }
 
 /// Parses a value from the environment or a flag. List elements are separated by commas.
-fn value(key: &str, text: &str) -> toml::Value {
+fn parse_value(key: &str, text: &str) -> toml::Value {
     match known_keys().get(key) {
         Some(toml::Value::Array(_)) => {
             let parts = text
@@ -368,14 +368,14 @@
         Config::layered(Some(&path), &Overrides::new(env, &flags)?)
     }
 
-    fn refused(text: &str, flags: &[&str]) -> String {
+    fn error_of(text: &str, flags: &[&str]) -> String {
         layered(text, &[("BULRUSHWIND_STORE", "127.0.0.1:4")], flags)
             .unwrap_err()
             .to_string()
     }
 
     #[test]
-    fn flags_go_over_the_environment_and_that_over_the_file() {
+    fn flags_override_the_environment_which_overrides_the_file() {
         let env = [
             ("BULRUSHWIND_STORE", "127.0.0.1:4"),
             ("BULRUSHWIND_WORKERS", "3"),
@@ -389,31 +389,31 @@
     }
 
     #[test]
-    fn what_is_missing_or_unknown_is_named_with_its_remedy() {
+    fn errors_on_missing_and_unknown_keys_include_a_remedy() {
         let err = layered(FILE, &[], &[]).unwrap_err().to_string();
         assert!(
             err.contains("BULRUSHWIND_STORE or with --set store="),
             "{err}"
         );
-        let err = refused(&format!("{FILE}worker = 2\n"), &[]);
+        let err = error_of(&format!("{FILE}worker = 2\n"), &[]);
         assert!(
             err.contains("entry.toml:7") && err.contains("`workers`?"),
             "{err}"
         );
-        assert!(refused(FILE, &["worker=2"]).contains("`workers`?"));
-        let err = refused(FILE, &["listen=here"]);
+        assert!(error_of(FILE, &["worker=2"]).contains("`workers`?"));
+        let err = error_of(FILE, &["listen=here"]);
         assert!(err.starts_with("`listen` cannot be `here`"), "{err}");
-        let err = refused(&FILE.replace("workers = 2", "workers = \"two\""), &[]);
+        let err = error_of(&FILE.replace("workers = 2", "workers = \"two\""), &[]);
         assert!(err.contains("line 6"), "{err}");
     }
 
     #[test]
-    fn every_range_is_named_with_its_unit() {
-        let err = refused(FILE, &["workers=0"]);
+    fn range_errors_include_the_unit() {
+        let err = error_of(FILE, &["workers=0"]);
         assert_eq!(err, "`workers` is 0 threads; give 1 to 256 threads");
-        let err = refused(FILE, &["lookup_ttl_ms=5"]);
+        let err = error_of(FILE, &["lookup_ttl_ms=5"]);
         assert_eq!(err, "`lookup_ttl_ms` is 5 ms; give 100 to 3600000 ms");
-        assert!(refused(FILE, &["listen=127.0.0.1:2"]).contains("given twice"));
+        assert!(error_of(FILE, &["listen=127.0.0.1:2"]).contains("given twice"));
     }
 
     #[test]
--- a/src/exit_codes.rs
+++ b/src/exit_codes.rs
@@ -57,7 +57,7 @@
     use super::*;
 
     #[test]
-    fn each_code_is_in_the_help_text() {
+    fn the_help_text_lists_every_code() {
         let codes = [
             ExitCode::Success,
             ExitCode::Failure,
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -24,32 +24,32 @@
 
 /// Buffer size for lines that a slow reader has not taken. Further lines are dropped and counted.
 /// 256 KB are about a thousand lines, more than a process writes in a second.
-const WAITING: usize = 256 << 10;
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
 /// Interval between writes of buffered lines. One write for many lines costs far less processor
 /// time than one write per line.
-const GATHER: time::Duration = time::Duration::from_millis(200);
+const WRITE_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
 #[derive(Debug, Default)]
-struct Lines {
+struct BufferedLines {
     text: Vec<u8>,
     dropped: u64,
 }
 
 /// In-memory buffer of lines, which a dedicated thread writes out.
 #[derive(Clone, Debug, Default)]
-struct Gathered(sync::Arc<(parking_lot::Mutex<Lines>, parking_lot::Condvar)>);
+struct LineBuffer(sync::Arc<(parking_lot::Mutex<BufferedLines>, parking_lot::Condvar)>);
 
-impl io::Write for Gathered {
+impl io::Write for LineBuffer {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        let (lines, filled) = &*self.0;
+        let (lines, has_lines) = &*self.0;
         let mut lines = lines.lock();
-        if lines.text.len() + buf.len() > WAITING {
+        if lines.text.len() + buf.len() > MAX_BUFFERED_BYTES {
             lines.dropped += 1;
             return Ok(buf.len());
         }
         lines.text.extend_from_slice(buf);
-        filled.notify_one();
+        has_lines.notify_one();
         Ok(buf.len())
     }
 
@@ -58,39 +58,39 @@
     }
 }
 
-impl Gathered {
+impl LineBuffer {
     /// Writes buffered lines to `to` forever.
-    fn write_out(&self, mut to: impl io::Write) {
-        let (lines, filled) = &*self.0;
+    fn write_forever(&self, mut to: impl io::Write) {
+        let (lines, has_lines) = &*self.0;
         loop {
-            let taken = {
+            let batch = {
                 let mut lines = lines.lock();
                 while lines.text.is_empty() {
-                    filled.wait(&mut lines);
+                    has_lines.wait(&mut lines);
                 }
                 std::mem::take(&mut *lines)
             };
             // Without a reader the lines are lost; the process continues.
-            let _ = to.write_all(&taken.text);
-            if taken.dropped > 0 {
+            let _ = to.write_all(&batch.text);
+            if batch.dropped > 0 {
                 let _ = writeln!(
                     to,
                     "{{\"msg\":\"log lines dropped\",\"lines\":{}}}",
-                    taken.dropped
+                    batch.dropped
                 );
             }
-            std::thread::sleep(GATHER);
+            std::thread::sleep(WRITE_INTERVAL);
         }
     }
 }
 
 /// Builds a process's root logger to standard output. A reader that stalls delays only the lines.
 pub fn buffered(process: &str) -> slog::Logger {
-    let gathered = Gathered::default();
-    let writer = gathered.clone();
-    std::thread::spawn(move || writer.write_out(io::stdout()));
+    let buffer = LineBuffer::default();
+    let writer = buffer.clone();
+    std::thread::spawn(move || writer.write_forever(io::stdout()));
     // Each line reaches the buffer in one write, so that no partial line is dropped.
-    let json = slog_json::Json::new(io::LineWriter::with_capacity(8 << 10, gathered))
+    let json = slog_json::Json::new(io::LineWriter::with_capacity(8 << 10, buffer))
         .add_default_keys()
         .build();
     let drain = sync::Mutex::new(json).fuse();
@@ -130,9 +130,9 @@
 
 #[derive(Debug)]
 struct Bucket {
-    left: f64,
-    filled: time::Duration,
-    held_back: u64,
+    tokens: f64,
+    refilled_at: time::Duration,
+    suppressed: u64,
 }
 
 impl Limiter {
@@ -149,19 +149,19 @@
     pub fn admit(&self, event: &'static str, now: time::Duration) -> Option<u64> {
         let mut events = self.events.lock();
         let bucket = events.entry(event).or_insert(Bucket {
-            left: self.rate.burst,
-            filled: now,
-            held_back: 0,
+            tokens: self.rate.burst,
+            refilled_at: now,
+            suppressed: 0,
         });
-        let passed = now.saturating_sub(bucket.filled).as_secs_f64();
-        bucket.left = (bucket.left + passed * self.rate.a_second).min(self.rate.burst);
-        bucket.filled = now;
-        if bucket.left < 1.0 {
-            bucket.held_back += 1;
+        let elapsed = now.saturating_sub(bucket.refilled_at).as_secs_f64();
+        bucket.tokens = (bucket.tokens + elapsed * self.rate.a_second).min(self.rate.burst);
+        bucket.refilled_at = now;
+        if bucket.tokens < 1.0 {
+            bucket.suppressed += 1;
             return None;
         }
-        bucket.left -= 1.0;
-        Some(std::mem::take(&mut bucket.held_back))
+        bucket.tokens -= 1.0;
+        Some(std::mem::take(&mut bucket.suppressed))
     }
 }
 
@@ -171,11 +171,11 @@
 
     /// Guards against a line per refused request when a region fails.
     #[test]
-    fn a_flood_of_alike_lines_is_held_back_and_counted() {
+    fn repeated_lines_are_suppressed_and_counted() {
         let limiter = Limiter::default();
         let at = time::Duration::from_secs;
-        let flood = (0..1000).filter(|_| limiter.admit("refused", at(1)).is_some());
-        assert_eq!(flood.count(), 20);
+        let admitted = (0..1000).filter(|_| limiter.admit("refused", at(1)).is_some());
+        assert_eq!(admitted.count(), 20);
         assert_eq!(limiter.admit("spilled", at(1)), Some(0));
         assert_eq!(limiter.admit("refused", at(2)), Some(980));
         assert_eq!(limiter.admit("refused", at(2)), Some(0));
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -356,21 +356,21 @@
 /// Set of one label's values, limited to [`MAX_LABEL_VALUES`].
 #[derive(Debug, Default)]
 pub struct Bounded {
-    seen: parking_lot::RwLock<collections::BTreeSet<sync::Arc<str>>>,
+    values: parking_lot::RwLock<collections::BTreeSet<sync::Arc<str>>>,
 }
 
 impl Bounded {
     /// Returns `value`, or [`OTHER`] for a new value once the limit is reached.
     pub fn label(&self, value: &str) -> sync::Arc<str> {
-        if let Some(known) = self.seen.read().get(value) {
+        if let Some(known) = self.values.read().get(value) {
             return known.clone();
         }
-        let mut seen = self.seen.write();
-        if seen.len() >= MAX_LABEL_VALUES && !seen.contains(value) {
+        let mut values = self.values.write();
+        if values.len() >= MAX_LABEL_VALUES && !values.contains(value) {
             return OTHER.into();
         }
         let value: sync::Arc<str> = value.into();
-        seen.insert(value.clone());
+        values.insert(value.clone());
         value
     }
 }
@@ -382,7 +382,7 @@
     use super::*;
 
     #[test]
-    fn each_metric_has_its_row_in_the_operators_page() {
+    fn each_metric_has_a_row_in_the_operators_page() {
         let page = fs::read_to_string("docs/operators/metrics.md").unwrap();
         for metric in ALL {
             let labels = metric.labels.iter().map(|label| format!("`{label}`"));
@@ -409,7 +409,7 @@
     }
 
     #[test]
-    fn what_is_counted_is_rendered() {
+    fn recorded_metrics_are_rendered() {
         let recorder = recorder();
         metrics::with_local_recorder(&recorder, || {
             metrics::counter!(IN_TIME, "service" => "ledger").increment(2);
@@ -427,13 +427,13 @@
     /// Guards against memory exhaustion when a team declares ever more services or caller text
     /// becomes a label by mistake: each new value takes memory permanently.
     #[test]
-    fn a_label_takes_a_bounded_set_of_values() {
+    fn the_values_of_a_label_are_limited() {
         let bounded = Bounded::default();
         for n in 0..1000 {
             bounded.label(&format!("service-{n}"));
         }
         assert_eq!(&*bounded.label("service-0"), "service-0");
         assert_eq!(&*bounded.label("service-999"), OTHER);
-        assert_eq!(bounded.seen.read().len(), MAX_LABEL_VALUES);
+        assert_eq!(bounded.values.read().len(), MAX_LABEL_VALUES);
     }
 }
--- a/src/nearest.rs
+++ b/src/nearest.rs
@@ -2,14 +2,14 @@
 
 /// Minimum Jaro-Winkler similarity of a suggestion, from 0 to 1. It accepts one or two wrong letters
 /// but not a different word.
-const ALIKE: f64 = 0.75;
+const MIN_SIMILARITY: f64 = 0.75;
 
 /// Returns the known name most similar to `name`, if any is similar enough.
 pub fn name<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     known
         .into_iter()
         .map(|known| (strsim::jaro_winkler(name, known), known))
-        .filter(|(alike, _)| *alike >= ALIKE)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|(a, _), (b, _)| a.total_cmp(b))
         .map(|(_, known)| known)
 }
@@ -28,7 +28,7 @@
     use super::*;
 
     #[test]
-    fn a_slip_of_the_pen_gets_its_name_back() {
+    fn a_mistyped_field_gets_a_suggestion() {
         let message = "unknown field `slotz`, expected one of `name`, `slots`, `azs`";
         assert_eq!(hint(message).unwrap(), "did you mean `slots`?");
         assert_eq!(hint("unknown field `zebra`, expected `name`"), None);
