--- a/src/entry.rs
+++ b/src/entry.rs
@@ -6,12 +6,12 @@
 
 mod answers;
 pub mod args;
-mod desk;
+mod executor;
 mod feed;
 mod observe;
-mod operate;
+mod operator_source;
 mod route;
-mod steer;
+mod steering;
 
 use std::collections;
 use std::io::Write;
@@ -34,13 +34,13 @@
 use policy::Policy;
 
 /// Interval at which policies receive a tick.
-const TICK: time::Duration = time::Duration::from_millis(5);
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(5);
 
 /// Interval at which scheduled drains and leave reports of backend servers are re-evaluated.
-const REFRESH: time::Duration = time::Duration::from_millis(250);
+const REFRESH_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
 /// Threads for socket input and output. All other work runs on the workers.
-const SOCKET_THREADS: usize = 4;
+const SOCKET_THREAD_COUNT: usize = 4;
 
 /// Builds the policy of each service.
 pub trait MakePolicy: Send + Sync + 'static {
@@ -103,12 +103,12 @@
     /// The platform's list of VMs.
     pub fleet: arc_swap::ArcSwap<fleet::Fleet>,
     /// State of the connections to the platform's store and the peers, for operators.
-    pub links: arc_swap::ArcSwap<Links>,
+    pub coordination_status: arc_swap::ArcSwap<CoordinationStatus>,
 }
 
 /// State of an entry process's connections to the platform's store and its peers.
 #[derive(Clone, Debug, Default)]
-pub struct Links {
+pub struct CoordinationStatus {
     /// The version of each team's settings in force.
     pub versions: collections::BTreeMap<id::TeamId, u64>,
     /// Whether the last call to the platform's store was answered.
@@ -141,24 +141,27 @@
     /// A complete request arrived.
     Request(server::Request),
     /// The caller of a request disconnected.
-    Gone(policy::RequestId),
+    CallerGone(policy::RequestId),
     /// An attempt ended.
-    Ended(sync::Arc<desk::Desk<P>>, desk::AttemptEnd),
+    AttemptEnded(sync::Arc<executor::Executor<P>>, executor::AttemptEnd),
     /// A probe ended.
-    Probed(
-        sync::Arc<desk::Desk<P>>,
+    ProbeEnded(
+        sync::Arc<executor::Executor<P>>,
         id::VmId,
         Result<server::Answer, client::Failure>,
     ),
     /// The home VM of a key answered or failed to answer.
-    Home(route::Home, Result<server::Answer, client::Failure>),
+    HomeAnswered(
+        route::ForwardedRequest,
+        Result<server::Answer, client::Failure>,
+    ),
 }
 
-type Desks<P> = collections::HashMap<id::ServiceId, sync::Arc<desk::Desk<P>>>;
+type Executors<P> = collections::HashMap<id::ServiceId, sync::Arc<executor::Executor<P>>>;
 
 /// The entry VMs that look-ups return, with the settings and VM list used to compute them.
 #[derive(Default)]
-struct Named {
+struct CachedDirectory {
     settings: sync::Arc<settings::Settings>,
     fleet: sync::Arc<fleet::Fleet>,
     directory: directory::Directory,
@@ -170,12 +173,12 @@
     make: M,
     log: slog::Logger,
     observer: observe::Observer,
-    steer: steer::Steer,
+    steering: steering::Steering,
     incarnation: id::Incarnation,
     started: time::Instant,
     shared: sync::Arc<Shared>,
-    desks: arc_swap::ArcSwap<Desks<M::Policy>>,
-    named: arc_swap::ArcSwap<Named>,
+    executors: arc_swap::ArcSwap<Executors<M::Policy>>,
+    cached_directory: arc_swap::ArcSwap<CachedDirectory>,
     keys: Mutex<keys::Keys<server::Reply>>,
     client: client::Client,
     events: channel::Sender<Event<M::Policy>>,
@@ -188,7 +191,7 @@
     }
 
     /// The request's fleet-wide unique id.
-    fn name(&self, id: u64) -> Option<hyper::header::HeaderValue> {
+    fn request_id(&self, id: u64) -> Option<hyper::header::HeaderValue> {
         let name = format!("{}-{}-{id}", self.cfg.vm, self.incarnation);
         name.parse().ok()
     }
@@ -196,10 +199,12 @@
     fn handle(self: &sync::Arc<Self>, event: Event<M::Policy>) {
         match event {
             Event::Request(req) => route::request(self, req),
-            Event::Gone(req) => desk::gone(self, req),
-            Event::Ended(desk, end) => desk::ended(self, &desk, end),
-            Event::Probed(desk, vm, result) => desk::probed(self, &desk, &vm, result),
-            Event::Home(home, result) => route::home_answered(self, home, result),
+            Event::CallerGone(req) => executor::handle_caller_gone(self, req),
+            Event::AttemptEnded(executor, end) => executor::attempt_ended(self, &executor, end),
+            Event::ProbeEnded(executor, vm, result) => {
+                executor::probe_ended(self, &executor, &vm, result)
+            }
+            Event::HomeAnswered(home, result) => route::home_answered(self, home, result),
         }
     }
 }
@@ -218,18 +223,18 @@
     }
 
     fn gone(&self, id: u64) {
-        let _ = self.0.events.send(Event::Gone(policy::RequestId(id)));
+        let _ = self.0.events.send(Event::CallerGone(policy::RequestId(id)));
     }
 
     fn fault(&self, id: u64, fault: server::Fault) -> server::Answer {
         let problem = answers::fault(fault);
         let core = &self.0;
-        core.observer.turned_away(core.now(), id, "", &problem);
+        core.observer.record_refusal(core.now(), id, "", &problem);
         answers::problem(&problem)
     }
 
     fn name(&self, id: u64) -> Option<hyper::header::HeaderValue> {
-        self.0.name(id)
+        self.0.request_id(id)
     }
 }
 
@@ -256,7 +261,7 @@
         let platform = sync::Arc::new(platform);
         let driver = feed::start(&entry.core, platform.clone())?;
         let (links, inbox) = (driver.peers().cloned(), driver.inbox().clone());
-        steer::start(&entry.core, links, inbox, platform);
+        steering::start(&entry.core, links, inbox, platform);
         entry.driver = Some(driver);
         Ok(entry)
     }
@@ -269,7 +274,7 @@
         log: slog::Logger,
     ) -> Result<Self, error::Error> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
-            .worker_threads(SOCKET_THREADS)
+            .worker_threads(SOCKET_THREAD_COUNT)
             .thread_name("sockets")
             .enable_all()
             .build()
@@ -282,7 +287,7 @@
         };
         let incarnation = new_incarnation();
         let core = sync::Arc::new(Core {
-            steer: steer::Steer::new(&cfg.vm, &cfg.az, incarnation),
+            steering: steering::Steering::new(&cfg.vm, &cfg.az, incarnation),
             cfg,
             make,
             observer: observe::Observer::new(&log),
@@ -290,15 +295,15 @@
             incarnation,
             started: time::Instant::now(),
             shared,
-            desks: arc_swap::ArcSwap::default(),
-            named: arc_swap::ArcSwap::default(),
+            executors: arc_swap::ArcSwap::default(),
+            cached_directory: arc_swap::ArcSwap::default(),
             keys: Mutex::new(keys::Keys::new(key_limits)),
             client: client::Client::new(runtime.handle().clone(), client::Config::default()),
             events,
             stopping: atomic::AtomicBool::new(false),
         });
         // Settings that `shared` already holds apply from the first request.
-        desk::refresh(&core);
+        executor::refresh(&core);
         let server = server::start(
             runtime.handle(),
             listen,
@@ -312,12 +317,12 @@
         })?;
         for _ in 0..workers {
             let (core, rx) = (sync::Arc::downgrade(&core), rx.clone());
-            thread::spawn(move || work(&core, &rx));
+            thread::spawn(move || run_worker(&core, &rx));
         }
-        let source = operate::Source(sync::Arc::downgrade(&core));
+        let source = operator_source::Source(sync::Arc::downgrade(&core));
         let operators = operators::serve(core.cfg.operators_listen, source)?;
-        let ticking = sync::Arc::downgrade(&core);
-        thread::spawn(move || tick(&ticking));
+        let weak = sync::Arc::downgrade(&core);
+        thread::spawn(move || run_ticker(&weak));
         Ok(Self {
             core,
             server,
@@ -358,34 +363,34 @@
             driver.announce_stop();
         }
         let ttl = self.core.cfg.lookup_ttl_ms.max(self.core.cfg.ticket_ttl_ms);
-        let until = time::Instant::now() + time::Duration::from_millis(ttl);
-        while time::Instant::now() < until || desk::in_hand(&self.core) > 0 {
-            thread::sleep(TICK);
+        let deadline = time::Instant::now() + time::Duration::from_millis(ttl);
+        while time::Instant::now() < deadline || executor::pending_count(&self.core) > 0 {
+            thread::sleep(TICK_INTERVAL);
         }
         self.server.stop();
-        while self.server.open() > 0 && time::Instant::now() < until + LAST_BYTES {
-            thread::sleep(TICK);
+        while self.server.open() > 0 && time::Instant::now() < deadline + FLUSH_TIMEOUT {
+            thread::sleep(TICK_INTERVAL);
         }
     }
 }
 
 /// Maximum time for sending the last answers after all requests have ended.
-const LAST_BYTES: time::Duration = time::Duration::from_secs(10);
+const FLUSH_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-fn work<M: MakePolicy>(core: &sync::Weak<Core<M>>, rx: &channel::Receiver<Event<M::Policy>>) {
+fn run_worker<M: MakePolicy>(core: &sync::Weak<Core<M>>, rx: &channel::Receiver<Event<M::Policy>>) {
     while let Ok(event) = rx.recv() {
         let Some(core) = core.upgrade() else {
             return;
         };
-        survive(&core.log, || core.handle(event));
+        catch_panics(&core.log, || core.handle(event));
     }
 }
 
 /// Catches a panic of `work`, so that the thread goes on. Without this, each panic would end one
 /// worker, and a retried request could end them all: the process would accept connections and
 /// answer nothing. The request that panicked ends as unknown because its reply is dropped.
-fn survive(log: &slog::Logger, work: impl FnOnce()) {
-    if panic::catch_unwind(panic::AssertUnwindSafe(work)).is_err() {
+fn catch_panics(log: &slog::Logger, handler: impl FnOnce()) {
+    if panic::catch_unwind(panic::AssertUnwindSafe(handler)).is_err() {
         slog::crit!(
             log,
             "handling an event panicked; its request ends as unknown and the process goes on; please report the panic message above"
@@ -393,26 +398,26 @@
     }
 }
 
-fn tick<M: MakePolicy>(core: &sync::Weak<Core<M>>) {
-    let mut refreshed = None;
+fn run_ticker<M: MakePolicy>(core: &sync::Weak<Core<M>>) {
+    let mut refreshed_at = None;
     while let Some(core) = core.upgrade() {
-        if refreshed.is_none_or(|at: time::Instant| at.elapsed() >= REFRESH) {
-            survive(&core.log, || {
-                desk::refresh(&core);
-                desk::end_overdue(&core);
-                desk::observe(&core);
+        if refreshed_at.is_none_or(|at: time::Instant| at.elapsed() >= REFRESH_INTERVAL) {
+            catch_panics(&core.log, || {
+                executor::refresh(&core);
+                executor::end_overdue(&core);
+                executor::observe(&core);
                 metrics::exporter().upkeep();
             });
-            refreshed = Some(time::Instant::now());
+            refreshed_at = Some(time::Instant::now());
         }
-        for desk in core.desks.load().values() {
-            survive(&core.log, || desk::tick(&core, desk));
+        for executor in core.executors.load().values() {
+            catch_panics(&core.log, || executor::tick(&core, executor));
         }
-        for req in core.steer.release() {
+        for req in core.steering.take_waiting() {
             let _ = core.events.send(Event::Request(req));
         }
         drop(core);
-        thread::sleep(TICK);
+        thread::sleep(TICK_INTERVAL);
     }
 }
 
--- a/src/entry/answers.rs
+++ b/src/entry/answers.rs
@@ -32,9 +32,9 @@
 pub(super) fn look_up(lookup: &lookup::Lookup) -> server::Answer {
     let body = serde_json::to_vec(lookup).expect("a look-up contains only text and numbers");
     let mut answer = json(StatusCode::OK, outcome::Outcome::Answered, body);
-    let age = format!("private, max-age={}", lookup.ttl_ms / 1000);
-    if let Ok(age) = age.parse() {
-        answer.headers.insert(header::CACHE_CONTROL, age);
+    let cache_control = format!("private, max-age={}", lookup.ttl_ms / 1000);
+    if let Ok(cache_control) = cache_control.parse() {
+        answer.headers.insert(header::CACHE_CONTROL, cache_control);
     }
     answer
 }
@@ -45,8 +45,8 @@
     for name in [headers::LOAD, headers::REQUEST] {
         headers.remove(name);
     }
-    let word = header::HeaderValue::from_static(outcome::Outcome::Answered.as_str());
-    headers.insert(headers::OUTCOME, word);
+    let outcome_value = header::HeaderValue::from_static(outcome::Outcome::Answered.as_str());
+    headers.insert(headers::OUTCOME, outcome_value);
     server::Answer {
         status: answer.status,
         headers,
@@ -57,7 +57,7 @@
 /// The problem for a request that was not received completely.
 pub(super) fn fault(fault: server::Fault) -> outcome::Problem {
     match fault {
-        server::Fault::TooLarge(most) => outcome::Problem::TooLarge(most),
+        server::Fault::TooLarge(max_bytes) => outcome::Problem::TooLarge(max_bytes),
         server::Fault::Incomplete => outcome::Problem::BodyIncomplete,
         server::Fault::Busy => outcome::Problem::Busy,
         server::Fault::Dropped => outcome::Problem::Lost(RETRY_AFTER),
@@ -70,9 +70,9 @@
         body: Bytes::from(body),
         ..server::Answer::default()
     };
-    let word = header::HeaderValue::from_static(outcome.as_str());
-    answer.headers.insert(headers::OUTCOME, word);
-    let kind = header::HeaderValue::from_static("application/json");
-    answer.headers.insert(header::CONTENT_TYPE, kind);
+    let outcome_value = header::HeaderValue::from_static(outcome.as_str());
+    answer.headers.insert(headers::OUTCOME, outcome_value);
+    let content_type = header::HeaderValue::from_static("application/json");
+    answer.headers.insert(header::CONTENT_TYPE, content_type);
     answer
 }
--- a/src/entry/desk.rs
+++ b/src/entry/executor.rs
@@ -6,7 +6,7 @@
 //! Two guarantees are enforced here independently of the policy: a non-idempotent request that may
 //! have run is not sent again, and a request that may have run is never reported as not run.
 
-mod upkeep;
+mod maintenance;
 
 use std::collections;
 use std::net;
@@ -28,13 +28,15 @@
 use backend::Wire;
 use policy::{Action, AttemptOutcome, Destination, Policy, RequestOutcome};
 
-pub(super) use upkeep::{all_in_hand, end_overdue, in_flight_at, observe, refresh, wall_clock_s};
+pub(super) use maintenance::{
+    end_overdue, in_flight_in_az, observe, refresh, service_loads, wall_clock_s,
+};
 
 /// Timeout of a probe.
 const PROBE_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
 /// Maximum size of an answer to a probe.
-const PROBE_BYTES: usize = 4096;
+const MAX_PROBE_ANSWER_BYTES: usize = 4096;
 
 /// Retry delay where the policy gives none.
 const RETRY_AFTER: time::Duration = time::Duration::from_secs(1);
@@ -60,15 +62,15 @@
     /// Reserves memory for the body until the request ends.
     pub(super) _permit: Option<tokio::sync::OwnedSemaphorePermit>,
     /// Request data for logs and metrics.
-    pub(super) seen: observe::Seen,
+    pub(super) info: observe::RequestInfo,
     /// Number of attempts sent so far.
-    pub(super) tries: u32,
+    pub(super) attempt_count: u32,
     /// Occupies a slot of the grant under which another availability zone sent the request.
-    pub(super) _admitted: Option<grants::Admitted>,
+    pub(super) _grant_slot: Option<grants::Admitted>,
     /// Attempts in flight.
     pub(super) attempts: Vec<(Destination, client::Attempt)>,
     /// Whether an ended attempt may have run.
-    pub(super) maybe_run: bool,
+    pub(super) may_have_run: bool,
     /// The most recent answer.
     pub(super) answer: Option<backend::Answer>,
 }
@@ -77,35 +79,35 @@
 pub(super) struct AttemptEnd {
     req: policy::RequestId,
     number: u64,
-    at: Destination,
+    destination: Destination,
     wire: sync::Arc<backend_http::Http>,
     result: Result<server::Answer, client::Failure>,
 }
 
 /// Connection data of a backend server.
-struct Known {
+struct BackendEndpoint {
     addr: net::SocketAddr,
     wire: sync::Arc<backend_http::Http>,
-    said_leaving: bool,
+    reports_leaving: bool,
 }
 
 struct Inner<P> {
     policy: P,
     pending: collections::HashMap<policy::RequestId, Pending>,
-    backends: collections::BTreeMap<id::VmId, Known>,
-    shown: Option<Vec<policy::Backend>>,
+    backends: collections::BTreeMap<id::VmId, BackendEndpoint>,
+    policy_backends: Option<Vec<policy::Backend>>,
     next_attempt: u64,
     actions: Vec<Action>,
 }
 
 /// The executor of one service.
-pub(super) struct Desk<P> {
+pub(super) struct Executor<P> {
     service: id::ServiceId,
     body_bytes: atomic::AtomicUsize,
     inner: Mutex<Inner<P>>,
 }
 
-impl<P: Policy> Desk<P> {
+impl<P: Policy> Executor<P> {
     fn new(service: &settings::Service, policy: P) -> Self {
         Self {
             service: service.name.clone(),
@@ -114,7 +116,7 @@
                 policy,
                 pending: collections::HashMap::new(),
                 backends: collections::BTreeMap::new(),
-                shown: None,
+                policy_backends: None,
                 next_attempt: 1,
                 actions: Vec::new(),
             }),
@@ -122,18 +124,18 @@
     }
 }
 
-impl<P: Policy> Desk<P> {
+impl<P: Policy> Executor<P> {
     /// Runs a query on the policy's cross-zone router. `None`: the policy has none.
     pub(super) fn with_cross_az<R>(
         &self,
-        ask: impl FnOnce(&mut cross_az::CrossAzRouter) -> R,
+        query: impl FnOnce(&mut cross_az::CrossAzRouter) -> R,
     ) -> Option<R> {
-        self.with_policy(|policy| policy.cross_az().map(ask))
+        self.with_policy(|policy| policy.cross_az().map(query))
     }
 
     /// Runs a query on the policy that produces no actions.
-    pub(super) fn with_policy<R>(&self, ask: impl FnOnce(&mut P) -> R) -> R {
-        ask(&mut self.inner.lock().policy)
+    pub(super) fn with_policy<R>(&self, query: impl FnOnce(&mut P) -> R) -> R {
+        query(&mut self.inner.lock().policy)
     }
 
     /// Number of pending requests.
@@ -145,14 +147,14 @@
 /// Passes a request to its service's policy.
 pub(super) fn arrive<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
-    desk: &sync::Arc<Desk<M::Policy>>,
+    executor: &sync::Arc<Executor<M::Policy>>,
     arrival: policy::Arrival,
     pending: Pending,
 ) {
-    let mut inner = desk.inner.lock();
+    let mut inner = executor.inner.lock();
     let (id, now) = (arrival.id, core.now());
     inner.pending.insert(id, pending);
-    step(core, desk, &mut inner, |policy, out| {
+    step(core, executor, &mut inner, |policy, out| {
         policy.arrive(now, arrival, out);
     });
     // If the caller disconnected before the insertion, its event found no pending request.
@@ -162,24 +164,24 @@
         .get(&id)
         .is_some_and(|pending| pending.reply.as_ref().is_some_and(closed));
     if gone {
-        caller_gone(core, desk, &mut inner, id);
+        abandon(core, executor, &mut inner, id);
     }
 }
 
 /// Handles the disconnection of a request's caller.
-pub(super) fn gone<M: MakePolicy>(core: &sync::Arc<Core<M>>, req: policy::RequestId) {
-    for desk in core.desks.load().values() {
-        let mut inner = desk.inner.lock();
+pub(super) fn handle_caller_gone<M: MakePolicy>(core: &sync::Arc<Core<M>>, req: policy::RequestId) {
+    for executor in core.executors.load().values() {
+        let mut inner = executor.inner.lock();
         if inner.pending.contains_key(&req) {
-            return caller_gone(core, desk, &mut inner, req);
+            return abandon(core, executor, &mut inner, req);
         }
     }
 }
 
 /// Cancels an idempotent request. Any other continues, and its answer is stored for a retry.
-fn caller_gone<M: MakePolicy>(
+fn abandon<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
-    desk: &sync::Arc<Desk<M::Policy>>,
+    executor: &sync::Arc<Executor<M::Policy>>,
     inner: &mut Inner<M::Policy>,
     req: policy::RequestId,
 ) {
@@ -189,43 +191,48 @@
     pending.reply = None;
     if pending.idempotent {
         let now = core.now();
-        step(core, desk, inner, |policy, out| {
+        step(core, executor, inner, |policy, out| {
             policy.caller_gone(now, req, out)
         });
     }
 }
 
 /// Handles the end of an attempt.
-pub(super) fn ended<M: MakePolicy>(
+pub(super) fn attempt_ended<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
-    desk: &sync::Arc<Desk<M::Policy>>,
+    executor: &sync::Arc<Executor<M::Policy>>,
     end: AttemptEnd,
 ) {
-    let mut inner = desk.inner.lock();
-    let (how, report, answer) = read(&end);
-    core.observer.attempt_ended(&desk.service, how);
+    let mut inner = executor.inner.lock();
+    let (attempt_outcome, report, answer) = interpret(&end);
+    core.observer
+        .record_attempt_end(&executor.service, attempt_outcome);
     if let Some(pending) = inner.pending.get_mut(&end.req) {
-        pending.attempts.retain(|(at, _)| *at != end.at);
-        let not_run = matches!(how, AttemptOutcome::Shed | AttemptOutcome::NotSent);
-        pending.maybe_run |= !not_run;
+        pending.attempts.retain(|(at, _)| *at != end.destination);
+        let not_run = matches!(
+            attempt_outcome,
+            AttemptOutcome::Shed | AttemptOutcome::NotSent
+        );
+        pending.may_have_run |= !not_run;
         if let Some(answer) = &answer {
-            core.steer.answered(&desk.service, answer.body.len());
+            core.steering
+                .record_answer_size(&executor.service, answer.body.len());
         }
         if answer.is_some() {
             pending.answer = answer;
         }
     }
-    if let (Destination::Backend(vm), Some(report)) = (&end.at, report) {
-        said_leaving(&mut inner, vm, report.leaving);
+    if let (Destination::Backend(vm), Some(report)) = (&end.destination, report) {
+        set_reports_leaving(&mut inner, vm, report.leaving);
     }
     let now = core.now();
-    step(core, desk, &mut inner, |policy, out| {
-        policy.ended(now, end.req, &end.at, how, report, out);
+    step(core, executor, &mut inner, |policy, out| {
+        policy.ended(now, end.req, &end.destination, attempt_outcome, report, out);
     });
 }
 
 /// Interprets an attempt's result. Includes the answer if it is valid for the caller.
-fn read(
+fn interpret(
     end: &AttemptEnd,
 ) -> (
     AttemptOutcome,
@@ -234,7 +241,7 @@
 ) {
     let answer = match &end.result {
         Ok(answer) => answer,
-        Err(failure) => return (failed(*failure), None, None),
+        Err(failure) => return (failure_outcome(*failure), None, None),
     };
     let answer = backend::Answer {
         status: answer.status,
@@ -244,15 +251,15 @@
     let Some(reading) = end.wire.read(end.number, &answer) else {
         return (AttemptOutcome::Lost, None, None);
     };
-    let kept = matches!(
+    let valid_answer = matches!(
         reading.how,
         AttemptOutcome::Answered | AttemptOutcome::Failed
     )
     .then_some(answer);
-    (reading.how, reading.report, kept)
+    (reading.how, reading.report, valid_answer)
 }
 
-fn failed(failure: client::Failure) -> AttemptOutcome {
+fn failure_outcome(failure: client::Failure) -> AttemptOutcome {
     match failure {
         client::Failure::NotSent => AttemptOutcome::NotSent,
         client::Failure::Lost => AttemptOutcome::Lost,
@@ -262,60 +269,66 @@
 }
 
 /// Handles the end of a probe.
-pub(super) fn probed<M: MakePolicy>(
+pub(super) fn probe_ended<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
-    desk: &sync::Arc<Desk<M::Policy>>,
+    executor: &sync::Arc<Executor<M::Policy>>,
     vm: &id::VmId,
     result: Result<server::Answer, client::Failure>,
 ) {
     let report = result.ok().and_then(|answer| {
         backend_http::parse_load(headers::text(&answer.headers, headers::LOAD)?)
     });
-    let mut inner = desk.inner.lock();
+    let mut inner = executor.inner.lock();
     if let Some(report) = report {
-        said_leaving(&mut inner, vm, report.leaving);
+        set_reports_leaving(&mut inner, vm, report.leaving);
     }
     let now = core.now();
-    step(core, desk, &mut inner, |policy, out| {
+    step(core, executor, &mut inner, |policy, out| {
         policy.report(now, vm, report, out);
     });
 }
 
-fn said_leaving<P>(inner: &mut Inner<P>, vm: &id::VmId, leaving: bool) {
-    if let Some(known) = inner.backends.get_mut(vm) {
-        known.said_leaving = leaving;
+fn set_reports_leaving<P>(inner: &mut Inner<P>, vm: &id::VmId, leaving: bool) {
+    if let Some(endpoint) = inner.backends.get_mut(vm) {
+        endpoint.reports_leaving = leaving;
     }
 }
 
 /// Lets the policy act on the passage of time.
-pub(super) fn tick<M: MakePolicy>(core: &sync::Arc<Core<M>>, desk: &sync::Arc<Desk<M::Policy>>) {
+pub(super) fn tick<M: MakePolicy>(
+    core: &sync::Arc<Core<M>>,
+    executor: &sync::Arc<Executor<M::Policy>>,
+) {
     let now = core.now();
-    let mut inner = desk.inner.lock();
-    step(core, desk, &mut inner, |policy, out| policy.tick(now, out));
+    let mut inner = executor.inner.lock();
+    step(core, executor, &mut inner, |policy, out| {
+        policy.tick(now, out)
+    });
 }
 
 /// Number of pending requests of all services.
-pub(super) fn in_hand<M: MakePolicy>(core: &Core<M>) -> usize {
-    let desks = core.desks.load();
-    let in_hand = |desk: &sync::Arc<Desk<M::Policy>>| desk.inner.lock().pending.len();
-    desks.values().map(in_hand).sum()
+pub(super) fn pending_count<M: MakePolicy>(core: &Core<M>) -> usize {
+    let executors = core.executors.load();
+    let pending_count =
+        |executor: &sync::Arc<Executor<M::Policy>>| executor.inner.lock().pending.len();
+    executors.values().map(pending_count).sum()
 }
 
 /// Applies an input to the policy and executes the resulting actions.
 fn step<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
-    desk: &sync::Arc<Desk<M::Policy>>,
+    executor: &sync::Arc<Executor<M::Policy>>,
     inner: &mut Inner<M::Policy>,
-    tell: impl FnOnce(&mut M::Policy, &mut Vec<Action>),
+    apply: impl FnOnce(&mut M::Policy, &mut Vec<Action>),
 ) {
     let mut actions = std::mem::take(&mut inner.actions);
-    tell(&mut inner.policy, &mut actions);
+    apply(&mut inner.policy, &mut actions);
     for action in actions.drain(..) {
         match action {
-            Action::Send { req, to, deadline } => send(core, desk, inner, req, to, deadline),
+            Action::Send { req, to, deadline } => send(core, executor, inner, req, to, deadline),
             Action::Cancel { req, to } => cancel(inner, req, &to),
-            Action::Settle { req, fate } => settle(core, desk, inner, req, fate),
-            Action::Probe { to } => probe(core, desk, inner, to),
+            Action::Settle { req, fate } => settle(core, executor, inner, req, fate),
+            Action::Probe { to } => probe(core, executor, inner, to),
         }
     }
     inner.actions = actions;
@@ -323,7 +336,7 @@
 
 fn send<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
-    desk: &sync::Arc<Desk<M::Policy>>,
+    executor: &sync::Arc<Executor<M::Policy>>,
     inner: &mut Inner<M::Policy>,
     req: policy::RequestId,
     to: Destination,
@@ -331,43 +344,44 @@
 ) {
     let number = inner.next_attempt;
     inner.next_attempt += 1;
-    let target = target(core, desk, inner, &to);
+    let target = target(core, executor, inner, &to);
     let grant = grant(core, inner, &to);
     let Some(pending) = inner.pending.get_mut(&req) else {
         return;
     };
-    let twice = !pending.idempotent && (pending.maybe_run || !pending.attempts.is_empty());
-    if twice {
-        slog::crit!(core.log, "the policy tried to send a non-idempotent request again; the attempt is suppressed"; "service" => desk.service.as_str());
+    let would_run_twice =
+        !pending.idempotent && (pending.may_have_run || !pending.attempts.is_empty());
+    if would_run_twice {
+        slog::crit!(core.log, "the policy tried to send a non-idempotent request again; the attempt is suppressed"; "service" => executor.service.as_str());
     }
     let events = core.events.clone();
-    let (at, ended_at) = (to.clone(), desk.clone());
-    let ended = move |wire, result| {
+    let (destination, executor_of_attempt) = (to.clone(), executor.clone());
+    let report_end = move |wire, result| {
         let end = AttemptEnd {
             req,
             number,
-            at,
+            destination,
             wire,
             result,
         };
         // Fails only while the process shuts down and has dropped the workers.
-        let _ = events.send(Event::Ended(ended_at, end));
+        let _ = events.send(Event::AttemptEnded(executor_of_attempt, end));
     };
-    let (Some((addr, wire, prefix)), false) = (target, twice) else {
-        ended(sync::Arc::default(), Err(client::Failure::NotSent));
+    let (Some((addr, wire, prefix)), false) = (target, would_run_twice) else {
+        report_end(sync::Arc::default(), Err(client::Failure::NotSent));
         return;
     };
-    core.observer.sent(
+    core.observer.record_sent(
         core.now(),
-        &desk.service,
-        &pending.seen,
+        &executor.service,
+        &pending.info,
         &to,
         &core.cfg.az,
-        pending.tries == 0,
+        pending.attempt_count == 0,
     );
-    pending.tries += 1;
+    pending.attempt_count += 1;
     let timeout = deadline.saturating_sub(core.now());
-    let body_bytes = desk.body_bytes.load(atomic::Ordering::Relaxed);
+    let body_bytes = executor.body_bytes.load(atomic::Ordering::Relaxed);
     let mut forward = backend::Forward {
         attempt: number,
         method: pending.method.clone(),
@@ -376,7 +390,7 @@
         body: pending.body.clone(),
         timeout,
     };
-    if let Some(name) = core.name(pending.seen.id) {
+    if let Some(name) = core.request_id(pending.info.id) {
         forward.headers.insert(headers::REQUEST_ID, name);
     }
     if let (Destination::Az(_), Ok(az)) = (&to, core.cfg.az.as_str().parse()) {
@@ -391,7 +405,9 @@
         timeout,
         body_bytes,
     };
-    let attempt = core.client.send(call, move |result| ended(wire, result));
+    let attempt = core
+        .client
+        .send(call, move |result| report_end(wire, result));
     pending.attempts.push((to, attempt));
 }
 
@@ -400,20 +416,20 @@
 /// Resolves an attempt's address, protocol and path prefix.
 fn target<M: MakePolicy>(
     core: &Core<M>,
-    desk: &Desk<M::Policy>,
+    executor: &Executor<M::Policy>,
     inner: &mut Inner<M::Policy>,
     to: &Destination,
 ) -> Option<Target> {
     match to {
         Destination::Backend(vm) => {
-            let known = inner.backends.get(vm)?;
-            Some((known.addr, known.wire.clone(), String::new()))
+            let endpoint = inner.backends.get(vm)?;
+            Some((endpoint.addr, endpoint.wire.clone(), String::new()))
         }
         Destination::Az(az) => {
             // A grant is valid only at the entry VM that issued it.
             let vm = inner.policy.cross_az()?.grant(core.now(), az)?.vm.clone();
             let addr = core.shared.fleet.load().vm(&vm)?.addr;
-            Some((addr, sync::Arc::default(), format!("/{}", desk.service)))
+            Some((addr, sync::Arc::default(), format!("/{}", executor.service)))
         }
     }
 }
@@ -441,7 +457,7 @@
 
 fn settle<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
-    desk: &Desk<M::Policy>,
+    executor: &Executor<M::Policy>,
     inner: &mut Inner<M::Policy>,
     req: policy::RequestId,
     fate: RequestOutcome,
@@ -449,24 +465,30 @@
     let Some(mut pending) = inner.pending.remove(&req) else {
         return;
     };
-    let seen = |end| {
+    let record_end = |end| {
         core.observer
-            .ended(core.now(), &desk.service, &pending.seen, end)
+            .record_request_end(core.now(), &executor.service, &pending.info, end)
     };
-    let maybe_run = pending.maybe_run || !pending.attempts.is_empty();
+    let may_have_run = pending.may_have_run || !pending.attempts.is_empty();
     let problem = match (fate, pending.answer.take()) {
         (RequestOutcome::Answer, Some(answer)) => {
             let failed = answer.status.is_server_error();
-            seen(if failed {
+            record_end(if failed {
                 observe::End::Failed
             } else {
                 observe::End::Answered
             });
-            let told = answers::backend(&answer);
+            let answer_to_caller = answers::backend(&answer);
             let end = Some(keys::End::Answer(answer));
-            return tell(core, pending.reply, pending.key.as_deref(), end, &told);
+            return reply_to_callers(
+                core,
+                pending.reply,
+                pending.key.as_deref(),
+                end,
+                &answer_to_caller,
+            );
         }
-        (RequestOutcome::NotRun { why, retry_after }, _) if !maybe_run => {
+        (RequestOutcome::NotRun { why, retry_after }, _) if !may_have_run => {
             outcome::Problem::Refused(why, retry_after)
         }
         (
@@ -475,20 +497,26 @@
         ) => outcome::Problem::Lost(retry_after),
         (RequestOutcome::Answer, None) => outcome::Problem::Lost(RETRY_AFTER),
     };
-    seen(observe::End::of(&problem));
-    let told = answers::problem(&problem);
-    let ran_maybe = problem.outcome() == outcome::Outcome::Unknown;
-    let end = ran_maybe.then_some(keys::End::Unknown(problem));
-    tell(core, pending.reply, pending.key.as_deref(), end, &told);
+    record_end(observe::End::of(&problem));
+    let answer_to_caller = answers::problem(&problem);
+    let is_unknown = problem.outcome() == outcome::Outcome::Unknown;
+    let end = is_unknown.then_some(keys::End::Unknown(problem));
+    reply_to_callers(
+        core,
+        pending.reply,
+        pending.key.as_deref(),
+        end,
+        &answer_to_caller,
+    );
 }
 
 /// Replies to the caller and to all waiting requests with the same key. No `end`: it did not run.
-fn tell<M: MakePolicy>(
+fn reply_to_callers<M: MakePolicy>(
     core: &Core<M>,
     reply: Option<server::Reply>,
     key: Option<&str>,
     end: Option<keys::End>,
-    told: &server::Answer,
+    answer_to_caller: &server::Answer,
 ) {
     if let Some(key) = key {
         let mut keys = core.keys.lock();
@@ -498,32 +526,32 @@
         };
         drop(keys);
         for waiter in waiters {
-            waiter.send(told.clone());
+            waiter.send(answer_to_caller.clone());
         }
     }
     if let Some(reply) = reply {
-        reply.send(told.clone());
+        reply.send(answer_to_caller.clone());
     }
 }
 
 fn probe<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
-    desk: &sync::Arc<Desk<M::Policy>>,
+    executor: &sync::Arc<Executor<M::Policy>>,
     inner: &Inner<M::Policy>,
     to: id::VmId,
 ) {
-    let Some(known) = inner.backends.get(&to) else {
+    let Some(endpoint) = inner.backends.get(&to) else {
         return;
     };
     let call = client::Call {
-        to: known.addr,
-        req: known.wire.probe(),
+        to: endpoint.addr,
+        req: endpoint.wire.probe(),
         timeout: PROBE_TIMEOUT,
-        body_bytes: PROBE_BYTES,
+        body_bytes: MAX_PROBE_ANSWER_BYTES,
     };
-    core.observer.probed(&desk.service);
-    let (events, desk) = (core.events.clone(), desk.clone());
+    core.observer.record_probe(&executor.service);
+    let (events, executor) = (core.events.clone(), executor.clone());
     let _attempt = core.client.send(call, move |result| {
-        let _ = events.send(Event::Probed(desk, to, result));
+        let _ = events.send(Event::ProbeEnded(executor, to, result));
     });
 }
--- a/src/entry/desk/upkeep.rs
+++ b/src/entry/executor/maintenance.rs
@@ -10,10 +10,10 @@
 use std::sync::atomic;
 use std::time;
 
-use super::{Desk, Known, Pending, RETRY_AFTER, settle, step};
+use super::{BackendEndpoint, Executor, Pending, RETRY_AFTER, settle, step};
 use crate::coordination::store;
 use crate::decisions::policy;
-use crate::entry::{Core, Desks, MakePolicy, Named};
+use crate::entry::{CachedDirectory, Core, Executors, MakePolicy};
 use crate::protocol::operators;
 use crate::state::{directory, fleet};
 use crate::{id, settings};
@@ -21,25 +21,25 @@
 
 /// Time after its deadline when a pending request counts as lost. Attempts end at the deadline and
 /// the next tick settles waiting requests, so a few seconds are ample for both.
-const OVERDUE: time::Duration = time::Duration::from_secs(5);
+const OVERDUE_GRACE: time::Duration = time::Duration::from_secs(5);
 
 /// Ends lost requests as unknown.
 pub(in crate::entry) fn end_overdue<M: MakePolicy>(core: &sync::Arc<Core<M>>) {
     let now = core.now();
-    for desk in core.desks.load().values() {
-        let mut inner = desk.inner.lock();
+    for executor in core.executors.load().values() {
+        let mut inner = executor.inner.lock();
         let overdue = inner
             .pending
             .iter()
-            .filter(|(_, pending)| pending.deadline + OVERDUE <= now);
+            .filter(|(_, pending)| pending.deadline + OVERDUE_GRACE <= now);
         let overdue: Vec<_> = overdue.map(|(id, _)| *id).collect();
         for req in overdue {
             slog::crit!(core.log, "request is still pending long after its deadline; ending it as unknown";
-                "service" => desk.service.as_str(), "request" => req.0);
+                "service" => executor.service.as_str(), "request" => req.0);
             let fate = RequestOutcome::Unknown {
                 retry_after: RETRY_AFTER,
             };
-            settle(core, desk, &mut inner, req, fate);
+            settle(core, executor, &mut inner, req, fate);
         }
     }
 }
@@ -48,50 +48,51 @@
 pub(in crate::entry) fn refresh<M: MakePolicy>(core: &sync::Arc<Core<M>>) {
     let settings = core.shared.settings.load_full();
     let fleet = core.shared.fleet.load_full();
-    let old = core.desks.load_full();
-    let mut desks = Desks::with_capacity(old.len());
+    let old = core.executors.load_full();
+    let mut executors = Executors::with_capacity(old.len());
     for service in settings.services() {
-        let desk = old.get(&service.name).cloned().unwrap_or_else(|| {
+        let executor = old.get(&service.name).cloned().unwrap_or_else(|| {
             let policy = core.make.make(&core.cfg, &settings, service);
-            sync::Arc::new(Desk::new(service, policy))
+            sync::Arc::new(Executor::new(service, policy))
         });
-        desk.body_bytes
+        executor
+            .body_bytes
             .store(service.max_body_bytes, atomic::Ordering::Relaxed);
-        set_backends(core, &desk, service, &settings, &fleet);
-        desks.insert(service.name.clone(), desk);
+        set_backends(core, &executor, service, &settings, &fleet);
+        executors.insert(service.name.clone(), executor);
     }
     // The executor of a removed service stays until its pending requests have ended.
-    for (name, desk) in old.iter() {
-        if !desks.contains_key(name) && !desk.inner.lock().pending.is_empty() {
-            desks.insert(name.clone(), desk.clone());
+    for (name, executor) in old.iter() {
+        if !executors.contains_key(name) && !executor.inner.lock().pending.is_empty() {
+            executors.insert(name.clone(), executor.clone());
         }
     }
-    name_entries(core, settings, fleet);
-    if desks.len() != old.len() || desks.keys().any(|name| !old.contains_key(name)) {
-        core.desks.store(sync::Arc::new(desks));
+    refresh_directory(core, settings, fleet);
+    if executors.len() != old.len() || executors.keys().any(|name| !old.contains_key(name)) {
+        core.executors.store(sync::Arc::new(executors));
     }
 }
 
 /// Recomputes the entry VMs that look-ups return, if their inputs may have changed.
-fn name_entries<M: MakePolicy>(
+fn refresh_directory<M: MakePolicy>(
     core: &Core<M>,
     settings: sync::Arc<settings::Settings>,
     fleet: sync::Arc<fleet::Fleet>,
 ) {
-    let old = core.named.load();
-    let same_fleet = sync::Arc::ptr_eq(&old.fleet, &fleet);
+    let cached = core.cached_directory.load();
+    let same_fleet = sync::Arc::ptr_eq(&cached.fleet, &fleet);
     if !same_fleet {
         // VMs are replaced frequently; connections to removed VMs would accumulate.
         let addrs = fleet.addrs();
         core.client.retain(|addr| addrs.contains(addr));
     }
-    let same = same_fleet && sync::Arc::ptr_eq(&old.settings, &settings);
+    let same = same_fleet && sync::Arc::ptr_eq(&cached.settings, &settings);
     // Drains start and end by the clock, without a change of settings or VM list.
     if same && settings.drains().next().is_none() {
         return;
     }
     let directory = directory::Directory::build(&settings, &fleet, wall_clock_s());
-    core.named.store(sync::Arc::new(Named {
+    core.cached_directory.store(sync::Arc::new(CachedDirectory {
         settings,
         fleet,
         directory,
@@ -100,94 +101,102 @@
 
 fn set_backends<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
-    desk: &sync::Arc<Desk<M::Policy>>,
+    executor: &sync::Arc<Executor<M::Policy>>,
     service: &settings::Service,
     settings: &settings::Settings,
     fleet: &fleet::Fleet,
 ) {
     let now_s = wall_clock_s();
-    let mut inner = desk.inner.lock();
+    let mut inner = executor.inner.lock();
     let mut backends = collections::BTreeMap::new();
-    let mut shown = Vec::new();
+    let mut policy_backends = Vec::new();
     for vm in fleet.backends(&service.name, &core.cfg.az) {
-        let known = inner.backends.remove(&vm.id);
-        let known = known.filter(|known| known.addr == vm.addr);
-        let known = known.unwrap_or_else(|| Known {
+        let endpoint = inner.backends.remove(&vm.id);
+        let endpoint = endpoint.filter(|endpoint| endpoint.addr == vm.addr);
+        let endpoint = endpoint.unwrap_or_else(|| BackendEndpoint {
             addr: vm.addr,
             wire: sync::Arc::default(),
-            said_leaving: false,
+            reports_leaving: false,
         });
-        shown.push(policy::Backend {
+        policy_backends.push(policy::Backend {
             id: vm.id.clone(),
             slots: service.slots,
             leaving: vm.state == store::VmState::Leaving
-                || known.said_leaving
+                || endpoint.reports_leaving
                 || fleet::drained(vm, settings, now_s),
         });
-        backends.insert(vm.id.clone(), known);
+        backends.insert(vm.id.clone(), endpoint);
     }
     inner.backends = backends;
-    if inner.shown.as_ref() == Some(&shown) {
+    if inner.policy_backends.as_ref() == Some(&policy_backends) {
         return;
     }
     let now = core.now();
-    step(core, desk, &mut inner, |policy, out| {
-        policy.set_backends(now, &shown, out);
+    step(core, executor, &mut inner, |policy, out| {
+        policy.set_backends(now, &policy_backends, out);
     });
-    inner.shown = Some(shown);
+    inner.policy_backends = Some(policy_backends);
 }
 
 /// Records each service's policy notes and number of pending requests.
 pub(in crate::entry) fn observe<M: MakePolicy>(core: &sync::Arc<Core<M>>) {
     let now = core.now();
-    for (name, desk) in core.desks.load().iter() {
-        let (notes, in_hand) = {
-            let mut inner = desk.inner.lock();
+    for (name, executor) in core.executors.load().iter() {
+        let (notes, pending) = {
+            let mut inner = executor.inner.lock();
             (inner.policy.notes(), inner.pending.len())
         };
         for note in notes {
-            core.observer.noted(now, name, &note);
+            core.observer.record_note(now, name, &note);
         }
-        core.observer.in_hand(name, in_hand as u64);
+        core.observer.record_pending(name, pending as u64);
     }
     core.observer.tick(now);
 }
 
 /// Each service's slots, requests in flight and queued requests.
-pub(in crate::entry) fn all_in_hand<M: MakePolicy>(
+pub(in crate::entry) fn service_loads<M: MakePolicy>(
     core: &Core<M>,
 ) -> collections::BTreeMap<id::ServiceId, operators::Service> {
-    let desks = core.desks.load();
-    let of_desk = |desk: &Desk<M::Policy>| {
-        let inner = desk.inner.lock();
-        let working = |pending: &&Pending| !pending.attempts.is_empty();
-        let in_flight = inner.pending.values().filter(working).count() as u64;
-        let shown = inner.shown.iter().flatten().filter(|b| !b.leaving);
+    let executors = core.executors.load();
+    let load_of = |executor: &Executor<M::Policy>| {
+        let inner = executor.inner.lock();
+        let has_attempt = |pending: &&Pending| !pending.attempts.is_empty();
+        let in_flight = inner.pending.values().filter(has_attempt).count() as u64;
+        let policy_backends = inner
+            .policy_backends
+            .iter()
+            .flatten()
+            .filter(|b| !b.leaving);
         operators::Service {
-            slots: shown.map(|backend| u64::from(backend.slots)).sum(),
+            slots: policy_backends
+                .map(|backend| u64::from(backend.slots))
+                .sum(),
             in_flight,
             queued: inner.pending.len() as u64 - in_flight,
         }
     };
-    desks
+    executors
         .iter()
-        .map(|(name, desk)| (name.clone(), of_desk(desk)))
+        .map(|(name, executor)| (name.clone(), load_of(executor)))
         .collect()
 }
 
 /// Number of this VM's attempts in flight in an availability zone.
-pub(in crate::entry) fn in_flight_at<M: MakePolicy>(core: &Core<M>, az: &id::AzId) -> u64 {
-    let there = |place: &Destination| match place {
+pub(in crate::entry) fn in_flight_in_az<M: MakePolicy>(core: &Core<M>, az: &id::AzId) -> u64 {
+    let is_in_az = |destination: &Destination| match destination {
         Destination::Backend(_) => *az == core.cfg.az,
         Destination::Az(to) => to == az,
     };
-    let desks = core.desks.load();
-    let count = |desk: &sync::Arc<Desk<M::Policy>>| {
-        let inner = desk.inner.lock();
+    let executors = core.executors.load();
+    let count = |executor: &sync::Arc<Executor<M::Policy>>| {
+        let inner = executor.inner.lock();
         let attempts = inner.pending.values().flat_map(|pending| &pending.attempts);
-        attempts.filter(|(place, _)| there(place)).count() as u64
+        attempts
+            .filter(|(destination, _)| is_in_az(destination))
+            .count() as u64
     };
-    desks.values().map(count).sum()
+    executors.values().map(count).sum()
 }
 
 /// Seconds since the Unix epoch, the time base of scheduled drains.
--- a/src/entry/feed.rs
+++ b/src/entry/feed.rs
@@ -12,12 +12,12 @@
 use crate::{config, error, settings};
 
 /// Writes updates to the shared tables until the process's core is dropped.
-struct Feed {
+struct SharedUpdater {
     shared: sync::Weak<Shared>,
     log: slog::Logger,
 }
 
-impl driver::Observer for Feed {
+impl driver::Observer for SharedUpdater {
     fn settings(&self, settings: sync::Arc<settings::Settings>) {
         let Some(shared) = self.shared.upgrade() else {
             return;
@@ -39,11 +39,13 @@
 
     fn status(&self, status: driver::Status) {
         if let Some(shared) = self.shared.upgrade() {
-            shared.links.store(sync::Arc::new(super::Links {
-                versions: status.versions,
-                store_up: status.store_up,
-                peers: status.peers,
-            }));
+            shared
+                .coordination_status
+                .store(sync::Arc::new(super::CoordinationStatus {
+                    versions: status.versions,
+                    store_up: status.store_up,
+                    peers: status.peers,
+                }));
         }
     }
 
@@ -58,7 +60,7 @@
     platform: S,
 ) -> Result<driver::Driver, error::Error> {
     let cfg = &core.cfg;
-    let feed = Feed {
+    let updater = SharedUpdater {
         shared: sync::Arc::downgrade(&core.shared),
         log: core.log.clone(),
     };
@@ -68,7 +70,7 @@
             "no root keys are configured, so all settings are refused; set `root_keys` to the root keys' public halves"
         );
     }
-    let driven = driver::Config {
+    let driver_config = driver::Config {
         node: node::Config {
             vm: cfg.vm.clone(),
             az: cfg.az.clone(),
@@ -82,7 +84,7 @@
         listen: cfg.peers_listen,
         secrets: secrets(cfg)?,
     };
-    driver::Driver::start(driven, platform, feed, &core.log)
+    driver::Driver::start(driver_config, platform, updater, &core.log)
         .map_err(|err| bind_error(cfg.peers_listen, &err))
 }
 
--- a/src/entry/observe.rs
+++ b/src/entry/observe.rs
@@ -14,40 +14,40 @@
 use crate::decisions::{note, policy, quarantine};
 use crate::protocol::{headers, outcome};
 use crate::state::{explain, totals};
-use crate::{id, logging, metrics as names, settings};
+use crate::{id, logging, metrics as metric_names, settings};
 use policy::{AttemptOutcome, Destination, Moment};
 
 /// Maximum length of caller-supplied text in a log line, in characters.
-const MOST_TEXT: usize = 96;
+const MAX_LOGGED_TEXT_CHARS: usize = 96;
 
 /// Records metrics, log lines, recent decisions and the history of totals.
 pub(super) struct Observer {
     log: slog::Logger,
     limiter: logging::Limiter,
-    services: names::Bounded,
+    service_labels: metric_names::Bounded,
     recent: Mutex<explain::Ring>,
     history: Mutex<totals::History>,
-    sent: Mutex<collections::BTreeMap<id::AzId, Moment>>,
+    last_sent_at: Mutex<collections::BTreeMap<id::AzId, Moment>>,
 }
 
 /// Data of a request that is fixed at its arrival.
 #[derive(Clone, Debug)]
-pub(super) struct Seen {
+pub(super) struct RequestInfo {
     /// The request's number on this VM.
     pub(super) id: u64,
     /// Time of arrival.
-    pub(super) at: Moment,
+    pub(super) arrived_at: Moment,
     /// The operation's name.
     pub(super) operation: String,
     /// The operation's worth.
     pub(super) worth: u32,
     /// The service's latency objective.
-    pub(super) in_time: time::Duration,
+    pub(super) latency_objective: time::Duration,
     /// The id given by the sending entry VM of another availability zone; `None` if a caller sent it.
-    pub(super) sent_as: Option<String>,
+    pub(super) origin_request_id: Option<String>,
 }
 
-impl Seen {
+impl RequestInfo {
     pub(super) fn new(
         arrival: &policy::Arrival,
         at: Moment,
@@ -55,15 +55,15 @@
         op: &settings::Operation,
         headers: &hyper::HeaderMap,
     ) -> Self {
-        let across = arrival.origin != policy::Origin::Caller;
+        let from_other_az = arrival.origin != policy::Origin::Caller;
         let name = headers::text(headers, headers::REQUEST_ID).unwrap_or_default();
         Self {
             id: arrival.id.0,
-            at,
+            arrived_at: at,
             operation: op.name.clone(),
             worth: op.worth,
-            in_time: time::Duration::from_millis(service.objective.latency_ms),
-            sent_as: across.then(|| short(name)),
+            latency_objective: time::Duration::from_millis(service.objective.latency_ms),
+            origin_request_id: from_other_az.then(|| truncated(name)),
         }
     }
 }
@@ -97,19 +97,19 @@
 impl Observer {
     pub(super) fn new(log: &slog::Logger) -> Self {
         // Installs the metrics recorder before the first request.
-        let _ = names::exporter();
+        let _ = metric_names::exporter();
         Self {
             log: log.clone(),
             limiter: logging::Limiter::default(),
-            services: names::Bounded::default(),
+            service_labels: metric_names::Bounded::default(),
             recent: Mutex::default(),
             history: Mutex::default(),
-            sent: Mutex::default(),
+            last_sent_at: Mutex::default(),
         }
     }
 
     /// Records a request refused before it reached its service's executor.
-    pub(super) fn turned_away(
+    pub(super) fn record_refusal(
         &self,
         now: Moment,
         request: u64,
@@ -117,13 +117,19 @@
         problem: &outcome::Problem,
     ) {
         let (fate, why) = End::of(problem).labels();
-        metrics::counter!(names::REQUESTS, "service" => "", "operation" => "", "fate" => fate, "why" => why)
+        metrics::counter!(metric_names::REQUESTS, "service" => "", "operation" => "", "fate" => fate, "why" => why)
             .increment(1);
-        self.decided(now, request, "refused", &short(service), why);
+        self.record_decision(now, request, "refused", &truncated(service), why);
     }
 
     /// Records the end of a request that reached its service's executor.
-    pub(super) fn ended(&self, now: Moment, service: &id::ServiceId, seen: &Seen, end: End) {
+    pub(super) fn record_request_end(
+        &self,
+        now: Moment,
+        service: &id::ServiceId,
+        info: &RequestInfo,
+        end: End,
+    ) {
         let (fate, why) = end.labels();
         if matches!(end, End::Problem(..)) {
             let event = if fate == "not_run" {
@@ -131,65 +137,72 @@
             } else {
                 "unknown"
             };
-            let sent_as = seen.sent_as.iter().map(|name| format!(" (sent as {name})"));
-            let why = format!("{why}{}", sent_as.collect::<String>());
-            self.decided(now, seen.id, event, service.as_str(), &why);
+            let origin_request_id = info
+                .origin_request_id
+                .iter()
+                .map(|name| format!(" (sent as {name})"));
+            let why = format!("{why}{}", origin_request_id.collect::<String>());
+            self.record_decision(now, info.id, event, service.as_str(), &why);
         }
         // The entry VM that received the request from its caller counts it.
-        if seen.sent_as.is_some() {
+        if info.origin_request_id.is_some() {
             return;
         }
-        let label = self.services.label(service.as_str());
+        let label = self.service_labels.label(service.as_str());
         metrics::counter!(
-            names::REQUESTS, "service" => label.clone(), "operation" => seen.operation.clone(),
+            metric_names::REQUESTS, "service" => label.clone(), "operation" => info.operation.clone(),
             "fate" => fate, "why" => why
         )
         .increment(1);
-        metrics::counter!(names::WORTH, "service" => label.clone(), "fate" => fate)
-            .increment(seen.worth.into());
-        let took = now.saturating_sub(seen.at);
+        metrics::counter!(metric_names::WORTH, "service" => label.clone(), "fate" => fate)
+            .increment(info.worth.into());
+        let latency = now.saturating_sub(info.arrived_at);
         if end == End::Answered {
-            metrics::histogram!(names::LATENCY, "service" => label.clone()).record(took);
-            if took <= seen.in_time {
-                metrics::counter!(names::IN_TIME, "service" => label).increment(1);
+            metrics::histogram!(metric_names::LATENCY, "service" => label.clone()).record(latency);
+            if latency <= info.latency_objective {
+                metrics::counter!(metric_names::IN_TIME, "service" => label).increment(1);
             }
         }
         let mut history = self.history.lock();
         if let Some(totals) = history.totals(service) {
-            count(totals, seen, end, took);
+            add_to_totals(totals, info, end, latency);
         }
     }
 
     /// Records an attempt sent to a backend server or another availability zone.
-    pub(super) fn sent(
+    pub(super) fn record_sent(
         &self,
         now: Moment,
         service: &id::ServiceId,
-        seen: &Seen,
+        info: &RequestInfo,
         to: &Destination,
-        own_az: &id::AzId,
+        local_az: &id::AzId,
         first: bool,
     ) {
-        let label = self.services.label(service.as_str());
+        let label = self.service_labels.label(service.as_str());
         if !first {
-            metrics::counter!(names::RETRIES, "service" => label.clone()).increment(1);
+            metrics::counter!(metric_names::RETRIES, "service" => label.clone()).increment(1);
         }
         let az = match to {
-            Destination::Backend(_) => own_az,
+            Destination::Backend(_) => local_az,
             Destination::Az(az) => {
                 let name = az.to_string();
-                metrics::counter!(names::SPILLS, "service" => label, "az" => name.clone())
+                metrics::counter!(metric_names::SPILLS, "service" => label, "az" => name.clone())
                     .increment(1);
-                self.decided(now, seen.id, "spilled", service.as_str(), &name);
+                self.record_decision(now, info.id, "spilled", service.as_str(), &name);
                 az
             }
         };
-        self.sent.lock().insert(az.clone(), now);
+        self.last_sent_at.lock().insert(az.clone(), now);
     }
 
     /// Records the end of an attempt.
-    pub(super) fn attempt_ended(&self, service: &id::ServiceId, how: AttemptOutcome) {
-        let how = match how {
+    pub(super) fn record_attempt_end(
+        &self,
+        service: &id::ServiceId,
+        attempt_outcome: AttemptOutcome,
+    ) {
+        let result = match attempt_outcome {
             AttemptOutcome::Answered => "answered",
             AttemptOutcome::Failed => "failed",
             AttemptOutcome::Shed => "shed",
@@ -198,28 +211,29 @@
             AttemptOutcome::TimedOut => "timed_out",
             AttemptOutcome::Cancelled => "cancelled",
         };
-        let label = self.services.label(service.as_str());
-        metrics::counter!(names::ATTEMPTS, "service" => label, "ended" => how).increment(1);
+        let label = self.service_labels.label(service.as_str());
+        metrics::counter!(metric_names::ATTEMPTS, "service" => label, "ended" => result)
+            .increment(1);
     }
 
     /// Records a sent probe.
-    pub(super) fn probed(&self, service: &id::ServiceId) {
-        let label = self.services.label(service.as_str());
-        metrics::counter!(names::PROBES, "service" => label).increment(1);
+    pub(super) fn record_probe(&self, service: &id::ServiceId) {
+        let label = self.service_labels.label(service.as_str());
+        metrics::counter!(metric_names::PROBES, "service" => label).increment(1);
     }
 
     /// Records an answered look-up.
-    pub(super) fn looked_up(&self, service: &id::ServiceId) {
-        let label = self.services.label(service.as_str());
-        metrics::counter!(names::LOOKUPS, "service" => label).increment(1);
+    pub(super) fn record_lookup(&self, service: &id::ServiceId) {
+        let label = self.service_labels.label(service.as_str());
+        metrics::counter!(metric_names::LOOKUPS, "service" => label).increment(1);
     }
 
     /// Records an ejection, restoration, suspicion or quarantine reported by the policy.
-    pub(super) fn noted(&self, now: Moment, service: &id::ServiceId, note: &note::Note) {
-        let label = self.services.label(service.as_str());
+    pub(super) fn record_note(&self, now: Moment, service: &id::ServiceId, note: &note::Note) {
+        let label = self.service_labels.label(service.as_str());
         let (event, vm, detail) = match note {
             note::Note::Ejected { vm, down } => {
-                metrics::counter!(names::EJECTIONS, "service" => label).increment(1);
+                metrics::counter!(metric_names::EJECTIONS, "service" => label).increment(1);
                 (
                     "ejected",
                     vm,
@@ -232,12 +246,12 @@
                 fingerprint,
                 banned,
             } => {
-                let print = format!("{:016x}", fingerprint.0);
+                let fingerprint_hex = format!("{:016x}", fingerprint.0);
                 if *banned {
-                    metrics::counter!(names::QUARANTINES, "service" => label).increment(1);
-                    ("quarantined", vm, print)
+                    metrics::counter!(metric_names::QUARANTINES, "service" => label).increment(1);
+                    ("quarantined", vm, fingerprint_hex)
                 } else {
-                    ("suspected", vm, print)
+                    ("suspected", vm, fingerprint_hex)
                 }
             }
         };
@@ -245,17 +259,17 @@
     }
 
     /// Records a quarantine received from another entry VM.
-    pub(super) fn told_of_ban(
+    pub(super) fn record_received_ban(
         &self,
         now: Moment,
         service: &id::ServiceId,
         from: &id::VmId,
         entry: &quarantine::Ban,
     ) {
-        let label = self.services.label(service.as_str());
-        metrics::counter!(names::QUARANTINES, "service" => label).increment(1);
-        let print = format!("{:016x}", entry.fingerprint.0);
-        self.warn(now, "quarantined_by_peer", service, from, &print);
+        let label = self.service_labels.label(service.as_str());
+        metrics::counter!(metric_names::QUARANTINES, "service" => label).increment(1);
+        let fingerprint_hex = format!("{:016x}", entry.fingerprint.0);
+        self.warn(now, "quarantined_by_peer", service, from, &fingerprint_hex);
     }
 
     fn warn(
@@ -266,30 +280,37 @@
         vm: &id::VmId,
         detail: &str,
     ) {
-        let Some(held_back) = self.limiter.admit(event, now) else {
-            return metrics::counter!(names::LOG_SUPPRESSED, "event" => event).increment(1);
+        let Some(suppressed) = self.limiter.admit(event, now) else {
+            return metrics::counter!(metric_names::LOG_SUPPRESSED, "event" => event).increment(1);
         };
         slog::warn!(self.log, "{}", event; "event" => event, "service" => service.as_str(),
-            "vm" => vm.as_str(), "detail" => detail, "held_back" => held_back);
+            "vm" => vm.as_str(), "detail" => detail, "held_back" => suppressed);
     }
 
     /// Stores a decision about one request and logs it within the event's rate limit.
-    fn decided(&self, now: Moment, request: u64, event: &'static str, service: &str, why: &str) {
+    fn record_decision(
+        &self,
+        now: Moment,
+        request: u64,
+        event: &'static str,
+        service: &str,
+        why: &str,
+    ) {
         self.recent.lock().keep(request, now, event, service, why);
-        let Some(held_back) = self.limiter.admit(event, now) else {
-            return metrics::counter!(names::LOG_SUPPRESSED, "event" => event).increment(1);
+        let Some(suppressed) = self.limiter.admit(event, now) else {
+            return metrics::counter!(metric_names::LOG_SUPPRESSED, "event" => event).increment(1);
         };
         slog::info!(self.log, "{}", event; "event" => event, "request" => request,
-            "service" => service, "why" => why, "held_back" => held_back);
+            "service" => service, "why" => why, "held_back" => suppressed);
     }
 
     /// The recent decisions about a request.
-    pub(super) fn about(&self, request: u64) -> Vec<explain::Decision> {
+    pub(super) fn decisions_on(&self, request: u64) -> Vec<explain::Decision> {
         self.recent.lock().about(request)
     }
 
     /// Records the number of pending requests of a service.
-    pub(super) fn in_hand(&self, service: &id::ServiceId, count: u64) {
+    pub(super) fn record_pending(&self, service: &id::ServiceId, count: u64) {
         self.history.lock().in_hand(service, count);
     }
 
@@ -300,7 +321,7 @@
 
     /// Time of the last request to an availability zone.
     pub(super) fn last_sent(&self, az: &id::AzId) -> Option<Moment> {
-        self.sent.lock().get(az).copied()
+        self.last_sent_at.lock().get(az).copied()
     }
 
     /// Reads the history of all services.
@@ -310,23 +331,28 @@
 
     /// The bounded metric label of a service.
     pub(super) fn label(&self, service: &id::ServiceId) -> std::sync::Arc<str> {
-        self.services.label(service.as_str())
+        self.service_labels.label(service.as_str())
     }
 }
 
 /// Truncates caller-supplied text for a log line.
-fn short(text: &str) -> String {
-    text.chars().take(MOST_TEXT).collect()
+fn truncated(text: &str) -> String {
+    text.chars().take(MAX_LOGGED_TEXT_CHARS).collect()
 }
 
-fn count(totals: &mut totals::Totals, seen: &Seen, end: End, took: time::Duration) {
-    let worth = u64::from(seen.worth);
+fn add_to_totals(
+    totals: &mut totals::Totals,
+    info: &RequestInfo,
+    end: End,
+    latency: time::Duration,
+) {
+    let worth = u64::from(info.worth);
     match end {
         End::Answered => {
             totals.answered += 1;
             totals.worth_answered += worth;
-            totals.in_time += u64::from(took <= seen.in_time);
-            totals.took(took);
+            totals.in_time += u64::from(latency <= info.latency_objective);
+            totals.took(latency);
             return;
         }
         End::Failed => totals.failed += 1,
--- a/src/entry/operate.rs
+++ b/src/entry/operator_source.rs
@@ -5,51 +5,54 @@
 use std::sync;
 use std::time;
 
-use super::{Core, MakePolicy, desk};
-use crate::protocol::{history, operators as told};
+use super::{Core, MakePolicy, executor};
+use crate::protocol::{history, operators as messages};
 use crate::transport::operators;
-use crate::{id, metrics as names, settings};
+use crate::{id, metrics as metric_names, settings};
 
 /// Reads the entry process's shared state.
 pub(super) struct Source<M: MakePolicy>(pub(super) sync::Weak<Core<M>>);
 
 impl<M: MakePolicy> operators::Source for Source<M> {
-    fn status(&self) -> told::Status {
+    fn status(&self) -> messages::Status {
         let Some(core) = self.0.upgrade() else {
-            return told::Status {
+            return messages::Status {
                 not_ready: vec!["stopped".to_owned()],
-                ..told::Status::default()
+                ..messages::Status::default()
             };
         };
         let settings = core.shared.settings();
-        let links = core.shared.links.load();
-        let drains = drains(&core).into_iter().map(|drain| told::Drain {
-            remaining: remaining(&drain),
+        let coordination_status = core.shared.coordination_status.load();
+        let drains = drains(&core).into_iter().map(|drain| messages::Drain {
+            remaining: remaining_share(&drain),
             target: drain.target,
             start_s: drain.start_s,
         });
-        told::Status {
+        messages::Status {
             vm: core.cfg.vm.to_string(),
             az: core.cfg.az.to_string(),
             incarnation: core.incarnation.0,
             uptime_s: core.now().as_secs(),
             not_ready: not_ready(&core, &settings),
-            settings: links.versions.clone(),
-            store_up: links.store_up,
-            peers: links.peers,
-            services: desk::all_in_hand(&core),
+            settings: coordination_status.versions.clone(),
+            store_up: coordination_status.store_up,
+            peers: coordination_status.peers,
+            services: executor::service_loads(&core),
             drains: drains.collect(),
         }
     }
 
     fn history(&self, query: &str) -> String {
-        let answer = self.0.upgrade().map(|core| past(&core, query));
+        let answer = self.0.upgrade().map(|core| build_history(&core, query));
         serde_json::to_string(&answer.unwrap_or_default())
             .expect("all values of a history are representable in JSON")
     }
 
     fn explain(&self, request: u64) -> String {
-        let answer = self.0.upgrade().map(|core| core.observer.about(request));
+        let answer = self
+            .0
+            .upgrade()
+            .map(|core| core.observer.decisions_on(request));
         serde_json::to_string(&answer.unwrap_or_default())
             .expect("all values of decisions are representable in JSON")
     }
@@ -58,28 +61,31 @@
         let Some(core) = self.0.upgrade() else {
             return;
         };
-        for (name, service) in desk::all_in_hand(&core) {
+        for (name, service) in executor::service_loads(&core) {
             let label = core.observer.label(&name);
-            metrics::gauge!(names::IN_FLIGHT, "service" => label.clone())
+            metrics::gauge!(metric_names::IN_FLIGHT, "service" => label.clone())
                 .set(service.in_flight as f64);
-            metrics::gauge!(names::QUEUED, "service" => label.clone()).set(service.queued as f64);
-            metrics::gauge!(names::SLOTS, "service" => label).set(service.slots as f64);
+            metrics::gauge!(metric_names::QUEUED, "service" => label.clone())
+                .set(service.queued as f64);
+            metrics::gauge!(metric_names::SLOTS, "service" => label).set(service.slots as f64);
         }
         for drain in drains(&core) {
             let az = drain.target.clone();
-            metrics::gauge!(names::DRAIN_REMAINING, "az" => az.clone()).set(remaining(&drain));
-            let took = drain.last_sent_s.unwrap_or(0);
-            metrics::gauge!(names::DRAIN_SECONDS, "az" => az).set(took as f64);
+            metrics::gauge!(metric_names::DRAIN_REMAINING, "az" => az.clone())
+                .set(remaining_share(&drain));
+            let duration_s = drain.last_sent_s.unwrap_or(0);
+            metrics::gauge!(metric_names::DRAIN_SECONDS, "az" => az).set(duration_s as f64);
         }
-        let links = core.shared.links.load();
-        for (team, version) in &links.versions {
+        let coordination_status = core.shared.coordination_status.load();
+        for (team, version) in &coordination_status.versions {
             let team = team.to_string();
-            metrics::gauge!(names::SETTINGS_VERSION, "team" => team).set(*version as f64);
+            metrics::gauge!(metric_names::SETTINGS_VERSION, "team" => team).set(*version as f64);
         }
-        metrics::gauge!(names::STORE_UP).set(f64::from(u8::from(links.store_up)));
-        metrics::gauge!(names::PEERS).set(links.peers as f64);
-        metrics::gauge!(names::UPTIME_SECONDS).set(core.now().as_secs_f64());
-        process();
+        metrics::gauge!(metric_names::STORE_UP)
+            .set(f64::from(u8::from(coordination_status.store_up)));
+        metrics::gauge!(metric_names::PEERS).set(coordination_status.peers as f64);
+        metrics::gauge!(metric_names::UPTIME_SECONDS).set(core.now().as_secs_f64());
+        record_process_metrics();
     }
 }
 
@@ -94,23 +100,26 @@
     reasons
 }
 
-fn past<M: MakePolicy>(core: &Core<M>, query: &str) -> history::History {
+fn build_history<M: MakePolicy>(core: &Core<M>, query: &str) -> history::History {
     let windows = history::windows(query);
-    let in_hand = desk::all_in_hand(core);
+    let loads = executor::service_loads(core);
     let now = core.now();
-    let of_service = |kept: &crate::state::totals::History, name: &id::ServiceId| {
-        let hand = in_hand.get(name).copied().unwrap_or_default();
+    let of_service = |totals: &crate::state::totals::History, name: &id::ServiceId| {
+        let load = loads.get(name).copied().unwrap_or_default();
         history::Service {
-            slots: hand.slots,
-            in_hand: hand.in_flight + hand.queued,
-            windows: windows.iter().map(|s| kept.window(name, now, *s)).collect(),
-            stretches: kept.stretches(name, now, history::STRETCHES),
+            slots: load.slots,
+            in_hand: load.in_flight + load.queued,
+            windows: windows
+                .iter()
+                .map(|s| totals.window(name, now, *s))
+                .collect(),
+            stretches: totals.stretches(name, now, history::STRETCHES),
         }
     };
-    let services = core.observer.with_history(|kept| {
-        let names = in_hand.keys().chain(kept.services());
-        names
-            .map(|name| (name.clone(), of_service(kept, name)))
+    let services = core.observer.with_history(|totals| {
+        let service_names = loads.keys().chain(totals.services());
+        service_names
+            .map(|name| (name.clone(), of_service(totals, name)))
             .collect::<collections::BTreeMap<_, _>>()
     });
     history::History {
@@ -125,27 +134,27 @@
 /// Progress of each active drain, based on this VM's own requests.
 fn drains<M: MakePolicy>(core: &Core<M>) -> Vec<history::Drain> {
     let settings = core.shared.settings();
-    let now_s = desk::wall_clock_s();
-    let begun = settings
+    let now_s = executor::wall_clock_s();
+    let active = settings
         .drains()
         .filter(|d| d.start_s <= now_s && d.end_s.is_none_or(|end_s| now_s < end_s));
-    begun
-        .map(|drain| how_it_goes(core, &settings, drain, now_s))
+    active
+        .map(|drain| drain_progress(core, &settings, drain, now_s))
         .collect()
 }
 
-fn how_it_goes<M: MakePolicy>(
+fn drain_progress<M: MakePolicy>(
     core: &Core<M>,
     settings: &settings::Settings,
     drain: &settings::Drain,
     now_s: u64,
 ) -> history::Drain {
     let azs = crate::decisions::drain::target_azs(settings, &drain.target);
-    let sent = azs
+    let last_sent = azs
         .iter()
         .filter_map(|az| core.observer.last_sent(az))
         .max();
-    let quiet = sent.map(|sent| core.now().saturating_sub(sent));
+    let quiet = last_sent.map(|last_sent| core.now().saturating_sub(last_sent));
     let quiet_s = quiet.map_or(u64::MAX, |quiet| quiet.as_secs());
     let last_s = now_s.saturating_sub(quiet_s);
     history::Drain {
@@ -153,18 +162,21 @@
         start_s: drain.start_s,
         last_sent_s: (last_s > drain.start_s).then(|| last_s - drain.start_s),
         quiet_s,
-        in_flight: azs.iter().map(|az| desk::in_flight_at(core, az)).sum(),
+        in_flight: azs
+            .iter()
+            .map(|az| executor::in_flight_in_az(core, az))
+            .sum(),
     }
 }
 
 /// Remaining share of traffic, 0 or 1: one VM's requests alone do not show a finer share.
-fn remaining(drain: &history::Drain) -> f64 {
-    let quiet = drain.quiet_s >= QUIET.as_secs() && drain.in_flight == 0;
+fn remaining_share(drain: &history::Drain) -> f64 {
+    let quiet = drain.quiet_s >= DRAIN_QUIET_PERIOD.as_secs() && drain.in_flight == 0;
     if quiet { 0.0 } else { 1.0 }
 }
 
 /// Time without requests from this VM after which a drained target counts as empty.
-const QUIET: time::Duration = time::Duration::from_secs(5);
+const DRAIN_QUIET_PERIOD: time::Duration = time::Duration::from_secs(5);
 
 fn target(target: &settings::DrainTarget) -> String {
     match target {
@@ -175,13 +187,13 @@
 }
 
 /// Unit of processor time in Linux's `/proc/self/stat`.
-const TICKS_A_SECOND: f64 = 100.0;
+const CPU_TICKS_PER_S: f64 = 100.0;
 
 /// Page size on the Linux VMs that run the entry process.
 const PAGE_BYTES: f64 = 4096.0;
 
 /// Updates the gauges of the process's processor time and memory, where `/proc` exists.
-fn process() {
+fn record_process_metrics() {
     let read = |path| fs::read_to_string(path).unwrap_or_default();
     // The process's name is in parentheses and may contain spaces.
     let stat = read("/proc/self/stat");
@@ -193,11 +205,11 @@
         .collect();
     let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<f64>().ok());
     if let (Some(user), Some(system)) = (ticks(11), ticks(12)) {
-        metrics::gauge!(names::CPU_SECONDS).set((user + system) / TICKS_A_SECOND);
+        metrics::gauge!(metric_names::CPU_SECONDS).set((user + system) / CPU_TICKS_PER_S);
     }
     let statm = read("/proc/self/statm");
     let resident = statm.split_whitespace().nth(1);
     if let Some(pages) = resident.and_then(|f| f.parse::<f64>().ok()) {
-        metrics::gauge!(names::RESIDENT_BYTES).set(pages * PAGE_BYTES);
+        metrics::gauge!(metric_names::RESIDENT_BYTES).set(pages * PAGE_BYTES);
     }
 }
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -13,7 +13,7 @@
 use hyper::{Method, header};
 use rand::RngExt;
 
-use super::{Core, Event, MakePolicy, answers, desk, observe, steer};
+use super::{Core, Event, MakePolicy, answers, executor, observe, steering};
 use crate::coordination::grants;
 use crate::decisions::grants::Refused;
 use crate::decisions::policy;
@@ -24,7 +24,7 @@
 use outcome::Problem;
 
 /// First path segment of look-ups.
-const LOOKUP: &str = "lookup";
+const LOOKUP_PATH: &str = "lookup";
 
 /// Handles an incoming request.
 pub(super) fn request<M: MakePolicy>(core: &sync::Arc<Core<M>>, req: server::Request) {
@@ -33,11 +33,11 @@
     let first = parts.next().unwrap_or_default();
     let rest = parts.next();
     match (first, rest) {
-        (LOOKUP, Some(service)) => {
+        (LOOKUP_PATH, Some(service)) => {
             let answer = look_up(core, &req, service);
             req.reply.send(answer);
         }
-        ("", _) | (LOOKUP, None) => refuse(core, req.id, "", req.reply, &Problem::UnknownPath),
+        ("", _) | (LOOKUP_PATH, None) => refuse(core, req.id, "", req.reply, &Problem::UnknownPath),
         (service, rest) => {
             let path = format!("/{}", rest.unwrap_or_default());
             serve(core, req, service, &path);
@@ -52,7 +52,8 @@
     reply: server::Reply,
     problem: &Problem,
 ) {
-    core.observer.turned_away(core.now(), id, service, problem);
+    core.observer
+        .record_refusal(core.now(), id, service, problem);
     reply.send(answers::problem(problem));
 }
 
@@ -62,7 +63,7 @@
     }
     match find(core, req.from.ip(), service) {
         Some(lookup) => {
-            core.observer.looked_up(&lookup.service);
+            core.observer.record_lookup(&lookup.service);
             answers::look_up(&lookup)
         }
         None => answers::problem(&Problem::UnknownService(service.to_owned())),
@@ -79,23 +80,23 @@
     let service = settings.service(service)?;
     let stopping = core.stopping.load(atomic::Ordering::SeqCst);
     let regions = core.shared.regions.load();
-    let own = settings.region_of(&core.cfg.az).map(|region| &region.name);
+    let local_region = settings.region_of(&core.cfg.az).map(|region| &region.name);
     let region = regions.find(caller);
-    let first = match region {
+    let preferred = match region {
         Some(region) => {
-            let number = steer::caller_number(caller);
-            let steer = &core.steer;
-            steer.order(core.now(), &settings, service, region, number)
+            let number = steering::caller_hash(caller);
+            let steering = &core.steering;
+            steering.az_order(core.now(), &settings, service, region, number)
         }
         None => Vec::new(),
     };
     let asks = directory::Asks {
         caller,
-        region: region.or(own),
+        region: region.or(local_region),
         az: &core.cfg.az,
-        first: &first,
+        first: &preferred,
     };
-    let mut entries = core.named.load().directory.name(&asks);
+    let mut entries = core.cached_directory.load().directory.name(&asks);
     entries.retain(|entry| !stopping || entry.vm != core.cfg.vm);
     Some(lookup::Lookup {
         service: service.name.clone(),
@@ -116,7 +117,7 @@
 }
 
 /// A validated request, resolved against the settings.
-struct Asked<'a> {
+struct ResolvedRequest<'a> {
     service: &'a settings::Service,
     op: &'a settings::Operation,
     timeout: time::Duration,
@@ -132,34 +133,37 @@
     let id = req.id;
     let settings = core.shared.settings.load();
     let sent_across = origin(core, &req) != policy::Origin::Caller;
-    let asked = match check(&settings, &req, service, path, sent_across) {
-        Ok(asked) => asked,
+    let resolved = match resolve(&settings, &req, service, path, sent_across) {
+        Ok(resolved) => resolved,
         Err(problem) => return refuse(core, id, service, req.reply, &problem),
     };
-    let Some(key) = &asked.key else {
+    let Some(key) = &resolved.key else {
         if core.stopping.load(atomic::Ordering::SeqCst) {
             return refuse(core, id, service, req.reply, &stopping());
         }
-        return bring(core, req, &asked, path);
+        return submit(core, req, &resolved, path);
     };
     if key.ticket.vm != core.cfg.vm {
-        return ask_home(core, req, &asked);
+        return forward_to_home(core, req, &resolved);
     }
     if key.ticket.incarnation != core.incarnation {
         return refuse(core, id, service, req.reply, &Problem::TicketVoid);
     }
-    let print = fingerprint(&req, path);
-    let (now, stops) = (core.now(), core.stopping.load(atomic::Ordering::SeqCst));
+    let request_fingerprint = fingerprint(&req, path);
+    let (now, is_stopping) = (core.now(), core.stopping.load(atomic::Ordering::SeqCst));
     let mut req = req;
-    let admission = core.keys.lock().admit(now, key, print, req.reply);
+    let admission = core
+        .keys
+        .lock()
+        .admit(now, key, request_fingerprint, req.reply);
     match admission {
-        keys::Admission::Run(reply) if stops => {
+        keys::Admission::Run(reply) if is_stopping => {
             core.keys.lock().not_run(&key.text);
             refuse(core, id, service, reply, &stopping());
         }
         keys::Admission::Run(reply) => {
             req.reply = reply;
-            bring(core, req, &asked, path);
+            submit(core, req, &resolved, path);
         }
         keys::Admission::Joined => {}
         keys::Admission::Ended(keys::End::Answer(answer), reply) => {
@@ -177,13 +181,13 @@
     Problem::Refused(policy::Refusal::Stopping, time::Duration::ZERO)
 }
 
-fn check<'a>(
+fn resolve<'a>(
     settings: &'a settings::Settings,
     req: &server::Request,
     service: &str,
     path: &str,
     sent_across: bool,
-) -> Result<Asked<'a>, Problem> {
+) -> Result<ResolvedRequest<'a>, Problem> {
     let found = settings.service(service);
     let service = found.ok_or_else(|| Problem::UnknownService(service.to_owned()))?;
     let op = service.operation(req.method.as_str(), path);
@@ -195,21 +199,21 @@
     if req.body.len() > service.max_body_bytes {
         return Err(Problem::TooLarge(service.max_body_bytes));
     }
-    let patience = time::Duration::from_millis(op.patience_ms);
+    let default_timeout = time::Duration::from_millis(op.patience_ms);
     let timeout = headers::timeout(&req.headers)
         .map_err(Problem::BadTimeout)?
-        .unwrap_or(patience);
+        .unwrap_or(default_timeout);
     let key = match headers::text(&req.headers, headers::KEY) {
         // Ignores the key of an idempotent operation, and of a request from another availability
         // zone, whose entry VM has already checked the key.
         _ if op.idempotent || sent_across => None,
         None => return Err(Problem::NoKey),
-        Some(own) => {
+        Some(key_text) => {
             let ticket = headers::text(&req.headers, headers::TICKET);
-            Some(ticket::Key::parse(own, ticket)?)
+            Some(ticket::Key::parse(key_text, ticket)?)
         }
     };
-    Ok(Asked {
+    Ok(ResolvedRequest {
         service,
         op,
         timeout,
@@ -218,91 +222,97 @@
 }
 
 /// Admits a request and passes it to its service's executor.
-fn bring<M: MakePolicy>(
+fn submit<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
     req: server::Request,
-    asked: &Asked<'_>,
+    resolved: &ResolvedRequest<'_>,
     path: &str,
 ) {
-    let key = asked.key.as_ref().map(|key| key.text.clone());
-    let desk = core.desks.load().get(&asked.service.name).cloned();
-    let Some(desk) = desk else {
+    let key = resolved.key.as_ref().map(|key| key.text.clone());
+    let executor = core.executors.load().get(&resolved.service.name).cloned();
+    let Some(executor) = executor else {
         if let Some(key) = &key {
             core.keys.lock().not_run(key);
         }
         let why = policy::Refusal::NoBackend;
-        let name = asked.service.name.as_str();
+        let name = resolved.service.name.as_str();
         return refuse(
             core,
             req.id,
             name,
             req.reply,
-            &Problem::Refused(why, super::REFRESH),
+            &Problem::Refused(why, super::REFRESH_INTERVAL),
         );
     };
     let origin = origin(core, &req);
-    let waited = core.steer.waited(core.now(), req.id);
-    let admitted = match let_in(core, &req, asked, &origin, &desk) {
+    let waited = core.steering.time_waited(core.now(), req.id);
+    let admitted = match admit(core, &req, resolved, &origin, &executor) {
         Ok(admitted) => admitted,
-        Err(Turned::Full) if core.steer.may_wait(waited) => {
-            return core.steer.hold(core.now(), req);
+        Err(AdmissionError::Full) if core.steering.may_wait(waited) => {
+            return core.steering.enqueue_waiting(core.now(), req);
         }
-        Err(turned) => {
-            let problem = turned.problem();
-            core.steer.forget(req.id);
+        Err(err) => {
+            let problem = err.problem();
+            core.steering.remove_waiting_time(req.id);
             if let Some(key) = &key {
                 core.keys.lock().not_run(key);
             }
-            let name = asked.service.name.as_str();
+            let name = resolved.service.name.as_str();
             return refuse(core, req.id, name, req.reply, &problem);
         }
     };
-    core.steer.forget(req.id);
+    core.steering.remove_waiting_time(req.id);
     let arrival = policy::Arrival {
         id: policy::RequestId(req.id),
         caller: caller(&req),
         fingerprint: fingerprint(&req, path),
         origin,
-        idempotent: asked.op.idempotent,
-        worth: asked.op.worth,
-        typical: time::Duration::from_secs_f64(asked.op.typical_ms / 1000.0),
-        deadline: (core.now() + asked.timeout).saturating_sub(waited),
-        bytes: req.body.len() as u64 + core.steer.answer_bytes(&asked.service.name),
+        idempotent: resolved.op.idempotent,
+        worth: resolved.op.worth,
+        typical: time::Duration::from_secs_f64(resolved.op.typical_ms / 1000.0),
+        deadline: (core.now() + resolved.timeout).saturating_sub(waited),
+        bytes: req.body.len() as u64 + core.steering.expected_answer_bytes(&resolved.service.name),
     };
-    let seen = observe::Seen::new(&arrival, core.now(), asked.service, asked.op, &req.headers);
-    let pending = desk::Pending {
-        seen,
-        tries: 0,
+    let info = observe::RequestInfo::new(
+        &arrival,
+        core.now(),
+        resolved.service,
+        resolved.op,
+        &req.headers,
+    );
+    let pending = executor::Pending {
+        info,
+        attempt_count: 0,
         method: req.method,
         path: with_query(path, req.uri.query()),
         headers: headers::end_to_end(&req.headers),
         body: req.body,
         key,
-        idempotent: asked.op.idempotent,
+        idempotent: resolved.op.idempotent,
         deadline: arrival.deadline,
         _permit: req.permit,
-        _admitted: admitted,
+        _grant_slot: admitted,
         attempts: Vec::new(),
-        maybe_run: false,
+        may_have_run: false,
         answer: None,
         reply: Some(req.reply),
     };
-    desk::arrive(core, &desk, arrival, pending);
+    executor::arrive(core, &executor, arrival, pending);
 }
 
 /// Why a request is not admitted to this availability zone.
-enum Turned {
+enum AdmissionError {
     /// Its grant has no free slot at the moment.
     Full,
     /// It has no valid grant, or the cap is reached. Holds the retry delay.
-    Away(time::Duration),
+    Denied(time::Duration),
 }
 
-impl Turned {
+impl AdmissionError {
     fn problem(&self) -> Problem {
         let after = match self {
-            Self::Full => steer::EVERY,
-            Self::Away(after) => *after,
+            Self::Full => steering::STEERING_INTERVAL,
+            Self::Denied(after) => *after,
         };
         Problem::Refused(policy::Refusal::Overload, after)
     }
@@ -311,42 +321,44 @@
 /// Decides whether this availability zone admits a request. A request from another entry VM needs a
 /// valid grant issued by this VM. A request of a caller whom the plan assigns to another region is
 /// displaced traffic and counts against the shift cap. A request refused here has not run.
-fn let_in<M: MakePolicy>(
+fn admit<M: MakePolicy>(
     core: &Core<M>,
     req: &server::Request,
-    asked: &Asked<'_>,
+    resolved: &ResolvedRequest<'_>,
     origin: &policy::Origin,
-    desk: &desk::Desk<M::Policy>,
-) -> Result<Option<grants::Admitted>, Turned> {
-    let (now, service) = (core.now(), asked.service);
+    executor: &executor::Executor<M::Policy>,
+) -> Result<Option<grants::Admitted>, AdmissionError> {
+    let (now, service) = (core.now(), resolved.service);
     if *origin != policy::Origin::Caller {
-        let admitted = core.steer.admit(now, &service.name, &req.headers);
+        let admitted = core.steering.admit(now, &service.name, &req.headers);
         return admitted.map(Some).map_err(|why| match why {
-            Refused::NoGrant => Turned::Away(steer::EVERY),
-            Refused::Full | Refused::OwnFirst => Turned::Full,
+            Refused::NoGrant => AdmissionError::Denied(steering::STEERING_INTERVAL),
+            Refused::Full | Refused::OwnFirst => AdmissionError::Full,
         });
     }
     let settings = core.shared.settings.load();
     let regions = core.shared.regions.load();
     let region = regions.find(req.from.ip());
-    let typical = time::Duration::from_secs_f64(asked.op.typical_ms / 1e3);
-    core.steer.count(&service.name, region, typical);
+    let typical = time::Duration::from_secs_f64(resolved.op.typical_ms / 1e3);
+    core.steering.record_demand(&service.name, region, typical);
     let Some(region) = region else {
         return Ok(None);
     };
-    let number = steer::caller_number(req.from.ip());
-    let order = core.steer.order(now, &settings, service, region, number);
-    let placed = order.first().and_then(|az| settings.region_of(az));
-    let here = settings.region_of(&core.cfg.az);
-    if placed.is_none() || placed.map(|r| &r.name) == here.map(|r| &r.name) {
+    let number = steering::caller_hash(req.from.ip());
+    let az_order = core
+        .steering
+        .az_order(now, &settings, service, region, number);
+    let assigned = az_order.first().and_then(|az| settings.region_of(az));
+    let local = settings.region_of(&core.cfg.az);
+    if assigned.is_none() || assigned.map(|r| &r.name) == local.map(|r| &r.name) {
         return Ok(None);
     }
-    let taken = desk.with_cross_az(|cross_az| {
-        let taken = cross_az.admit_displaced(now, asked.op.worth);
-        (taken, cross_az.retry_after())
+    let admission = executor.with_cross_az(|cross_az| {
+        let admitted = cross_az.admit_displaced(now, resolved.op.worth);
+        (admitted, cross_az.retry_after())
     });
-    match taken {
-        Some((false, after)) => Err(Turned::Away(after)),
+    match admission {
+        Some((false, after)) => Err(AdmissionError::Denied(after)),
         _ => Ok(None),
     }
 }
@@ -403,61 +415,66 @@
 
 /// Forwards a request to its key's home VM, which alone knows whether the key is new. If the home
 /// does not answer, it is unknown whether an earlier request with the key ran.
-fn ask_home<M: MakePolicy>(core: &sync::Arc<Core<M>>, req: server::Request, asked: &Asked<'_>) {
-    let Some(key) = &asked.key else {
+fn forward_to_home<M: MakePolicy>(
+    core: &sync::Arc<Core<M>>,
+    req: server::Request,
+    resolved: &ResolvedRequest<'_>,
+) {
+    let Some(key) = &resolved.key else {
         return refuse(
             core,
             req.id,
-            asked.service.name.as_str(),
+            resolved.service.name.as_str(),
             req.reply,
             &Problem::NoKey,
         );
     };
     let fleet = core.shared.fleet.load();
     // Forwards a request only once; otherwise it could loop between entry VMs forever.
-    let passed_on = req.headers.contains_key(headers::VIA);
-    let home = fleet.vm(&key.ticket.vm).filter(|_| !passed_on);
+    let already_forwarded = req.headers.contains_key(headers::VIA);
+    let home = fleet.vm(&key.ticket.vm).filter(|_| !already_forwarded);
     let Some(home) = home else {
         return refuse(
             core,
             req.id,
-            asked.service.name.as_str(),
+            resolved.service.name.as_str(),
             req.reply,
             &Problem::TicketVoid,
         );
     };
-    let mut out = hyper::Request::new(req.body);
-    *out.method_mut() = req.method;
-    *out.uri_mut() = req
+    let mut forwarded = hyper::Request::new(req.body);
+    *forwarded.method_mut() = req.method;
+    *forwarded.uri_mut() = req
         .uri
         .path_and_query()
         .map_or_else(hyper::Uri::default, |path| hyper::Uri::from(path.clone()));
-    *out.headers_mut() = headers::end_to_end(&req.headers);
-    let timeout_ms = u64::try_from(asked.timeout.as_millis()).unwrap_or(u64::MAX);
-    out.headers_mut()
+    *forwarded.headers_mut() = headers::end_to_end(&req.headers);
+    let timeout_ms = u64::try_from(resolved.timeout.as_millis()).unwrap_or(u64::MAX);
+    forwarded
+        .headers_mut()
         .insert(headers::TIMEOUT, timeout_ms.into());
     if let Ok(via) = core.cfg.vm.as_str().parse() {
-        out.headers_mut().insert(headers::VIA, via);
+        forwarded.headers_mut().insert(headers::VIA, via);
     }
     let call = client::Call {
         to: home.addr,
-        req: out,
-        timeout: asked.timeout,
-        body_bytes: asked.service.max_body_bytes,
+        req: forwarded,
+        timeout: resolved.timeout,
+        body_bytes: resolved.service.max_body_bytes,
     };
     let events = core.events.clone();
-    let home = Home {
+    let home = ForwardedRequest {
         id: req.id,
-        service: asked.service.name.clone(),
+        service: resolved.service.name.clone(),
         reply: req.reply,
     };
     let _attempt = core.client.send(call, move |result| {
-        let _ = events.send(Event::Home(home, result));
+        let _ = events.send(Event::HomeAnswered(home, result));
     });
 }
 
 /// A request that was forwarded to its key's home VM.
-pub(super) struct Home {
+pub(super) struct ForwardedRequest {
     id: u64,
     service: id::ServiceId,
     reply: server::Reply,
@@ -466,7 +483,7 @@
 /// Passes the home VM's answer to the caller, or a problem if there is none.
 pub(super) fn home_answered<M: MakePolicy>(
     core: &Core<M>,
-    home: Home,
+    home: ForwardedRequest,
     result: Result<server::Answer, client::Failure>,
 ) {
     let Ok(answer) = result else {
@@ -474,13 +491,15 @@
         return refuse(core, home.id, home.service.as_str(), home.reply, &problem);
     };
     // Keeps the outcome that the home VM reported.
-    let mut told = answers::backend(&backend::Answer {
+    let mut answer_to_caller = answers::backend(&backend::Answer {
         status: answer.status,
         headers: answer.headers.clone(),
         body: answer.body,
     });
-    if let Some(word) = answer.headers.get(headers::OUTCOME) {
-        told.headers.insert(headers::OUTCOME, word.clone());
+    if let Some(reported_outcome) = answer.headers.get(headers::OUTCOME) {
+        answer_to_caller
+            .headers
+            .insert(headers::OUTCOME, reported_outcome.clone());
     }
-    home.reply.send(told);
+    home.reply.send(answer_to_caller);
 }
--- a/src/entry/steer.rs
+++ b/src/entry/steering.rs
@@ -14,7 +14,7 @@
 use hyper::HeaderMap;
 use parking_lot::Mutex;
 
-use super::{Core, MakePolicy, desk};
+use super::{Core, MakePolicy, executor};
 use crate::coordination::{grants as exchange, loads, peers, plan_writer, store};
 use crate::decisions::{caps, cross_az, drain, grants, links, plan, policy};
 use crate::protocol::{headers, peer};
@@ -24,47 +24,47 @@
 use policy::Policy;
 
 /// Interval at which grant requests, loads and waiting requests are processed.
-pub(super) const EVERY: time::Duration = time::Duration::from_millis(100);
+pub(super) const STEERING_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// Steering state of this entry VM.
-pub(super) struct Steer {
-    lenders: sync::Arc<exchange::GrantIssuers>,
-    asker: Mutex<exchange::GrantRequester>,
+pub(super) struct Steering {
+    grant_issuers: sync::Arc<exchange::GrantIssuers>,
+    grant_requester: Mutex<exchange::GrantRequester>,
     loads: Mutex<loads::LoadTable>,
     demand: Mutex<loads::Demand>,
-    applied: Mutex<plan::AppliedPlan>,
+    applied_plan: Mutex<plan::AppliedPlan>,
     links: cross_az::SharedLinks,
-    told: Mutex<policy::Moment>,
-    held: Mutex<Held>,
-    answers: Mutex<collections::BTreeMap<id::ServiceId, f64>>,
+    last_report_at: Mutex<policy::Moment>,
+    waiting: Mutex<WaitingRequests>,
+    max_answer_bytes: Mutex<collections::BTreeMap<id::ServiceId, f64>>,
 }
 
 /// Requests under a valid grant that wait for a free slot, with the time since when each waits.
 #[derive(Default)]
-struct Held {
+struct WaitingRequests {
     reqs: Vec<server::Request>,
     since: collections::HashMap<u64, policy::Moment>,
 }
 
 /// Decay of the maximum answer size per answer. The slow decay overestimates a link's usage rather
 /// than underestimating it.
-const ANSWER_FADE: f64 = 0.99;
+const ANSWER_SIZE_DECAY: f64 = 0.99;
 
 /// Maximum number of requests that wait for a free slot.
-const MAX_HELD: usize = 256;
+const MAX_WAITING_REQUESTS: usize = 256;
 
-impl Steer {
+impl Steering {
     pub(super) fn new(vm: &id::VmId, az: &id::AzId, incarnation: id::Incarnation) -> Self {
         Self {
-            lenders: sync::Arc::default(),
-            asker: Mutex::default(),
+            grant_issuers: sync::Arc::default(),
+            grant_requester: Mutex::default(),
             loads: Mutex::new(loads::LoadTable::new(vm.clone(), az.clone(), incarnation)),
             demand: Mutex::default(),
-            applied: Mutex::default(),
+            applied_plan: Mutex::default(),
             links: cross_az::SharedLinks::default(),
-            told: Mutex::default(),
-            held: Mutex::default(),
-            answers: Mutex::default(),
+            last_report_at: Mutex::default(),
+            waiting: Mutex::default(),
+            max_answer_bytes: Mutex::default(),
         }
     }
 
@@ -77,54 +77,54 @@
     ) -> Result<exchange::Admitted, grants::Refused> {
         let named = headers::text(headers, headers::GRANT).and_then(exchange::parse_grant);
         let (from, grant) = named.ok_or(grants::Refused::NoGrant)?;
-        self.lenders.admit(now, service, &from, grant)
+        self.grant_issuers.admit(now, service, &from, grant)
     }
 
     /// Records the size of an answer of a service.
-    pub(super) fn answered(&self, service: &id::ServiceId, bytes: usize) {
-        let mut answers = self.answers.lock();
-        let longest = answers.entry(service.clone()).or_insert(0.0);
-        *longest = (*longest * ANSWER_FADE).max(bytes as f64);
+    pub(super) fn record_answer_size(&self, service: &id::ServiceId, bytes: usize) {
+        let mut max_answer_bytes = self.max_answer_bytes.lock();
+        let max_bytes = max_answer_bytes.entry(service.clone()).or_insert(0.0);
+        *max_bytes = (*max_bytes * ANSWER_SIZE_DECAY).max(bytes as f64);
     }
 
     /// Expected answer size in bytes; link usage includes it before the answer arrives.
-    pub(super) fn answer_bytes(&self, service: &id::ServiceId) -> u64 {
-        self.answers
+    pub(super) fn expected_answer_bytes(&self, service: &id::ServiceId) -> u64 {
+        self.max_answer_bytes
             .lock()
             .get(service)
             .map_or(0, |bytes| *bytes as u64)
     }
 
     /// How long a request has waited for a free slot.
-    pub(super) fn waited(&self, now: policy::Moment, req: u64) -> time::Duration {
-        let since = self.held.lock().since.get(&req).copied();
+    pub(super) fn time_waited(&self, now: policy::Moment, req: u64) -> time::Duration {
+        let since = self.waiting.lock().since.get(&req).copied();
         since.map_or(time::Duration::ZERO, |since| now.saturating_sub(since))
     }
 
     /// Whether a request that has waited for `waited` may wait longer.
     pub(super) fn may_wait(&self, waited: time::Duration) -> bool {
-        waited < cross_az::MAX_SLOT_WAIT && self.held.lock().reqs.len() < MAX_HELD
+        waited < cross_az::MAX_SLOT_WAIT && self.waiting.lock().reqs.len() < MAX_WAITING_REQUESTS
     }
 
     /// Queues a request until the next tick.
-    pub(super) fn hold(&self, now: policy::Moment, req: server::Request) {
-        let mut held = self.held.lock();
-        held.since.entry(req.id).or_insert(now);
-        held.reqs.push(req);
+    pub(super) fn enqueue_waiting(&self, now: policy::Moment, req: server::Request) {
+        let mut waiting = self.waiting.lock();
+        waiting.since.entry(req.id).or_insert(now);
+        waiting.reqs.push(req);
     }
 
     /// Removes a request's waiting time.
-    pub(super) fn forget(&self, req: u64) {
-        self.held.lock().since.remove(&req);
+    pub(super) fn remove_waiting_time(&self, req: u64) {
+        self.waiting.lock().since.remove(&req);
     }
 
     /// Takes all waiting requests for another admission check.
-    pub(super) fn release(&self) -> Vec<server::Request> {
-        std::mem::take(&mut self.held.lock().reqs)
+    pub(super) fn take_waiting(&self) -> Vec<server::Request> {
+        std::mem::take(&mut self.waiting.lock().reqs)
     }
 
     /// Records the demand of a caller's request.
-    pub(super) fn count(
+    pub(super) fn record_demand(
         &self,
         service: &id::ServiceId,
         region: Option<&id::RegionId>,
@@ -135,34 +135,36 @@
 
     /// A caller's availability zones in the plan's order, the assigned one first. Empty until a plan
     /// is known; look-ups then return the nearest entry VMs.
-    pub(super) fn order(
+    pub(super) fn az_order(
         &self,
         now: policy::Moment,
         settings: &settings::Settings,
         service: &settings::Service,
         region: &id::RegionId,
-        caller: u64,
+        caller_hash: u64,
     ) -> Vec<id::AzId> {
-        let most = caps::Config::of(service).version_share();
-        let mut applied = self.applied.lock();
-        if applied.newest().version == 0 {
+        let max_share = caps::Config::of(service).version_share();
+        let mut applied_plan = self.applied_plan.lock();
+        if applied_plan.newest().version == 0 {
             return Vec::new();
         }
-        let weights = applied.advance(now, settings, service, most).get(region);
-        weights.map_or_else(Vec::new, |weights| plan::rank_azs(weights, caller))
+        let weights = applied_plan
+            .advance(now, settings, service, max_share)
+            .get(region);
+        weights.map_or_else(Vec::new, |weights| plan::rank_azs(weights, caller_hash))
     }
 }
 
 /// FNV-1a hash of a caller's address, identical on every VM and in every version.
-pub(super) fn caller_number(addr: net::IpAddr) -> u64 {
-    let hash = |bytes: &[u8]| {
+pub(super) fn caller_hash(addr: net::IpAddr) -> u64 {
+    let fnv1a = |bytes: &[u8]| {
         bytes.iter().fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
             (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
         })
     };
     match addr {
-        net::IpAddr::V4(v4) => hash(&v4.octets()),
-        net::IpAddr::V6(v6) => hash(&v6.octets()),
+        net::IpAddr::V4(v4) => fnv1a(&v4.octets()),
+        net::IpAddr::V6(v6) => fnv1a(&v6.octets()),
     }
 }
 
@@ -185,13 +187,13 @@
     peers: Option<&peers::Peers>,
     inbox: &channel::Receiver<peers::Received>,
 ) {
-    let ticks = channel::tick(EVERY);
+    let ticks = channel::tick(STEERING_INTERVAL);
     loop {
         channel::select! {
             recv(inbox) -> received => {
                 let (Ok((from, message)), Some(peers)) = (received, peers) else {
                     // Without links, only the ticks remain; the sleep avoids a busy loop.
-                    thread::sleep(EVERY);
+                    thread::sleep(STEERING_INTERVAL);
                     continue;
                 };
                 let Some(core) = core.upgrade() else { return };
@@ -212,32 +214,32 @@
     from: &id::VmId,
     message: &peer::Message,
 ) -> bool {
-    let (now, steer) = (core.now(), &core.steer);
+    let (now, steering) = (core.now(), &core.steering);
     match message {
         peer::Message::Work(work) => {
-            let mut loads = steer.loads.lock();
+            let mut loads = steering.loads.lock();
             loads.receive_work(now, from.clone(), work.clone());
         }
         peer::Message::Loads(loads) => {
-            if steer.loads.lock().receive_loads(now, loads) {
+            if steering.loads.lock().receive_loads(now, loads) {
                 peers.send_to_az(&core.cfg.az, message);
             }
         }
-        peer::Message::AskGrant(wish) => {
-            if let Some(granted) = steer.lenders.answer_request(now, from, wish) {
+        peer::Message::AskGrant(request) => {
+            if let Some(granted) = steering.grant_issuers.answer_request(now, from, request) {
                 peers.send(from, &peer::Message::Granted(granted));
             }
         }
         peer::Message::Granted(granted) => {
-            let desk = core.desks.load().get(&granted.grant.service).cloned();
-            if let Some(desk) = desk {
-                desk.with_cross_az(|cross_az| {
+            let executor = core.executors.load().get(&granted.grant.service).cloned();
+            if let Some(executor) = executor {
+                executor.with_cross_az(|cross_az| {
                     cross_az.set_grant(granted.asked, granted.grant.clone());
                 });
             }
         }
-        peer::Message::Plan(plan) => offer(core, peers, plan, from),
-        peer::Message::Bans(bans) => take_bans(core, now, from, bans),
+        peer::Message::Plan(plan) => accept_plan(core, peers, plan, from),
+        peer::Message::Bans(bans) => apply_bans(core, now, from, bans),
         _ => return false,
     }
     true
@@ -245,13 +247,13 @@
 
 /// Sends a service's quarantined fingerprints to all linked entry VMs. Otherwise a request that
 /// crashed backend servers here would crash as many more through each other entry VM.
-fn tell_bans<P: Policy>(
-    desk: &desk::Desk<P>,
+fn send_bans<P: Policy>(
+    executor: &executor::Executor<P>,
     now: policy::Moment,
     peers: &peers::Peers,
     service: &id::ServiceId,
 ) {
-    let entries = desk.with_policy(|policy| policy.bans(now));
+    let entries = executor.with_policy(|policy| policy.bans(now));
     for entries in entries.chunks(peer::MAX_BANS) {
         let bans = peer::Bans {
             service: service.clone(),
@@ -261,79 +263,87 @@
     }
 }
 
-fn take_bans<M: MakePolicy>(
+fn apply_bans<M: MakePolicy>(
     core: &Core<M>,
     now: policy::Moment,
     from: &id::VmId,
     bans: &peer::Bans,
 ) {
-    let desk = core.desks.load().get(&bans.service).cloned();
-    let Some(desk) = desk else { return };
+    let executor = core.executors.load().get(&bans.service).cloned();
+    let Some(executor) = executor else { return };
     for entry in bans.entries.iter().take(peer::MAX_BANS) {
-        desk.with_policy(|policy| policy.ban(now, *entry));
-        core.observer.told_of_ban(now, &bans.service, from, entry);
+        executor.with_policy(|policy| policy.ban(now, *entry));
+        core.observer
+            .record_received_ban(now, &bans.service, from, entry);
     }
 }
 
 /// Applies a version of the plan and, if it is new, sends it to peers.
-fn offer<M: MakePolicy>(core: &Core<M>, peers: &peers::Peers, plan: &plan::Plan, from: &id::VmId) {
-    let news = core
-        .steer
-        .applied
+fn accept_plan<M: MakePolicy>(
+    core: &Core<M>,
+    peers: &peers::Peers,
+    plan: &plan::Plan,
+    from: &id::VmId,
+) {
+    let is_new = core
+        .steering
+        .applied_plan
         .lock()
         .offer(sync::Arc::new(plan.clone()));
-    if news && *from == core.cfg.vm {
+    if is_new && *from == core.cfg.vm {
         peers.send_to_all(None, &peer::Message::Plan(plan.clone()));
-    } else if news {
+    } else if is_new {
         peers.send_to_az(&core.cfg.az, &peer::Message::Plan(plan.clone()));
     }
 }
 
-/// Processes grant requests and loads, once per [`EVERY`]. `peers` is `None` without links.
+/// Processes grant requests and loads, once per [`STEERING_INTERVAL`]. `peers` is `None` without links.
 pub(super) fn tick<M: MakePolicy>(core: &sync::Arc<Core<M>>, peers: Option<&peers::Peers>) {
     let now = core.now();
     let settings = core.shared.settings.load_full();
     let fleet = core.shared.fleet.load_full();
-    let drained = drain::remaining_share_by_az(&settings, desk::wall_clock_s() as f64);
+    let drained = drain::remaining_share_by_az(&settings, executor::wall_clock_s() as f64);
     set_links(core, now, &settings, &fleet);
-    let tells = {
-        let mut told = core.steer.told.lock();
-        let due = now >= *told + loads::REPORT_INTERVAL;
+    let report_due = {
+        let mut last_report_at = core.steering.last_report_at.lock();
+        let due = now >= *last_report_at + loads::REPORT_INTERVAL;
         if due {
-            *told = now;
-            core.steer.demand.lock().end_window(now);
+            *last_report_at = now;
+            core.steering.demand.lock().end_window(now);
         }
         due
     };
     let mut rows = Vec::new();
     for service in settings.services() {
-        let Some(desk) = core.desks.load().get(&service.name).cloned() else {
+        let Some(executor) = core.executors.load().get(&service.name).cloned() else {
             continue;
         };
         if let Some(peers) = peers {
-            tell_bans(&desk, now, peers, &service.name);
+            send_bans(&executor, now, peers, &service.name);
         }
         let routes = routes(core, &settings, service, &drained);
         let cfg = cross_az::Config {
             caps: caps::Config::of(service),
             max_load: max_load(core, &settings),
         };
-        let told = desk.with_cross_az(|cross_az| {
+        let load_and_requests = executor.with_cross_az(|cross_az| {
             cross_az.set_config(cfg);
             cross_az.set_routes(routes);
-            cross_az.set_links(core.steer.links.clone());
+            cross_az.set_links(core.steering.links.clone());
             (cross_az.local_load(), cross_az.grant_requests(now))
         });
-        let Some((own, wishes)) = told else { continue };
-        let row = row(core, &desk, service, own);
-        set_load(core, now, &settings, &fleet, service, own, &row);
+        let Some((local_load, grant_requests)) = load_and_requests else {
+            continue;
+        };
+        let row = work_row(core, &executor, service, local_load);
+        set_load(core, now, &settings, &fleet, service, local_load, &row);
         rows.push(row);
         if let Some(peers) = peers {
-            ask(core, now, peers, &service.name, &wishes);
+            send_grant_requests(core, now, peers, &service.name, &grant_requests);
         }
     }
-    if tells {
-        tell(core, now, peers, rows);
+    if report_due {
+        send_reports(core, now, peers, rows);
     }
 }
 
@@ -355,23 +365,24 @@
     settings: &settings::Settings,
     fleet: &fleet::Fleet,
 ) {
-    let Some(own) = settings.region_of(&core.cfg.az) else {
+    let Some(local_region) = settings.region_of(&core.cfg.az) else {
         return;
     };
-    let mut shared = core.steer.links.lock();
+    let mut shared = core.steering.links.lock();
     let mut declared = Vec::new();
-    for region in settings.regions().filter(|r| r.name != own.name) {
+    for region in settings.regions().filter(|r| r.name != local_region.name) {
         let between = |a: &id::RegionId, b: &id::RegionId| {
             let mut links = settings.links();
             let link = links.find(|link| link.from == *a && link.to == *b);
             link.map(|link| link.bytes_per_s)
         };
-        let there = between(&own.name, &region.name);
-        let (Some(there), Some(back)) = (there, between(&region.name, &own.name)) else {
+        let outbound = between(&local_region.name, &region.name);
+        let (Some(outbound), Some(inbound)) = (outbound, between(&region.name, &local_region.name))
+        else {
             continue;
         };
-        let members = entries_in(fleet, &own.azs) + entries_in(fleet, &region.azs);
-        shared.set(now, &region.name, there.min(back), members.max(1));
+        let members = entries_in(fleet, &local_region.azs) + entries_in(fleet, &region.azs);
+        shared.set(now, &region.name, outbound.min(inbound), members.max(1));
         declared.push(region.name.clone());
     }
     links::Links::retain(&mut shared, |region| declared.contains(region));
@@ -384,21 +395,25 @@
     service: &settings::Service,
     drained: &collections::BTreeMap<id::AzId, f64>,
 ) -> Vec<cross_az::Route> {
-    let Some(own) = settings.region_of(&core.cfg.az) else {
+    let Some(local_region) = settings.region_of(&core.cfg.az) else {
         return Vec::new();
     };
-    let open = |az: &&id::AzId| **az != core.cfg.az && !drained.contains_key(*az);
-    let others = service.azs.iter().filter(open);
+    let is_open = |az: &&id::AzId| **az != core.cfg.az && !drained.contains_key(*az);
+    let others = service.azs.iter().filter(is_open);
     others
         .filter_map(|az| {
             let region = settings.region_of(az)?;
-            let near = region.name == own.name;
+            let same_region = region.name == local_region.name;
             let mut links = settings.links();
-            let link = links.find(|l| l.from == own.name && l.to == region.name);
-            let ms = if near { NEAR_MS } else { link?.one_way_ms };
+            let link = links.find(|l| l.from == local_region.name && l.to == region.name);
+            let ms = if same_region {
+                INTRA_REGION_ONE_WAY_MS
+            } else {
+                link?.one_way_ms
+            };
             Some(cross_az::Route {
                 az: az.clone(),
-                region: (!near).then(|| region.name.clone()),
+                region: (!same_region).then(|| region.name.clone()),
                 one_way: time::Duration::from_secs_f64(ms / 1e3),
             })
         })
@@ -406,20 +421,20 @@
 }
 
 /// Assumed one-way delay between availability zones of one region, which the settings do not give.
-const NEAR_MS: f64 = 2.0;
+const INTRA_REGION_ONE_WAY_MS: f64 = 2.0;
 
-fn row<M: MakePolicy>(
+fn work_row<M: MakePolicy>(
     core: &Core<M>,
-    desk: &desk::Desk<M::Policy>,
+    executor: &executor::Executor<M::Policy>,
     service: &settings::Service,
-    own: cross_az::LocalLoad,
+    local_load: cross_az::LocalLoad,
 ) -> peer::WorkRow {
     peer::WorkRow {
         service: service.name.clone(),
-        slots: own.slots,
-        in_hand: desk.pending(),
-        in_use: own.in_use,
-        demand: core.steer.demand.lock().by_region(&service.name),
+        slots: local_load.slots,
+        in_hand: executor.pending(),
+        in_use: local_load.in_use,
+        demand: core.steering.demand.lock().by_region(&service.name),
     }
 }
 
@@ -429,64 +444,69 @@
     settings: &settings::Settings,
     fleet: &fleet::Fleet,
     service: &settings::Service,
-    own: cross_az::LocalLoad,
+    local_load: cross_az::LocalLoad,
     row: &peer::WorkRow,
 ) {
-    let listed = entries_in(fleet, std::slice::from_ref(&core.cfg.az));
-    let (heard, in_hand) = {
-        let loads = core.steer.loads.lock();
+    let listed_members = entries_in(fleet, std::slice::from_ref(&core.cfg.az));
+    let (reporting_members, az_in_flight) = {
+        let loads = core.steering.loads.lock();
         (loads.members(), loads.az_in_flight(&service.name))
     };
-    let lender = grants::Issuer {
+    let issuer = grants::Issuer {
         service: service.name.clone(),
         az: core.cfg.az.clone(),
         vm: core.cfg.vm.clone(),
         incarnation: core.incarnation,
     };
-    let lent = core.steer.lenders.in_flight(&service.name);
+    let granted_in_flight = core.steering.grant_issuers.in_flight(&service.name);
     let load = grants::Load {
-        slots: own.slots,
+        slots: local_load.slots,
         max_load: max_load(core, settings),
         // An empty list has not been read yet, so the number of members is unknown.
-        members: if listed == 0 { 0 } else { listed.max(heard) },
-        local_requests: row.in_hand.saturating_sub(lent),
-        az_in_flight: in_hand.max(own.in_flight + own.queued),
-        service_time: core.steer.demand.lock().mean_service_time(&service.name),
+        members: if listed_members == 0 {
+            0
+        } else {
+            listed_members.max(reporting_members)
+        },
+        local_requests: row.in_hand.saturating_sub(granted_in_flight),
+        az_in_flight: az_in_flight.max(local_load.in_flight + local_load.queued),
+        service_time: core.steering.demand.lock().mean_service_time(&service.name),
     };
-    core.steer.lenders.set_load(now, &lender, load);
+    core.steering.grant_issuers.set_load(now, &issuer, load);
 }
 
-fn ask<M: MakePolicy>(
+fn send_grant_requests<M: MakePolicy>(
     core: &Core<M>,
     now: policy::Moment,
     peers: &peers::Peers,
     service: &id::ServiceId,
-    wishes: &[cross_az::GrantRequest],
+    grant_requests: &[cross_az::GrantRequest],
 ) {
     let linked: Vec<_> = peers.linked().into_iter().map(|l| (l.vm, l.az)).collect();
-    let mut asker = core.steer.asker.lock();
-    let messages = asker.due_requests(now, service, wishes, &linked, &core.cfg.vm);
-    drop(asker);
+    let mut grant_requester = core.steering.grant_requester.lock();
+    let messages =
+        grant_requester.due_requests(now, service, grant_requests, &linked, &core.cfg.vm);
+    drop(grant_requester);
     for (to, message) in messages {
         peers.send(&to, &message);
     }
 }
 
-fn tell<M: MakePolicy>(
+fn send_reports<M: MakePolicy>(
     core: &Core<M>,
     now: policy::Moment,
     peers: Option<&peers::Peers>,
     rows: Vec<peer::WorkRow>,
 ) {
     let work = peer::Work { rows };
-    let told = {
-        let mut table = core.steer.loads.lock();
+    let report = {
+        let mut table = core.steering.loads.lock();
         table.set_own_work(now, work.clone());
         table.next_report()
     };
     let Some(peers) = peers else { return };
     peers.send_to_az(&core.cfg.az, &peer::Message::Work(work));
-    if let Some(loads) = told {
+    if let Some(loads) = report {
         peers.send_to_all(None, &peer::Message::Loads(loads));
     }
 }
@@ -497,47 +517,47 @@
     platform: S,
     peers: Option<&peers::Peers>,
 ) {
-    let Some(me) = core.upgrade().map(|core| core.cfg.vm.clone()) else {
+    let Some(vm) = core.upgrade().map(|core| core.cfg.vm.clone()) else {
         return;
     };
-    let mut writer = plan_writer::Writer::new(plan_writer::Config::default(), me, platform);
+    let mut writer = plan_writer::Writer::new(plan_writer::Config::default(), vm, platform);
     while let Some(core) = core.upgrade() {
-        look(&core, &mut writer, peers);
+        tick_writer(&core, &mut writer, peers);
         drop(core);
-        thread::sleep(WRITER_EVERY);
+        thread::sleep(PLAN_WRITER_INTERVAL);
     }
     writer.stop();
 }
 
-const WRITER_EVERY: time::Duration = time::Duration::from_millis(500);
+const PLAN_WRITER_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-fn look<M: MakePolicy, S: store::Store>(
+fn tick_writer<M: MakePolicy, S: store::Store>(
     core: &Core<M>,
     writer: &mut plan_writer::Writer<S>,
     peers: Option<&peers::Peers>,
 ) {
     let now = core.now();
-    let (tells, summaries) = {
-        let table = core.steer.loads.lock();
+    let (is_reporter, summaries) = {
+        let table = core.steering.loads.lock();
         (table.is_reporter(), table.summaries(now))
     };
-    let known = core.steer.applied.lock().newest().clone();
+    let known_plan = core.steering.applied_plan.lock().newest().clone();
     let settings = core.shared.settings.load_full();
     // Only one VM per availability zone competes, so that store calls do not grow with the fleet.
-    if !tells || settings.services().next().is_none() {
+    if !is_reporter || settings.services().next().is_none() {
         return;
     }
     let inputs = plan_writer::Inputs {
         settings: &settings,
         summaries: &summaries,
-        now_s: desk::wall_clock_s() as f64,
-        known: &known,
+        now_s: executor::wall_clock_s() as f64,
+        known: &known_plan,
     };
     match writer.tick(now, &inputs) {
         Ok(Some(plan)) => match peers {
-            Some(peers) => offer(core, peers, &plan, &core.cfg.vm),
+            Some(peers) => accept_plan(core, peers, &plan, &core.cfg.vm),
             None => {
-                core.steer.applied.lock().offer(plan);
+                core.steering.applied_plan.lock().offer(plan);
             }
         },
         Ok(None) => {}
