--- a/tests/path/answers.rs
+++ b/tests/path/answers.rs
@@ -12,18 +12,18 @@
 
 use super::local;
 
-fn fail() -> io::Result<()> {
+fn close_connection() -> io::Result<()> {
     Err(io::ErrorKind::ConnectionReset.into())
 }
 
 /// How a backend server answers a request; an error closes the connection.
-type Script = fn(&local::Got, &mut net::TcpStream) -> io::Result<()>;
+type Script = fn(&local::ReceivedRequest, &mut net::TcpStream) -> io::Result<()>;
 
 fn read_path(n: usize) -> String {
     format!("/ledger/bays?n={n}")
 }
 
-fn ask(path: &str) -> caller::Ask<'_> {
+fn read_request(path: &str) -> caller::Ask<'_> {
     caller::Ask {
         path,
         patience: Some(time::Duration::from_secs(1)),
@@ -34,22 +34,22 @@
 /// Sends reads in sequence, of which the first gets a broken answer. Each answered read must get its
 /// own answer; the entry process may retry a read.
 fn reads_get_their_own_answers(name: &str, script: Script) {
-    let raw = local::Raw::start(move |n, got, stream| {
+    let raw = local::RawBackend::start(move |n, request, stream| {
         if n == 0 {
-            return script(got, stream);
+            return script(request, stream);
         }
-        stream.write_all(got.answer().as_bytes())
+        stream.write_all(request.answer().as_bytes())
     });
     let entry = local::entry(&[raw.addr]);
     let caller = caller::Caller::default();
     for n in 0..5 {
         let path = read_path(n);
-        let told = caller.ask(entry.addr(), &ask(&path)).unwrap();
-        if told.outcome == Some(Outcome::Answered) {
-            assert_eq!(told.body, format!("/bays?n={n}"), "{name}: request {n}");
+        let reply = caller.ask(entry.addr(), &read_request(&path)).unwrap();
+        if reply.outcome == Some(Outcome::Answered) {
+            assert_eq!(reply.body, format!("/bays?n={n}"), "{name}: request {n}");
         } else {
-            assert_eq!(n, 0, "{name}: request {n}: {told:?}");
-            assert_eq!(told.outcome, Some(Outcome::Unknown), "{name}: {told:?}");
+            assert_eq!(n, 0, "{name}: request {n}: {reply:?}");
+            assert_eq!(reply.outcome, Some(Outcome::Unknown), "{name}: {reply:?}");
         }
     }
 }
@@ -57,7 +57,7 @@
 /// Sends a booking that gets the broken answer. It may have run, so its outcome must be `unknown`,
 /// and neither the entry process nor the caller's retry may send it to a backend server again.
 fn a_booking_is_unknown_and_sent_once(name: &str, script: Script) {
-    let raw = local::Raw::start(move |_, got, stream| script(got, stream));
+    let raw = local::RawBackend::start(move |_, request, stream| script(request, stream));
     let entry = local::entry(&[raw.addr]);
     let caller = caller::Caller::default();
     let ticket = caller.look_up(entry.addr(), "ledger").unwrap().ticket;
@@ -71,21 +71,23 @@
         ..caller::Ask::default()
     };
     for _ in 0..2 {
-        let told = caller.ask(entry.addr(), &booking).unwrap();
-        assert_eq!(told.outcome, Some(Outcome::Unknown), "{name}: {told:?}");
-        assert!(told.retry_after.is_some(), "{name}: {told:?}");
+        let reply = caller.ask(entry.addr(), &booking).unwrap();
+        assert_eq!(reply.outcome, Some(Outcome::Unknown), "{name}: {reply:?}");
+        assert!(reply.retry_after.is_some(), "{name}: {reply:?}");
     }
-    let got = raw.got();
-    assert_eq!(got.len(), 1, "{name}");
+    let received = raw.received();
+    assert_eq!(received.len(), 1, "{name}");
     assert_eq!(
-        (got[0].path.as_str(), got[0].body.as_str()),
+        (received[0].path.as_str(), received[0].body.as_str()),
         ("/book", "bay 7")
     );
-    let left_ms: u64 = got[0].headers["bulrushwind-timeout-ms"].parse().unwrap();
-    assert!((1..=1000).contains(&left_ms), "{name}: {left_ms}");
+    let remaining_ms: u64 = received[0].headers["bulrushwind-timeout-ms"]
+        .parse()
+        .unwrap();
+    assert!((1..=1000).contains(&remaining_ms), "{name}: {remaining_ms}");
 }
 
-fn both(name: &str, script: Script) {
+fn check_reads_and_bookings(name: &str, script: Script) {
     reads_get_their_own_answers(name, script);
     a_booking_is_unknown_and_sent_once(name, script);
 }
@@ -93,47 +95,47 @@
 /// Guards against truncated answers when a backend server crashes while it sends one. A truncated
 /// list of bays that looks complete would be wrong.
 #[test]
-fn a_truncated_answer_is_none() {
-    both("stated length", |got, stream| {
-        let text = got.answer();
+fn a_truncated_answer_is_not_delivered() {
+    check_reads_and_bookings("stated length", |request, stream| {
+        let text = request.answer();
         stream.write_all(&text.as_bytes()[..text.len() - 2])?;
-        fail()
+        close_connection()
     });
-    both("chunked", |got, stream| {
-        let attempt = &got.headers["bulrushwind-request"];
+    check_reads_and_bookings("chunked", |request, stream| {
+        let attempt = &request.headers["bulrushwind-request"];
         let head = format!("HTTP/1.1 200 OK\r\nBulrushwind-Request: {attempt}\r\n");
         let text = format!("{head}Transfer-Encoding: chunked\r\n\r\n4\r\n/bay\r\n");
         stream.write_all(text.as_bytes())?;
-        fail()
+        close_connection()
     });
-    both("no length", |got, stream| {
-        let attempt = &got.headers["bulrushwind-request"];
+    check_reads_and_bookings("no length", |request, stream| {
+        let attempt = &request.headers["bulrushwind-request"];
         let head = format!("HTTP/1.1 200 OK\r\nBulrushwind-Request: {attempt}\r\n");
         stream.write_all(format!("{head}Connection: close\r\n\r\n/bay").as_bytes())?;
-        fail()
+        close_connection()
     });
 }
 
 /// A backend server closes or resets the connection instead of answering.
 #[test]
-fn a_closed_connection_is_no_answer() {
-    both("closed", |_, _| fail());
-    both("closed in the head", |_, stream| {
+fn a_closed_connection_gives_no_answer() {
+    check_reads_and_bookings("closed", |_, _| close_connection());
+    check_reads_and_bookings("closed in the head", |_, stream| {
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Le")?;
-        fail()
+        close_connection()
     });
 }
 
 /// A backend server sends malformed data, or another program listens at its address.
 #[test]
-fn garbage_is_no_answer() {
-    both("no HTTP", |_, stream| {
+fn a_malformed_answer_is_not_delivered() {
+    check_reads_and_bookings("no HTTP", |_, stream| {
         stream.write_all(b"\x00\x01\x02 I am a printer\r\n\r\n")
     });
-    both("bad length", |_, stream| {
+    check_reads_and_bookings("bad length", |_, stream| {
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nabcd")
     });
-    both("endless head", |_, stream| {
+    check_reads_and_bookings("endless head", |_, stream| {
         stream.write_all(b"HTTP/1.1 200 OK\r\n")?;
         for n in 0..20_000 {
             stream.write_all(format!("X-{n}: {n}\r\n").as_bytes())?;
@@ -145,8 +147,8 @@
 /// Guards against exhaustion of the entry VM's memory by an answer larger than the service allows.
 #[test]
 fn an_oversized_answer_is_refused() {
-    both("oversized", |got, stream| {
-        let attempt = &got.headers["bulrushwind-request"];
+    check_reads_and_bookings("oversized", |request, stream| {
+        let attempt = &request.headers["bulrushwind-request"];
         let head = format!("HTTP/1.1 200 OK\r\nBulrushwind-Request: {attempt}\r\n");
         stream.write_all(format!("{head}Content-Length: 9000000\r\n\r\n").as_bytes())?;
         let chunk = vec![b'a'; 100_000];
@@ -156,42 +158,42 @@
 
 /// A backend server answers after the caller's timeout. Its answer must not go to a later request.
 #[test]
-fn a_late_answer_reaches_nobody_else() {
-    both("late", |got, stream| {
+fn a_late_answer_does_not_reach_another_caller() {
+    check_reads_and_bookings("late", |request, stream| {
         thread::sleep(time::Duration::from_millis(1500));
-        stream.write_all(got.answer().as_bytes())
+        stream.write_all(request.answer().as_bytes())
     });
 }
 
 /// A backend server confuses two requests and sends the other request's answer.
 #[test]
-fn an_answer_to_another_request_is_none() {
-    both("another request's", |got, stream| {
-        let text = got.answer();
-        let attempt = &got.headers["bulrushwind-request"];
+fn an_answer_to_another_request_is_not_delivered() {
+    check_reads_and_bookings("another request's", |request, stream| {
+        let text = request.answer();
+        let attempt = &request.headers["bulrushwind-request"];
         let other = format!("Bulrushwind-Request: {attempt}9\r\n");
-        let own = format!("Bulrushwind-Request: {attempt}\r\n");
-        stream.write_all(text.replace(&own, &other).as_bytes())
+        let original = format!("Bulrushwind-Request: {attempt}\r\n");
+        stream.write_all(text.replace(&original, &other).as_bytes())
     });
 }
 
 /// A backend server answers a request twice, and the duplicate arrives while the next request is
 /// sent on the same connection. The next caller must not receive it.
 #[test]
-fn a_doubled_answer_reaches_nobody_else() {
+fn a_duplicate_answer_does_not_reach_another_caller() {
     for delay_ms in [0, 1, 5] {
-        let raw = local::Raw::start(move |_, got, stream| {
-            stream.write_all(got.answer().as_bytes())?;
+        let raw = local::RawBackend::start(move |_, request, stream| {
+            stream.write_all(request.answer().as_bytes())?;
             thread::sleep(time::Duration::from_millis(delay_ms));
-            stream.write_all(got.answer().as_bytes())
+            stream.write_all(request.answer().as_bytes())
         });
         let entry = local::entry(&[raw.addr]);
         let caller = caller::Caller::default();
         for n in 0..50 {
             let path = read_path(n);
-            let told = caller.ask(entry.addr(), &ask(&path)).unwrap();
-            if told.outcome == Some(Outcome::Answered) {
-                assert_eq!(told.body, format!("/bays?n={n}"));
+            let reply = caller.ask(entry.addr(), &read_request(&path)).unwrap();
+            if reply.outcome == Some(Outcome::Answered) {
+                assert_eq!(reply.body, format!("/bays?n={n}"));
             }
         }
     }
@@ -200,7 +202,7 @@
 /// No process listens at a backend server's address. No byte of the booking was sent, so "not run"
 /// is correct and the caller may retry elsewhere at once.
 #[test]
-fn a_backend_that_cannot_be_reached_ran_nothing() {
+fn a_request_to_an_unreachable_backend_is_not_run() {
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     drop(listener);
@@ -215,22 +217,22 @@
         body: "bay 7",
         ..caller::Ask::default()
     };
-    let told = caller.ask(entry.addr(), &booking).unwrap();
-    assert_eq!(told.outcome, Some(Outcome::NotRun), "{told:?}");
-    assert!(told.retry_after.is_some(), "{told:?}");
+    let reply = caller.ask(entry.addr(), &booking).unwrap();
+    assert_eq!(reply.outcome, Some(Outcome::NotRun), "{reply:?}");
+    assert!(reply.retry_after.is_some(), "{reply:?}");
 }
 
 /// A backend server answers probes but fails all requests. The caller gets its answer unchanged.
 #[test]
-fn a_failure_is_told_as_the_backend_server_said_it() {
-    let raw = local::Raw::start(|_, got, stream| {
-        let text = got.answer().replace("200 OK", "500 Oops");
+fn a_server_error_is_passed_on_unchanged() {
+    let raw = local::RawBackend::start(|_, request, stream| {
+        let text = request.answer().replace("200 OK", "500 Oops");
         stream.write_all(text.as_bytes())
     });
     let entry = local::entry(&[raw.addr]);
-    let told = caller::Caller::default()
-        .ask(entry.addr(), &ask("/ledger/bays?n=1"))
+    let reply = caller::Caller::default()
+        .ask(entry.addr(), &read_request("/ledger/bays?n=1"))
         .unwrap();
-    assert_eq!(told.status, 500);
-    assert_eq!(told.outcome, Some(Outcome::Answered));
+    assert_eq!(reply.status, 500);
+    assert_eq!(reply.outcome, Some(Outcome::Answered));
 }
--- a/tests/path/callers.rs
+++ b/tests/path/callers.rs
@@ -9,12 +9,12 @@
 
 use super::{local, testenv};
 
-fn echo() -> local::Raw {
-    local::Raw::start(|_, got, stream| stream.write_all(got.answer().as_bytes()))
+fn echo() -> local::RawBackend {
+    local::RawBackend::start(|_, request, stream| stream.write_all(request.answer().as_bytes()))
 }
 
 #[test]
-fn bad_requests_are_told_apart_and_run_nothing() {
+fn invalid_requests_get_distinct_errors_and_run_nothing() {
     let raw = echo();
     let entry = local::entry(&[raw.addr]);
     let large = "a".repeat(300_000);
@@ -65,7 +65,7 @@
         let remedy = body.message.contains(';');
         assert!(remedy, "{line}: no remedy in `{}`", body.message);
     }
-    assert_eq!(raw.got().len(), 0);
+    assert_eq!(raw.received().len(), 0);
 }
 
 #[test]
@@ -86,7 +86,7 @@
         let refused = answer.is_empty() || answer.starts_with("HTTP/1.1 4");
         assert!(refused, "{text:.20}: {answer}");
     }
-    assert_eq!(raw.got().len(), 0);
+    assert_eq!(raw.received().len(), 0);
 }
 
 /// A caller's connection breaks in the middle of a booking's body. The truncated booking must not
@@ -105,13 +105,13 @@
         answer.is_empty() || answer.starts_with("HTTP/1.1 400"),
         "{answer}"
     );
-    assert_eq!(raw.got().len(), 0);
+    assert_eq!(raw.received().len(), 0);
 }
 
 /// 200 callers stall in the middle of a body, and 2,000 hold idle connections. Other callers must
 /// still be answered.
 #[test]
-fn slow_senders_hold_up_nobody() {
+fn slow_senders_do_not_delay_other_callers() {
     let raw = echo();
     let entry = local::entry(&[raw.addr]);
     let mut held = Vec::new();
@@ -130,8 +130,8 @@
     };
     let caller = caller::Caller::default();
     for _ in 0..20 {
-        let told = caller.ask(entry.addr(), &ask).unwrap();
-        assert_eq!(told.outcome, Some(outcome::Outcome::Answered), "{told:?}");
+        let reply = caller.ask(entry.addr(), &ask).unwrap();
+        assert_eq!(reply.outcome, Some(outcome::Outcome::Answered), "{reply:?}");
     }
 }
 
@@ -162,20 +162,20 @@
 }
 
 #[test]
-fn headers_of_one_hop_do_not_travel() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let raw = echo();
     let entry = local::entry(&[raw.addr]);
     let head = "GET /ledger/bays HTTP/1.1\r\nHost: a\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\nX-End: 1\r\n\r\n";
     let answer = local::send(entry.addr(), head);
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    let got = raw.got();
-    assert!(!got[0].headers.contains_key("x-hop"));
-    assert!(got[0].headers.contains_key("x-end"));
+    let received = raw.received();
+    assert!(!received[0].headers.contains_key("x-hop"));
+    assert!(received[0].headers.contains_key("x-end"));
 }
 
 /// A caller's timeout reaches the backend server as the time that remains.
 #[test]
-fn the_deadline_goes_along() {
+fn the_remaining_timeout_is_forwarded() {
     let raw = echo();
     let entry = local::entry(&[raw.addr]);
     let ask = caller::Ask {
@@ -184,8 +184,8 @@
         ..caller::Ask::default()
     };
     caller::Caller::default().ask(entry.addr(), &ask).unwrap();
-    let left: u64 = raw.got()[0].headers["bulrushwind-timeout-ms"]
+    let remaining_ms: u64 = raw.received()[0].headers["bulrushwind-timeout-ms"]
         .parse()
         .unwrap();
-    assert!((1..=700).contains(&left), "{left}");
+    assert!((1..=700).contains(&remaining_ms), "{remaining_ms}");
 }
--- a/tests/path/cancel.rs
+++ b/tests/path/cancel.rs
@@ -9,7 +9,7 @@
 /// A caller disconnects during a long read. Without cancellation, abandoned requests would occupy
 /// the slots and delay all other callers.
 #[test]
-fn a_read_whose_caller_is_gone_is_cancelled() {
+fn a_read_is_cancelled_when_its_caller_disconnects() {
     let env = testenv::TestEnv::new();
     let ledger = env.backend("l1", "ledger", &[]);
     let entry = env.entry("e1");
@@ -19,14 +19,14 @@
         ..backend::Behaviour::default()
     };
     backend::behave(ledger.addr(), &slow).unwrap();
-    let hasty = caller::Ask {
+    let short_wait = caller::Ask {
         path: "/ledger/bays",
         patience: Some(time::Duration::from_secs(600)),
         timeout: time::Duration::from_millis(200),
         ..caller::Ask::default()
     };
-    let told = caller::Caller::default().ask(entry.addr(), &hasty);
-    assert!(told.is_err(), "{told:?}");
+    let reply = caller::Caller::default().ask(entry.addr(), &short_wait);
+    assert!(reply.is_err(), "{reply:?}");
     testenv::wait_for("the backend server stops working on it", || {
         backend::read_log(ledger.addr()).unwrap().cancelled >= 1
     });
--- a/tests/path/decisions.rs
+++ b/tests/path/decisions.rs
@@ -34,7 +34,7 @@
 /// One of two backend servers sheds all requests, for example because its disk is full. All callers
 /// must be answered, and the shedding server must receive fewer and fewer requests.
 #[test]
-fn a_backend_server_that_sheds_costs_no_caller_an_answer() {
+fn callers_are_answered_although_a_backend_server_sheds() {
     let env = testenv::TestEnv::new();
     let shedding = backend::Behaviour {
         shedding: true,
@@ -42,8 +42,8 @@
     };
     let (entry, backends) = start(&env, &[shedding, backend::Behaviour::default()]);
     for i in 0..200 {
-        let told = read(entry.addr(), &format!("/ledger/bays?n={i}"));
-        assert_eq!(told.status, 200, "{told:?}");
+        let reply = read(entry.addr(), &format!("/ledger/bays?n={i}"));
+        assert_eq!(reply.status, 200, "{reply:?}");
     }
     let shed = backend::read_log(backends[0].addr()).unwrap().shed;
     assert!(shed < 100, "{shed} of 200 were tried there");
@@ -52,7 +52,7 @@
 /// One of two backend servers fails every request immediately. It always appears idle, so without
 /// ejection it would attract most requests, and callers would get its errors.
 #[test]
-fn a_backend_server_that_fails_is_put_out() {
+fn a_failing_backend_server_is_ejected() {
     let env = testenv::TestEnv::new();
     let failing = backend::Behaviour {
         failing: true,
@@ -60,8 +60,8 @@
     };
     let (entry, backends) = start(&env, &[failing, backend::Behaviour::default()]);
     for i in 0..200 {
-        let told = read(entry.addr(), &format!("/ledger/bays?n={i}"));
-        assert_eq!(told.status, 200, "{told:?}");
+        let reply = read(entry.addr(), &format!("/ledger/bays?n={i}"));
+        assert_eq!(reply.status, 200, "{reply:?}");
     }
     let started = backend::read_log(backends[0].addr()).unwrap().started;
     assert!(started < 50, "{started} of 200 were tried there");
@@ -72,15 +72,15 @@
 #[test]
 fn a_request_that_crashes_backend_servers_is_refused() {
     let env = testenv::TestEnv::new();
-    let sound = [0; 3].map(|_| backend::Behaviour::default());
-    let (entry, backends) = start(&env, &sound);
-    let killer = format!("/ledger/bays?{}", backend::CRASH);
+    let healthy = [0; 3].map(|_| backend::Behaviour::default());
+    let (entry, backends) = start(&env, &healthy);
+    let crashing_request = format!("/ledger/bays?{}", backend::CRASH);
     testenv::wait_for("the request is refused as not run", || {
-        let told = read(entry.addr(), &killer);
-        let quarantined = told
+        let reply = read(entry.addr(), &crashing_request);
+        let quarantined = reply
             .problem()
             .is_some_and(|body| body.reason == "quarantined");
-        quarantined && told.outcome == Some(outcome::Outcome::NotRun)
+        quarantined && reply.outcome == Some(outcome::Outcome::NotRun)
     });
     let live = |b: &&processes::Process| backend::read_log(b.addr()).is_ok();
     assert!(backends.iter().any(|b| live(&b)), "none is left");
--- a/tests/path/end_to_end.rs
+++ b/tests/path/end_to_end.rs
@@ -5,7 +5,7 @@
 use bulrushwind::standin::{backend, caller};
 
 #[test]
-fn a_request_goes_from_end_to_end() {
+fn requests_are_answered_end_to_end() {
     let env = testenv::TestEnv::new();
     let ledgers = ["l1", "l2"].map(|name| env.backend(name, "ledger", &[]));
     let entries = ["e1", "e2"].map(|name| env.entry(name));
@@ -24,9 +24,9 @@
                 body: &body,
                 ..caller::Ask::default()
             };
-            let told = caller.ask(entry.addr(), &ask).unwrap();
-            assert_eq!(told.outcome, Some(outcome::Outcome::Answered), "{told:?}");
-            let echo: backend::Echo = serde_json::from_str(&told.body).unwrap();
+            let reply = caller.ask(entry.addr(), &ask).unwrap();
+            assert_eq!(reply.outcome, Some(outcome::Outcome::Answered), "{reply:?}");
+            let echo: backend::Echo = serde_json::from_str(&reply.body).unwrap();
             assert_eq!(echo.path, "/book?member=7");
             assert_eq!(echo.body, body);
         }
--- a/tests/path/faulty.rs
+++ b/tests/path/faulty.rs
@@ -15,13 +15,13 @@
 const RELEASE: u32 = 10;
 
 /// Number of requests that panic, more than there are workers.
-const FAULTS: usize = 80;
+const PANICKING_REQUEST_COUNT: usize = 80;
 
 /// A policy that never settles bookings and panics on releases.
 #[derive(Clone)]
-struct Faulty;
+struct FaultyPolicy;
 
-impl altered::Change for Faulty {
+impl altered::Change for FaultyPolicy {
     fn arrive(
         &mut self,
         naive: &mut naive::Naive,
@@ -37,16 +37,16 @@
     }
 }
 
-fn raw() -> local::Raw {
-    local::Raw::start(|_, got, stream| stream.write_all(got.answer().as_bytes()))
+fn echo() -> local::RawBackend {
+    local::RawBackend::start(|_, request, stream| stream.write_all(request.answer().as_bytes()))
 }
 
 /// A policy never settles a request. Without the overdue check, its caller would wait until its own
 /// timeout without an outcome, and a graceful shutdown of the entry VM would never end.
 #[test]
-fn a_forgotten_request_ends_as_unknown() {
-    let raw = raw();
-    let entry = local::entry_with(altered::Make(Faulty), &[raw.addr]);
+fn a_request_that_is_never_settled_ends_as_unknown() {
+    let raw = echo();
+    let entry = local::entry_with(altered::Make(FaultyPolicy), &[raw.addr]);
     let caller = caller::Caller::default();
     let ticket = caller.look_up(entry.addr(), "ledger").unwrap().ticket;
     let key = format!("{}.1", ticket.unwrap());
@@ -58,21 +58,21 @@
         patience: Some(time::Duration::from_millis(100)),
         ..caller::Ask::default()
     };
-    let told = caller.ask(entry.addr(), &booking).unwrap();
-    assert_eq!(told.outcome, Some(Outcome::Unknown), "{told:?}");
-    assert_eq!(raw.got().len(), 0);
+    let reply = caller.ask(entry.addr(), &booking).unwrap();
+    assert_eq!(reply.outcome, Some(Outcome::Unknown), "{reply:?}");
+    assert_eq!(raw.received().len(), 0);
 }
 
 /// Requests panic while they are handled, more of them than there are workers. If each panic ended
 /// a worker, the entry process would accept requests and answer none.
 #[test]
-fn workers_outlive_requests_that_panic() {
-    let raw = raw();
-    let entry = local::entry_with(altered::Make(Faulty), &[raw.addr]);
+fn workers_survive_requests_that_panic() {
+    let raw = echo();
+    let entry = local::entry_with(altered::Make(FaultyPolicy), &[raw.addr]);
     let caller = caller::Caller::default();
     let ticket = caller.look_up(entry.addr(), "ledger").unwrap().ticket;
     let ticket = ticket.unwrap();
-    for n in 0..FAULTS {
+    for n in 0..PANICKING_REQUEST_COUNT {
         let text = format!(
             "POST /ledger/release HTTP/1.1\r\nHost: a\r\nIdempotency-Key: {ticket}.{n}\r\n\
              Content-Length: 0\r\n\r\n"
@@ -84,8 +84,8 @@
         path: "/ledger/bays",
         ..caller::Ask::default()
     };
-    for _ in 0..FAULTS {
-        let told = caller.ask(entry.addr(), &read).unwrap();
-        assert_eq!(told.outcome, Some(Outcome::Answered), "{told:?}");
+    for _ in 0..PANICKING_REQUEST_COUNT {
+        let reply = caller.ask(entry.addr(), &read).unwrap();
+        assert_eq!(reply.outcome, Some(Outcome::Answered), "{reply:?}");
     }
 }
--- a/tests/path/local.rs
+++ b/tests/path/local.rs
@@ -17,13 +17,13 @@
 
 /// A request as a backend server received it.
 #[derive(Clone, Debug)]
-pub(crate) struct Got {
+pub(crate) struct ReceivedRequest {
     pub(crate) path: String,
     pub(crate) headers: collections::BTreeMap<String, String>,
     pub(crate) body: String,
 }
 
-impl Got {
+impl ReceivedRequest {
     /// The bytes of a valid answer to this request.
     pub(crate) fn answer(&self) -> String {
         let attempt = &self.headers["bulrushwind-request"];
@@ -36,56 +36,59 @@
 }
 
 /// A backend server that answers with raw bytes.
-pub(crate) struct Raw {
+pub(crate) struct RawBackend {
     pub(crate) addr: net::SocketAddr,
-    got: sync::Arc<Mutex<Vec<Got>>>,
+    received: sync::Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
-impl Raw {
+impl RawBackend {
     /// Starts a backend server. `script` receives each request with its number, from 0. If it
     /// returns an error, the connection is closed.
     pub(crate) fn start<F>(script: F) -> Self
     where
-        F: Fn(usize, &Got, &mut net::TcpStream) -> io::Result<()> + Send + Sync + 'static,
+        F: Fn(usize, &ReceivedRequest, &mut net::TcpStream) -> io::Result<()>
+            + Send
+            + Sync
+            + 'static,
     {
         let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let got = sync::Arc::new(Mutex::new(Vec::new()));
-        let (script, seen) = (sync::Arc::new(script), got.clone());
+        let received = sync::Arc::new(Mutex::new(Vec::new()));
+        let (script, seen) = (sync::Arc::new(script), received.clone());
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let (script, seen) = (script.clone(), seen.clone());
                 thread::spawn(move || serve(stream.unwrap(), &seen, &*script));
             }
         });
-        Self { addr, got }
+        Self { addr, received }
     }
 
     /// The requests received so far.
-    pub(crate) fn got(&self) -> Vec<Got> {
-        self.got.lock().clone()
+    pub(crate) fn received(&self) -> Vec<ReceivedRequest> {
+        self.received.lock().clone()
     }
 }
 
-fn serve<F>(mut stream: net::TcpStream, seen: &Mutex<Vec<Got>>, script: &F)
+fn serve<F>(mut stream: net::TcpStream, seen: &Mutex<Vec<ReceivedRequest>>, script: &F)
 where
-    F: Fn(usize, &Got, &mut net::TcpStream) -> io::Result<()>,
+    F: Fn(usize, &ReceivedRequest, &mut net::TcpStream) -> io::Result<()>,
 {
     let mut reader = io::BufReader::new(stream.try_clone().unwrap());
-    while let Some(got) = read(&mut reader) {
+    while let Some(request) = read(&mut reader) {
         let number = {
             let mut seen = seen.lock();
-            seen.push(got.clone());
+            seen.push(request.clone());
             seen.len() - 1
         };
-        if script(number, &got, &mut stream).is_err() {
+        if script(number, &request, &mut stream).is_err() {
             let _ = stream.shutdown(net::Shutdown::Both);
             return;
         }
     }
 }
 
-fn read(reader: &mut io::BufReader<net::TcpStream>) -> Option<Got> {
+fn read(reader: &mut io::BufReader<net::TcpStream>) -> Option<ReceivedRequest> {
     let mut line = String::new();
     reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
     let path = line.split(' ').nth(1)?.to_owned();
@@ -103,7 +106,7 @@
         .map_or(0, |n| n.parse().unwrap());
     let mut body = vec![0; len];
     reader.read_exact(&mut body).ok()?;
-    Some(Got {
+    Some(ReceivedRequest {
         path,
         headers,
         body: String::from_utf8(body).ok()?,
--- a/tests/path/once.rs
+++ b/tests/path/once.rs
@@ -65,13 +65,13 @@
 /// A caller misses its answer and retries the booking at the same entry VM and at another one. It
 /// must get the first answer without a second booking.
 #[test]
-fn a_resend_gets_the_first_answer() {
+fn a_retry_gets_the_first_answer() {
     let ledger = Ledger::new("5");
     let key = ledger.key(0);
-    let told: Vec<_> = [0, 0, 1, 1].map(|entry| ledger.book(entry, &key)).into();
-    for again in &told {
+    let replies: Vec<_> = [0, 0, 1, 1].map(|entry| ledger.book(entry, &key)).into();
+    for again in &replies {
         assert_eq!(again.outcome, Some(Outcome::Answered), "{again:?}");
-        assert_eq!(again.body, told[0].body);
+        assert_eq!(again.body, replies[0].body);
     }
     assert_eq!(ledger.runs(&key), 1);
 }
@@ -79,10 +79,10 @@
 /// A caller sends one booking several times through both entry VMs concurrently. Each entry VM
 /// could treat it as new and run it.
 #[test]
-fn two_at_once_run_once() {
+fn concurrent_sends_run_once() {
     let ledger = Ledger::new("100");
     let key = ledger.key(0);
-    let told: Vec<caller::Told> = thread::scope(|scope| {
+    let replies: Vec<caller::Told> = thread::scope(|scope| {
         let send = |n: usize| {
             let (ledger, key) = (&ledger, &key);
             scope.spawn(move || ledger.book(n % 2, key))
@@ -90,8 +90,8 @@
         let sent: Vec<_> = (0..8).map(send).collect();
         sent.into_iter().map(|sent| sent.join().unwrap()).collect()
     });
-    for told in told {
-        assert_eq!(told.outcome, Some(Outcome::Answered), "{told:?}");
+    for reply in replies {
+        assert_eq!(reply.outcome, Some(Outcome::Answered), "{reply:?}");
     }
     assert_eq!(ledger.runs(&key), 1);
 }
@@ -105,20 +105,20 @@
     let first = ledger.book(0, &key);
     assert_eq!(first.outcome, Some(Outcome::Answered));
     ledger.entries[0].kill();
-    let at_the_other = ledger.book(1, &key);
+    let at_other_entry = ledger.book(1, &key);
     assert_eq!(
-        at_the_other.outcome,
+        at_other_entry.outcome,
         Some(Outcome::Unknown),
-        "{at_the_other:?}"
+        "{at_other_entry:?}"
     );
     ledger.entries[0] = ledger.env.entry("e1");
     testenv::wait_answered(ledger.entries[0].addr(), "/ledger/bays");
-    let mut told = ledger.book(0, &key);
-    assert_eq!(told.outcome, Some(Outcome::Unknown), "{told:?}");
-    assert_eq!(told.problem().unwrap().reason, "ticket-void");
+    let mut reply = ledger.book(0, &key);
+    assert_eq!(reply.outcome, Some(Outcome::Unknown), "{reply:?}");
+    assert_eq!(reply.problem().unwrap().reason, "ticket-void");
     // The other entry VM may still have the crashed one's address.
-    told = ledger.book(1, &key);
-    assert_eq!(told.outcome, Some(Outcome::Unknown), "{told:?}");
+    reply = ledger.book(1, &key);
+    assert_eq!(reply.outcome, Some(Outcome::Unknown), "{reply:?}");
     assert_eq!(ledger.runs(&key), 1);
 }
 
@@ -129,9 +129,9 @@
     let ledger = Ledger::new("5");
     let key = ledger.key(0);
     ledger.entries[0].signal("STOP").unwrap();
-    let told = ledger.book(1, &key);
-    assert_eq!(told.outcome, Some(Outcome::Unknown), "{told:?}");
-    assert!(told.retry_after.is_some(), "{told:?}");
+    let reply = ledger.book(1, &key);
+    assert_eq!(reply.outcome, Some(Outcome::Unknown), "{reply:?}");
+    assert!(reply.retry_after.is_some(), "{reply:?}");
     ledger.entries[0].signal("CONT").unwrap();
     testenv::wait_for("the home is back and answers", || {
         ledger.book(1, &key).outcome == Some(Outcome::Answered)
@@ -152,7 +152,7 @@
     for backend in &ledger.backends {
         backend::behave(backend.addr(), &slow).unwrap();
     }
-    let told = thread::scope(|scope| {
+    let reply = thread::scope(|scope| {
         let sent = scope.spawn(|| ledger.book(0, &key));
         testenv::wait_for("the booking runs", || ledger.runs(&key) == 1);
         let log = |b: &&processes::Process| !backend::read_log(b.addr()).unwrap().runs.is_empty();
@@ -160,7 +160,7 @@
         running.signal("KILL").unwrap();
         sent.join().unwrap()
     });
-    assert_eq!(told.outcome, Some(Outcome::Unknown), "{told:?}");
+    assert_eq!(reply.outcome, Some(Outcome::Unknown), "{reply:?}");
     let again = ledger.book(0, &key);
     assert_eq!(again.outcome, Some(Outcome::Unknown), "{again:?}");
     ledger
@@ -172,14 +172,14 @@
 /// A caller reuses a key for another booking, for example after its counter restarted. It must not
 /// get the first booking's answer.
 #[test]
-fn another_booking_under_a_spent_key_is_refused() {
+fn another_booking_under_a_used_key_is_refused() {
     let ledger = Ledger::new("5");
     let key = ledger.key(0);
     assert_eq!(ledger.book(0, &key).status, 200);
     for entry in &ledger.entries {
-        let told = book(&ledger.caller, entry.addr(), &key, "bay 8");
-        assert_eq!(told.status, 422, "{told:?}");
-        assert_eq!(told.problem().unwrap().reason, "key-reused");
+        let reply = book(&ledger.caller, entry.addr(), &key, "bay 8");
+        assert_eq!(reply.status, 422, "{reply:?}");
+        assert_eq!(reply.problem().unwrap().reason, "key-reused");
     }
     assert_eq!(ledger.runs(&key), 1);
 }
@@ -187,10 +187,10 @@
 /// The caller disconnects while the booking runs. The booking must continue, and the retry must get
 /// its answer.
 #[test]
-fn a_booking_goes_on_when_its_caller_is_gone() {
+fn a_booking_continues_when_its_caller_disconnects() {
     let ledger = Ledger::new("200");
     let key = ledger.key(0);
-    let hasty = caller::Ask {
+    let short_wait = caller::Ask {
         method: "POST",
         path: "/ledger/book",
         key: Some(&key),
@@ -199,8 +199,8 @@
         ..caller::Ask::default()
     };
     let entry = ledger.entries[0].addr();
-    assert!(ledger.caller.ask(entry, &hasty).is_err());
-    let told = ledger.book(1, &key);
-    assert_eq!(told.outcome, Some(Outcome::Answered), "{told:?}");
+    assert!(ledger.caller.ask(entry, &short_wait).is_err());
+    let reply = ledger.book(1, &key);
+    assert_eq!(reply.outcome, Some(Outcome::Answered), "{reply:?}");
     assert_eq!(ledger.runs(&key), 1);
 }
--- a/tests/path/stop.rs
+++ b/tests/path/stop.rs
@@ -10,7 +10,7 @@
 use bulrushwind::standin::{backend, caller};
 
 /// Service time of requests in flight during a shutdown, in milliseconds.
-const LONG_WORK: &str = "1500";
+const LONG_WORK_MS: &str = "1500";
 
 fn booking(key: &str) -> caller::Ask<'_> {
     caller::Ask {
@@ -25,7 +25,7 @@
 /// An entry VM shuts down while bookings are in flight. They must be answered, and a request that an
 /// older look-up sends there must be refused as `stopping`.
 #[test]
-fn a_planned_stop_of_an_entry_vm_cuts_nothing() {
+fn a_graceful_shutdown_of_an_entry_vm_interrupts_nothing() {
     let env = testenv::TestEnv::new();
     let ledger = env.backend("l1", "ledger", &[]);
     let mut leaving = env.entry_with("e1", |cfg| cfg.ticket_ttl_ms = 5_000);
@@ -37,7 +37,7 @@
     let ticket = look_up().ticket.unwrap();
     let keys: Vec<String> = (0..4).map(|n| format!("{ticket}.{n}")).collect();
     let slow = backend::Behaviour {
-        work_ms: LONG_WORK.parse().unwrap(),
+        work_ms: LONG_WORK_MS.parse().unwrap(),
         ..backend::Behaviour::default()
     };
     backend::behave(ledger.addr(), &slow).unwrap();
@@ -65,8 +65,8 @@
         assert_eq!(refused.outcome, Some(Outcome::NotRun), "{refused:?}");
         assert_eq!(refused.problem().unwrap().reason, "stopping");
         for sent in sent {
-            let told = sent.join().unwrap();
-            assert_eq!(told.outcome, Some(Outcome::Answered), "{told:?}");
+            let reply = sent.join().unwrap();
+            assert_eq!(reply.outcome, Some(Outcome::Answered), "{reply:?}");
         }
     });
     // The stored answer is still available here and through the other entry VM.
@@ -74,22 +74,22 @@
         let again = caller.ask(entry, &booking(&keys[0])).unwrap();
         assert_eq!(again.outcome, Some(Outcome::Answered), "{again:?}");
     }
-    assert!(leaving.wait(testenv::LIMIT).unwrap().success());
+    assert!(leaving.wait(testenv::WAIT_TIMEOUT).unwrap().success());
     let log = backend::read_log(ledger.addr()).unwrap();
     assert_eq!(log.runs.values().copied().collect::<Vec<_>>(), vec![1; 3]);
 }
 
 /// How a backend server's leave is announced.
 #[derive(Clone, Copy, Debug)]
-enum Word {
+enum LeaveSource {
     List,
-    Own,
+    Backend,
     Settings,
 }
 
 /// A backend server is about to leave, and one source announces it. Requests still sent to it would
 /// be interrupted, so it must get no new ones.
-fn drain(word: Word) {
+fn drain(source: LeaveSource) {
     let env = testenv::TestEnv::new();
     let [leaving, staying] = ["l1", "l2"].map(|name| env.backend(name, "ledger", &[]));
     let entry = env.entry("e1");
@@ -104,19 +104,19 @@
         caller.ask(entry.addr(), &ask).unwrap();
         started(leaving.addr()) > 0 && started(staying.addr()) > 0
     });
-    match word {
-        Word::List => {
+    match source {
+        LeaveSource::List => {
             let state = store::VmState::Leaving;
             env.list_backend("l1", "ledger", leaving.addr(), state);
         }
-        Word::Own => {
+        LeaveSource::Backend => {
             let behaviour = backend::Behaviour {
                 leaving: true,
                 ..backend::Behaviour::default()
             };
             backend::behave(leaving.addr(), &behaviour).unwrap();
         }
-        Word::Settings => env.change_settings(|all| {
+        LeaveSource::Settings => env.change_settings(|all| {
             let team = all.teams.get_mut("places").unwrap();
             team.drains.push(settings::Drain {
                 target: settings::DrainTarget::Vm("l1".into()),
@@ -126,41 +126,45 @@
             });
         }),
     }
-    let mut calm = 0;
+    let mut quiet_rounds = 0;
     testenv::wait_for("the leaving one gets no more work", || {
         let before = started(leaving.addr());
         for _ in 0..20 {
-            let told = caller.ask(entry.addr(), &ask).unwrap();
-            assert_eq!(told.outcome, Some(Outcome::Answered), "{word:?}: {told:?}");
+            let reply = caller.ask(entry.addr(), &ask).unwrap();
+            assert_eq!(
+                reply.outcome,
+                Some(Outcome::Answered),
+                "{source:?}: {reply:?}"
+            );
         }
-        calm = if started(leaving.addr()) == before {
-            calm + 1
+        quiet_rounds = if started(leaving.addr()) == before {
+            quiet_rounds + 1
         } else {
             0
         };
-        calm >= 5
+        quiet_rounds >= 5
     });
 }
 
 #[test]
-fn a_backend_that_leaves_by_the_list_gets_no_new_work() {
-    drain(Word::List);
+fn a_backend_listed_as_leaving_gets_no_new_work() {
+    drain(LeaveSource::List);
 }
 
 #[test]
-fn a_backend_that_leaves_by_its_own_word_gets_no_new_work() {
-    drain(Word::Own);
+fn a_backend_that_reports_leaving_gets_no_new_work() {
+    drain(LeaveSource::Backend);
 }
 
 #[test]
-fn a_backend_that_the_settings_drain_gets_no_new_work() {
-    drain(Word::Settings);
+fn a_backend_drained_by_the_settings_gets_no_new_work() {
+    drain(LeaveSource::Settings);
 }
 
 /// A backend server is removed from the list shortly after it is marked as leaving, with a booking
 /// in flight. The caller must get its answer.
 #[test]
-fn a_drain_leaves_what_is_in_flight_alone() {
+fn a_drain_does_not_interrupt_requests_in_flight() {
     let env = testenv::TestEnv::new();
     let ledger = env.backend("l1", "ledger", &[]);
     let entry = env.entry("e1");
@@ -169,19 +173,19 @@
     let found = caller.look_up(entry.addr(), "ledger").unwrap();
     let key = format!("{}.1", found.ticket.unwrap());
     let slow = backend::Behaviour {
-        work_ms: LONG_WORK.parse().unwrap(),
+        work_ms: LONG_WORK_MS.parse().unwrap(),
         ..backend::Behaviour::default()
     };
     backend::behave(ledger.addr(), &slow).unwrap();
-    let told = thread::scope(|scope| {
+    let reply = thread::scope(|scope| {
         let sent = scope.spawn(|| caller.ask(entry.addr(), &booking(&key)).unwrap());
         testenv::wait_for("the booking runs", || {
             backend::read_log(ledger.addr()).unwrap().started > 1
         });
         env.list_backend("l1", "ledger", ledger.addr(), store::VmState::Leaving);
         thread::sleep(time::Duration::from_millis(800));
-        env.unlist("l1");
+        env.remove_from_list("l1");
         sent.join().unwrap()
     });
-    assert_eq!(told.outcome, Some(Outcome::Answered), "{told:?}");
+    assert_eq!(reply.outcome, Some(Outcome::Answered), "{reply:?}");
 }
--- a/tests/path/testenv.rs
+++ b/tests/path/testenv.rs
@@ -11,7 +11,7 @@
 use bulrushwind::{config, settings};
 
 /// Timeout of a condition, ample even on a slow machine.
-pub(crate) const LIMIT: time::Duration = time::Duration::from_secs(60);
+pub(crate) const WAIT_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
 /// The default availability zone.
 pub(crate) const AZ: &str = "ub-a";
@@ -42,7 +42,7 @@
     }
 
     /// Removes a VM from the list.
-    pub(crate) fn unlist(&self, name: &str) {
+    pub(crate) fn remove_from_list(&self, name: &str) {
         let vm = name.into();
         control::send(self.store.addr(), &control::Control::RemoveVm { vm }).unwrap();
     }
@@ -152,7 +152,7 @@
 
 /// Waits until `condition` holds.
 pub(crate) fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
-    let until = time::Instant::now() + LIMIT;
+    let until = time::Instant::now() + WAIT_TIMEOUT;
     while !condition() {
         assert!(
             time::Instant::now() < until,
@@ -170,6 +170,8 @@
             path,
             ..caller::Ask::default()
         };
-        caller.ask(entry, &ask).is_ok_and(|told| told.status == 200)
+        caller
+            .ask(entry, &ask)
+            .is_ok_and(|reply| reply.status == 200)
     });
 }
--- a/tests/steering_path.rs
+++ b/tests/steering_path.rs
@@ -14,7 +14,7 @@
 use policy::{Action, Policy};
 
 /// Timeout of a condition, ample even on a slow machine.
-const LIMIT: time::Duration = time::Duration::from_secs(60);
+const WAIT_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
 const SECRET: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
@@ -106,8 +106,8 @@
                 ..caller::Ask::default()
             };
             wait_for("a read is answered", || {
-                let told = caller::Caller::default().ask(entry.addr(), &read);
-                told.is_ok_and(|told| told.status == 200)
+                let reply = caller::Caller::default().ask(entry.addr(), &read);
+                reply.is_ok_and(|reply| reply.status == 200)
             });
         }
         fleet
@@ -153,7 +153,7 @@
 }
 
 fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
-    let until = time::Instant::now() + LIMIT;
+    let until = time::Instant::now() + WAIT_TIMEOUT;
     while !condition() {
         assert!(
             time::Instant::now() < until,
@@ -181,11 +181,11 @@
             body: &body,
             ..caller::Ask::default()
         };
-        let Ok(told) = caller.ask(entry, &ask) else {
+        let Ok(reply) = caller.ask(entry, &ask) else {
             continue;
         };
-        if told.outcome == Some(outcome::Outcome::Answered) {
-            let echo: backend::Echo = serde_json::from_str(&told.body).unwrap();
+        if reply.outcome == Some(outcome::Outcome::Answered) {
+            let echo: backend::Echo = serde_json::from_str(&reply.body).unwrap();
             assert_eq!(
                 echo.body, body,
                 "a caller got the answer to another request"
@@ -195,7 +195,7 @@
         }
         booked.push(Booked {
             key,
-            outcome: told.outcome,
+            outcome: reply.outcome,
         });
     }
     booked
@@ -209,7 +209,7 @@
 /// A surge hits an availability zone with a single slot while another one is idle. Without spilling,
 /// most callers would be refused; faulty spilling could run a booking in both zones.
 #[test]
-fn a_surge_spills_and_nothing_runs_twice() {
+fn a_surge_spills_and_no_booking_runs_twice() {
     let fleet = Fleet::start(1);
     let stop = sync::atomic::AtomicBool::new(false);
     let entry = fleet.entries[0].addr();
@@ -230,11 +230,11 @@
     });
     let runs = fleet.runs();
     assert!(runs.values().all(|runs| *runs == 1), "{runs:?}");
-    for one in &booked {
-        let ran = runs.contains_key(&one.key);
-        match one.outcome {
-            Some(outcome::Outcome::Answered) => assert!(ran, "{} was answered", one.key),
-            Some(outcome::Outcome::NotRun) => assert!(!ran, "{} ran", one.key),
+    for booking in &booked {
+        let ran = runs.contains_key(&booking.key);
+        match booking.outcome {
+            Some(outcome::Outcome::Answered) => assert!(ran, "{} was answered", booking.key),
+            Some(outcome::Outcome::NotRun) => assert!(!ran, "{} ran", booking.key),
             _ => {}
         }
     }
@@ -243,7 +243,7 @@
 /// Requests arrive from another availability zone with an expired, unknown or malformed grant, for
 /// example after a partition. If admitted, they would take capacity that local callers need.
 #[test]
-fn without_a_live_grant_nothing_is_let_in() {
+fn requests_without_a_valid_grant_are_refused() {
     let fleet = Fleet::start(8);
     let url = format!("http://{}/ledger/book", fleet.entries[1].addr());
     wait_for("the receiver knows the sender", || {
@@ -256,8 +256,8 @@
             req = req.header(headers::GRANT, grant);
         }
         let answer = req.text("bay 7").send().unwrap();
-        let told = answer.headers().get(headers::OUTCOME).unwrap();
-        assert_eq!(told, outcome::Outcome::NotRun.as_str());
+        let reply = answer.headers().get(headers::OUTCOME).unwrap();
+        assert_eq!(reply, outcome::Outcome::NotRun.as_str());
         assert!(answer.headers().contains_key("retry-after"));
     }
     assert!(fleet.runs().is_empty());
@@ -266,11 +266,11 @@
 /// A policy that bans the first request it receives, as if it had crashed two backend servers. It
 /// reports the ban repeatedly, since the links may not be up at first.
 #[derive(Clone, Default)]
-struct Banning {
+struct BanFirstRequest {
     banned: Option<policy::Fingerprint>,
 }
 
-impl altered::Change for Banning {
+impl altered::Change for BanFirstRequest {
     fn arrive(
         &mut self,
         naive: &mut naive::Naive,
@@ -292,30 +292,30 @@
 /// A request crashes backend servers behind one entry VM, and its caller retries through another. If
 /// the ban did not reach that one, the request would crash two more at each entry VM of the fleet.
 #[test]
-fn a_request_that_is_banned_at_one_entry_vm_is_refused_at_another() {
+fn a_request_banned_at_one_entry_vm_is_refused_at_another() {
     let mut fleet = Fleet::start(8);
     let other = fleet.entries.pop().unwrap();
-    let banning = start_entry(
+    let banning_entry = start_entry(
         &fleet.platform,
         "entry-a-2",
         "a",
-        altered::Make(Banning::default()),
+        altered::Make(BanFirstRequest::default()),
     );
     let caller = caller::Caller::default();
-    let killer = caller::Ask {
+    let crashing_request = caller::Ask {
         path: "/ledger/bays?kills",
         ..caller::Ask::default()
     };
     wait_for("the request was seen where it is banned", || {
-        let told = caller.ask(banning.addr(), &killer);
-        told.is_ok_and(|told| told.status == 200)
+        let reply = caller.ask(banning_entry.addr(), &crashing_request);
+        reply.is_ok_and(|reply| reply.status == 200)
     });
     wait_for("the other entry VM refuses it as not run", || {
-        let told = caller.ask(other.addr(), &killer).unwrap();
-        let quarantined = told
+        let reply = caller.ask(other.addr(), &crashing_request).unwrap();
+        let quarantined = reply
             .problem()
             .is_some_and(|body| body.reason == "quarantined");
-        quarantined && told.outcome == Some(outcome::Outcome::NotRun)
+        quarantined && reply.outcome == Some(outcome::Outcome::NotRun)
     });
     let others = caller::Ask {
         path: "/ledger/bays?others",
