--- a/src/entry.rs
+++ b/src/entry.rs
@@ -204,7 +204,7 @@
             Event::ProbeEnded(executor, vm, result) => {
                 executor::probe_ended(self, &executor, &vm, result)
             }
-            Event::HomeAnswered(home, result) => route::home_answered(self, home, result),
+            Event::HomeAnswered(forwarded, result) => route::home_answered(self, forwarded, result),
         }
     }
 }
@@ -345,7 +345,7 @@
 
     /// Answers a look-up for a caller at the given address. `None`: unknown service.
     pub fn look_up(&self, caller: net::IpAddr, service: &str) -> Option<protocol::lookup::Lookup> {
-        route::find(&self.core, caller, service)
+        route::build_lookup(&self.core, caller, service)
     }
 
     /// Address of the listener for operators.
--- a/src/entry/executor.rs
+++ b/src/entry/executor.rs
@@ -42,7 +42,7 @@
 const RETRY_AFTER: time::Duration = time::Duration::from_secs(1);
 
 /// A request that has not been answered yet.
-pub(super) struct Pending {
+pub(super) struct PendingRequest {
     /// The caller's reply channel; `None` after the caller disconnected.
     pub(super) reply: Option<server::Reply>,
     /// The method.
@@ -93,7 +93,7 @@
 
 struct Inner<P> {
     policy: P,
-    pending: collections::HashMap<policy::RequestId, Pending>,
+    pending: collections::HashMap<policy::RequestId, PendingRequest>,
     backends: collections::BTreeMap<id::VmId, BackendEndpoint>,
     policy_backends: Option<Vec<policy::Backend>>,
     next_attempt: u64,
@@ -149,7 +149,7 @@
     core: &sync::Arc<Core<M>>,
     executor: &sync::Arc<Executor<M::Policy>>,
     arrival: policy::Arrival,
-    pending: Pending,
+    pending: PendingRequest,
 ) {
     let mut inner = executor.inner.lock();
     let (id, now) = (arrival.id, core.now());
@@ -159,11 +159,11 @@
     });
     // If the caller disconnected before the insertion, its event found no pending request.
     let closed = |reply: &server::Reply| reply.is_closed();
-    let gone = inner
+    let disconnected = inner
         .pending
         .get(&id)
         .is_some_and(|pending| pending.reply.as_ref().is_some_and(closed));
-    if gone {
+    if disconnected {
         abandon(core, executor, &mut inner, id);
     }
 }
--- a/src/entry/executor/maintenance.rs
+++ b/src/entry/executor/maintenance.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic;
 use std::time;
 
-use super::{BackendEndpoint, Executor, Pending, RETRY_AFTER, settle, step};
+use super::{BackendEndpoint, Executor, PendingRequest, RETRY_AFTER, settle, step};
 use crate::coordination::store;
 use crate::decisions::policy;
 use crate::entry::{CachedDirectory, Core, Executors, MakePolicy};
@@ -161,7 +161,7 @@
     let executors = core.executors.load();
     let load_of = |executor: &Executor<M::Policy>| {
         let inner = executor.inner.lock();
-        let has_attempt = |pending: &&Pending| !pending.attempts.is_empty();
+        let has_attempt = |pending: &&PendingRequest| !pending.attempts.is_empty();
         let in_flight = inner.pending.values().filter(has_attempt).count() as u64;
         let policy_backends = inner
             .policy_backends
--- a/src/entry/feed.rs
+++ b/src/entry/feed.rs
@@ -30,7 +30,7 @@
     fn vms(&self, vms: Vec<store::Vm>) {
         if let Some(shared) = self.shared.upgrade() {
             let fleet = fleet::Fleet::new(vms);
-            // Skips an unchanged list, because a replaced list causes work that grows with the fleet.
+            // Skips an unchanged list: replacing it would cause work that grows with the fleet.
             if fleet != **shared.fleet.load() {
                 shared.fleet.store(sync::Arc::new(fleet));
             }
--- a/src/entry/observe.rs
+++ b/src/entry/observe.rs
@@ -43,7 +43,7 @@
     pub(super) worth: u32,
     /// The service's latency objective.
     pub(super) latency_objective: time::Duration,
-    /// The id given by the sending entry VM of another availability zone; `None` if a caller sent it.
+    /// Id from the entry VM of another availability zone that sent it; `None` if a caller sent it.
     pub(super) origin_request_id: Option<String>,
 }
 
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -1,7 +1,7 @@
 //! Routes incoming requests: answers look-ups, and validates and admits requests to services.
 //!
-//! Inputs are the request, the settings, the key table and the steering plan. A keyed request is
-//! decided by its key's home VM, the entry VM that issued its ticket; others forward it there.
+//! Only the home VM of a key, which is the entry VM that issued the key's ticket, decides whether a
+//! request with the key may run. Other entry VMs forward the request to it.
 
 use std::hash;
 use std::hash::Hasher;
@@ -61,7 +61,7 @@
     if req.method != Method::GET {
         return answers::problem(&Problem::LookupMethod);
     }
-    match find(core, req.from.ip(), service) {
+    match build_lookup(core, req.from.ip(), service) {
         Some(lookup) => {
             core.observer.record_lookup(&lookup.service);
             answers::look_up(&lookup)
@@ -71,7 +71,7 @@
 }
 
 /// Builds the answer to a look-up; `None` if the service is not declared.
-pub(super) fn find<M: MakePolicy>(
+pub(super) fn build_lookup<M: MakePolicy>(
     core: &Core<M>,
     caller: net::IpAddr,
     service: &str,
@@ -280,7 +280,7 @@
         resolved.op,
         &req.headers,
     );
-    let pending = executor::Pending {
+    let pending = executor::PendingRequest {
         info,
         attempt_count: 0,
         method: req.method,
@@ -403,10 +403,10 @@
     };
     let fleet = core.shared.fleet.load();
     let az = id::AzId::from(az);
-    let known = fleet
+    let is_entry_vm = fleet
         .entries()
         .any(|vm| vm.az == az && vm.addr.ip() == req.from.ip());
-    if known {
+    if is_entry_vm {
         policy::Origin::Az(az)
     } else {
         policy::Origin::Caller
@@ -442,34 +442,34 @@
             &Problem::TicketVoid,
         );
     };
-    let mut forwarded = hyper::Request::new(req.body);
-    *forwarded.method_mut() = req.method;
-    *forwarded.uri_mut() = req
+    let mut outgoing = hyper::Request::new(req.body);
+    *outgoing.method_mut() = req.method;
+    *outgoing.uri_mut() = req
         .uri
         .path_and_query()
         .map_or_else(hyper::Uri::default, |path| hyper::Uri::from(path.clone()));
-    *forwarded.headers_mut() = headers::end_to_end(&req.headers);
+    *outgoing.headers_mut() = headers::end_to_end(&req.headers);
     let timeout_ms = u64::try_from(resolved.timeout.as_millis()).unwrap_or(u64::MAX);
-    forwarded
+    outgoing
         .headers_mut()
         .insert(headers::TIMEOUT, timeout_ms.into());
     if let Ok(via) = core.cfg.vm.as_str().parse() {
-        forwarded.headers_mut().insert(headers::VIA, via);
+        outgoing.headers_mut().insert(headers::VIA, via);
     }
     let call = client::Call {
         to: home.addr,
-        req: forwarded,
+        req: outgoing,
         timeout: resolved.timeout,
         body_bytes: resolved.service.max_body_bytes,
     };
     let events = core.events.clone();
-    let home = ForwardedRequest {
+    let forwarded = ForwardedRequest {
         id: req.id,
         service: resolved.service.name.clone(),
         reply: req.reply,
     };
     let _attempt = core.client.send(call, move |result| {
-        let _ = events.send(Event::HomeAnswered(home, result));
+        let _ = events.send(Event::HomeAnswered(forwarded, result));
     });
 }
 
@@ -483,12 +483,18 @@
 /// Passes the home VM's answer to the caller, or a problem if there is none.
 pub(super) fn home_answered<M: MakePolicy>(
     core: &Core<M>,
-    home: ForwardedRequest,
+    forwarded: ForwardedRequest,
     result: Result<server::Answer, client::Failure>,
 ) {
     let Ok(answer) = result else {
         let problem = Problem::HomeSilent;
-        return refuse(core, home.id, home.service.as_str(), home.reply, &problem);
+        return refuse(
+            core,
+            forwarded.id,
+            forwarded.service.as_str(),
+            forwarded.reply,
+            &problem,
+        );
     };
     // Keeps the outcome that the home VM reported.
     let mut answer_to_caller = answers::backend(&backend::Answer {
@@ -501,5 +507,5 @@
             .headers
             .insert(headers::OUTCOME, reported_outcome.clone());
     }
-    home.reply.send(answer_to_caller);
+    forwarded.reply.send(answer_to_caller);
 }
--- a/src/entry/steering.rs
+++ b/src/entry/steering.rs
@@ -297,7 +297,7 @@
     }
 }
 
-/// Processes grant requests and loads, once per [`STEERING_INTERVAL`]. `peers` is `None` without links.
+/// Processes grant requests and loads every [`STEERING_INTERVAL`]. `peers`: `None` without links.
 pub(super) fn tick<M: MakePolicy>(core: &sync::Arc<Core<M>>, peers: Option<&peers::Peers>) {
     let now = core.now();
     let settings = core.shared.settings.load_full();
@@ -511,7 +511,7 @@
     }
 }
 
-/// Competes for the plan writer's role, and writes the plan while holding it, until the process ends.
+/// Competes for the plan writer's role and writes the plan while it has it, until the process ends.
 pub(super) fn write_plan<M: MakePolicy, S: store::Store>(
     core: &sync::Weak<Core<M>>,
     platform: S,
--- a/tests/path/decisions.rs
+++ b/tests/path/decisions.rs
@@ -46,7 +46,10 @@
         assert_eq!(reply.status, 200, "{reply:?}");
     }
     let shed = backend::read_log(backends[0].addr()).unwrap().shed;
-    assert!(shed < 100, "{shed} of 200 were tried there");
+    assert!(
+        shed < 100,
+        "{shed} of 200 requests were sent to the shedding backend server"
+    );
 }
 
 /// One of two backend servers fails every request immediately. It always appears idle, so without
@@ -64,7 +67,10 @@
         assert_eq!(reply.status, 200, "{reply:?}");
     }
     let started = backend::read_log(backends[0].addr()).unwrap().started;
-    assert!(started < 50, "{started} of 200 were tried there");
+    assert!(
+        started < 50,
+        "{started} of 200 requests were sent to the failing backend server"
+    );
 }
 
 /// A request crashes each backend server that runs it, and its caller retries. After two crashes it
@@ -83,6 +89,9 @@
         quarantined && reply.outcome == Some(outcome::Outcome::NotRun)
     });
     let live = |b: &&processes::Process| backend::read_log(b.addr()).is_ok();
-    assert!(backends.iter().any(|b| live(&b)), "none is left");
+    assert!(
+        backends.iter().any(|b| live(&b)),
+        "no backend server is running"
+    );
     testenv::wait_answered(entry.addr(), "/ledger/bays");
 }
--- a/tests/path/local.rs
+++ b/tests/path/local.rs
@@ -54,11 +54,11 @@
         let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
         let received = sync::Arc::new(Mutex::new(Vec::new()));
-        let (script, seen) = (sync::Arc::new(script), received.clone());
+        let (script, requests) = (sync::Arc::new(script), received.clone());
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (script, seen) = (script.clone(), seen.clone());
-                thread::spawn(move || serve(stream.unwrap(), &seen, &*script));
+                let (script, requests) = (script.clone(), requests.clone());
+                thread::spawn(move || serve(stream.unwrap(), &requests, &*script));
             }
         });
         Self { addr, received }
@@ -70,16 +70,16 @@
     }
 }
 
-fn serve<F>(mut stream: net::TcpStream, seen: &Mutex<Vec<ReceivedRequest>>, script: &F)
+fn serve<F>(mut stream: net::TcpStream, requests: &Mutex<Vec<ReceivedRequest>>, script: &F)
 where
     F: Fn(usize, &ReceivedRequest, &mut net::TcpStream) -> io::Result<()>,
 {
     let mut reader = io::BufReader::new(stream.try_clone().unwrap());
     while let Some(request) = read(&mut reader) {
         let number = {
-            let mut seen = seen.lock();
-            seen.push(request.clone());
-            seen.len() - 1
+            let mut requests = requests.lock();
+            requests.push(request.clone());
+            requests.len() - 1
         };
         if script(number, &request, &mut stream).is_err() {
             let _ = stream.shutdown(net::Shutdown::Both);
--- a/tests/path/once.rs
+++ b/tests/path/once.rs
@@ -133,7 +133,7 @@
     assert_eq!(reply.outcome, Some(Outcome::Unknown), "{reply:?}");
     assert!(reply.retry_after.is_some(), "{reply:?}");
     ledger.entries[0].signal("CONT").unwrap();
-    testenv::wait_for("the home is back and answers", || {
+    testenv::wait_for("the resumed entry VM answers", || {
         ledger.book(1, &key).outcome == Some(Outcome::Answered)
     });
     assert_eq!(ledger.runs(&key), 1);
@@ -166,7 +166,11 @@
     ledger
         .backends
         .retain_mut(|b| b.wait(time::Duration::ZERO).is_err());
-    assert_eq!(ledger.runs(&key), 0, "it ran on the other one too");
+    assert_eq!(
+        ledger.runs(&key),
+        0,
+        "the booking also ran on the other backend server"
+    );
 }
 
 /// A caller reuses a key for another booking, for example after its counter restarted. It must not
--- a/tests/path/testenv.rs
+++ b/tests/path/testenv.rs
@@ -104,11 +104,14 @@
             state: store::VmState::Live,
         });
         let caller = caller::Caller::default();
-        wait_for("the entry VM knows itself and the settings", || {
-            caller
-                .look_up(entry.addr(), "ledger")
-                .is_ok_and(|found| found.entries.iter().any(|e| e.vm.as_str() == name))
-        });
+        wait_for(
+            "the entry VM has the settings and is on its own list of VMs",
+            || {
+                caller
+                    .look_up(entry.addr(), "ledger")
+                    .is_ok_and(|found| found.entries.iter().any(|e| e.vm.as_str() == name))
+            },
+        );
         entry
     }
 
--- a/tests/steering_path.rs
+++ b/tests/steering_path.rs
@@ -219,7 +219,7 @@
             .map(|i| scope.spawn(move || book(entry, i, stop)))
             .collect();
         // The idle zone has already run the reads of `Fleet::start`.
-        wait_for("bookings run in the other place", || {
+        wait_for("bookings run in the other availability zone", || {
             fleet.backends[1].log().started > 20
         });
         stop.store(true, sync::atomic::Ordering::SeqCst);
@@ -246,7 +246,7 @@
 fn requests_without_a_valid_grant_are_refused() {
     let fleet = Fleet::start(8);
     let url = format!("http://{}/ledger/book", fleet.entries[1].addr());
-    wait_for("the receiver knows the sender", || {
+    wait_for("the receiver has the sender in its list of VMs", || {
         let found = caller::Caller::default().look_up(fleet.entries[1].addr(), "ledger");
         found.is_ok_and(|found| found.entries.len() == 2)
     });
@@ -306,7 +306,7 @@
         path: "/ledger/bays?kills",
         ..caller::Ask::default()
     };
-    wait_for("the request was seen where it is banned", || {
+    wait_for("the banning entry VM has received the request", || {
         let reply = caller.ask(banning_entry.addr(), &crashing_request);
         reply.is_ok_and(|reply| reply.status == 200)
     });
