--- a/src/platform/feed.rs
+++ b/src/platform/feed.rs
@@ -22,8 +22,8 @@
 /// Prefix of the watch. All keys in the store concern entry VMs, so a single watch covers them.
 const WATCH_PREFIX: &str = "";
 
-/// Prefixes that together cover all records. They are read in parallel, since each page costs a round
-/// trip (0.11 s from another region), which would prolong the start after a loss of all VMs.
+/// Prefixes that together cover all records. They are read in parallel: each page costs a round trip
+/// (0.11 s from another region), and in sequence these would delay the start after a loss of all VMs.
 const READ_PREFIXES: [&str; 3] = [
     names::ENTRY_VM_PREFIX,
     names::OPERATOR_PREFIX,
@@ -53,14 +53,14 @@
         let key = record.key.as_str();
         let value = record.value.as_deref();
         if let Some(name) = key.strip_prefix(names::BACKEND_PREFIX) {
-            return self.backend(&name.into(), value);
+            return self.apply_backend(&name.into(), value);
         }
         if let Some(az) = key.strip_prefix(names::EVACUATION_PREFIX) {
             return Ok(self.cx.evacuate(&az.into(), value.is_some()));
         }
         if let Some(entry) = key.strip_prefix(names::REGISTRATION_PREFIX) {
             let vm = entry.rsplit('/').next().unwrap_or(entry);
-            return self.entry(&vm.into(), value);
+            return self.apply_entry(&vm.into(), value);
         }
         if let Some(crash) = key
             .strip_prefix(names::CRASH_PREFIX)
@@ -76,7 +76,7 @@
         }
     }
 
-    fn backend(&self, name: &id::VmId, value: Option<&[u8]>) -> Result<bool, decode::Error> {
+    fn apply_backend(&self, name: &id::VmId, value: Option<&[u8]>) -> Result<bool, decode::Error> {
         let Some(value) = value else {
             self.cx.remove_backend(name);
             return Ok(true);
@@ -87,7 +87,7 @@
         })
     }
 
-    fn entry(&self, vm: &id::VmId, value: Option<&[u8]>) -> Result<bool, decode::Error> {
+    fn apply_entry(&self, vm: &id::VmId, value: Option<&[u8]>) -> Result<bool, decode::Error> {
         match value {
             Some(value) => Ok(self.cx.update_entry(vm, decode::entry(value)?)),
             None => Ok(self.cx.remove_entry(vm)),
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -15,8 +15,8 @@
 /// Timeout for connecting.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// Timeout for the response head and for each piece of the body. The store responds within a few
-/// milliseconds, or 0.12 s from the farthest region; a response fifty times slower is still useful.
+/// Timeout for the response head and for each piece of the body. The store responds in a few
+/// milliseconds, and in 0.12 s from the farthest region; a response fifty times slower is still useful.
 const RESPONSE_TIMEOUT: time::Duration = time::Duration::from_millis(1000);
 
 /// Timeout for a response body, from the end of the head. The longest value is 1.4 MB as text, which
@@ -158,7 +158,7 @@
     }
 
     /// Reads all items under a prefix and returns them with the revision to watch from. A `stale` read
-    /// may be some seconds old and costs a tenth of another; a watch from its revision returns the rest.
+    /// may be some seconds old and costs a tenth of a current one; a watch from its revision returns the rest.
     pub async fn range(
         &mut self,
         prefix: &str,
--- a/tests/platform/processes.rs
+++ b/tests/platform/processes.rs
@@ -183,7 +183,10 @@
         gateway.signal(rustix::process::Signal::TERM);
         wait_for_status(ports.ready, "/ready", 503).await;
         while !scene.store.keys("bulrushwind/entry/").is_empty() || !gateway.has_ended() {
-            assert!(begun.elapsed() < TEST_TIMEOUT, "never left");
+            assert!(
+                begun.elapsed() < TEST_TIMEOUT,
+                "the process did not deregister and exit"
+            );
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
     });
@@ -245,7 +248,10 @@
         };
         let begun = time::Instant::now();
         while !follows("vm-1") && !follows("vm-2") {
-            assert!(begun.elapsed() < TEST_TIMEOUT, "neither follows the other");
+            assert!(
+                begun.elapsed() < TEST_TIMEOUT,
+                "neither VM follows the other"
+            );
             tokio::time::sleep(time::Duration::from_millis(50)).await;
         }
         let (followed, follower) = match follows("vm-1") {
@@ -305,7 +311,7 @@
         while names.iter().filter(follows_completely).count() < names.len() - 2 {
             assert!(
                 begun.elapsed() < TEST_TIMEOUT,
-                "they do not follow the first"
+                "the VMs do not follow the first ones"
             );
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
