--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -157,8 +157,8 @@
         self.wire = None;
     }
 
-    /// Reads all items under a prefix and returns them with the revision to watch from. A `stale` read
-    /// may be some seconds old and costs a tenth of a current one; a watch from its revision returns the rest.
+    /// Reads all items under a prefix and returns them with the revision to watch from. With
+    /// `stale` they may be some seconds old, at a tenth of the cost; a watch returns later changes.
     pub async fn range(
         &mut self,
         prefix: &str,
--- a/tests/platform/entries.rs
+++ b/tests/platform/entries.rs
@@ -60,10 +60,7 @@
         let cx = gateway::Gateway::new(gateway::Config::default(), logging::silent());
         let source = feed::Feed::new(cx.clone(), store.addr);
         task::spawn_local(store_mirror::Mirror::new(cx.clone()).run(source, Vec::new()));
-        wait_until("all backend servers are listed", || {
-            is_selectable(&cx, "i-2")
-        })
-        .await;
+        wait_until("all are known", || is_selectable(&cx, "i-2")).await;
         store.write_text("servers/i-0", "%%%".to_owned());
         store.write("servers/i-1", &json!(["other"]));
         store.write("op/config", &config(2, &["/read/", "/more/"]));
@@ -75,10 +72,7 @@
         assert!(!is_selectable(&cx, "i-1"));
         assert!(is_selectable(&cx, "i-2"));
         store.write("servers/i-0", &entry());
-        wait_until("the backend server is listed again", || {
-            is_selectable(&cx, "i-0")
-        })
-        .await;
+        wait_until("it is listed again", || is_selectable(&cx, "i-0")).await;
     });
 }
 
