--- a/src/state/backends.rs
+++ b/src/state/backends.rs
@@ -1,7 +1,7 @@
-//! The backend servers that the platform lists, and what this VM knows of each.
+//! Table of the backend servers that the platform lists, with this VM's local_region data on each.
 //!
-//! One thread owns the table. What the list says is replaced with each update; what was seen here
-//! (requests in flight, load that answers carried, failures) stays with the incarnation.
+//! One thread owns the table. Listed properties are replaced with each update. Locally observed
+//! data (requests in flight, load reported in answers, failures) is kept per incarnation.
 
 use std::collections;
 use std::net;
@@ -12,69 +12,69 @@
 use crate::decisions::{affinity, cold, ejection, limit, orders, policy, warming};
 use crate::id;
 
-/// What the platform's list says of a backend server.
+/// The properties of a backend server in the platform's list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listed {
-    /// The service that it runs.
+    /// The service that the backend server runs.
     pub service: id::ServiceId,
-    /// Where it takes requests.
+    /// The address on which it accepts requests.
     pub addr: net::SocketAddr,
     /// Its availability zone.
     pub az: id::AzId,
-    /// Requests that it works on at once.
+    /// The number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is about to go and takes no new work.
+    /// Whether it is shutting down and accepts no new requests.
     pub leaving: bool,
-    /// Until when it is cold, on this process's clock.
+    /// The end of its cold phase, on this process's clock.
     pub cold_until: policy::Moment,
-    /// Which start of it this is; `None` where it does not say. A later start is larger.
+    /// Its incarnation, which grows with each start; `None` if the list has no incarnation.
     pub start: Option<id::Incarnation>,
 }
 
 impl Listed {
-    /// Whether this is a later start of the same backend server.
+    /// Whether `self` is a later incarnation than `other` of the same backend server.
     pub fn started_after(&self, other: &Self) -> bool {
         matches!((self.start, other.start), (Some(this), Some(other)) if this > other)
     }
 }
 
-/// The load that an answer carried.
+/// The load reported in an answer.
 #[derive(Clone, Copy, Debug, Default)]
 struct Report {
-    /// What runs or waits there for other VMs.
+    /// Requests of other VMs that run or wait on the backend server.
     others: f64,
     at: policy::Moment,
 }
 
-/// For how long a reported load counts in full. Warm work takes 0.15 to 0.6 s, so after half a
-/// second about half of what ran then has ended.
+/// The report age up to which a reported load counts in full. A request on a warm backend server
+/// takes 0.15 to 0.6 s, so about half of the reported requests have ended after 0.5 s.
 const FRESH: f64 = 0.5;
 
-/// After how long a reported load no longer counts, in seconds.
+/// The report age from which a reported load no longer counts.
 const STALE: f64 = 1.5;
 
-/// Backend servers that are drawn for a request without an object. The least loaded of sixteen is
-/// nearly the least loaded of all, and more would cost more with each one.
+/// Backend servers sampled for a request without an object. The least loaded of 16 is nearly the
+/// least loaded of all, and the cost grows with each sampled server.
 const DRAWN: usize = 16;
 
 /// A backend server.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// Its incarnation's name.
+    /// Its VM id.
     pub id: id::VmId,
-    /// The hash of that name.
+    /// The hash of its VM id.
     pub hash: u64,
-    /// What the list says.
+    /// Its properties in the platform's list.
     pub listed: Listed,
-    /// Its region, where known.
+    /// Its region, if known.
     pub region: Option<id::RegionId>,
-    /// Requests of this VM that it has.
+    /// Requests of this VM that are in flight to it.
     pub in_flight: u32,
-    /// Its failures.
+    /// Its recent failures.
     pub health: ejection::Health,
-    /// How many requests of this VM it may have.
+    /// The limit on this VM's requests in flight to it.
     pub limit: limit::Limit,
-    /// How it is paced while cold.
+    /// The pacing of requests to it while it is cold.
     pub pace: cold::Pace,
     /// The objects that this VM has sent to it.
     pub warming: warming::SentObjects,
@@ -83,7 +83,7 @@
 }
 
 impl Backend {
-    /// Its name with its start, which tells one run of it from the next.
+    /// Its VM id with its incarnation; unique for each start of the backend server.
     pub fn run_name(&self) -> String {
         match self.listed.start {
             Some(start) => format!("{}@{start}", self.id),
@@ -91,19 +91,19 @@
         }
     }
 
-    /// Tells when this run of it is known to be over.
+    /// Notified when this incarnation is known to have ended.
     pub fn ended(&self) -> &rc::Rc<sync::Notify> {
         &self.ended
     }
 
-    /// Requests that run or wait there, as far as known.
+    /// The estimated number of requests that run or wait on it.
     pub fn load(&self, now: policy::Moment) -> f64 {
         let age = now.saturating_sub(self.report.at).as_secs_f64();
         let fresh = ((STALE - age) / (STALE - FRESH)).clamp(0.0, 1.0);
         f64::from(self.in_flight) + self.report.others * fresh
     }
 
-    /// An answer said how many requests run and wait there, those of this VM included.
+    /// Records the running and waiting requests that an answer reported, including this VM's.
     pub fn reported(&mut self, now: policy::Moment, running: u32, waiting: u32) {
         let others = f64::from(running + waiting) - f64::from(self.in_flight.saturating_sub(1));
         self.report = Report {
@@ -112,25 +112,25 @@
         };
     }
 
-    /// How old the load is that an answer carried last; `None` before the first.
+    /// The age of the last load report; `None` before the first report.
     pub fn report_age(&self, now: policy::Moment) -> Option<std::time::Duration> {
         (self.report.at > policy::Moment::ZERO).then(|| now.saturating_sub(self.report.at))
     }
 
-    /// Whether it is cold.
+    /// Whether the backend server is in its cold phase.
     pub fn is_cold(&self, now: policy::Moment) -> bool {
         now < self.listed.cold_until
     }
 }
 
-/// Which backend servers of a service.
+/// A selection of a service's backend servers by region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side<'a> {
-    /// Those of the own region.
+    /// Backend servers in this VM's region.
     Near,
-    /// Those of other regions.
+    /// Backend servers in all other regions.
     Far,
-    /// Those of one other region.
+    /// Backend servers in one other region.
     In(&'a id::RegionId),
 }
 
@@ -150,7 +150,7 @@
     names: Vec<id::VmId>,
     near: orders::PreferenceOrders<id::VmId>,
     far: orders::PreferenceOrders<id::VmId>,
-    /// Those of `far` by region.
+    /// The backend servers of `remote` by region.
     regions: collections::HashMap<id::RegionId, orders::PreferenceOrders<id::VmId>>,
 }
 
@@ -171,7 +171,7 @@
         }
     }
 
-    /// The orders in which those of a region stand.
+    /// The preference orders that contain a region's backend servers.
     fn orders_of(
         &mut self,
         near: bool,
@@ -189,7 +189,7 @@
     }
 }
 
-/// All backend servers by name and by service.
+/// All backend servers by VM id and by service.
 #[derive(Debug, Default)]
 pub struct Backends {
     own: Option<id::RegionId>,
@@ -198,7 +198,7 @@
 }
 
 impl Backends {
-    /// None yet, seen from this region.
+    /// An empty table for a VM in `local_region`.
     pub fn new(own: Option<id::RegionId>) -> Self {
         Self {
             own,
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Takes what the list says. Returns whether the backend server is new.
+    /// Inserts or updates a listed backend server. Returns whether it is new.
     pub fn put(&mut self, name: &id::VmId, listed: Listed, region: Option<id::RegionId>) -> bool {
         let known = self.by_id.get(name);
         if known.is_some_and(|known| known.listed.service == listed.service) {
@@ -238,7 +238,7 @@
         true
     }
 
-    /// Takes what the list says anew of one that runs the same service.
+    /// Updates the properties of a backend server whose service is unchanged.
     fn update(&mut self, name: &id::VmId, listed: Listed, region: Option<id::RegionId>) {
         let Some(known) = self.by_id.get_mut(name) else {
             return;
@@ -257,7 +257,7 @@
         known.listed = listed;
     }
 
-    /// Takes one out.
+    /// Removes a backend server and returns it.
     pub fn remove(&mut self, name: &id::VmId) -> Option<Backend> {
         let gone = self.by_id.remove(name)?;
         if let Some(group) = self.by_service.get_mut(&gone.listed.service) {
@@ -269,7 +269,7 @@
         Some(gone)
     }
 
-    /// The first of an object's order of a service's backend servers on one side, see
+    /// The head of an object's preference order within `scope`, see
     /// [`orders::PreferenceOrders::first`].
     pub fn first(&mut self, service: &id::ServiceId, side: Side<'_>, key: u64) -> Vec<id::VmId> {
         let group = self.by_service.get_mut(service);
@@ -279,7 +279,7 @@
         }
     }
 
-    /// Some of a service's backend servers on one side, see [`orders::PreferenceOrders::sample`].
+    /// A sample of the backend servers within `scope`, see [`orders::PreferenceOrders::sample`].
     pub fn some(&self, service: &id::ServiceId, side: Side<'_>, tie: u64) -> Vec<id::VmId> {
         match self.order(service, side) {
             Some(order) => order.sample(tie, DRAWN).cloned().collect(),
@@ -295,12 +295,12 @@
         self.by_service.get(service)?.side(side)
     }
 
-    /// How many a service has on one side.
+    /// The number of a service's backend servers within `scope`.
     pub fn count_on(&self, service: &id::ServiceId, side: Side<'_>) -> usize {
         self.order(service, side).map_or(0, |order| order.len())
     }
 
-    /// Those of a service on one side.
+    /// A service's backend servers within `scope`.
     pub fn on<'a>(
         &'a self,
         service: &id::ServiceId,
@@ -310,17 +310,17 @@
             .filter(move |b| side.holds(&self.own, &b.region))
     }
 
-    /// One of them.
+    /// Looks up a backend server.
     pub fn get(&self, name: &id::VmId) -> Option<&Backend> {
         self.by_id.get(name)
     }
 
-    /// One of them, to change.
+    /// Looks up a backend server for modification.
     pub fn get_mut(&mut self, name: &id::VmId) -> Option<&mut Backend> {
         self.by_id.get_mut(name)
     }
 
-    /// Those of a service.
+    /// A service's backend servers.
     pub fn of<'a>(&'a self, service: &id::ServiceId) -> impl Iterator<Item = &'a Backend> {
         self.by_service
             .get(service)
@@ -329,22 +329,22 @@
             .filter_map(|name| self.by_id.get(name))
     }
 
-    /// All of them.
+    /// Iterates over all backend servers.
     pub fn iter(&self) -> impl Iterator<Item = &Backend> {
         self.by_id.values()
     }
 
-    /// All of them, to change.
+    /// Iterates over all backend servers for modification.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Backend> {
         self.by_id.values_mut()
     }
 
-    /// How many there are.
+    /// The number of backend servers.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether there is none.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
--- a/src/state/directory.rs
+++ b/src/state/directory.rs
@@ -1,8 +1,8 @@
-//! Which entry VMs a look-up names, worked out once for every change of settings or fleet.
+//! The entry VMs that a look-up returns, precomputed for every change of the settings or the fleet.
 //!
-//! A look-up names a handful of VMs however large the fleet is: some of each availability zone,
-//! nearest region first, so that the list holds another region too when a whole one is lost. The
-//! work of a look-up then grows with what it names and not with the fleet.
+//! A look-up returns a bounded number of VMs: a few per availability zone, nearest region first,
+//! so that callers can still reach another region when a whole region is lost. The cost of a
+//! look-up grows with the number of returned VMs and not with the size of the fleet.
 
 use std::collections;
 use std::hash;
@@ -14,27 +14,27 @@
 use crate::protocol::lookup;
 use crate::{id, settings};
 
-/// VMs named of one availability zone. One that is down leaves the caller another.
+/// VMs returned per availability zone. With two, a caller has another VM when one is down.
 const PER_AZ: usize = 2;
 
-/// VMs named in all: enough for every availability zone of the nearest two regions of today's and
-/// of the expected size.
+/// VMs returned in total: enough for every availability zone of the nearest two regions, at the
+/// current and the expected size of regions.
 const IN_ALL: usize = 16;
 
-/// Who asks for entry VMs, and where.
+/// A caller's look-up of entry VMs.
 #[derive(Clone, Copy, Debug)]
 pub struct Asks<'a> {
     /// The caller's address.
     pub caller: net::IpAddr,
-    /// The region that the caller is nearest to, where that is known.
+    /// The region nearest to the caller, if known.
     pub region: Option<&'a id::RegionId>,
-    /// The availability zone of the entry VM that was asked.
+    /// The availability zone of the entry VM that received the look-up.
     pub az: &'a id::AzId,
-    /// Availability zones that come before all others, in this order.
+    /// Availability zones that precede all others, in this order.
     pub first: &'a [id::AzId],
 }
 
-/// The entry VMs of each availability zone, and the order of zones for each region's callers.
+/// The entry VMs of each availability zone, and the zones by distance from each region.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     azs: collections::BTreeMap<id::AzId, Vec<lookup::EntryVm>>,
@@ -42,27 +42,27 @@
     anywhere: Vec<Row>,
 }
 
-/// An availability zone and how far it is.
+/// An availability zone and its distance.
 #[derive(Clone, Debug)]
 struct Row {
     distance: Distance,
     az: id::AzId,
 }
 
-/// How far a region is from a caller.
+/// The distance of a region from a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Distance {
     /// The caller's own region.
     Near,
-    /// Over a link with this one-way delay, in microseconds.
+    /// Reached over a link with this one-way delay, in microseconds.
     Link(u64),
-    /// No link to it is declared.
+    /// The settings declare no link to the region.
     Unknown,
 }
 
 impl Directory {
-    /// Works out the directory of a fleet. A VM that leaves is not named, and neither is one that
-    /// a drain covers at `now_s`, in seconds since 1970.
+    /// Builds the directory of a fleet. It omits VMs that are shutting down and VMs that a drain
+    /// covers at `now_s`, in seconds since 1970.
     pub fn build(settings: &settings::Settings, fleet: &fleet::Fleet, now_s: u64) -> Self {
         let mut azs: collections::BTreeMap<_, Vec<_>> = collections::BTreeMap::new();
         for vm in fleet.entries() {
@@ -93,13 +93,13 @@
         }
     }
 
-    /// The entry VMs that a caller should use, in order. After the zones that come first, the
-    /// nearest region does; in the caller's region the zone that was asked leads: the caller has
-    /// just reached it, also where a partition hides the others.
+    /// The entry VMs that a caller should use, in order: the preferred zones, then the others by
+    /// distance. In the caller's region the zone that received the look-up comes first, because
+    /// the caller has just reached it, even if a partition cuts off the other zones.
     ///
-    /// Among equals the order follows the caller's address. In one order for all, every caller
-    /// would use the first VM and none the second; in an order by chance, a caller's connections
-    /// and tickets would spread over all of them.
+    /// Zones and VMs of equal rank are ordered by a hash of the caller's address. With one fixed
+    /// order all callers would use the first VM and leave the second idle. With a random order,
+    /// each caller's connections and tickets would spread over all VMs.
     pub fn name(&self, asks: &Asks<'_>) -> Vec<lookup::EntryVm> {
         let mut named = Vec::with_capacity(IN_ALL);
         for az in asks.first {
@@ -142,7 +142,7 @@
         let Some(vms) = self.azs.get(az) else {
             return;
         };
-        // A turn from a place that follows the caller costs nothing as the zone grows.
+        // Rotating the list by the caller's hash takes constant time for any size of the zone.
         let start = weight(caller, az.as_str()) % vms.len() as u64;
         let start = usize::try_from(start).unwrap_or(0);
         let turned = vms[start..].iter().chain(&vms[..start]);
@@ -166,7 +166,7 @@
     })
 }
 
-/// A number that is fixed for a caller and a name, and spread evenly over both.
+/// A hash of a caller and a name, evenly distributed over both.
 fn weight(caller: net::IpAddr, name: &str) -> u64 {
     let mut hasher = hash::DefaultHasher::new();
     hash::Hash::hash(&(caller, name), &mut hasher);
@@ -234,8 +234,7 @@
         assert!(found[2..4].iter().all(|vm| vm.az.as_str() == "khovd-a"));
     }
 
-    /// A whole region is lost. Callers whose list held only that region would have nobody left to
-    /// ask.
+    /// When a whole region is lost, callers whose list held only that region could reach no VM.
     #[test]
     fn a_large_region_leaves_room_for_another() {
         let found = named(100, [10, 0, 0, 1], "khovd", "khovd-b");
@@ -246,8 +245,8 @@
         assert!(found.len() <= IN_ALL);
     }
 
-    /// Two entry VMs stand in each availability zone. If every caller were told the same one
-    /// first, that one would carry all of them, and its callers would wait while the other idles.
+    /// If every caller got the same VM of a zone first, that VM would carry the load of all callers
+    /// while the zone's other VM would be idle.
     #[test]
     fn callers_spread_over_the_entry_vms_of_a_zone() {
         let mut first = collections::BTreeMap::new();
--- a/src/state/entries.rs
+++ b/src/state/entries.rs
@@ -1,4 +1,4 @@
-//! The entry VMs that take callers' requests, as they registered themselves.
+//! Table of the entry VMs that accept callers' requests, as they registered themselves.
 
 use std::collections;
 use std::net;
@@ -9,30 +9,30 @@
 /// An entry VM.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Where it takes callers' requests.
+    /// The address on which it accepts callers' requests.
     pub front: net::SocketAddr,
-    /// Where other entry VMs ask it, if it can be asked.
+    /// The address for other entry VMs, if it accepts their connections.
     pub peers: Option<net::SocketAddr>,
     /// Its availability zone.
     pub az: id::AzId,
-    /// The bandwidth of its link, in Mbit/s; 0 where it does not say.
+    /// The bandwidth of its link, in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
-    /// The usual requests a second that it can carry; 0 where it does not say.
+    /// Its capacity in requests of the usual size per second; 0 if unknown.
     pub requests: u32,
-    /// Whether it has little room for more callers.
+    /// Whether it has little capacity left for more callers.
     pub busy: bool,
-    /// Customers, by the hashes of their names, that have nearly used their quotas as far as it knows.
+    /// Hashes of the names of customers that it counts as close to their quotas.
     pub near_limits: Vec<u64>,
 }
 
-/// The entry VMs by name.
+/// The entry VMs by id.
 #[derive(Clone, Debug, Default)]
 pub struct Entries {
     by_vm: collections::BTreeMap<id::VmId, Known>,
     version: u64,
 }
 
-/// An entry VM with the hash of its name, worked out once.
+/// An entry VM with the precomputed hash of its id.
 #[derive(Clone, Debug)]
 struct Known {
     hash: u64,
@@ -40,7 +40,7 @@
 }
 
 impl Entries {
-    /// Takes one in. Returns whether that changed anything.
+    /// Inserts or updates an entry VM. Returns whether the table changed.
     pub fn put(&mut self, vm: id::VmId, entry: Entry) -> bool {
         if self.get(&vm) == Some(&entry) {
             return false;
@@ -51,42 +51,42 @@
         true
     }
 
-    /// Takes one out. Returns whether it was there.
+    /// Removes an entry VM. Returns whether it was present.
     pub fn remove(&mut self, vm: &id::VmId) -> bool {
         let known = self.by_vm.remove(vm).is_some();
         self.version += u64::from(known);
         known
     }
 
-    /// One of them.
+    /// Looks up an entry VM.
     pub fn get(&self, vm: &id::VmId) -> Option<&Entry> {
         self.by_vm.get(vm).map(|known| &known.entry)
     }
 
-    /// Grows with each change, so that what was worked out from them can be kept until the next.
+    /// A counter of changes, for invalidating results computed from the table.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// All of them, with the hashes of their names.
+    /// Iterates over all entry VMs, with the hashes of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (&id::VmId, u64, &Entry)> {
         self.by_vm
             .iter()
             .map(|(vm, known)| (vm, known.hash, &known.entry))
     }
 
-    /// How many there are.
+    /// The number of entry VMs.
     pub fn len(&self) -> usize {
         self.by_vm.len()
     }
 
-    /// Whether there is none.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.by_vm.is_empty()
     }
 
-    /// All of them as callers may be told of them, with what `told` says of each. `near` says
-    /// whether an availability zone is in the caller's region.
+    /// All entry VMs as candidates for callers, each with its `value`. `in_region` returns whether
+    /// an availability zone is in the caller's region.
     pub fn to_tell<'a, T: 'a>(
         &'a self,
         near: impl Fn(&id::AzId) -> bool + 'a,
--- a/src/state/explain.rs
+++ b/src/state/explain.rs
@@ -1,12 +1,12 @@
-//! The last decisions about single requests, so that each can be explained by its request id.
+//! Recent decisions about single requests, so that each can be explained by its request id.
 //!
-//! Under failure the log holds lines back, and the very request that a caller asks about may be
-//! among them. This ring keeps every decision for a while, whatever the log does.
+//! During failures the log is rate-limited and may omit the request that an operator looks for.
+//! This ring buffer keeps every recent decision independently of the log.
 
 use std::collections;
 use std::time;
 
-/// Decisions that are kept. At some 150 bytes each they stay under 1 MB.
+/// Decisions kept in the ring buffer. At about 150 bytes each they take less than 1 MB.
 const KEPT: usize = 4096;
 
 data! {
@@ -15,23 +15,23 @@
     pub struct Decision {
         /// The request's number in this process.
         pub request: u64,
-        /// When, since the process started, in milliseconds.
+        /// The time of the decision, in milliseconds since the start of the process.
         pub at_ms: u64,
-        /// What was decided, as in the log's `event`.
+        /// The decision, as in the log's `event`.
         pub event: String,
         /// The service.
         pub service: String,
-        /// Why, or where to.
+        /// The reason for the decision or its target.
         pub detail: String,
     }
 }
 
-/// The last decisions, oldest first.
+/// The ring buffer of recent decisions, oldest first.
 #[derive(Debug, Default)]
 pub struct Ring(collections::VecDeque<Decision>);
 
 impl Ring {
-    /// Keeps a decision, and forgets the oldest if there are too many.
+    /// Adds a decision and evicts the oldest one if the buffer is full.
     pub fn keep(
         &mut self,
         request: u64,
@@ -52,7 +52,7 @@
         });
     }
 
-    /// What was decided about a request.
+    /// The decisions about a request, oldest first.
     pub fn about(&self, request: u64) -> Vec<Decision> {
         let same = |decision: &&Decision| decision.request == request;
         self.0.iter().filter(same).cloned().collect()
--- a/src/state/fleet.rs
+++ b/src/state/fleet.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs as the request path reads it.
+//! The platform's list of VMs, in the form that the request path uses.
 
 use std::collections;
 use std::net;
@@ -6,20 +6,20 @@
 use crate::coordination::store;
 use crate::{id, settings};
 
-/// The VMs that are there, by what they do. Replaced whole when the list changes.
+/// The listed VMs by id. The fleet is replaced as a whole when the list changes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fleet {
     vms: collections::BTreeMap<id::VmId, store::Vm>,
 }
 
 impl Fleet {
-    /// The fleet of a list.
+    /// Builds the fleet from a list of VMs.
     pub fn new(vms: Vec<store::Vm>) -> Self {
         let vms = vms.into_iter().map(|vm| (vm.id.clone(), vm)).collect();
         Self { vms }
     }
 
-    /// One VM.
+    /// Looks up a VM.
     pub fn vm(&self, vm: &id::VmId) -> Option<&store::Vm> {
         self.vms.get(vm)
     }
@@ -36,20 +36,20 @@
         })
     }
 
-    /// The entry VMs.
+    /// All entry VMs.
     pub fn entries(&self) -> impl Iterator<Item = &store::Vm> {
         self.vms
             .values()
             .filter(|vm| matches!(vm.role, store::VmRole::Entry { .. }))
     }
 
-    /// The addresses that requests may go to.
+    /// The addresses of all VMs, to which requests may be sent.
     pub fn addrs(&self) -> collections::HashSet<net::SocketAddr> {
         self.vms.values().map(|vm| vm.addr).collect()
     }
 }
 
-/// Whether a drain in the settings covers a VM itself at this time.
+/// Whether a drain in the settings targets this VM at `now_s`, in seconds since 1970.
 pub fn drained(vm: &store::Vm, settings: &settings::Settings, now_s: u64) -> bool {
     settings.drains().any(|drain| {
         let begun = drain.start_s <= now_s;
--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -1,10 +1,10 @@
-//! The keys that were spent at this process, and the answers kept for resends.
+//! Table of the idempotency keys used at this process, and the answers kept for resends.
 //!
-//! What goes wrong without it: a caller's answer is lost, the caller sends the booking again, and
-//! it runs twice. One would notice two entries with one key in a backend server's log. Only this
-//! process decides about keys that begin with its tickets, so a key that is not in the table was
-//! never started. It may be forgotten once its ticket takes no new keys: from then on a key that
-//! is not in the table is refused, so that forgetting cannot cause a second run either.
+//! It guards against duplicate runs. Without it, a request resent after a lost answer would run
+//! twice and appear twice with one key in a backend server's log. Only this process admits keys
+//! that begin with its tickets, so a request whose key is not in the table was never started. A
+//! key may be removed once its ticket accepts no new keys: from then on an unknown key is refused,
+//! so the removal cannot cause a second run.
 
 use std::collections;
 use std::time;
@@ -15,12 +15,12 @@
 /// The bounds of the table.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Keys remembered at a time.
+    /// The maximum number of keys in the table.
     pub keys: usize,
-    /// Bytes of answers kept at a time.
+    /// The maximum bytes of all kept answers.
     pub answer_bytes: usize,
-    /// How long after its issue a ticket takes new keys. A key is remembered for twice that time
-    /// after it ended.
+    /// How long after its issue a ticket accepts new keys. A key is kept for twice that time after
+    /// its request ended.
     pub ttl: time::Duration,
 }
 
@@ -34,27 +34,27 @@
     }
 }
 
-/// How a request under a key ended.
+/// The result of a request with a key.
 #[derive(Clone, Debug)]
 pub enum End {
-    /// With a backend server's answer.
+    /// A backend server answered.
     Answer(backend::Answer),
-    /// With one that is no longer kept.
+    /// A backend server answered, and the answer is no longer kept.
     AnswerGone,
-    /// Without one; it may have run.
+    /// No answer came; the request may have run.
     Unknown(outcome::Problem),
 }
 
-/// What to do with a request that came with a key.
+/// The decision about a request with a key.
 #[derive(Debug)]
 pub enum Admission<W> {
-    /// It is the first: run it, and call [`Keys::end`] when it ended.
+    /// The key is new: run the request, then call [`Keys::end`] or [`Keys::not_run`].
     Run(W),
-    /// The first one is still under way; this one waits for the same end.
+    /// The first request with the key still runs; this one waits for its result.
     Joined,
-    /// The first one ended so.
+    /// The first request with the key has ended with this result.
     Ended(End, W),
-    /// It is turned away.
+    /// The request is refused.
     Refused(outcome::Problem, W),
 }
 
@@ -70,12 +70,12 @@
     state: State<W>,
 }
 
-/// The table. `W` is what waits for the end of a request that was sent twice.
+/// The table of keys. `W` is the waiter of a resent request, notified with its result.
 #[derive(Debug)]
 pub struct Keys<W> {
     limits: Limits,
     spent: collections::HashMap<String, Spent<W>>,
-    /// Ended keys, with the time at which each is forgotten. Times only grow.
+    /// Keys of ended requests with their expiry times, in ascending order of time.
     forget: collections::VecDeque<(policy::Moment, String)>,
     /// Keys whose answers are kept, oldest first.
     answers: collections::VecDeque<String>,
@@ -94,22 +94,22 @@
         }
     }
 
-    /// Keys remembered now.
+    /// The number of keys in the table.
     pub fn len(&self) -> usize {
         self.spent.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.spent.is_empty()
     }
 
-    /// Bytes of answers kept now.
+    /// The bytes of all kept answers.
     pub fn answer_bytes(&self) -> usize {
         self.answer_bytes
     }
 
-    /// Decides about a request that came with a key whose ticket this process issued.
+    /// Decides about a request with a key whose ticket this process issued.
     pub fn admit(
         &mut self,
         now: policy::Moment,
@@ -154,8 +154,8 @@
         if age >= self.limits.ttl * 2 {
             return Err(outcome::Problem::TicketForgotten);
         }
-        // A key is remembered for twice the ticket's lifetime after its end, so one that is not
-        // here within that time of the ticket's issue has not run.
+        // A key stays in the table for twice the ticket's lifetime after its request ended, so a
+        // request whose key is missing within that time of the ticket's issue has not run.
         if age >= self.limits.ttl {
             return Err(outcome::Problem::TicketExpired);
         }
@@ -165,9 +165,9 @@
         Ok(())
     }
 
-    /// The request under a key did not run: the key may be used again. Returns who waits.
+    /// Releases the key of a request that did not run. Returns the waiters.
     pub fn not_run(&mut self, key: &str) -> Vec<W> {
-        // A key that ended stays spent, whatever is said of it later.
+        // The key of an ended request is never released.
         let running = |spent: &&mut Spent<W>| matches!(spent.state, State::Running(_));
         if self.spent.get_mut(key).filter(running).is_none() {
             return Vec::new();
@@ -178,7 +178,7 @@
         }
     }
 
-    /// The request under a key ended. Returns who waits.
+    /// Records the result of the request with a key. Returns the waiters.
     pub fn end(&mut self, now: policy::Moment, key: &str, end: End) -> Vec<W> {
         let Some(spent) = self.spent.get_mut(key) else {
             return Vec::new();
@@ -197,7 +197,7 @@
         waiters
     }
 
-    /// Forgets what may be forgotten.
+    /// Removes the expired keys.
     pub fn expire(&mut self, now: policy::Moment) {
         while self.forget.front().is_some_and(|(when, _)| *when <= now) {
             let Some((_, key)) = self.forget.pop_front() else {
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Drops the oldest answers until the rest fits. Their keys stay spent.
+    /// Evicts the oldest answers until the rest fits the limit. Their keys stay in the table.
     fn shrink(&mut self) {
         while self.answer_bytes > self.limits.answer_bytes {
             let Some(key) = self.answers.pop_front() else {
@@ -233,7 +233,7 @@
     }
 }
 
-/// What keeping an end costs. Headers count too: they may be larger than the body.
+/// The bytes that a kept result takes. Headers count, as they may be larger than the body.
 fn kept_bytes(end: &End) -> usize {
     match end {
         End::Answer(answer) => {
@@ -284,8 +284,8 @@
 
     const PRINT: policy::Fingerprint = policy::Fingerprint(1);
 
-    /// A caller taps twice, or its first answer is lost on a bad line. A table that forgot the
-    /// first would book the bay twice.
+    /// A caller sends a request twice, because the user tapped twice or the first answer was lost.
+    /// Without the key table the request would run twice.
     #[test]
     fn a_key_runs_once() {
         let mut keys = keys(Limits::default());
@@ -302,8 +302,7 @@
         assert!(matches!(again, Admission::Ended(End::Answer(_), 3)));
     }
 
-    /// A key is forgotten at last, and a very late resend of it comes. Taken for new, it would run
-    /// a second time.
+    /// A resend arrives after its key has expired. Treated as new, it would run a second time.
     #[test]
     fn a_forgotten_key_is_refused() {
         let mut keys = keys(Limits::default());
@@ -322,8 +321,8 @@
         assert_eq!((keys.len(), keys.answer_bytes()), (0, 0));
     }
 
-    /// A booking runs early in its ticket's life, and its caller asks again when the ticket has
-    /// just expired. Forgotten by then, the booking would be called not run, and booked anew.
+    /// A request runs early in its ticket's lifetime and is resent just after the ticket expired.
+    /// If its key were removed by then, the resend would be reported as not run and sent anew.
     #[test]
     fn a_key_outlives_its_ticket() {
         let mut keys = keys(Limits::default());
@@ -335,8 +334,8 @@
         }
     }
 
-    /// Many large answers are kept at once. Without a bound the process would run out of memory
-    /// and take every request in flight with it.
+    /// Without a bound on kept answers, many large ones would exhaust the memory of the process,
+    /// and every request in flight would fail.
     #[test]
     fn kept_answers_are_bounded_and_their_keys_stay_spent() {
         let mut keys = keys(Limits {
--- a/src/state/lookup.rs
+++ b/src/state/lookup.rs
@@ -1,10 +1,10 @@
 //! Which region a caller's address lies in: a longest-prefix table.
 //!
-//! Blocks of addresses may nest; the longest that holds an address counts. The table is flattened
-//! once, when it is built, into ranges that do not overlap, each from its start to the next
-//! range's start. A look-up is then a binary search without pointers to follow, and a table of
-//! 1.3 million blocks fits in some 20 MB. A change builds a new table beside the old one; readers
-//! keep the old one until they are done.
+//! Blocks of addresses may nest; the longest prefix that contains an address applies. The blocks
+//! are flattened once, when the table is built, into ranges that do not overlap, each up to the
+//! start of the next. A look-up is a binary search without pointer chasing, and a table of
+//! 1.3 million blocks takes about 20 MB. A change builds a new table beside the old one; readers
+//! finish on the old one.
 
 use std::net;
 
@@ -13,10 +13,10 @@
 /// The target of a range that no block covers.
 const NO_TARGET: u16 = u16::MAX;
 
-/// A block's place in the table could not be kept.
+/// The table of regions cannot be built.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// There are more targets than the table can number.
+    /// There are more targets than the table has numbers for.
     #[error("{0} targets, and the table numbers 65534; name fewer regions or sites")]
     TooManyTargets(usize),
 }
@@ -26,11 +26,11 @@
 pub struct Block {
     /// The addresses.
     pub net: ipnet::IpNet,
-    /// The target, a position in a list that the user of the table keeps.
+    /// The target, an index into a list that the table's user keeps.
     pub target: u16,
 }
 
-/// Ranges of addresses of one family, in order, each up to the start of the next.
+/// Address ranges of one family in ascending order, each up to the start of the next.
 #[derive(Clone, Debug, Default)]
 struct Ranges<A> {
     starts: Vec<A>,
@@ -52,7 +52,7 @@
 }
 
 impl Table {
-    /// Flattens blocks into a table. Of two equal blocks the later one counts.
+    /// Builds a table from blocks. Of two equal blocks the later one applies.
     pub fn build(blocks: &[Block]) -> Self {
         let mut v4 = Vec::new();
         let mut v6 = Vec::new();
@@ -111,13 +111,13 @@
         Ok(Self { names, table })
     }
 
-    /// The region that a caller's address lies in.
+    /// The region of a caller's address.
     pub fn find(&self, addr: net::IpAddr) -> Option<&id::RegionId> {
         self.names.get(usize::from(self.table.find(addr)?))
     }
 }
 
-/// A block of one family.
+/// A block of one address family.
 #[derive(Clone, Copy)]
 struct Span<A> {
     first: A,
@@ -127,8 +127,8 @@
 
 impl<A: Copy + Ord> Ranges<A> {
     fn flatten(mut spans: Vec<Span<A>>, after: impl Fn(A) -> Option<A>) -> Self {
-        // Outer blocks come before the blocks nested in them. The sort is stable, so that of two
-        // equal blocks the later one is nested in the earlier one and covers it.
+        // Outer blocks sort before the blocks nested in them. The sort is stable, so of two equal
+        // blocks the later one counts as nested in the earlier one and overrides it.
         spans.sort_by(|a, b| a.first.cmp(&b.first).then(b.last.cmp(&a.last)));
         let mut ranges = Self {
             starts: Vec::with_capacity(spans.len() + 1),
@@ -150,7 +150,7 @@
         ranges
     }
 
-    /// Ends the innermost open block: what follows belongs to the block around it.
+    /// Closes the innermost open block; the addresses after it belong to the enclosing block.
     fn close(&mut self, open: &mut Vec<Span<A>>, after: &impl Fn(A) -> Option<A>) {
         let Some(inner) = open.pop() else {
             return;
@@ -159,7 +159,7 @@
             return;
         };
         if open.last().is_some_and(|outer| outer.last < next) {
-            // The block around it ends at the same address; closing that one says what follows.
+            // The enclosing block ends at the same address, so closing it sets the next range.
             return;
         }
         self.start(next, open.last().map_or(NO_TARGET, |outer| outer.target));
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,8 +1,8 @@
-//! Shared tables with one stated lock order.
+//! State shared between the threads of an entry VM, with one lock order.
 //!
-//! The order: the desk of a service (its policy and its requests in hand), then [`keys::Keys`].
-//! A thread that holds the second never takes the first. Everything else that is shared is
-//! replaced whole through an `ArcSwap` and needs no lock.
+//! Lock order: first the per-service state (its policy and outstanding requests), then
+//! [`keys::Keys`]. A thread that holds the lock of [`keys::Keys`] never takes the per-service lock.
+//! All other shared state is replaced as a whole through an `ArcSwap` and needs no lock.
 
 pub mod backends;
 pub mod directory;
--- a/src/state/totals.rs
+++ b/src/state/totals.rs
@@ -1,71 +1,71 @@
-//! What became of requests, counted per service, and a bounded memory of past minutes.
+//! Request outcomes counted per service, and a bounded history of one snapshot per minute.
 //!
-//! VMs keep nothing on disk, and the burn report needs windows of up to six hours. So each entry
-//! process keeps its own counts of the last hours in memory, a snapshot a minute, and says how
-//! far back it reaches. A VM that was replaced reaches back to its start only; the report says so
-//! rather than calling the missing time good.
+//! VMs keep no data on disk, and the burn report needs windows of up to six hours. Each entry
+//! process therefore keeps the counts of the last six hours in memory and reports how far back
+//! they reach. The history of a replaced VM starts with its process; the burn report shows the
+//! missing time instead of counting it as good.
 
 use std::collections;
 use std::time;
 
 use crate::{id, metrics};
 
-/// How often a snapshot is taken.
+/// The interval between snapshots.
 const EVERY: time::Duration = time::Duration::from_secs(60);
 
-/// Snapshots that are kept: six hours and the one before.
+/// Snapshots in the history: six hours and the one at their start.
 const KEPT: usize = 361;
 
-/// Services whose past is kept. One snapshot of one service takes some 300 bytes, so that the past
-/// of all of them takes about 7 MB (worked out, not measured).
+/// Services with a history. A snapshot of one service takes about 300 bytes, so the whole history
+/// takes about 7 MB.
 const MOST_SERVICES: usize = metrics::MAX_LABEL_VALUES;
 
-/// Buckets of latency: those of the metrics, and one for all above.
+/// Latency buckets: those of the metrics, and one for all higher latencies.
 const BUCKETS: usize = metrics::LATENCY_BUCKETS.len() + 1;
 
 data! {
-    /// Counts of requests of one service.
+    /// Counts of one service's requests by outcome.
     #[derive(Eq)]
     pub struct Totals {
-        /// Answered by a backend server.
+        /// Requests that a backend server answered with success.
         pub answered: u64,
-        /// Answered, and the backend server says that it failed.
+        /// Requests that a backend server answered with a failure.
         pub failed: u64,
-        /// Not run.
+        /// Requests that did not run.
         pub not_run: u64,
-        /// Perhaps run.
+        /// Requests that may have run.
         pub unknown: u64,
         /// Answers within the objective's latency.
         pub in_time: u64,
-        /// Worth of the answered ones.
+        /// Total worth of the answered requests.
         pub worth_answered: u64,
-        /// Worth of all others.
+        /// Total worth of all other requests.
         pub worth_lost: u64,
-        /// Answers by latency, as in the metrics' buckets, not added up.
+        /// Answers per latency bucket of the metrics, not cumulative.
         pub latency: Vec<u64>,
     }
 
-    /// What became of requests in a window.
+    /// The request counts of a window.
     pub struct Window {
-        /// How far back was asked, in seconds.
+        /// The requested length of the window, in seconds.
         pub asked_s: u64,
-        /// How far back memory reaches, in seconds.
+        /// The length that the history covers, in seconds.
         pub covers_s: u64,
         /// The counts.
         pub totals: Totals,
-        /// The most requests in flight and waiting that a look found.
+        /// The highest observed number of requests in flight and waiting.
         pub peak_in_hand: u64,
     }
 
-    /// What became of requests in one past stretch, for a plot.
+    /// The request counts of one past interval, for a plot.
     pub struct Stretch {
-        /// When it ended, in seconds before now.
+        /// The end of the interval, in seconds before now.
         pub ago_s: u64,
-        /// How long it was, in seconds.
+        /// The length of the interval, in seconds.
         pub lasted_s: u64,
         /// The counts.
         pub totals: Totals,
-        /// The most requests in flight and waiting that a look found.
+        /// The highest observed number of requests in flight and waiting.
         pub peak_in_hand: u64,
     }
 }
@@ -86,24 +86,24 @@
 }
 
 impl Totals {
-    /// All requests.
+    /// The number of all requests.
     pub fn requests(&self) -> u64 {
         self.answered + self.failed + self.not_run + self.unknown
     }
 
-    /// Counts an answer's latency.
+    /// Counts an answer in its latency bucket.
     pub fn took(&mut self, latency: time::Duration) {
         let s = latency.as_secs_f64();
         let bucket = metrics::LATENCY_BUCKETS.partition_point(|upper| *upper < s);
         self.latency[bucket] += 1;
     }
 
-    /// Adds another VM's or minute's counts.
+    /// Adds the counts of another VM or interval.
     pub fn add(&mut self, other: &Self) {
         self.combine(other, u64::saturating_add);
     }
 
-    /// What came since `earlier`.
+    /// The counts since `earlier`.
     pub fn since(&self, earlier: &Self) -> Self {
         let mut diff = self.clone();
         diff.combine(earlier, u64::saturating_sub);
@@ -127,9 +127,9 @@
         }
     }
 
-    /// The latency that a share of answers stayed within, in seconds; `None` without answers. The
-    /// value is a bucket's upper bound, so it is never too small but may be twice too large,
-    /// and three times above 2 s.
+    /// The latency quantile for `share`, in seconds; `None` without answers. The value is the upper
+    /// bound of a bucket, so it is never too small, but may be up to twice the true value, and up
+    /// to three times above 2 s.
     pub fn quantile(&self, share: f64) -> Option<f64> {
         let all: u64 = self.latency.iter().sum();
         if all == 0 {
@@ -154,7 +154,7 @@
     peaks: collections::BTreeMap<id::ServiceId, u64>,
 }
 
-/// The counts of each service, now and in past minutes.
+/// The current counts of each service and their past snapshots.
 #[derive(Debug, Default)]
 pub struct History {
     now: collections::BTreeMap<id::ServiceId, Totals>,
@@ -163,7 +163,7 @@
 }
 
 impl History {
-    /// The counts of a service, to be added to. `None` where there are too many services.
+    /// The current counts of a service for modification; `None` if there are too many services.
     pub fn totals(&mut self, service: &id::ServiceId) -> Option<&mut Totals> {
         if !self.now.contains_key(service) {
             if self.now.len() >= MOST_SERVICES {
@@ -174,12 +174,12 @@
         self.now.get_mut(service)
     }
 
-    /// Services that were counted.
+    /// The services with counts.
     pub fn services(&self) -> impl Iterator<Item = &id::ServiceId> {
         self.now.keys()
     }
 
-    /// Notes how many requests of a service are in hand.
+    /// Records the current number of a service's requests in flight and waiting.
     pub fn in_hand(&mut self, service: &id::ServiceId, count: u64) {
         if self.totals(service).is_some() {
             let peak = self.peaks.entry(service.clone()).or_default();
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Takes a snapshot if one is due. The first one, at the start, is of nothing.
+    /// Takes a snapshot if one is due. The first one, at the process start, is empty.
     pub fn tick(&mut self, at: time::Duration) {
         let due = self.past.back().is_none_or(|last| at >= last.at + EVERY);
         if !due {
@@ -203,8 +203,8 @@
         });
     }
 
-    /// What became of a service's requests in the last `asked_s` seconds, or as far back as
-    /// memory reaches.
+    /// A service's request counts of the last `asked_s` seconds, or of the whole history if that is
+    /// shorter.
     pub fn window(&self, service: &id::ServiceId, at: time::Duration, asked_s: u64) -> Window {
         let from = at.saturating_sub(time::Duration::from_secs(asked_s));
         let older = self.past.iter().rev().find(|snapshot| snapshot.at <= from);
@@ -232,7 +232,7 @@
         }
     }
 
-    /// At most `most` stretches of a service's past, oldest first.
+    /// A service's history in at most `max_count` intervals, oldest first.
     pub fn stretches(
         &self,
         service: &id::ServiceId,
@@ -290,7 +290,7 @@
         assert_eq!(window.totals.quantile(0.99), Some(0.005));
     }
 
-    /// A VM was replaced ten minutes ago. Its six hours are ten minutes, and it says so.
+    /// The history of a VM that started ten minutes ago covers only ten minutes of six hours.
     #[test]
     fn a_window_tells_how_far_back_it_reaches() {
         let window = run(10).window(&"ledger".into(), minute(10), 21_600);
