--- a/src/state/backends.rs
+++ b/src/state/backends.rs
@@ -48,14 +48,14 @@
 
 /// The report age up to which a reported load counts in full. A request on a warm backend server
 /// takes 0.15 to 0.6 s, so about half of the reported requests have ended after 0.5 s.
-const FRESH: f64 = 0.5;
+const FULL_WEIGHT_AGE_S: f64 = 0.5;
 
 /// The report age from which a reported load no longer counts.
-const STALE: f64 = 1.5;
+const ZERO_WEIGHT_AGE_S: f64 = 1.5;
 
 /// Backend servers sampled for a request without an object. The least loaded of 16 is nearly the
 /// least loaded of all, and the cost grows with each sampled server.
-const DRAWN: usize = 16;
+const SAMPLE_SIZE: usize = 16;
 
 /// A backend server.
 #[derive(Clone, Debug)]
@@ -99,8 +99,9 @@
     /// The estimated number of requests that run or wait on it.
     pub fn load(&self, now: policy::Moment) -> f64 {
         let age = now.saturating_sub(self.report.at).as_secs_f64();
-        let fresh = ((STALE - age) / (STALE - FRESH)).clamp(0.0, 1.0);
-        f64::from(self.in_flight) + self.report.others * fresh
+        let weight =
+            ((ZERO_WEIGHT_AGE_S - age) / (ZERO_WEIGHT_AGE_S - FULL_WEIGHT_AGE_S)).clamp(0.0, 1.0);
+        f64::from(self.in_flight) + self.report.others * weight
     }
 
     /// Records the running and waiting requests that an answer reported, including this VM's.
@@ -135,10 +136,10 @@
 }
 
 impl Side<'_> {
-    fn holds(self, own: &Option<id::RegionId>, region: &Option<id::RegionId>) -> bool {
+    fn contains(self, local: &Option<id::RegionId>, region: &Option<id::RegionId>) -> bool {
         match self {
-            Side::Near => own == region,
-            Side::Far => own != region,
+            Side::Near => local == region,
+            Side::Far => local != region,
             Side::In(one) => region.as_ref() == Some(one),
         }
     }
@@ -147,26 +148,26 @@
 /// The backend servers of one service.
 #[derive(Debug, Default)]
 struct Group {
-    names: Vec<id::VmId>,
-    near: orders::PreferenceOrders<id::VmId>,
-    far: orders::PreferenceOrders<id::VmId>,
+    ids: Vec<id::VmId>,
+    local: orders::PreferenceOrders<id::VmId>,
+    remote: orders::PreferenceOrders<id::VmId>,
     /// The backend servers of `remote` by region.
     regions: collections::HashMap<id::RegionId, orders::PreferenceOrders<id::VmId>>,
 }
 
 impl Group {
-    fn side(&self, side: Side<'_>) -> Option<&orders::PreferenceOrders<id::VmId>> {
-        match side {
-            Side::Near => Some(&self.near),
-            Side::Far => Some(&self.far),
+    fn scope(&self, scope: Side<'_>) -> Option<&orders::PreferenceOrders<id::VmId>> {
+        match scope {
+            Side::Near => Some(&self.local),
+            Side::Far => Some(&self.remote),
             Side::In(region) => self.regions.get(region),
         }
     }
 
-    fn side_mut(&mut self, side: Side<'_>) -> Option<&mut orders::PreferenceOrders<id::VmId>> {
-        match side {
-            Side::Near => Some(&mut self.near),
-            Side::Far => Some(&mut self.far),
+    fn scope_mut(&mut self, scope: Side<'_>) -> Option<&mut orders::PreferenceOrders<id::VmId>> {
+        match scope {
+            Side::Near => Some(&mut self.local),
+            Side::Far => Some(&mut self.remote),
             Side::In(region) => self.regions.get_mut(region),
         }
     }
@@ -174,15 +175,15 @@
     /// The preference orders that contain a region's backend servers.
     fn orders_of(
         &mut self,
-        near: bool,
+        is_local: bool,
         region: &Option<id::RegionId>,
     ) -> impl Iterator<Item = &mut orders::PreferenceOrders<id::VmId>> {
-        let (all, one) = match (near, region) {
-            (true, _) => (&mut self.near, None),
-            (false, None) => (&mut self.far, None),
+        let (all, one) = match (is_local, region) {
+            (true, _) => (&mut self.local, None),
+            (false, None) => (&mut self.remote, None),
             (false, Some(region)) => {
                 let one = self.regions.entry(region.clone()).or_default();
-                (&mut self.far, Some(one))
+                (&mut self.remote, Some(one))
             }
         };
         std::iter::once(all).chain(one)
@@ -192,16 +193,16 @@
 /// All backend servers by VM id and by service.
 #[derive(Debug, Default)]
 pub struct Backends {
-    own: Option<id::RegionId>,
+    local_region: Option<id::RegionId>,
     by_id: collections::HashMap<id::VmId, Backend>,
     by_service: collections::HashMap<id::ServiceId, Group>,
 }
 
 impl Backends {
     /// An empty table for a VM in `local_region`.
-    pub fn new(own: Option<id::RegionId>) -> Self {
+    pub fn new(local_region: Option<id::RegionId>) -> Self {
         Self {
-            own,
+            local_region,
             ..Self::default()
         }
     }
@@ -210,15 +211,15 @@
     pub fn put(&mut self, name: &id::VmId, listed: Listed, region: Option<id::RegionId>) -> bool {
         let known = self.by_id.get(name);
         if known.is_some_and(|known| known.listed.service == listed.service) {
-            self.update(name, listed, region);
+            self.update_listed(name, listed, region);
             return false;
         }
         self.remove(name);
         let hash = affinity::hash(name.as_str().as_bytes());
-        let near = self.own == region;
+        let is_local = self.local_region == region;
         let group = self.by_service.entry(listed.service.clone()).or_default();
-        group.names.push(name.clone());
-        for order in group.orders_of(near, &region) {
+        group.ids.push(name.clone());
+        for order in group.orders_of(is_local, &region) {
             order.add(name, hash, f64::from(listed.slots));
         }
         let backend = Backend {
@@ -239,17 +240,17 @@
     }
 
     /// Updates the properties of a backend server whose service is unchanged.
-    fn update(&mut self, name: &id::VmId, listed: Listed, region: Option<id::RegionId>) {
+    fn update_listed(&mut self, name: &id::VmId, listed: Listed, region: Option<id::RegionId>) {
         let Some(known) = self.by_id.get_mut(name) else {
             return;
         };
         if (&known.region, known.listed.slots) != (&region, listed.slots)
             && let Some(group) = self.by_service.get_mut(&listed.service)
         {
-            for order in group.orders_of(self.own == known.region, &known.region) {
+            for order in group.orders_of(self.local_region == known.region, &known.region) {
                 order.remove(name);
             }
-            for order in group.orders_of(self.own == region, &region) {
+            for order in group.orders_of(self.local_region == region, &region) {
                 order.add(name, known.hash, f64::from(listed.slots));
             }
         }
@@ -259,30 +260,30 @@
 
     /// Removes a backend server and returns it.
     pub fn remove(&mut self, name: &id::VmId) -> Option<Backend> {
-        let gone = self.by_id.remove(name)?;
-        if let Some(group) = self.by_service.get_mut(&gone.listed.service) {
-            group.names.retain(|n| n != name);
-            for order in group.orders_of(self.own == gone.region, &gone.region) {
+        let removed = self.by_id.remove(name)?;
+        if let Some(group) = self.by_service.get_mut(&removed.listed.service) {
+            group.ids.retain(|n| n != name);
+            for order in group.orders_of(self.local_region == removed.region, &removed.region) {
                 order.remove(name);
             }
         }
-        Some(gone)
+        Some(removed)
     }
 
     /// The head of an object's preference order within `scope`, see
     /// [`orders::PreferenceOrders::first`].
-    pub fn first(&mut self, service: &id::ServiceId, side: Side<'_>, key: u64) -> Vec<id::VmId> {
+    pub fn first(&mut self, service: &id::ServiceId, scope: Side<'_>, key: u64) -> Vec<id::VmId> {
         let group = self.by_service.get_mut(service);
-        match group.and_then(|group| group.side_mut(side)) {
+        match group.and_then(|group| group.scope_mut(scope)) {
             Some(order) => order.first(key).cloned().collect(),
             None => Vec::new(),
         }
     }
 
     /// A sample of the backend servers within `scope`, see [`orders::PreferenceOrders::sample`].
-    pub fn some(&self, service: &id::ServiceId, side: Side<'_>, tie: u64) -> Vec<id::VmId> {
-        match self.order(service, side) {
-            Some(order) => order.sample(tie, DRAWN).cloned().collect(),
+    pub fn some(&self, service: &id::ServiceId, scope: Side<'_>, tie: u64) -> Vec<id::VmId> {
+        match self.order(service, scope) {
+            Some(order) => order.sample(tie, SAMPLE_SIZE).cloned().collect(),
             None => Vec::new(),
         }
     }
@@ -290,24 +291,24 @@
     fn order(
         &self,
         service: &id::ServiceId,
-        side: Side<'_>,
+        scope: Side<'_>,
     ) -> Option<&orders::PreferenceOrders<id::VmId>> {
-        self.by_service.get(service)?.side(side)
+        self.by_service.get(service)?.scope(scope)
     }
 
     /// The number of a service's backend servers within `scope`.
-    pub fn count_on(&self, service: &id::ServiceId, side: Side<'_>) -> usize {
-        self.order(service, side).map_or(0, |order| order.len())
+    pub fn count_on(&self, service: &id::ServiceId, scope: Side<'_>) -> usize {
+        self.order(service, scope).map_or(0, |order| order.len())
     }
 
     /// A service's backend servers within `scope`.
     pub fn on<'a>(
         &'a self,
         service: &id::ServiceId,
-        side: Side<'a>,
+        scope: Side<'a>,
     ) -> impl Iterator<Item = &'a Backend> {
         self.of(service)
-            .filter(move |b| side.holds(&self.own, &b.region))
+            .filter(move |b| scope.contains(&self.local_region, &b.region))
     }
 
     /// Looks up a backend server.
@@ -325,7 +326,7 @@
         self.by_service
             .get(service)
             .into_iter()
-            .flat_map(|group| &group.names)
+            .flat_map(|group| &group.ids)
             .filter_map(|name| self.by_id.get(name))
     }
 
--- a/src/state/directory.rs
+++ b/src/state/directory.rs
@@ -15,11 +15,11 @@
 use crate::{id, settings};
 
 /// VMs returned per availability zone. With two, a caller has another VM when one is down.
-const PER_AZ: usize = 2;
+const MAX_VMS_PER_AZ: usize = 2;
 
 /// VMs returned in total: enough for every availability zone of the nearest two regions, at the
 /// current and the expected size of regions.
-const IN_ALL: usize = 16;
+const MAX_VMS: usize = 16;
 
 /// A caller's look-up of entry VMs.
 #[derive(Clone, Copy, Debug)]
@@ -38,13 +38,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     azs: collections::BTreeMap<id::AzId, Vec<lookup::EntryVm>>,
-    orders: collections::BTreeMap<id::RegionId, Vec<Row>>,
-    anywhere: Vec<Row>,
+    orders: collections::BTreeMap<id::RegionId, Vec<ZoneDistance>>,
+    unknown_region: Vec<ZoneDistance>,
 }
 
 /// An availability zone and its distance.
 #[derive(Clone, Debug)]
-struct Row {
+struct ZoneDistance {
     distance: Distance,
     az: id::AzId,
 }
@@ -76,7 +76,7 @@
             });
         }
         let order = |from: Option<&id::RegionId>| {
-            let row = |az: &id::AzId| Row {
+            let row = |az: &id::AzId| ZoneDistance {
                 distance: distance(settings, from, az),
                 az: az.clone(),
             };
@@ -88,7 +88,7 @@
         let orders = regions.map(|region| (region.name.clone(), order(Some(&region.name))));
         Self {
             orders: orders.collect(),
-            anywhere: order(None),
+            unknown_region: order(None),
             azs,
         }
     }
@@ -101,52 +101,57 @@
     /// order all callers would use the first VM and leave the second idle. With a random order,
     /// each caller's connections and tickets would spread over all VMs.
     pub fn name(&self, asks: &Asks<'_>) -> Vec<lookup::EntryVm> {
-        let mut named = Vec::with_capacity(IN_ALL);
+        let mut selected = Vec::with_capacity(MAX_VMS);
         for az in asks.first {
-            self.name_az(az, asks.caller, &mut named);
+            self.add_az(az, asks.caller, &mut selected);
         }
         let order = asks.region.and_then(|region| self.orders.get(region));
-        let mut rest = order.unwrap_or(&self.anywhere).as_slice();
+        let mut rest = order.unwrap_or(&self.unknown_region).as_slice();
         while let Some(row) = rest.first() {
-            if named.len() >= IN_ALL {
+            if selected.len() >= MAX_VMS {
                 break;
             }
-            let equals = rest.partition_point(|other| other.distance == row.distance);
-            let (now, later) = rest.split_at(equals);
-            self.name_equals(now, asks, &mut named);
-            rest = later;
+            let tied = rest.partition_point(|other| other.distance == row.distance);
+            let (nearest, farther) = rest.split_at(tied);
+            self.add_equidistant(nearest, asks, &mut selected);
+            rest = farther;
         }
-        named.truncate(IN_ALL);
-        named
+        selected.truncate(MAX_VMS);
+        selected
     }
 
-    fn name_equals(&self, rows: &[Row], asks: &Asks<'_>, named: &mut Vec<lookup::EntryVm>) {
+    fn add_equidistant(
+        &self,
+        rows: &[ZoneDistance],
+        asks: &Asks<'_>,
+        selected: &mut Vec<lookup::EntryVm>,
+    ) {
         let mut azs: Vec<_> = rows
             .iter()
             .filter(|row| !asks.first.contains(&row.az))
             .map(|row| {
                 let other = row.az != *asks.az || row.distance != Distance::Near;
-                ((other, weight(asks.caller, row.az.as_str())), &row.az)
+                ((other, caller_hash(asks.caller, row.az.as_str())), &row.az)
             })
             .collect();
         azs.sort_unstable_by_key(|(rank, _)| *rank);
         for (_, az) in azs {
-            if named.len() >= IN_ALL {
+            if selected.len() >= MAX_VMS {
                 return;
             }
-            self.name_az(az, asks.caller, named);
+            self.add_az(az, asks.caller, selected);
         }
     }
 
-    fn name_az(&self, az: &id::AzId, caller: net::IpAddr, named: &mut Vec<lookup::EntryVm>) {
+    fn add_az(&self, az: &id::AzId, caller: net::IpAddr, selected: &mut Vec<lookup::EntryVm>) {
         let Some(vms) = self.azs.get(az) else {
             return;
         };
         // Rotating the list by the caller's hash takes constant time for any size of the zone.
-        let start = weight(caller, az.as_str()) % vms.len() as u64;
+        let start = caller_hash(caller, az.as_str()) % vms.len() as u64;
         let start = usize::try_from(start).unwrap_or(0);
-        let turned = vms[start..].iter().chain(&vms[..start]);
-        named.extend(turned.take(PER_AZ).cloned());
+        let rotated = vms[start..].iter().chain(&vms[..start]);
+        selected.extend(rotated.take(MAX_VMS_PER_AZ).cloned());
     }
 }
 
@@ -167,7 +172,7 @@
 }
 
 /// A hash of a caller and a name, evenly distributed over both.
-fn weight(caller: net::IpAddr, name: &str) -> u64 {
+fn caller_hash(caller: net::IpAddr, name: &str) -> u64 {
     let mut hasher = hash::DefaultHasher::new();
     hash::Hash::hash(&(caller, name), &mut hasher);
     hasher.finish()
@@ -199,7 +204,7 @@
         Directory::build(settings, &fleet::Fleet::new(vms.collect()), 0)
     }
 
-    fn named(per_az: usize, caller: [u8; 4], region: &str, az: &str) -> Vec<lookup::EntryVm> {
+    fn lookup_vms(per_az: usize, caller: [u8; 4], region: &str, az: &str) -> Vec<lookup::EntryVm> {
         directory(&cooperative(), per_az).name(&Asks {
             caller: caller.into(),
             region: Some(&region.into()),
@@ -209,18 +214,18 @@
     }
 
     #[test]
-    fn the_callers_region_comes_first_and_in_it_the_zone_that_was_asked() {
-        let found = named(2, [10, 0, 0, 1], "khovd", "khovd-b");
+    fn the_callers_region_and_the_receiving_zone_come_first() {
+        let found = lookup_vms(2, [10, 0, 0, 1], "khovd", "khovd-b");
         assert_eq!(found.len(), 12);
         assert!(found[..2].iter().all(|vm| vm.az.as_str() == "khovd-b"));
         assert!(found[2..4].iter().all(|vm| vm.az.as_str() == "khovd-a"));
-        let found = named(2, [10, 0, 0, 1], "khovd", "ub-a");
+        let found = lookup_vms(2, [10, 0, 0, 1], "khovd", "ub-a");
         let in_khovd = |vm: &lookup::EntryVm| vm.az.as_str().starts_with("khovd");
         assert!(found[..4].iter().all(in_khovd));
     }
 
     #[test]
-    fn zones_that_come_first_are_named_once() {
+    fn preferred_zones_are_returned_once() {
         let directory = directory(&cooperative(), 2);
         let first = ["dornod-a".into()];
         let found = directory.name(&Asks {
@@ -237,12 +242,12 @@
     /// When a whole region is lost, callers whose list held only that region could reach no VM.
     #[test]
     fn a_large_region_leaves_room_for_another() {
-        let found = named(100, [10, 0, 0, 1], "khovd", "khovd-b");
+        let found = lookup_vms(100, [10, 0, 0, 1], "khovd", "khovd-b");
         let elsewhere = found
             .iter()
             .filter(|vm| !vm.az.as_str().starts_with("khovd"));
         assert!(elsewhere.count() >= 4);
-        assert!(found.len() <= IN_ALL);
+        assert!(found.len() <= MAX_VMS);
     }
 
     /// If every caller got the same VM of a zone first, that VM would carry the load of all callers
@@ -251,9 +256,9 @@
     fn callers_spread_over_the_entry_vms_of_a_zone() {
         let mut first = collections::BTreeMap::new();
         for i in 0..=255 {
-            let found = named(2, [10, 0, 0, i], "dornod", "dornod-a");
+            let found = lookup_vms(2, [10, 0, 0, i], "dornod", "dornod-a");
             *first.entry(found[0].vm.clone()).or_insert(0) += 1;
-            assert_eq!(found, named(2, [10, 0, 0, i], "dornod", "dornod-a"));
+            assert_eq!(found, lookup_vms(2, [10, 0, 0, i], "dornod", "dornod-a"));
         }
         assert_eq!(first.len(), 2);
         assert!(first.values().all(|count| *count > 90), "{first:?}");
--- a/src/state/entries.rs
+++ b/src/state/entries.rs
@@ -28,13 +28,13 @@
 /// The entry VMs by id.
 #[derive(Clone, Debug, Default)]
 pub struct Entries {
-    by_vm: collections::BTreeMap<id::VmId, Known>,
+    by_vm: collections::BTreeMap<id::VmId, HashedEntry>,
     version: u64,
 }
 
 /// An entry VM with the precomputed hash of its id.
 #[derive(Clone, Debug)]
-struct Known {
+struct HashedEntry {
     hash: u64,
     entry: Entry,
 }
@@ -46,21 +46,21 @@
             return false;
         }
         let hash = affinity::hash(vm.as_str().as_bytes());
-        self.by_vm.insert(vm, Known { hash, entry });
+        self.by_vm.insert(vm, HashedEntry { hash, entry });
         self.version += 1;
         true
     }
 
     /// Removes an entry VM. Returns whether it was present.
     pub fn remove(&mut self, vm: &id::VmId) -> bool {
-        let known = self.by_vm.remove(vm).is_some();
-        self.version += u64::from(known);
-        known
+        let removed = self.by_vm.remove(vm).is_some();
+        self.version += u64::from(removed);
+        removed
     }
 
     /// Looks up an entry VM.
     pub fn get(&self, vm: &id::VmId) -> Option<&Entry> {
-        self.by_vm.get(vm).map(|known| &known.entry)
+        self.by_vm.get(vm).map(|hashed| &hashed.entry)
     }
 
     /// A counter of changes, for invalidating results computed from the table.
@@ -72,7 +72,7 @@
     pub fn iter(&self) -> impl Iterator<Item = (&id::VmId, u64, &Entry)> {
         self.by_vm
             .iter()
-            .map(|(vm, known)| (vm, known.hash, &known.entry))
+            .map(|(vm, hashed)| (vm, hashed.hash, &hashed.entry))
     }
 
     /// The number of entry VMs.
@@ -89,17 +89,17 @@
     /// an availability zone is in the caller's region.
     pub fn to_tell<'a, T: 'a>(
         &'a self,
-        near: impl Fn(&id::AzId) -> bool + 'a,
-        told: impl Fn(&id::VmId, u64, &Entry) -> T + 'a,
+        in_region: impl Fn(&id::AzId) -> bool + 'a,
+        value: impl Fn(&id::VmId, u64, &Entry) -> T + 'a,
     ) -> impl Iterator<Item = entry_selection::Candidate<'a, T>> {
         self.iter()
             .map(move |(vm, hash, entry)| entry_selection::Candidate {
-                in_region: near(&entry.az),
+                in_region: in_region(&entry.az),
                 az: &entry.az,
                 requests_per_s: entry.requests,
                 busy: entry.busy,
                 hash,
-                value: told(vm, hash, entry),
+                value: value(vm, hash, entry),
             })
     }
 }
--- a/src/state/explain.rs
+++ b/src/state/explain.rs
@@ -7,7 +7,7 @@
 use std::time;
 
 /// Decisions kept in the ring buffer. At about 150 bytes each they take less than 1 MB.
-const KEPT: usize = 4096;
+const MAX_DECISIONS: usize = 4096;
 
 data! {
     /// One decision about one request.
@@ -40,7 +40,7 @@
         service: &str,
         detail: &str,
     ) {
-        if self.0.len() >= KEPT {
+        if self.0.len() >= MAX_DECISIONS {
             self.0.pop_front();
         }
         self.0.push_back(Decision {
@@ -64,12 +64,12 @@
     use super::*;
 
     #[test]
-    fn the_oldest_decisions_make_room() {
+    fn a_full_buffer_evicts_the_oldest_decisions() {
         let mut ring = Ring::default();
         for n in 0..10_000 {
             ring.keep(n, time::Duration::ZERO, "refused", "ledger", "overload");
         }
-        assert_eq!(ring.0.len(), KEPT);
+        assert_eq!(ring.0.len(), MAX_DECISIONS);
         assert!(ring.about(0).is_empty());
         assert_eq!(ring.about(9_999)[0].detail, "overload");
     }
--- a/src/state/fleet.rs
+++ b/src/state/fleet.rs
@@ -52,9 +52,9 @@
 /// Whether a drain in the settings targets this VM at `now_s`, in seconds since 1970.
 pub fn drained(vm: &store::Vm, settings: &settings::Settings, now_s: u64) -> bool {
     settings.drains().any(|drain| {
-        let begun = drain.start_s <= now_s;
-        let over = drain.end_s.is_some_and(|end| end <= now_s);
-        let covers = matches!(&drain.target, settings::DrainTarget::Vm(of) if *of == vm.id);
-        covers && begun && !over
+        let started = drain.start_s <= now_s;
+        let ended = drain.end_s.is_some_and(|end| end <= now_s);
+        let targets_vm = matches!(&drain.target, settings::DrainTarget::Vm(of) if *of == vm.id);
+        targets_vm && started && !ended
     })
 }
--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -65,7 +65,7 @@
 }
 
 #[derive(Debug)]
-struct Spent<W> {
+struct KeyRecord<W> {
     fingerprint: policy::Fingerprint,
     state: State<W>,
 }
@@ -74,9 +74,9 @@
 #[derive(Debug)]
 pub struct Keys<W> {
     limits: Limits,
-    spent: collections::HashMap<String, Spent<W>>,
+    records: collections::HashMap<String, KeyRecord<W>>,
     /// Keys of ended requests with their expiry times, in ascending order of time.
-    forget: collections::VecDeque<(policy::Moment, String)>,
+    expiries: collections::VecDeque<(policy::Moment, String)>,
     /// Keys whose answers are kept, oldest first.
     answers: collections::VecDeque<String>,
     answer_bytes: usize,
@@ -87,8 +87,8 @@
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
-            spent: collections::HashMap::new(),
-            forget: collections::VecDeque::new(),
+            records: collections::HashMap::new(),
+            expiries: collections::VecDeque::new(),
             answers: collections::VecDeque::new(),
             answer_bytes: 0,
         }
@@ -96,12 +96,12 @@
 
     /// The number of keys in the table.
     pub fn len(&self) -> usize {
-        self.spent.len()
+        self.records.len()
     }
 
     /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
-        self.spent.is_empty()
+        self.records.is_empty()
     }
 
     /// The bytes of all kept answers.
@@ -118,11 +118,11 @@
         waiter: W,
     ) -> Admission<W> {
         self.expire(now);
-        if let Some(spent) = self.spent.get_mut(&key.text) {
-            if spent.fingerprint != fingerprint {
+        if let Some(record) = self.records.get_mut(&key.text) {
+            if record.fingerprint != fingerprint {
                 return Admission::Refused(outcome::Problem::KeyReused, waiter);
             }
-            return match &mut spent.state {
+            return match &mut record.state {
                 State::Running(waiters) => {
                     waiters.push(waiter);
                     Admission::Joined
@@ -130,18 +130,18 @@
                 State::Ended(end) => Admission::Ended(end.clone(), waiter),
             };
         }
-        if let Err(problem) = self.first_sight(now, &key.ticket) {
+        if let Err(problem) = self.check_new_key(now, &key.ticket) {
             return Admission::Refused(problem, waiter);
         }
-        let spent = Spent {
+        let record = KeyRecord {
             fingerprint,
             state: State::Running(Vec::new()),
         };
-        self.spent.insert(key.text.clone(), spent);
+        self.records.insert(key.text.clone(), record);
         Admission::Run(waiter)
     }
 
-    fn first_sight(
+    fn check_new_key(
         &self,
         now: policy::Moment,
         ticket: &ticket::Ticket,
@@ -159,7 +159,7 @@
         if age >= self.limits.ttl {
             return Err(outcome::Problem::TicketExpired);
         }
-        if self.spent.len() >= self.limits.keys {
+        if self.records.len() >= self.limits.keys {
             return Err(outcome::Problem::KeysFull);
         }
         Ok(())
@@ -168,11 +168,11 @@
     /// Releases the key of a request that did not run. Returns the waiters.
     pub fn not_run(&mut self, key: &str) -> Vec<W> {
         // The key of an ended request is never released.
-        let running = |spent: &&mut Spent<W>| matches!(spent.state, State::Running(_));
-        if self.spent.get_mut(key).filter(running).is_none() {
+        let running = |record: &&mut KeyRecord<W>| matches!(record.state, State::Running(_));
+        if self.records.get_mut(key).filter(running).is_none() {
             return Vec::new();
         }
-        match self.spent.remove(key).map(|spent| spent.state) {
+        match self.records.remove(key).map(|record| record.state) {
             Some(State::Running(waiters)) => waiters,
             _ => Vec::new(),
         }
@@ -180,31 +180,32 @@
 
     /// Records the result of the request with a key. Returns the waiters.
     pub fn end(&mut self, now: policy::Moment, key: &str, end: End) -> Vec<W> {
-        let Some(spent) = self.spent.get_mut(key) else {
+        let Some(record) = self.records.get_mut(key) else {
             return Vec::new();
         };
-        let bytes = kept_bytes(&end);
-        let State::Running(waiters) = std::mem::replace(&mut spent.state, State::Ended(end)) else {
+        let bytes = end_bytes(&end);
+        let State::Running(waiters) = std::mem::replace(&mut record.state, State::Ended(end))
+        else {
             return Vec::new();
         };
         if bytes > 0 {
             self.answer_bytes += bytes;
             self.answers.push_back(key.to_owned());
         }
-        self.forget
+        self.expiries
             .push_back((now + self.limits.ttl * 2, key.to_owned()));
-        self.shrink();
+        self.evict_answers();
         waiters
     }
 
     /// Removes the expired keys.
     pub fn expire(&mut self, now: policy::Moment) {
-        while self.forget.front().is_some_and(|(when, _)| *when <= now) {
-            let Some((_, key)) = self.forget.pop_front() else {
+        while self.expiries.front().is_some_and(|(when, _)| *when <= now) {
+            let Some((_, key)) = self.expiries.pop_front() else {
                 return;
             };
-            if let Some(spent) = self.spent.remove(&key) {
-                self.answer_bytes -= state_bytes(&spent.state);
+            if let Some(record) = self.records.remove(&key) {
+                self.answer_bytes -= state_bytes(&record.state);
             }
             if self.answers.front() == Some(&key) {
                 self.answers.pop_front();
@@ -213,14 +214,14 @@
     }
 
     /// Evicts the oldest answers until the rest fits the limit. Their keys stay in the table.
-    fn shrink(&mut self) {
+    fn evict_answers(&mut self) {
         while self.answer_bytes > self.limits.answer_bytes {
             let Some(key) = self.answers.pop_front() else {
                 return;
             };
-            if let Some(spent) = self.spent.get_mut(&key) {
-                self.answer_bytes -= state_bytes(&spent.state);
-                spent.state = State::Ended(End::AnswerGone);
+            if let Some(record) = self.records.get_mut(&key) {
+                self.answer_bytes -= state_bytes(&record.state);
+                record.state = State::Ended(End::AnswerGone);
             }
         }
     }
@@ -228,13 +229,13 @@
 
 fn state_bytes<W>(state: &State<W>) -> usize {
     match state {
-        State::Ended(end) => kept_bytes(end),
+        State::Ended(end) => end_bytes(end),
         State::Running(_) => 0,
     }
 }
 
 /// The bytes that a kept result takes. Headers count, as they may be larger than the body.
-fn kept_bytes(end: &End) -> usize {
+fn end_bytes(end: &End) -> usize {
     match end {
         End::Answer(answer) => {
             let headers: usize = answer
@@ -304,7 +305,7 @@
 
     /// A resend arrives after its key has expired. Treated as new, it would run a second time.
     #[test]
-    fn a_forgotten_key_is_refused() {
+    fn an_expired_key_is_refused() {
         let mut keys = keys(Limits::default());
         let _ = keys.admit(at(59), &key(1), PRINT, 1);
         keys.end(at(60), &key(1).text, answer(3));
@@ -324,7 +325,7 @@
     /// A request runs early in its ticket's lifetime and is resent just after the ticket expired.
     /// If its key were removed by then, the resend would be reported as not run and sent anew.
     #[test]
-    fn a_key_outlives_its_ticket() {
+    fn a_key_is_kept_longer_than_its_ticket() {
         let mut keys = keys(Limits::default());
         let _ = keys.admit(at(1), &key(1), PRINT, 1);
         keys.end(at(2), &key(1).text, answer(3));
@@ -337,7 +338,7 @@
     /// Without a bound on kept answers, many large ones would exhaust the memory of the process,
     /// and every request in flight would fail.
     #[test]
-    fn kept_answers_are_bounded_and_their_keys_stay_spent() {
+    fn kept_answers_are_bounded_and_their_keys_stay_in_use() {
         let mut keys = keys(Limits {
             answer_bytes: 1000,
             ttl: TTL,
@@ -355,7 +356,7 @@
     }
 
     #[test]
-    fn another_request_under_a_spent_key_is_an_error() {
+    fn another_request_with_a_used_key_is_refused() {
         let mut keys = keys(Limits::default());
         let _ = keys.admit(at(1), &key(1), PRINT, 1);
         let other = keys.admit(at(1), &key(1), policy::Fingerprint(2), 2);
@@ -366,7 +367,7 @@
     }
 
     #[test]
-    fn a_request_that_did_not_run_may_come_again() {
+    fn a_request_that_did_not_run_may_be_resent() {
         let mut keys = keys(Limits::default());
         let _ = keys.admit(at(1), &key(1), PRINT, 1);
         assert_eq!(keys.not_run(&key(1).text), Vec::<u32>::new());
--- a/src/state/lookup.rs
+++ b/src/state/lookup.rs
@@ -199,7 +199,7 @@
     }
 
     #[test]
-    fn the_longest_block_counts() {
+    fn the_longest_prefix_applies() {
         let table = Table::build(&[
             block("10.0.0.0/8", 1),
             block("10.1.0.0/16", 2),
--- a/src/state/totals.rs
+++ b/src/state/totals.rs
@@ -11,17 +11,17 @@
 use crate::{id, metrics};
 
 /// The interval between snapshots.
-const EVERY: time::Duration = time::Duration::from_secs(60);
+const SNAPSHOT_INTERVAL: time::Duration = time::Duration::from_secs(60);
 
 /// Snapshots in the history: six hours and the one at their start.
-const KEPT: usize = 361;
+const MAX_SNAPSHOTS: usize = 361;
 
 /// Services with a history. A snapshot of one service takes about 300 bytes, so the whole history
 /// takes about 7 MB.
-const MOST_SERVICES: usize = metrics::MAX_LABEL_VALUES;
+const MAX_SERVICES: usize = metrics::MAX_LABEL_VALUES;
 
 /// Latency buckets: those of the metrics, and one for all higher latencies.
-const BUCKETS: usize = metrics::LATENCY_BUCKETS.len() + 1;
+const LATENCY_BUCKET_COUNT: usize = metrics::LATENCY_BUCKETS.len() + 1;
 
 data! {
     /// Counts of one service's requests by outcome.
@@ -80,7 +80,7 @@
             in_time: 0,
             worth_answered: 0,
             worth_lost: 0,
-            latency: vec![0; BUCKETS],
+            latency: vec![0; LATENCY_BUCKET_COUNT],
         }
     }
 }
@@ -110,8 +110,8 @@
         diff
     }
 
-    fn combine(&mut self, other: &Self, how: fn(u64, u64) -> u64) {
-        for (mine, theirs) in [
+    fn combine(&mut self, other: &Self, op: fn(u64, u64) -> u64) {
+        for (value, other_value) in [
             (&mut self.answered, other.answered),
             (&mut self.failed, other.failed),
             (&mut self.not_run, other.not_run),
@@ -120,10 +120,10 @@
             (&mut self.worth_answered, other.worth_answered),
             (&mut self.worth_lost, other.worth_lost),
         ] {
-            *mine = how(*mine, theirs);
+            *value = op(*value, other_value);
         }
-        for (mine, theirs) in self.latency.iter_mut().zip(&other.latency) {
-            *mine = how(*mine, *theirs);
+        for (value, other_value) in self.latency.iter_mut().zip(&other.latency) {
+            *value = op(*value, *other_value);
         }
     }
 
@@ -135,13 +135,13 @@
         if all == 0 {
             return None;
         }
-        let mut left = (share * all as f64).ceil() as u64;
+        let mut remaining = (share * all as f64).ceil() as u64;
         for (n, count) in self.latency.iter().enumerate() {
-            if left <= *count {
+            if remaining <= *count {
                 let upper = metrics::LATENCY_BUCKETS.get(n).copied();
                 return Some(upper.unwrap_or(f64::INFINITY));
             }
-            left -= count;
+            remaining -= count;
         }
         Some(f64::INFINITY)
     }
@@ -159,14 +159,14 @@
 pub struct History {
     now: collections::BTreeMap<id::ServiceId, Totals>,
     peaks: collections::BTreeMap<id::ServiceId, u64>,
-    past: collections::VecDeque<Snapshot>,
+    snapshots: collections::VecDeque<Snapshot>,
 }
 
 impl History {
     /// The current counts of a service for modification; `None` if there are too many services.
     pub fn totals(&mut self, service: &id::ServiceId) -> Option<&mut Totals> {
         if !self.now.contains_key(service) {
-            if self.now.len() >= MOST_SERVICES {
+            if self.now.len() >= MAX_SERVICES {
                 return None;
             }
             self.now.insert(service.clone(), Totals::default());
@@ -189,14 +189,17 @@
 
     /// Takes a snapshot if one is due. The first one, at the process start, is empty.
     pub fn tick(&mut self, at: time::Duration) {
-        let due = self.past.back().is_none_or(|last| at >= last.at + EVERY);
+        let due = self
+            .snapshots
+            .back()
+            .is_none_or(|last| at >= last.at + SNAPSHOT_INTERVAL);
         if !due {
             return;
         }
-        if self.past.len() >= KEPT {
-            self.past.pop_front();
+        if self.snapshots.len() >= MAX_SNAPSHOTS {
+            self.snapshots.pop_front();
         }
-        self.past.push_back(Snapshot {
+        self.snapshots.push_back(Snapshot {
             at,
             services: self.now.clone(),
             peaks: std::mem::take(&mut self.peaks),
@@ -207,8 +210,12 @@
     /// shorter.
     pub fn window(&self, service: &id::ServiceId, at: time::Duration, asked_s: u64) -> Window {
         let from = at.saturating_sub(time::Duration::from_secs(asked_s));
-        let older = self.past.iter().rev().find(|snapshot| snapshot.at <= from);
-        let start = older.or(self.past.front());
+        let older = self
+            .snapshots
+            .iter()
+            .rev()
+            .find(|snapshot| snapshot.at <= from);
+        let start = older.or(self.snapshots.front());
         let now = self.now.get(service).cloned().unwrap_or_default();
         let Some(start) = start else {
             return Window {
@@ -218,7 +225,10 @@
                 peak_in_hand: 0,
             };
         };
-        let inside = self.past.iter().filter(|snapshot| snapshot.at > start.at);
+        let inside = self
+            .snapshots
+            .iter()
+            .filter(|snapshot| snapshot.at > start.at);
         let peaks = inside.filter_map(|snapshot| snapshot.peaks.get(service));
         let latest = self.peaks.get(service);
         Window {
@@ -237,17 +247,17 @@
         &self,
         service: &id::ServiceId,
         at: time::Duration,
-        most: usize,
+        max_count: usize,
     ) -> Vec<Stretch> {
-        let step = self.past.len().div_ceil(most.max(1)).max(1);
+        let step = self.snapshots.len().div_ceil(max_count.max(1)).max(1);
         let none = Totals::default();
         let of = |snapshot: &Snapshot| snapshot.services.get(service).unwrap_or(&none).clone();
-        let marks: Vec<usize> = (0..self.past.len()).step_by(step).collect();
-        let mut found = Vec::new();
-        for pair in marks.windows(2) {
-            let (from, to) = (&self.past[pair[0]], &self.past[pair[1]]);
-            let inside = self.past.range(pair[0] + 1..=pair[1]);
-            found.push(Stretch {
+        let bounds: Vec<usize> = (0..self.snapshots.len()).step_by(step).collect();
+        let mut intervals = Vec::new();
+        for pair in bounds.windows(2) {
+            let (from, to) = (&self.snapshots[pair[0]], &self.snapshots[pair[1]]);
+            let inside = self.snapshots.range(pair[0] + 1..=pair[1]);
+            intervals.push(Stretch {
                 ago_s: at.saturating_sub(to.at).as_secs(),
                 lasted_s: (to.at - from.at).as_secs(),
                 totals: of(to).since(&of(from)),
@@ -258,7 +268,7 @@
                     .unwrap_or(0),
             });
         }
-        found
+        intervals
     }
 }
 
@@ -267,7 +277,7 @@
     use super::*;
 
     fn minute(n: u64) -> time::Duration {
-        EVERY * u32::try_from(n).unwrap()
+        SNAPSHOT_INTERVAL * u32::try_from(n).unwrap()
     }
 
     fn run(minutes: u64) -> History {
@@ -283,7 +293,7 @@
     }
 
     #[test]
-    fn a_window_counts_what_came_inside_it() {
+    fn a_window_counts_only_its_own_requests() {
         let history = run(20);
         let window = history.window(&"ledger".into(), minute(20), 300);
         assert_eq!((window.covers_s, window.totals.answered), (300, 50));
@@ -292,21 +302,21 @@
 
     /// The history of a VM that started ten minutes ago covers only ten minutes of six hours.
     #[test]
-    fn a_window_tells_how_far_back_it_reaches() {
+    fn a_window_reports_the_time_that_it_covers() {
         let window = run(10).window(&"ledger".into(), minute(10), 21_600);
         assert_eq!((window.covers_s, window.totals.answered), (600, 100));
     }
 
     #[test]
-    fn memory_is_bounded_in_time_and_services() {
+    fn history_is_bounded_in_time_and_services() {
         let mut history = run(1000);
-        assert_eq!(history.past.len(), KEPT);
+        assert_eq!(history.snapshots.len(), MAX_SNAPSHOTS);
         let window = history.window(&"ledger".into(), minute(1000), 21_600);
         assert_eq!(window.covers_s, 21_600);
         assert!(history.stretches(&"ledger".into(), minute(1000), 60).len() <= 60);
         for n in 0..1000 {
             let _ = history.totals(&format!("service-{n}").as_str().into());
         }
-        assert_eq!(history.services().count(), MOST_SERVICES);
+        assert_eq!(history.services().count(), MAX_SERVICES);
     }
 }
