--- a/src/transport/callers.rs
+++ b/src/transport/callers.rs
@@ -23,24 +23,24 @@
 
 /// Concurrent requests per connection. Callers pipeline about four; a higher limit would let one
 /// connection occupy a whole backend server.
-const DEPTH: usize = 16;
+const MAX_PIPELINED_REQUESTS: usize = 16;
 
 /// The longest body that is buffered, so that it can be sent again. Longer bodies are streamed,
 /// because a few concurrent ones would not fit in the memory of a small VM.
-const HELD: usize = 256 << 10;
+const MAX_BUFFERED_BODY_BYTES: usize = 256 << 10;
 
 /// Bytes that are read ahead of the pending requests.
-const AHEAD: usize = 64 << 10;
+const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
 
 /// Pieces of a streamed body that are queued for the request's task.
-const PIECES: usize = 4;
+const MAX_QUEUED_PIECES: usize = 4;
 
 /// How long one write of an answer may take before its caller counts as disconnected.
-const WRITE: time::Duration = time::Duration::from_secs(10);
+const WRITE_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 /// How long a connection is still read in total after the server has shut down its sending side.
 /// Closing it with unread bytes sends a reset, which can overtake the answer just written.
-const LINGER: time::Duration = time::Duration::from_secs(1);
+const LINGER_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
 /// A request from a caller.
 #[derive(Debug)]
@@ -120,19 +120,19 @@
     task: Option<task::AbortHandle>,
     bond: rc::Rc<Bond>,
     keep_alive: bool,
-    form: Form,
+    framing: AnswerFraming,
 }
 
 /// The properties of a request that determine the framing of its answer.
 #[derive(Clone, Copy, Debug)]
-struct Form {
+struct AnswerFraming {
     /// Whether the caller supports the chunked transfer coding.
     chunks: bool,
     /// Whether the request's method is HEAD, so that the answer has no body.
     to_head: bool,
 }
 
-impl Default for Form {
+impl Default for AnswerFraming {
     fn default() -> Self {
         Self {
             chunks: true,
@@ -157,14 +157,14 @@
     /// Between requests.
     Head,
     /// In a body that is buffered.
-    Held {
+    Buffered {
         head: http1::RequestHead,
         reader: http1::BodyReader,
         body: BytesMut,
         received: time::Instant,
     },
     /// In a body that is streamed.
-    Passed {
+    Streamed {
         reader: http1::BodyReader,
         tx: mpsc::Sender<upstream::Piece>,
         piece: Option<upstream::Piece>,
@@ -179,7 +179,7 @@
     reading: Reading,
     pending: collections::VecDeque<Pending>,
     /// Whether no further request is read.
-    last: bool,
+    reading_closed: bool,
     stop: watch::Receiver<bool>,
     active: time::Instant,
 }
@@ -198,7 +198,7 @@
         buf: BytesMut::new(),
         reading: Reading::Head,
         pending: collections::VecDeque::new(),
-        last: false,
+        reading_closed: false,
         stop,
         active: time::Instant::now(),
     };
@@ -211,7 +211,7 @@
 enum Step {
     Answer(Answer),
     Read(io::Result<usize>),
-    Passed(bool),
+    PieceReady(bool),
     TimedOut,
 }
 
@@ -219,12 +219,12 @@
     async fn run(&mut self) -> io::Result<()> {
         loop {
             self.start_requests().await?;
-            if self.last && self.pending.is_empty() {
+            if self.reading_closed && self.pending.is_empty() {
                 return Ok(());
             }
             match self.step().await {
                 Step::Answer(answer) => {
-                    if self.write(answer).await? {
+                    if self.write_first(answer).await? {
                         return Ok(());
                     }
                 }
@@ -233,41 +233,41 @@
                     n?;
                     self.active = time::Instant::now();
                 }
-                Step::Passed(taken) => self.passed(taken),
+                Step::PieceReady(has_room) => self.queue_piece(has_room),
                 Step::TimedOut => return self.timed_out().await,
             }
         }
     }
 
     async fn step(&mut self) -> Step {
-        let until = self.patience();
+        let deadline = self.idle_deadline();
         // The limit on heads may exceed the read-ahead limit; a long head must still fit.
-        let room = self.buf.len() < AHEAD.max(self.handler.limits().head + 1);
+        let room = self.buf.len() < MAX_READ_AHEAD_BYTES.max(self.handler.limits().head + 1);
         if room {
             self.buf.reserve(4 << 10);
         }
-        let waiting = !self.pending.is_empty();
+        let has_pending = !self.pending.is_empty();
         let answer = first_answer(&mut self.pending);
-        let feed = match &self.reading {
-            Reading::Passed {
+        let queue = match &self.reading {
+            Reading::Streamed {
                 tx, piece: Some(_), ..
             } => Some(tx.clone()),
             _ => None,
         };
         tokio::select! {
             biased;
-            answer = answer, if waiting => Step::Answer(answer),
-            taken = has_room(feed.clone()), if feed.is_some() => Step::Passed(taken),
+            answer = answer, if has_pending => Step::Answer(answer),
+            has_room = wait_for_room(queue.clone()), if queue.is_some() => Step::PieceReady(has_room),
             n = self.rd.read_buf(&mut self.buf), if room => Step::Read(n),
-            () = tokio::time::sleep_until(until.into()), if !waiting => Step::TimedOut,
+            () = tokio::time::sleep_until(deadline.into()), if !has_pending => Step::TimedOut,
         }
     }
 
     /// The time at which a connection without pending requests times out.
-    fn patience(&self) -> time::Instant {
+    fn idle_deadline(&self) -> time::Instant {
         let limits = self.handler.limits();
-        let begun = !self.buf.is_empty() && matches!(self.reading, Reading::Head);
-        let limit = match begun {
+        let head_started = !self.buf.is_empty() && matches!(self.reading, Reading::Head);
+        let limit = match head_started {
             true => limits.head_timeout,
             false => limits.idle_timeout,
         };
@@ -275,27 +275,30 @@
     }
 
     async fn timed_out(&mut self) -> io::Result<()> {
-        let resting = self.buf.is_empty() && matches!(self.reading, Reading::Head);
-        if resting {
+        let is_idle = self.buf.is_empty() && matches!(self.reading, Reading::Head);
+        if is_idle {
             return Ok(());
         }
         let answer = Answer {
             close: true,
             ..Answer::bare(408)
         };
-        self.put(answer, true, Form::default()).await.map(drop)
+        self.write_answer(answer, true, AnswerFraming::default())
+            .await
+            .map(drop)
     }
 
     /// Starts the requests that have been read, up to the limit of pending requests.
     async fn start_requests(&mut self) -> io::Result<()> {
-        while !self.last {
+        while !self.reading_closed {
             match std::mem::replace(&mut self.reading, Reading::Head) {
                 Reading::Head => {
-                    if self.pending.len() >= DEPTH || !self.begin_request().await? {
+                    if self.pending.len() >= MAX_PIPELINED_REQUESTS || !self.begin_request().await?
+                    {
                         return Ok(());
                     }
                 }
-                Reading::Held {
+                Reading::Buffered {
                     head,
                     mut reader,
                     mut body,
@@ -308,7 +311,7 @@
                             continue;
                         }
                         Ok(None) => {
-                            self.reading = Reading::Held {
+                            self.reading = Reading::Buffered {
                                 head,
                                 reader,
                                 body,
@@ -321,10 +324,10 @@
                     if reader.taken() > self.handler.limits().body {
                         return self.refuse(413);
                     }
-                    self.hold_or_pass(head, reader, body, received);
+                    self.buffer_or_stream(head, reader, body, received);
                 }
-                Reading::Passed { reader, tx, piece } => {
-                    self.reading = Reading::Passed { reader, tx, piece };
+                Reading::Streamed { reader, tx, piece } => {
+                    self.reading = Reading::Streamed { reader, tx, piece };
                     if !self.next_piece()? {
                         return Ok(());
                     }
@@ -357,12 +360,12 @@
             self.start(head, upstream::Payload::Whole(Bytes::new()), received);
             return Ok(true);
         }
-        self.hold_or_pass(head, reader, BytesMut::new(), received);
+        self.buffer_or_stream(head, reader, BytesMut::new(), received);
         Ok(true)
     }
 
     /// Continues with a body: buffers it while it is short and streams it otherwise.
-    fn hold_or_pass(
+    fn buffer_or_stream(
         &mut self,
         head: http1::RequestHead,
         reader: http1::BodyReader,
@@ -373,9 +376,10 @@
             http1::Framing::Length(n) => Some(n),
             http1::Framing::Chunked | http1::Framing::UntilClose => None,
         };
-        let long = length.is_some_and(|n| n > HELD as u64) || body.len() > HELD;
-        if !long {
-            self.reading = Reading::Held {
+        let is_long = length.is_some_and(|n| n > MAX_BUFFERED_BODY_BYTES as u64)
+            || body.len() > MAX_BUFFERED_BODY_BYTES;
+        if !is_long {
+            self.reading = Reading::Buffered {
                 head,
                 reader,
                 body,
@@ -383,7 +387,7 @@
             };
             return;
         }
-        let (tx, rx) = mpsc::channel(PIECES);
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_PIECES);
         let payload = upstream::Payload::Pieces {
             length,
             rx,
@@ -391,13 +395,13 @@
         };
         self.start(head, payload, received);
         let piece = (!body.is_empty()).then(|| upstream::Piece::Data(body.freeze()));
-        self.reading = Reading::Passed { reader, tx, piece };
+        self.reading = Reading::Streamed { reader, tx, piece };
     }
 
     /// Reads the next piece of a streamed body. Returns whether reading may continue.
     fn next_piece(&mut self) -> io::Result<bool> {
         let limit = self.handler.limits().body;
-        let Reading::Passed { reader, tx, piece } = &mut self.reading else {
+        let Reading::Streamed { reader, tx, piece } = &mut self.reading else {
             return Ok(true);
         };
         if piece.is_some() {
@@ -426,16 +430,16 @@
     }
 
     /// Queues the next piece if `has_room`; drops it if its receiver is closed.
-    fn passed(&mut self, taken: bool) {
-        let Reading::Passed { tx, piece, .. } = &mut self.reading else {
+    fn queue_piece(&mut self, has_room: bool) {
+        let Reading::Streamed { tx, piece, .. } = &mut self.reading else {
             return;
         };
         let Some(next) = piece.take() else {
             return;
         };
         let last = matches!(next, upstream::Piece::End);
-        if taken && let Err(mpsc::error::TrySendError::Full(back)) = tx.try_send(next) {
-            *piece = Some(back);
+        if has_room && let Err(mpsc::error::TrySendError::Full(unsent)) = tx.try_send(next) {
+            *piece = Some(unsent);
             return;
         }
         if last {
@@ -452,7 +456,7 @@
         let (tx, rx) = oneshot::channel();
         let bond = rc::Rc::new(Bond::default());
         let keep_alive = head.keeps_alive();
-        let form = Form {
+        let framing = AnswerFraming {
             chunks: head.knows_chunks(),
             to_head: head.method() == b"HEAD",
         };
@@ -466,13 +470,13 @@
             // The receiver is dropped if the caller disconnected and the request was committed.
             let _ = tx.send(answer.await);
         });
-        self.last |= !keep_alive;
+        self.reading_closed |= !keep_alive;
         self.pending.push_back(Pending {
             rx,
             task: Some(task.abort_handle()),
             bond,
             keep_alive,
-            form,
+            framing,
         });
     }
 
@@ -486,41 +490,46 @@
         };
         // Cannot fail: the receiver is still held in this function.
         let _ = tx.send(answer);
-        self.last = true;
+        self.reading_closed = true;
         self.pending.push_back(Pending {
             rx,
             task: None,
             bond: rc::Rc::default(),
             keep_alive: false,
-            form: Form::default(),
+            framing: AnswerFraming::default(),
         });
         Ok(())
     }
 
     /// Writes the first pending request's answer. Returns whether the connection ends after it.
-    async fn write(&mut self, answer: Answer) -> io::Result<bool> {
+    async fn write_first(&mut self, answer: Answer) -> io::Result<bool> {
         let Some(done) = self.pending.pop_front() else {
             return Ok(true);
         };
-        let reads_on = !self.pending.is_empty() || !matches!(self.reading, Reading::Head);
-        let stopping = *self.stop.borrow() && !reads_on && self.buf.is_empty();
+        let more_requests = !self.pending.is_empty() || !matches!(self.reading, Reading::Head);
+        let stopping = *self.stop.borrow() && !more_requests && self.buf.is_empty();
         // Later requests of the connection already run; closing now would abort them.
-        self.last |= answer.close || !done.keep_alive || stopping;
-        let close = self.last && self.pending.is_empty();
-        let cut = self.put(answer, close, done.form).await?;
+        self.reading_closed |= answer.close || !done.keep_alive || stopping;
+        let close = self.reading_closed && self.pending.is_empty();
+        let ends_at_close = self.write_answer(answer, close, done.framing).await?;
         self.active = time::Instant::now();
-        Ok(close || cut)
+        Ok(close || ends_at_close)
     }
 
     /// Writes an answer. Returns whether the connection must be closed to mark the body's end.
-    async fn put(&mut self, answer: Answer, close: bool, form: Form) -> io::Result<bool> {
-        let endless = matches!(answer.body, Body::Pieces { length: None, .. });
-        let chunked = endless && form.chunks;
-        let cut = endless && !form.chunks;
+    async fn write_answer(
+        &mut self,
+        answer: Answer,
+        close: bool,
+        framing: AnswerFraming,
+    ) -> io::Result<bool> {
+        let unknown_length = matches!(answer.body, Body::Pieces { length: None, .. });
+        let chunked = unknown_length && framing.chunks;
+        let ends_at_close = unknown_length && !framing.chunks;
         let mut out = BytesMut::with_capacity(answer.fields.len() + 256);
         http1::put_status(&mut out, answer.status);
         out.extend_from_slice(&answer.fields);
-        if close || cut {
+        if close || ends_at_close {
             http1::put_field(&mut out, b"Connection", b"close");
         }
         let length = match &answer.body {
@@ -530,7 +539,9 @@
         let bodyless = answer.status == 204 || answer.status == 304;
         match length {
             Some(_) if bodyless => {}
-            Some(n) if !form.to_head || n > 0 => http1::put_number(&mut out, "Content-Length", n),
+            Some(n) if !framing.to_head || n > 0 => {
+                http1::put_number(&mut out, "Content-Length", n)
+            }
             Some(_) => {}
             None if chunked => http1::put_field(&mut out, b"Transfer-Encoding", b"chunked"),
             None => {}
@@ -541,14 +552,14 @@
                 out.extend_from_slice(&body);
                 self.send(&out).await?;
             }
-            Body::Pieces { rx, .. } => self.put_pieces(out, rx, chunked).await?,
+            Body::Pieces { rx, .. } => self.write_pieces(out, rx, chunked).await?,
         }
-        Ok(cut)
+        Ok(ends_at_close)
     }
 
     /// Streams an answer. A truncated answer must not look complete, so the connection is dropped
     /// before the last chunk or before the stated length.
-    async fn put_pieces(
+    async fn write_pieces(
         &mut self,
         mut out: BytesMut,
         mut rx: mpsc::Receiver<upstream::Piece>,
@@ -558,7 +569,7 @@
             let piece = tokio::select! {
                 biased;
                 piece = rx.recv() => piece,
-                gone = read_ahead(&mut self.rd, &mut self.buf) => return Err(gone),
+                err = read_ahead(&mut self.rd, &mut self.buf) => return Err(err),
             };
             match piece {
                 None => return Err(io::ErrorKind::ConnectionAborted.into()),
@@ -577,7 +588,7 @@
     }
 
     async fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
-        tokio::time::timeout(WRITE, self.wr.write_all(bytes))
+        tokio::time::timeout(WRITE_TIMEOUT, self.wr.write_all(bytes))
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
     }
@@ -589,13 +600,13 @@
             return;
         }
         let drain = async {
-            let mut scrap = BytesMut::with_capacity(4 << 10);
-            while let Ok(1..) = self.rd.read_buf(&mut scrap).await {
-                scrap.clear();
+            let mut discarded = BytesMut::with_capacity(4 << 10);
+            while let Ok(1..) = self.rd.read_buf(&mut discarded).await {
+                discarded.clear();
             }
         };
         // After the timeout the connection is closed even if a reset follows.
-        let _ = tokio::time::timeout(LINGER, drain).await;
+        let _ = tokio::time::timeout(LINGER_TIMEOUT, drain).await;
     }
 }
 
@@ -613,7 +624,7 @@
     }
 }
 
-async fn has_room(tx: Option<mpsc::Sender<upstream::Piece>>) -> bool {
+async fn wait_for_room(tx: Option<mpsc::Sender<upstream::Piece>>) -> bool {
     match tx {
         Some(tx) => tx.reserve().await.is_ok(),
         None => future::pending().await,
@@ -623,7 +634,7 @@
 /// Reads while an answer is written, to detect that the caller disconnects.
 async fn read_ahead(rd: &mut tcp::OwnedReadHalf, buf: &mut BytesMut) -> io::Error {
     loop {
-        if buf.len() >= AHEAD {
+        if buf.len() >= MAX_READ_AHEAD_BYTES {
             return future::pending().await;
         }
         match rd.read_buf(buf).await {
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -231,14 +231,14 @@
     if !bodiless && !framed && !body.is_end_stream() {
         return Err(Failure::Lost);
     }
-    let whole = Limited::new(body, body_bytes)
+    let collected = Limited::new(body, body_bytes)
         .collect()
         .await
         .map_err(|_| Failure::Lost)?;
     Ok(server::Answer {
         status: parts.status,
         headers: parts.headers,
-        body: whole.to_bytes(),
+        body: collected.to_bytes(),
     })
 }
 
--- a/src/transport/mirror.rs
+++ b/src/transport/mirror.rs
@@ -28,14 +28,14 @@
 
 /// The timeout for receiving a message after its first bytes: enough for the longest list of
 /// routes (1 MB, a third of that compressed) over a shared link of 10 Mbit/s.
-const ARRIVE: time::Duration = time::Duration::from_secs(2);
+const MESSAGE_RECEIVE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 /// The timeout for sending one message.
-const WRITE: time::Duration = time::Duration::from_secs(2);
+const WRITE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 /// The read buffer of a link. The library's default of 128 KB per buffer would use most of the
 /// memory of a small VM with many followers.
-const BUFFER: usize = 4 << 10;
+const READ_BUFFER_BYTES: usize = 4 << 10;
 
 /// Why a link failed.
 #[derive(Debug, thiserror::Error)]
@@ -65,12 +65,12 @@
 
 /// A stream that records the time at which bytes last arrived.
 #[derive(Debug)]
-struct Noted {
+struct TimestampedStream {
     stream: TcpStream,
-    heard: rc::Rc<cell::Cell<time::Instant>>,
+    last_received: rc::Rc<cell::Cell<time::Instant>>,
 }
 
-impl AsyncRead for Noted {
+impl AsyncRead for TimestampedStream {
     fn poll_read(
         mut self: pin::Pin<&mut Self>,
         cx: &mut task::Context<'_>,
@@ -79,13 +79,13 @@
         let before = buf.filled().len();
         let read = pin::Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.heard.set(time::Instant::now());
+            self.last_received.set(time::Instant::now());
         }
         read
     }
 }
 
-impl AsyncWrite for Noted {
+impl AsyncWrite for TimestampedStream {
     fn poll_write(
         mut self: pin::Pin<&mut Self>,
         cx: &mut task::Context<'_>,
@@ -112,50 +112,58 @@
 /// A link to another entry VM.
 #[derive(Debug)]
 pub struct Link {
-    socket: tokio_tungstenite::WebSocketStream<Noted>,
-    heard: rc::Rc<cell::Cell<time::Instant>>,
+    socket: tokio_tungstenite::WebSocketStream<TimestampedStream>,
+    last_received: rc::Rc<cell::Cell<time::Instant>>,
 }
 
-fn note(stream: TcpStream) -> io::Result<(Noted, rc::Rc<cell::Cell<time::Instant>>)> {
+fn timestamped(
+    stream: TcpStream,
+) -> io::Result<(TimestampedStream, rc::Rc<cell::Cell<time::Instant>>)> {
     socket::guard(&stream)?;
-    let heard = rc::Rc::new(cell::Cell::new(time::Instant::now()));
-    let noted = Noted {
+    let last_received = rc::Rc::new(cell::Cell::new(time::Instant::now()));
+    let stamped = TimestampedStream {
         stream,
-        heard: heard.clone(),
+        last_received: last_received.clone(),
     };
-    Ok((noted, heard))
+    Ok((stamped, last_received))
 }
 
 fn config() -> protocol::WebSocketConfig {
     protocol::WebSocketConfig::default()
-        .read_buffer_size(BUFFER)
+        .read_buffer_size(READ_BUFFER_BYTES)
         .write_buffer_size(0)
 }
 
 impl Link {
     /// Opens a link to another entry VM within the timeout.
-    pub async fn open(addr: net::SocketAddr, limit: time::Duration) -> Result<Self, Error> {
+    pub async fn open(addr: net::SocketAddr, timeout: time::Duration) -> Result<Self, Error> {
         let open = async {
             let stream = TcpStream::connect(addr).await?;
-            let (noted, heard) = note(stream)?;
+            let (stamped, last_received) = timestamped(stream)?;
             let url = format!("ws://{addr}/mirror");
             let (socket, _) =
-                tokio_tungstenite::client_async_with_config(url, noted, Some(config())).await?;
-            Ok(Self { socket, heard })
+                tokio_tungstenite::client_async_with_config(url, stamped, Some(config())).await?;
+            Ok(Self {
+                socket,
+                last_received,
+            })
         };
-        tokio::time::timeout(limit, open)
+        tokio::time::timeout(timeout, open)
             .await
             .map_err(|_| Error::Timeout)?
     }
 
     /// Accepts a link that another entry VM opens.
     pub async fn accept(stream: TcpStream) -> Result<Self, Error> {
-        let (noted, heard) = note(stream)?;
-        let accept = tokio_tungstenite::accept_async_with_config(noted, Some(config()));
+        let (stamped, last_received) = timestamped(stream)?;
+        let accept = tokio_tungstenite::accept_async_with_config(stamped, Some(config()));
         let socket = tokio::time::timeout(OPEN, accept)
             .await
             .map_err(|_| Error::Timeout)??;
-        Ok(Self { socket, heard })
+        Ok(Self {
+            socket,
+            last_received,
+        })
     }
 
     /// Sends an encoded message.
@@ -163,7 +171,7 @@
         let sent = message.len() as u64;
         metrics::counter!(known::PEER_BYTES, "direction" => "sent").increment(sent);
         let frame = tungstenite::Message::binary(message);
-        tokio::time::timeout(WRITE, self.socket.send(frame))
+        tokio::time::timeout(WRITE_TIMEOUT, self.socket.send(frame))
             .await
             .map_err(|_| Error::Timeout)??;
         Ok(())
@@ -177,25 +185,28 @@
     /// them up to three seconds late.
     pub async fn receive<T: serde::de::DeserializeOwned>(
         &mut self,
-        silence: time::Duration,
+        max_silence: time::Duration,
     ) -> Result<T, Error> {
-        let bytes = self.receive_bytes(silence).await?;
+        let bytes = self.receive_bytes(max_silence).await?;
         Ok(mirror::decode(&bytes)?)
     }
 
     /// Receives the next message without decoding it, for forwarding.
-    pub async fn receive_bytes(&mut self, silence: time::Duration) -> Result<bytes::Bytes, Error> {
-        let begun = time::Instant::now();
-        let latest = begun + silence + ARRIVE;
-        let heard = self.heard.clone();
+    pub async fn receive_bytes(
+        &mut self,
+        max_silence: time::Duration,
+    ) -> Result<bytes::Bytes, Error> {
+        let start = time::Instant::now();
+        let latest = start + max_silence + MESSAGE_RECEIVE_TIMEOUT;
+        let last_received = self.last_received.clone();
         let next = self.next();
         tokio::pin!(next);
         loop {
-            let until = (heard.get().max(begun) + silence).min(latest);
-            if let Ok(bytes) = tokio::time::timeout_at(until.into(), &mut next).await {
+            let deadline = (last_received.get().max(start) + max_silence).min(latest);
+            if let Ok(bytes) = tokio::time::timeout_at(deadline.into(), &mut next).await {
                 return bytes;
             }
-            if heard.get() + silence <= time::Instant::now() || until == latest {
+            if last_received.get() + max_silence <= time::Instant::now() || deadline == latest {
                 return Err(Error::Timeout);
             }
         }
--- a/src/transport/operators.rs
+++ b/src/transport/operators.rs
@@ -14,16 +14,16 @@
 use crate::{error, metrics};
 
 /// Threads for operators' requests. A long history must not delay the health check.
-const THREADS: usize = 3;
+const THREAD_COUNT: usize = 3;
 
 /// Requests that wait for a thread. Further requests are refused.
-const WAITING: usize = 64;
+const MAX_QUEUED_REQUESTS: usize = 64;
 
 /// Concurrent connections.
-const CONNECTIONS: usize = 256;
+const MAX_CONNECTIONS: usize = 256;
 
 /// The maximum bytes of a request body, which no operator request needs.
-const BODY_BYTES: usize = 1024;
+const MAX_BODY_BYTES: usize = 1024;
 
 /// The content type of JSON answers.
 const JSON_TYPE: &str = "application/json";
@@ -51,8 +51,8 @@
 
 impl<S: Source> pool::Handler for Operators<S> {
     fn handle(&self, req: server::Request) {
-        let told = answer(&req.method, &req.uri, &self.0);
-        req.reply.send(told);
+        let answer = answer(&req.method, &req.uri, &self.0);
+        req.reply.send(answer);
     }
 
     fn fault(&self, fault: server::Fault) -> server::Answer {
@@ -76,11 +76,11 @@
 /// Serves operators on `addr` until the returned pool is dropped.
 pub fn serve<S: Source>(addr: net::SocketAddr, source: S) -> Result<pool::Pool, error::Error> {
     let cfg = pool::Config {
-        threads: THREADS,
-        waiting: WAITING,
+        threads: THREAD_COUNT,
+        waiting: MAX_QUEUED_REQUESTS,
         limits: server::Limits {
-            connections: CONNECTIONS,
-            body_bytes: BODY_BYTES,
+            connections: MAX_CONNECTIONS,
+            body_bytes: MAX_BODY_BYTES,
             ..server::Limits::default()
         },
     };
@@ -149,10 +149,10 @@
 }
 
 fn typed(content_type: &'static str, body: String) -> server::Answer {
-    let mut told = text(StatusCode::OK, body);
+    let mut answer = text(StatusCode::OK, body);
     let value = header::HeaderValue::from_static(content_type);
-    told.headers.insert(header::CONTENT_TYPE, value);
-    told
+    answer.headers.insert(header::CONTENT_TYPE, value);
+    answer
 }
 
 #[cfg(test)]
@@ -208,7 +208,7 @@
     /// Several tools keep connections open while others send requests. A health check that waited
     /// for such a connection to close would time out, and a healthy VM would be replaced.
     #[test]
-    fn questions_that_come_at_once_are_all_answered() {
+    fn concurrent_requests_are_all_answered() {
         let server = serve("127.0.0.1:0".parse().unwrap(), Starting).unwrap();
         let addr = server.addr();
         let start = sync::Barrier::new(40);
@@ -217,9 +217,9 @@
                 scope.spawn(|| {
                     let agent = ureq::Agent::new_with_defaults();
                     start.wait();
-                    let asked = agent.get(format!("http://{addr}/health")).call();
+                    let result = agent.get(format!("http://{addr}/health")).call();
                     start.wait();
-                    assert_eq!(asked.unwrap().status(), 200);
+                    assert_eq!(result.unwrap().status(), 200);
                 });
             }
         });
@@ -227,7 +227,7 @@
 
     /// A POST to the operators' listener must not change the process.
     #[test]
-    fn nothing_can_be_written() {
+    fn the_listener_is_read_only() {
         let server = serve("127.0.0.1:0".parse().unwrap(), Starting).unwrap();
         let res = attohttpc::post(format!("http://{}/status", server.addr())).send();
         assert_eq!(res.unwrap().status().as_u16(), 405);
--- a/src/transport/peer.rs
+++ b/src/transport/peer.rs
@@ -26,7 +26,7 @@
 const WRITE_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
 /// The time without a sent message after which a ping is sent.
-const PING_EVERY: time::Duration = time::Duration::from_secs(2);
+const PING_INTERVAL: time::Duration = time::Duration::from_secs(2);
 
 /// The time without a received message after which a link is closed; five pings are then missing.
 const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(10);
@@ -35,10 +35,10 @@
 const BUFFER_BYTES: usize = 8 << 10;
 
 /// The maximum number of queued messages per link.
-const QUEUE_MESSAGES: usize = 1024;
+const MAX_QUEUED_MESSAGES: usize = 1024;
 
 /// The maximum queued bytes per link; a single message may exceed it.
-const QUEUE_BYTES: usize = 4 << 20;
+const MAX_QUEUED_BYTES: usize = 4 << 20;
 
 /// Why a link could not be opened or was closed.
 #[derive(Debug, thiserror::Error)]
@@ -99,7 +99,7 @@
         let url = format!("ws://{addr}/peer");
         let (socket, _) =
             tokio_tungstenite::client_async_with_config(url, stream, Some(config())).await?;
-        prove(socket, me).await
+        authenticate(socket, me).await
     };
     tokio::time::timeout(OPEN_TIMEOUT, open)
         .await
@@ -111,14 +111,14 @@
     let open = async {
         stream.set_nodelay(true)?;
         let socket = tokio_tungstenite::accept_async_with_config(stream, Some(config())).await?;
-        prove(socket, me).await
+        authenticate(socket, me).await
     };
     tokio::time::timeout(OPEN_TIMEOUT, open)
         .await
         .unwrap_or(Err(Error::Timeout))
 }
 
-async fn prove(mut socket: Socket, me: &Me) -> Result<Link, Error> {
+async fn authenticate(mut socket: Socket, me: &Me) -> Result<Link, Error> {
     let ours = hello::Hello {
         version: hello::VERSION,
         vm: me.vm.clone(),
@@ -162,12 +162,12 @@
 impl Link {
     /// Transfers messages in both directions until the link breaks or its queue is closed. Calls
     /// `on_message` for each received binary message.
-    pub async fn run<F: FnMut(&[u8])>(self, queue: &Queue, take: F) -> Error {
+    pub async fn run<F: FnMut(&[u8])>(self, queue: &Queue, on_message: F) -> Error {
         let (tx, rx) = self.socket.split();
         // Reading continues while a write waits. Otherwise two peers that both wait for the other
         // to read would be blocked until the write timeout.
         tokio::select! {
-            err = read(rx, take) => err,
+            err = read(rx, on_message) => err,
             err = write(tx, queue) => err,
         }
     }
@@ -175,14 +175,14 @@
 
 async fn read<F: FnMut(&[u8])>(
     mut rx: futures_util::stream::SplitStream<Socket>,
-    mut take: F,
+    mut on_message: F,
 ) -> Error {
     loop {
         match tokio::time::timeout(IDLE_TIMEOUT, rx.next()).await {
             Err(_) => return Error::Timeout,
             Ok(None) => return Error::Closed,
             Ok(Some(Err(err))) => return err.into(),
-            Ok(Some(Ok(tungstenite::Message::Binary(bytes)))) => take(&bytes),
+            Ok(Some(Ok(tungstenite::Message::Binary(bytes)))) => on_message(&bytes),
             Ok(Some(Ok(_))) => {}
         }
     }
@@ -193,7 +193,7 @@
     queue: &Queue,
 ) -> Error {
     loop {
-        let message = match tokio::time::timeout(PING_EVERY, queue.pop()).await {
+        let message = match tokio::time::timeout(PING_INTERVAL, queue.pop()).await {
             Ok(Some(bytes)) => tungstenite::Message::Binary(bytes),
             Ok(None) => return Error::Closed,
             Err(_) => tungstenite::Message::Ping(bytes::Bytes::new()),
@@ -209,12 +209,12 @@
 /// The queue of outgoing messages of one link.
 #[derive(Debug, Default)]
 pub struct Queue {
-    inner: parking_lot::Mutex<Waiting>,
+    inner: parking_lot::Mutex<QueueState>,
     notify: tokio::sync::Notify,
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct QueueState {
     messages: collections::VecDeque<bytes::Bytes>,
     bytes: usize,
     closed: bool,
@@ -261,10 +261,10 @@
     }
 }
 
-impl Waiting {
+impl QueueState {
     fn is_full(&self, more: usize) -> bool {
         !self.messages.is_empty()
-            && (self.messages.len() >= QUEUE_MESSAGES || self.bytes + more > QUEUE_BYTES)
+            && (self.messages.len() >= MAX_QUEUED_MESSAGES || self.bytes + more > MAX_QUEUED_BYTES)
     }
 }
 
@@ -277,13 +277,13 @@
     #[test]
     fn a_full_queue_drops_the_oldest() {
         let queue = Queue::default();
-        for n in 0..QUEUE_MESSAGES {
+        for n in 0..MAX_QUEUED_MESSAGES {
             let bytes = bytes::Bytes::from(n.to_string());
             assert_eq!(queue.push(bytes), 0);
         }
         assert_eq!(queue.push(bytes::Bytes::from_static(b"last")), 1);
         assert_eq!(queue.inner.lock().messages.front().unwrap(), "1");
-        let large = bytes::Bytes::from(vec![0; QUEUE_BYTES]);
-        assert_eq!(queue.push(large), QUEUE_MESSAGES);
+        let large = bytes::Bytes::from(vec![0; MAX_QUEUED_BYTES]);
+        assert_eq!(queue.push(large), MAX_QUEUED_MESSAGES);
     }
 }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -24,7 +24,7 @@
 use crate::protocol::headers;
 
 /// The unit in which bodies count against [`Limits::all_bodies`].
-const BODY_UNIT: usize = 1024;
+const BODY_UNIT_BYTES: usize = 1024;
 
 /// The limits on the resources that callers can use.
 #[derive(Clone, Debug)]
@@ -191,7 +191,9 @@
     let leaving = sync::Arc::new(atomic::AtomicBool::new(false));
     let (stop, stopped) = watch::channel(false);
     let shared = sync::Arc::new(Shared {
-        bodies: sync::Arc::new(tokio::sync::Semaphore::new(limits.all_bodies / BODY_UNIT)),
+        bodies: sync::Arc::new(tokio::sync::Semaphore::new(
+            limits.all_bodies / BODY_UNIT_BYTES,
+        )),
         sink,
         limits,
         next_id: atomic::AtomicU64::new(1),
@@ -225,7 +227,7 @@
             tokio::time::sleep(time::Duration::from_millis(10)).await;
             continue;
         };
-        let open = Open::new(&shared.open);
+        let open = OpenConnection::new(&shared.open);
         if shared.open.load(atomic::Ordering::Relaxed) > shared.limits.connections {
             continue;
         }
@@ -239,16 +241,16 @@
 }
 
 /// Counts one open connection.
-struct Open(sync::Arc<atomic::AtomicUsize>);
+struct OpenConnection(sync::Arc<atomic::AtomicUsize>);
 
-impl Open {
+impl OpenConnection {
     fn new(open: &sync::Arc<atomic::AtomicUsize>) -> Self {
         open.fetch_add(1, atomic::Ordering::Relaxed);
         Self(open.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.fetch_sub(1, atomic::Ordering::Relaxed);
     }
@@ -289,7 +291,7 @@
         Err(fault) => return response(shared, id, shared.sink.fault(id, fault), true),
     };
     let (tx, rx) = oneshot::channel();
-    let mut waiting = Waiting {
+    let mut guard = DisconnectGuard {
         sink: &shared.sink,
         id,
         answered: false,
@@ -305,7 +307,7 @@
         permit,
     });
     let answer = rx.await;
-    waiting.answered = true;
+    guard.answered = true;
     match answer {
         Ok(answer) => {
             let leaving = shared.leaving.load(atomic::Ordering::Relaxed);
@@ -316,13 +318,13 @@
 }
 
 /// Calls [`Sink::gone`] on drop before the answer, that is, when the connection is closed.
-struct Waiting<'a, S: Sink> {
+struct DisconnectGuard<'a, S: Sink> {
     sink: &'a S,
     id: u64,
     answered: bool,
 }
 
-impl<S: Sink> Drop for Waiting<'_, S> {
+impl<S: Sink> Drop for DisconnectGuard<'_, S> {
     fn drop(&mut self) {
         if !self.answered {
             self.sink.gone(self.id);
@@ -337,12 +339,12 @@
     if body.is_end_stream() {
         return Ok((Bytes::new(), None));
     }
-    let most = body.size_hint().upper().unwrap_or(limits.body_bytes as u64);
-    let most = usize::try_from(most).unwrap_or(usize::MAX);
-    if most > limits.body_bytes {
+    let max_bytes = body.size_hint().upper().unwrap_or(limits.body_bytes as u64);
+    let max_bytes = usize::try_from(max_bytes).unwrap_or(usize::MAX);
+    if max_bytes > limits.body_bytes {
         return Err(Fault::TooLarge(limits.body_bytes));
     }
-    let units = u32::try_from(most.div_ceil(BODY_UNIT)).unwrap_or(u32::MAX);
+    let units = u32::try_from(max_bytes.div_ceil(BODY_UNIT_BYTES)).unwrap_or(u32::MAX);
     let permit = shared
         .bodies
         .clone()
@@ -350,7 +352,7 @@
         .map_err(|_| Fault::Busy)?;
     let read = Limited::new(body, limits.body_bytes).collect();
     match tokio::time::timeout(limits.body_timeout, read).await {
-        Ok(Ok(whole)) => Ok((whole.to_bytes(), Some(permit))),
+        Ok(Ok(collected)) => Ok((collected.to_bytes(), Some(permit))),
         Ok(Err(err)) if err.is::<http_body_util::LengthLimitError>() => {
             Err(Fault::TooLarge(limits.body_bytes))
         }
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -10,19 +10,19 @@
 
 /// The queue of connections not yet accepted. In a surge of new callers a full queue makes the
 /// system drop SYN packets, and each retransmission delays a caller by a second or more.
-const BACKLOG: i32 = 1024;
+const LISTEN_BACKLOG: i32 = 1024;
 
 /// How long sent bytes may stay unacknowledged. Without this limit a connection to a machine that
 /// lost power hangs for minutes, together with its request. The limit allows for two round trips
 /// over the longest network link (0.11 s each) and a lost packet.
-const UNACKNOWLEDGED: time::Duration = time::Duration::from_millis(1500);
+const UNACKNOWLEDGED_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
 
 /// The idle time before the first TCP keepalive probe, and the interval between probes. A peer can
 /// fail without a reset; two unanswered probes close the connection within three seconds.
-const CHECK: time::Duration = time::Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// The buffer space reserved for one read: enough for an answer of the usual size with its head.
-const READ: usize = 8 << 10;
+const READ_BYTES: usize = 8 << 10;
 
 /// Listens on an address. Fails if it cannot be bound.
 pub fn listen(addr: net::SocketAddr) -> io::Result<TcpListener> {
@@ -34,7 +34,7 @@
     // A restarted process must not wait until the old process's connections time out.
     socket.set_reuse_address(true)?;
     socket.bind(&addr.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     socket.set_nonblocking(true)?;
     TcpListener::from_std(socket.into())
 }
@@ -43,12 +43,12 @@
 pub fn guard(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
-    let checks = socket2::TcpKeepalive::new()
-        .with_time(CHECK)
-        .with_interval(CHECK)
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
+    let keepalive = socket2::TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(2);
-    socket.set_tcp_keepalive(&checks)
+    socket.set_tcp_keepalive(&keepalive)
 }
 
 /// A TCP connection with a read buffer.
@@ -73,14 +73,14 @@
 
 impl Wire {
     /// Connects within the timeout.
-    pub async fn connect(addr: net::SocketAddr, limit: time::Duration) -> io::Result<Self> {
-        let begun = time::Instant::now();
-        let stream = tokio::time::timeout(limit, TcpStream::connect(addr))
+    pub async fn connect(addr: net::SocketAddr, timeout: time::Duration) -> io::Result<Self> {
+        let start = time::Instant::now();
+        let stream = tokio::time::timeout(timeout, TcpStream::connect(addr))
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         guard(&stream)?;
         Ok(Self {
-            round_trip: begun.elapsed(),
+            round_trip: start.elapsed(),
             ..stream.into()
         })
     }
@@ -93,7 +93,7 @@
 
     /// Reads into the buffer and returns the number of bytes; 0 at the end of the stream.
     pub async fn fill(&mut self) -> io::Result<usize> {
-        self.buf.reserve(READ);
+        self.buf.reserve(READ_BYTES);
         self.stream.read_buf(&mut self.buf).await
     }
 
@@ -114,7 +114,7 @@
     /// answers early may stop reading, so a write without concurrent reads could block forever.
     pub async fn send_or_read(&mut self, out: &mut BytesMut) -> io::Result<bool> {
         let (mut rx, mut tx) = self.stream.split();
-        self.buf.reserve(READ);
+        self.buf.reserve(READ_BYTES);
         while !out.is_empty() {
             tokio::select! {
                 biased;
--- a/src/transport/upstream.rs
+++ b/src/transport/upstream.rs
@@ -11,10 +11,10 @@
 use crate::protocol::http1;
 
 /// The longest accepted head of an answer.
-const HEAD: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
 /// Answers to earlier requests that are skipped on a connection before it is closed.
-const STRAYS: usize = 4;
+const MAX_STALE_ANSWERS: usize = 4;
 
 /// A piece of a streamed body.
 #[derive(Debug)]
@@ -94,7 +94,7 @@
             true
         }
         Payload::Pieces { length, rx, begun } => {
-            wire.send(head).await.map_err(fate)?;
+            wire.send(head).await.map_err(write_failure)?;
             *begun = true;
             send_pieces(wire, rx, length.is_none()).await?
         }
@@ -106,7 +106,7 @@
     Ok(Received { head, reusable })
 }
 
-fn fate((sent, _): (usize, std::io::Error)) -> Failure {
+fn write_failure((sent, _): (usize, std::io::Error)) -> Failure {
     match sent {
         0 => Failure::Unsent,
         _ => Failure::Lost,
@@ -115,12 +115,12 @@
 
 async fn send_whole(wire: &mut socket::Wire, head: &[u8], body: &[u8]) -> Result<(), Failure> {
     if body.is_empty() {
-        return wire.send(head).await.map_err(fate);
+        return wire.send(head).await.map_err(write_failure);
     }
     let mut both = BytesMut::with_capacity(head.len() + body.len());
     both.extend_from_slice(head);
     both.extend_from_slice(body);
-    wire.send(&both).await.map_err(fate)
+    wire.send(&both).await.map_err(write_failure)
 }
 
 /// Streams a body. Returns whether it was sent completely; an early answer stops it.
@@ -133,7 +133,7 @@
     loop {
         let piece = tokio::select! {
             biased;
-            n = wire.fill() => return early(n),
+            n = wire.fill() => return early_answer(n),
             piece = rx.recv() => piece,
         };
         let last = match piece {
@@ -166,7 +166,7 @@
     }
 }
 
-fn early(n: std::io::Result<usize>) -> Result<bool, Failure> {
+fn early_answer(n: std::io::Result<usize>) -> Result<bool, Failure> {
     match n {
         Ok(0) | Err(_) => Err(Failure::Lost),
         Ok(_) => Ok(false),
@@ -177,18 +177,18 @@
 /// answer to an earlier request in place of the next answer. Without the check of the id it would
 /// reach the wrong caller.
 async fn receive(wire: &mut socket::Wire, tag: Tag<'_>) -> Result<http1::ResponseHead, Failure> {
-    let mut strays = 0;
+    let mut stale_answers = 0;
     loop {
         let head = receive_head(wire, tag.to_head).await?;
         if head.status < 200 {
             continue;
         }
-        let own = head.fields.get(tag.field).is_none_or(|id| id == tag.id);
-        if own {
+        let matches = head.fields.get(tag.field).is_none_or(|id| id == tag.id);
+        if matches {
             return Ok(head);
         }
-        strays += 1;
-        if strays > STRAYS || head.framing == http1::Framing::UntilClose {
+        stale_answers += 1;
+        if stale_answers > MAX_STALE_ANSWERS || head.framing == http1::Framing::UntilClose {
             return Err(Failure::Garbage);
         }
         let mut body = http1::BodyReader::new(head.framing);
@@ -201,7 +201,7 @@
     to_head: bool,
 ) -> Result<http1::ResponseHead, Failure> {
     loop {
-        let taken = http1::ResponseHead::take(&mut wire.buf, HEAD, to_head);
+        let taken = http1::ResponseHead::take(&mut wire.buf, MAX_HEAD_BYTES, to_head);
         if let Some(head) = taken.map_err(|_| Failure::Garbage)? {
             return Ok(head);
         }
