--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What callers can make a process hold has bounds, and the process tells when one is reached.
+//! Limits on the resources that callers can use, and the faults reported at each limit.
 
 use std::io::{Read, Write};
 use std::net;
@@ -8,11 +8,11 @@
 use bulrushwind::transport::server;
 use parking_lot::Mutex;
 
-/// Holds every request until it is told to answer.
+/// A sink that holds all requests until `answer_all` is called.
 #[derive(Clone, Default)]
-struct Hold(sync::Arc<Mutex<Vec<server::Request>>>);
+struct HoldingSink(sync::Arc<Mutex<Vec<server::Request>>>);
 
-impl server::Sink for Hold {
+impl server::Sink for HoldingSink {
     fn request(&self, req: server::Request) {
         self.0.lock().push(req);
     }
@@ -28,11 +28,14 @@
     }
 }
 
-impl Hold {
-    fn wait(&self, count: usize) {
-        let until = time::Instant::now() + time::Duration::from_secs(60);
+impl HoldingSink {
+    fn wait_for(&self, count: usize) {
+        let deadline = time::Instant::now() + time::Duration::from_secs(60);
         while self.0.lock().len() < count {
-            assert!(time::Instant::now() < until, "{count} requests never came");
+            assert!(
+                time::Instant::now() < deadline,
+                "{count} requests did not arrive within 60 s"
+            );
             std::thread::sleep(time::Duration::from_millis(5));
         }
     }
@@ -44,30 +47,30 @@
     }
 }
 
-struct Started {
+struct RunningServer {
     server: server::Server,
-    hold: Hold,
+    sink: HoldingSink,
     _runtime: tokio::runtime::Runtime,
 }
 
-fn start(limits: server::Limits) -> Started {
+fn start(limits: server::Limits) -> RunningServer {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(1)
         .enable_all()
         .build()
         .unwrap();
-    let hold = Hold::default();
-    let any = "127.0.0.1:0".parse().unwrap();
-    let server = server::start(runtime.handle(), any, limits, hold.clone()).unwrap();
-    Started {
+    let sink = HoldingSink::default();
+    let addr = "127.0.0.1:0".parse().unwrap();
+    let server = server::start(runtime.handle(), addr, limits, sink.clone()).unwrap();
+    RunningServer {
         server,
-        hold,
+        sink,
         _runtime: runtime,
     }
 }
 
-fn open(started: &Started, text: &str) -> net::TcpStream {
-    let mut stream = net::TcpStream::connect(started.server.addr()).unwrap();
+fn open(running: &RunningServer, text: &str) -> net::TcpStream {
+    let mut stream = net::TcpStream::connect(running.server.addr()).unwrap();
     let _ = stream.write_all(text.as_bytes());
     stream
 }
@@ -85,70 +88,70 @@
     )
 }
 
-/// Many callers send large bodies at once, each within its own bound. Held all, they would fill
-/// the memory of a small VM, and the VM would die with every request in flight.
+/// Many concurrent bodies, each within the limit per body, could exhaust the memory of a small VM
+/// and fail every request in flight.
 #[test]
-fn all_bodies_together_are_bounded() {
-    let started = start(server::Limits {
+fn total_body_bytes_are_bounded() {
+    let running = start(server::Limits {
         all_bodies: 64 * 1024,
         ..server::Limits::default()
     });
-    let first = open(&started, &post(40 * 1024));
-    started.hold.wait(1);
-    let second = read(open(&started, &post(40 * 1024)));
+    let first = open(&running, &post(40 * 1024));
+    running.sink.wait_for(1);
+    let second = read(open(&running, &post(40 * 1024)));
     assert!(second.contains("Busy"), "{second}");
-    started.hold.answer_all();
+    running.sink.answer_all();
     assert!(read(first).starts_with("HTTP/1.1 200"));
-    let third = open(&started, &post(40 * 1024));
-    started.hold.wait(1);
-    started.hold.answer_all();
+    let third = open(&running, &post(40 * 1024));
+    running.sink.wait_for(1);
+    running.sink.answer_all();
     assert!(read(third).starts_with("HTTP/1.1 200"));
 }
 
-/// A crowd, or one broken client, opens connection after connection.
+/// A surge of callers or one faulty client could open an unlimited number of connections.
 #[test]
 fn connections_are_bounded() {
-    let started = start(server::Limits {
+    let running = start(server::Limits {
         connections: 4,
         ..server::Limits::default()
     });
     let get = "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
-    let held: Vec<_> = (0..4).map(|_| open(&started, get)).collect();
-    started.hold.wait(4);
-    assert_eq!(read(open(&started, get)), "");
-    started.hold.answer_all();
+    let held: Vec<_> = (0..4).map(|_| open(&running, get)).collect();
+    running.sink.wait_for(4);
+    assert_eq!(read(open(&running, get)), "");
+    running.sink.answer_all();
     for stream in held {
         assert!(read(stream).starts_with("HTTP/1.1 200"));
     }
 }
 
-/// Phones leave the network without a word, and their connections stay behind half used.
+/// Phones that lose the network leave connections open, idle or with a partly sent request.
 #[test]
-fn idle_and_half_sent_are_ended() {
-    let soon = time::Duration::from_millis(200);
-    let started = start(server::Limits {
-        head_timeout: soon,
-        body_timeout: soon,
+fn idle_and_partly_sent_requests_time_out() {
+    let timeout = time::Duration::from_millis(200);
+    let running = start(server::Limits {
+        head_timeout: timeout,
+        body_timeout: timeout,
         ..server::Limits::default()
     });
     for text in ["", "GET / HTTP/1.1\r\nHost:"] {
-        let ended = read(open(&started, text));
+        let ended = read(open(&running, text));
         assert!(!ended.contains(" 200 "), "{ended}");
     }
     let half = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\nhalf";
-    let ended = read(open(&started, half));
+    let ended = read(open(&running, half));
     assert!(ended.contains("Incomplete"), "{ended}");
-    assert!(started.hold.0.lock().is_empty());
+    assert!(running.sink.0.lock().is_empty());
 }
 
-/// Something in the process loses a request that was taken and may have run. Told as not run, its
-/// caller would book again.
+/// The process drops the reply of a request that may have run. If it were reported as not run, the
+/// caller would send it again and it could run twice.
 #[test]
-fn a_lost_reply_is_no_refusal() {
-    let started = start(server::Limits::default());
-    let stream = open(&started, &post(1));
-    started.hold.wait(1);
-    started.hold.0.lock().clear();
+fn a_dropped_reply_is_reported_as_dropped() {
+    let running = start(server::Limits::default());
+    let stream = open(&running, &post(1));
+    running.sink.wait_for(1);
+    running.sink.0.lock().clear();
     let text = read(stream);
     assert!(text.contains("Dropped"), "{text}");
 }
--- a/tests/lookup.rs
+++ b/tests/lookup.rs
@@ -1,4 +1,4 @@
-//! The longest-prefix table against a naive one that scans every block.
+//! Property test of the longest-prefix table against a linear scan of every block.
 
 use std::net;
 
@@ -8,7 +8,7 @@
 
 const CASES: u32 = 400;
 
-fn naive(blocks: &[lookup::Block], addr: net::IpAddr) -> Option<u16> {
+fn scan(blocks: &[lookup::Block], addr: net::IpAddr) -> Option<u16> {
     let mut best: Option<&lookup::Block> = None;
     for block in blocks {
         let longer = best.is_none_or(|b| b.net.prefix_len() <= block.net.prefix_len());
@@ -19,8 +19,8 @@
     best.map(|block| block.target)
 }
 
-/// Few distinct high bits, so that blocks nest, touch and repeat.
-fn any_block() -> impl Strategy<Value = lookup::Block> {
+/// Blocks with few distinct high bits, so that they nest, adjoin and repeat.
+fn block() -> impl Strategy<Value = lookup::Block> {
     let v4 = (any::<u32>(), 0u8..=32, 0u16..20).prop_map(|(bits, len, target)| {
         let addr = net::Ipv4Addr::from(bits & 0xc300_c003);
         let net = ipnet::Ipv4Net::new(addr, len).unwrap().trunc();
@@ -40,7 +40,7 @@
     prop_oneof![3 => v4, 1 => v6]
 }
 
-/// The addresses at and beside each block's ends: where a wrong border shows.
+/// The addresses at and next to both ends of each block, where boundary errors show.
 fn probes(blocks: &[lookup::Block]) -> Vec<net::IpAddr> {
     let mut probes = Vec::new();
     for block in blocks {
@@ -68,8 +68,8 @@
     probes
 }
 
-/// A table that answers a border address from the wrong block sends its callers to a region far
-/// away; they notice late answers, and nobody else does.
+/// A wrong result for an address at a block's boundary sends callers to a distant region; the only
+/// symptom is higher latency for these callers.
 #[test]
 fn agrees_with_a_scan_of_every_block() {
     let config = test_runner::Config {
@@ -80,10 +80,10 @@
     let rng = test_runner::TestRng::deterministic_rng(test_runner::RngAlgorithm::ChaCha);
     let mut runner = test_runner::TestRunner::new_with_rng(config, rng);
     runner
-        .run(&prop::collection::vec(any_block(), 0..60), |blocks| {
+        .run(&prop::collection::vec(block(), 0..60), |blocks| {
             let table = lookup::Table::build(&blocks);
             for addr in probes(&blocks) {
-                prop_assert_eq!(table.find(addr), naive(&blocks, addr), "{}", addr);
+                prop_assert_eq!(table.find(addr), scan(&blocks, addr), "{}", addr);
             }
             Ok(())
         })
