--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -1,8 +1,8 @@
-//! The links to other entry processes, and the messages that go over them.
+//! Keeps the links to other entry processes and sends and receives messages over them.
 //!
-//! tokio lives in here and nowhere else on this side: one small runtime that carries the links,
-//! with channels to the rest. Whoever sends never waits; whoever receives reads a crossbeam
-//! channel. A peer that keeps sending more than we read loses messages, which is counted.
+//! tokio is confined to this file within coordination: a small runtime carries the links and
+//! exchanges messages with other threads over channels. Sending never blocks; received messages go
+//! to a crossbeam channel. If the channel is full, messages are dropped and counted.
 //!
 //! Lock order: `links`, then `diallers`; neither is held while a message is handled.
 
@@ -15,56 +15,56 @@
 use rand::RngExt;
 
 use crate::id;
-use crate::metrics as names;
+use crate::metrics as metric_names;
 use crate::protocol::{hello, peer};
 use crate::transport::peer as link;
 
-/// Messages that wait for the rest of the process.
-const INBOX: usize = 8192;
+/// The most received messages that wait to be handled.
+const MAX_RECEIVED_MESSAGES: usize = 8192;
 
-/// Connections that have not proved themselves yet. Each may hold one message in memory.
-const MAX_OPENING: usize = 32;
+/// The most connections in the handshake. Each may hold one message in memory.
+const MAX_HANDSHAKES: usize = 32;
 
-/// Peers that may be linked to us, whoever dialled.
+/// The most linked peers, whichever side dialled.
 const MAX_LINKS: usize = 256;
 
-/// Links that one peer may hold: both sides may have dialled at the same moment.
-const LINKS_PER_PEER: usize = 2;
+/// The most links per peer. Both sides may have dialled at the same moment.
+const MAX_LINKS_PER_PEER: usize = 2;
 
-/// The wait after a first failed dial; it doubles up to [`MAX_BACKOFF`], each with jitter.
+/// The backoff after the first failed dial. It doubles up to [`MAX_BACKOFF`], with jitter.
 const MIN_BACKOFF: time::Duration = time::Duration::from_millis(100);
 
-/// The longest wait between two dials. A VM that comes back is linked again within it.
+/// The longest backoff between two dials. A VM that recovers is linked again within this time.
 const MAX_BACKOFF: time::Duration = time::Duration::from_secs(3);
 
-/// How long the peer with the greater name waits for the other one to dial.
-const YIELD: time::Duration = time::Duration::from_millis(300);
+/// How long the peer with the greater name waits for the other peer to dial.
+const DIAL_YIELD_DELAY: time::Duration = time::Duration::from_millis(300);
 
-/// How often a dialler looks whether its peer is still linked.
-const CHECK_EVERY: time::Duration = time::Duration::from_millis(250);
+/// How often a dialler checks whether its peer is still linked.
+const LINK_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
 data! {
-    /// An entry VM that this process wants a link to.
+    /// An entry VM that this process should link to.
     #[derive(Eq)]
     pub struct Target {
-        /// Its name. None: whoever answers there, to find the fleet.
+        /// Its name. None: accept any VM at this address, to discover the fleet.
         pub vm: Option<id::VmId>,
-        /// Where it listens for peers.
+        /// The address on which it listens for peers.
         pub addr: net::SocketAddr,
     }
 
-    /// An entry VM that is linked now.
+    /// A linked entry VM.
     #[derive(Eq)]
     pub struct Linked {
         /// Its name.
         pub vm: id::VmId,
         /// Its availability zone.
         pub az: id::AzId,
-        /// Its process start.
+        /// The incarnation of its process.
         pub incarnation: id::Incarnation,
     }
 
-    /// What the links have carried and refused so far.
+    /// Counters over all links since the start.
     #[derive(Eq, Default)]
     pub struct Counts {
         /// Messages sent.
@@ -82,10 +82,10 @@
     }
 }
 
-/// A message and who sent it.
+/// A message and the VM that sent it.
 pub type Received = (id::VmId, peer::Message);
 
-/// The links of this process. Dropping it cuts them.
+/// The links of this process. They are closed on drop.
 pub struct Peers {
     shared: sync::Arc<Shared>,
     runtime: Option<tokio::runtime::Runtime>,
@@ -94,14 +94,14 @@
 
 struct Shared {
     me: link::Me,
-    links: parking_lot::Mutex<collections::BTreeMap<id::VmId, Vec<Open>>>,
+    links: parking_lot::Mutex<collections::BTreeMap<id::VmId, Vec<OpenLink>>>,
     diallers: parking_lot::Mutex<collections::BTreeMap<net::SocketAddr, Dialler>>,
     counts: parking_lot::Mutex<Counts>,
     tx: crossbeam::channel::Sender<Received>,
     log: slog::Logger,
 }
 
-struct Open {
+struct OpenLink {
     az: id::AzId,
     incarnation: id::Incarnation,
     queue: sync::Arc<link::Queue>,
@@ -113,13 +113,13 @@
 }
 
 impl Peers {
-    /// Listens for peers and returns the links with the channel of what they bring.
+    /// Listens for peers; returns the links and received messages. Fails if it cannot bind.
     pub fn start(
         me: link::Me,
         listen: net::SocketAddr,
         log: &slog::Logger,
     ) -> io::Result<(Self, crossbeam::channel::Receiver<Received>)> {
-        let (tx, rx) = crossbeam::channel::bounded(INBOX);
+        let (tx, rx) = crossbeam::channel::bounded(MAX_RECEIVED_MESSAGES);
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .thread_name("peers")
@@ -144,12 +144,12 @@
         Ok((peers, rx))
     }
 
-    /// Where this process listens for peers.
+    /// The address on which this process listens for peers.
     pub fn addr(&self) -> net::SocketAddr {
         self.addr
     }
 
-    /// Sets which entry VMs this process keeps a link to. Links that others opened stay.
+    /// Sets the entry VMs to keep links to. Links that peers opened stay.
     pub fn set_targets(&self, targets: &[Target]) {
         let Some(runtime) = &self.runtime else { return };
         let mut diallers = self.shared.diallers.lock();
@@ -173,29 +173,29 @@
         }
     }
 
-    /// Sends to one peer. False: it is not linked.
+    /// Sends to one peer. False: the peer is not linked.
     pub fn send(&self, to: &id::VmId, message: &peer::Message) -> bool {
         self.send_where(message, |vm, _| vm == to) > 0
     }
 
-    /// Sends to every linked peer of an availability zone and returns how many there are.
-    pub fn to_az(&self, az: &id::AzId, message: &peer::Message) -> usize {
+    /// Sends to every linked peer of an availability zone and returns their number.
+    pub fn send_to_az(&self, az: &id::AzId, message: &peer::Message) -> usize {
         self.send_where(message, |_, open| open.az == *az)
     }
 
-    /// Sends to every linked peer but `except` and returns how many there are.
-    pub fn to_all(&self, except: Option<&id::VmId>, message: &peer::Message) -> usize {
+    /// Sends to every linked peer except `except` and returns their number.
+    pub fn send_to_all(&self, except: Option<&id::VmId>, message: &peer::Message) -> usize {
         self.send_where(message, |vm, _| Some(vm) != except)
     }
 
-    /// Sends to every linked peer of our own availability zone but `except` and returns how many
-    /// there are.
-    pub fn to_own_az(&self, except: Option<&id::VmId>, message: &peer::Message) -> usize {
+    /// Sends to every linked peer of this VM's availability zone except `except` and returns their
+    /// number.
+    pub fn send_to_own_az(&self, except: Option<&id::VmId>, message: &peer::Message) -> usize {
         let az = &self.shared.me.az;
         self.send_where(message, |vm, open| open.az == *az && Some(vm) != except)
     }
 
-    /// The peers that are linked now.
+    /// The linked peers.
     pub fn linked(&self) -> Vec<Linked> {
         let links = self.shared.links.lock();
         links
@@ -211,12 +211,12 @@
             .collect()
     }
 
-    /// What the links have carried and refused so far.
+    /// Counters over all links since the start.
     pub fn counts(&self) -> Counts {
         self.shared.counts.lock().clone()
     }
 
-    fn send_where<F: Fn(&id::VmId, &Open) -> bool>(
+    fn send_where<F: Fn(&id::VmId, &OpenLink) -> bool>(
         &self,
         message: &peer::Message,
         wanted: F,
@@ -250,50 +250,52 @@
 }
 
 impl Shared {
-    /// Carries one link until it breaks.
-    async fn carry(&self, link: link::Link) {
+    /// Serves one link until it breaks.
+    async fn serve(&self, link: link::Link) {
         let hello = link.hello.clone();
-        let Some(queue) = self.open(&hello) else {
+        let Some(queue) = self.register(&hello) else {
             return;
         };
-        let closing = Closing {
+        let guard = LinkGuard {
             shared: self,
             vm: &hello.vm,
             queue: &queue,
         };
         slog::info!(self.log, "linked"; "peer" => %hello.vm, "incarnation" => %hello.incarnation);
-        let err = link.run(&queue, |bytes| self.take(&hello.vm, bytes)).await;
+        let err = link
+            .run(&queue, |bytes| self.receive(&hello.vm, bytes))
+            .await;
         slog::info!(self.log, "link ended"; "peer" => %hello.vm, "why" => %err);
-        drop(closing);
+        drop(guard);
     }
 
-    /// Registers a link. None: a later process start of the peer is linked, or there are too many.
-    fn open(&self, hello: &hello::Hello) -> Option<sync::Arc<link::Queue>> {
+    /// Registers a link. None: a later incarnation is linked, or there are too many links.
+    fn register(&self, hello: &hello::Hello) -> Option<sync::Arc<link::Queue>> {
         let mut links = self.links.lock();
         if links.len() >= MAX_LINKS && !links.contains_key(&hello.vm) {
             drop(links);
             self.refuse("too many links", &hello.vm);
             return None;
         }
-        let opens = links.entry(hello.vm.clone()).or_default();
-        if opens.iter().any(|o| o.incarnation > hello.incarnation) {
+        let open_links = links.entry(hello.vm.clone()).or_default();
+        if open_links.iter().any(|o| o.incarnation > hello.incarnation) {
             drop(links);
-            self.refuse("an earlier process start", &hello.vm);
+            self.refuse("a later process of this VM is linked", &hello.vm);
             return None;
         }
-        // The process behind these links is gone; what waits for it would go to nobody.
-        opens.retain(|o| {
+        // The process behind these links has ended; messages queued for it would be lost.
+        open_links.retain(|o| {
             let same = o.incarnation == hello.incarnation;
             if !same {
                 o.queue.close();
             }
             same
         });
-        if opens.len() >= LINKS_PER_PEER {
-            opens.remove(0).queue.close();
+        if open_links.len() >= MAX_LINKS_PER_PEER {
+            open_links.remove(0).queue.close();
         }
         let queue = sync::Arc::new(link::Queue::default());
-        opens.push(Open {
+        open_links.push(OpenLink {
             az: hello.az.clone(),
             incarnation: hello.incarnation,
             queue: queue.clone(),
@@ -301,7 +303,7 @@
         Some(queue)
     }
 
-    fn take(&self, from: &id::VmId, bytes: &[u8]) {
+    fn receive(&self, from: &id::VmId, bytes: &[u8]) {
         self.count_received(bytes.len());
         match peer::decode(bytes) {
             Ok(message) => {
@@ -315,8 +317,8 @@
 
     fn refuse(&self, why: &str, from: &id::VmId) {
         self.counts.lock().refused += 1;
-        metrics::counter!(names::PEER_REFUSED).increment(1);
-        slog::warn!(self.log, "refused from a peer"; "peer" => %from, "why" => why);
+        metrics::counter!(metric_names::PEER_REFUSED).increment(1);
+        slog::warn!(self.log, "refused a message or connection"; "peer" => %from, "why" => why);
     }
 
     fn count_sent(&self, len: usize, dropped: usize) {
@@ -324,7 +326,7 @@
         counts.sent += 1;
         counts.sent_bytes += len as u64;
         drop(counts);
-        metrics::counter!(names::PEER_BYTES, "direction" => "sent").increment(len as u64);
+        metrics::counter!(metric_names::PEER_BYTES, "direction" => "sent").increment(len as u64);
         if dropped > 0 {
             self.count_dropped("link", dropped);
         }
@@ -335,12 +337,13 @@
         counts.received += 1;
         counts.received_bytes += len as u64;
         drop(counts);
-        metrics::counter!(names::PEER_BYTES, "direction" => "received").increment(len as u64);
+        metrics::counter!(metric_names::PEER_BYTES, "direction" => "received")
+            .increment(len as u64);
     }
 
     fn count_dropped(&self, queue: &'static str, dropped: usize) {
         self.counts.lock().dropped += dropped as u64;
-        metrics::counter!(names::PEER_DROPPED, "queue" => queue).increment(dropped as u64);
+        metrics::counter!(metric_names::PEER_DROPPED, "queue" => queue).increment(dropped as u64);
     }
 
     fn is_linked(&self, vm: &id::VmId) -> bool {
@@ -348,19 +351,19 @@
     }
 }
 
-/// Takes a link out of the table when its task ends, also when the task is aborted.
-struct Closing<'a> {
+/// Removes a link from the table when its task ends or is aborted.
+struct LinkGuard<'a> {
     shared: &'a Shared,
     vm: &'a id::VmId,
     queue: &'a sync::Arc<link::Queue>,
 }
 
-impl Drop for Closing<'_> {
+impl Drop for LinkGuard<'_> {
     fn drop(&mut self) {
         let mut links = self.shared.links.lock();
-        if let Some(opens) = links.get_mut(self.vm) {
-            opens.retain(|o| !sync::Arc::ptr_eq(&o.queue, self.queue));
-            if opens.is_empty() {
+        if let Some(open_links) = links.get_mut(self.vm) {
+            open_links.retain(|o| !sync::Arc::ptr_eq(&o.queue, self.queue));
+            if open_links.is_empty() {
                 links.remove(self.vm);
             }
         }
@@ -368,22 +371,22 @@
 }
 
 async fn accept(shared: sync::Arc<Shared>, listener: tokio::net::TcpListener) {
-    let opening = sync::Arc::new(tokio::sync::Semaphore::new(MAX_OPENING));
+    let handshakes = sync::Arc::new(tokio::sync::Semaphore::new(MAX_HANDSHAKES));
     loop {
-        let Ok(permit) = opening.clone().acquire_owned().await else {
+        let Ok(permit) = handshakes.clone().acquire_owned().await else {
             return;
         };
         let Ok((stream, addr)) = listener.accept().await else {
-            // Out of file descriptors: the next try would fail at once as well.
-            tokio::time::sleep(CHECK_EVERY).await;
+            // The process is out of file descriptors, so an immediate retry would fail, too.
+            tokio::time::sleep(LINK_CHECK_INTERVAL).await;
             continue;
         };
         let shared = shared.clone();
         tokio::spawn(async move {
-            let opened = link::accept(stream, &shared.me).await;
+            let accepted = link::accept(stream, &shared.me).await;
             drop(permit);
-            match opened {
-                Ok(link) => shared.carry(link).await,
+            match accepted {
+                Ok(link) => shared.serve(link).await,
                 Err(err) => {
                     shared.refuse(&err.to_string(), &addr.to_string().as_str().into());
                 }
@@ -395,25 +398,25 @@
 async fn keep_dialling(shared: sync::Arc<Shared>, target: Target) {
     let mut vm = target.vm.clone();
     if vm.as_ref().is_some_and(|vm| shared.me.vm > *vm) {
-        tokio::time::sleep(YIELD + jitter(YIELD)).await;
+        tokio::time::sleep(DIAL_YIELD_DELAY + jitter(DIAL_YIELD_DELAY)).await;
     }
     let mut backoff = MIN_BACKOFF;
     loop {
         if vm.as_ref().is_some_and(|vm| shared.is_linked(vm)) {
             backoff = MIN_BACKOFF;
-            tokio::time::sleep(CHECK_EVERY).await;
+            tokio::time::sleep(LINK_CHECK_INTERVAL).await;
             continue;
         }
         match link::dial(target.addr, &shared.me).await {
             Ok(link) if target.vm.as_ref().is_none_or(|vm| link.hello.vm == *vm) => {
                 backoff = MIN_BACKOFF;
                 vm = Some(link.hello.vm.clone());
-                shared.carry(link).await;
+                shared.serve(link).await;
             }
-            Ok(link) => shared.refuse("another VM than was dialled", &link.hello.vm),
+            Ok(link) => shared.refuse("another VM answered than the one dialled", &link.hello.vm),
             Err(err) => {
                 let addr = target.addr;
-                slog::debug!(shared.log, "dial failed"; "addr" => %addr, "why" => %err);
+                slog::debug!(shared.log, "dial failed, retrying"; "addr" => %addr, "why" => %err);
             }
         }
         tokio::time::sleep(backoff / 2 + jitter(backoff)).await;
@@ -421,7 +424,7 @@
     }
 }
 
-/// A random part of `span`, so that peers of a VM that died do not all dial at once.
+/// A random part of `span`, so that peers of a dead VM do not all dial at once.
 fn jitter(span: time::Duration) -> time::Duration {
     span.mul_f64(rand::rng().random())
 }
@@ -435,9 +438,9 @@
     use std::thread;
 
     const SECRET: &str = "0101010101010101010101010101010101010101010101010101010101010101";
-    const OTHER: &str = "0202020202020202020202020202020202020202020202020202020202020202";
+    const OTHER_SECRET: &str = "0202020202020202020202020202020202020202020202020202020202020202";
 
-    fn me(vm: &str, incarnation: u64, secret: &str) -> link::Me {
+    fn local_vm(vm: &str, incarnation: u64, secret: &str) -> link::Me {
         link::Me {
             vm: vm.into(),
             az: "az-1".into(),
@@ -457,14 +460,14 @@
         }
     }
 
-    fn until<F: Fn() -> bool>(what: &str, holds: F) {
+    fn wait_until<F: Fn() -> bool>(what: &str, holds: F) {
         for _ in 0..3_000 {
             if holds() {
                 return;
             }
             thread::sleep(time::Duration::from_millis(10));
         }
-        panic!("waited 30 s in vain: {what}");
+        panic!("timed out after 30 s: {what}");
     }
 
     fn want(key: &str) -> peer::Message {
@@ -472,38 +475,38 @@
     }
 
     #[test]
-    fn two_processes_talk_both_ways() {
-        let (a, a_rx) = start(me("a", 1, SECRET));
-        let (b, b_rx) = start(me("b", 1, SECRET));
+    fn two_processes_exchange_messages() {
+        let (a, a_rx) = start(local_vm("a", 1, SECRET));
+        let (b, b_rx) = start(local_vm("b", 1, SECRET));
         a.set_targets(&[target(&b)]);
         b.set_targets(&[target(&a)]);
-        until("linked", || a.linked().len() + b.linked().len() == 2);
+        wait_until("linked", || a.linked().len() + b.linked().len() == 2);
         assert!(a.send(&"b".into(), &want("x")));
-        assert_eq!(b.to_az(&"az-1".into(), &want("y")), 1);
+        assert_eq!(b.send_to_az(&"az-1".into(), &want("y")), 1);
         assert_eq!(b_rx.recv().unwrap(), ("a".into(), want("x")));
         assert_eq!(a_rx.recv().unwrap(), ("b".into(), want("y")));
         assert!(!a.send(&"c".into(), &want("x")));
     }
 
-    /// A VM's process is killed and starts again under the same address. Its peers must find it
-    /// again by themselves, or the availability zone loses an entry VM for good.
+    /// A VM's process is killed and restarts under the same address. If its peers do not link to it
+    /// again by themselves, the availability zone loses an entry VM for good.
     #[test]
     fn a_restarted_peer_is_linked_again() {
-        let (a, _a_rx) = start(me("a", 1, SECRET));
-        let (b, _b_rx) = start(me("b", 1, SECRET));
+        let (a, _a_rx) = start(local_vm("a", 1, SECRET));
+        let (b, _b_rx) = start(local_vm("b", 1, SECRET));
         let addr = b.addr();
         a.set_targets(&[target(&b)]);
-        until("linked", || a.linked().len() == 1);
+        wait_until("linked", || a.linked().len() == 1);
         drop(b);
-        until("unlinked", || a.linked().is_empty());
-        let again = cell::RefCell::new(None);
-        until("the address is free", || {
-            let started = Peers::start(me("b", 2, SECRET), addr, &logging::silent());
-            *again.borrow_mut() = started.ok();
-            again.borrow().is_some()
+        wait_until("unlinked", || a.linked().is_empty());
+        let restarted = cell::RefCell::new(None);
+        wait_until("the address is free", || {
+            let started = Peers::start(local_vm("b", 2, SECRET), addr, &logging::silent());
+            *restarted.borrow_mut() = started.ok();
+            restarted.borrow().is_some()
         });
-        let (_b, b_rx) = again.into_inner().unwrap();
-        until("linked again", || {
+        let (_b, b_rx) = restarted.into_inner().unwrap();
+        wait_until("linked again", || {
             a.linked()
                 .iter()
                 .any(|l| l.incarnation == id::Incarnation(2))
@@ -512,31 +515,31 @@
         assert_eq!(b_rx.recv().unwrap(), ("a".into(), want("x")));
     }
 
-    /// A process with another secret, or none that speaks our protocol, connects. It must neither
-    /// be heard nor take the port from the others.
+    /// A process with another secret or another protocol connects. Its messages must be ignored,
+    /// and it must not block connections of other peers.
     #[test]
-    fn a_stranger_is_refused_and_counted() {
-        let (a, a_rx) = start(me("a", 1, SECRET));
-        let (stranger, _rx) = start(me("s", 1, OTHER));
-        stranger.set_targets(&[target(&a)]);
+    fn a_peer_without_the_secret_is_refused_and_counted() {
+        let (a, a_rx) = start(local_vm("a", 1, SECRET));
+        let (outsider, _rx) = start(local_vm("s", 1, OTHER_SECRET));
+        outsider.set_targets(&[target(&a)]);
         let mut raw = net::TcpStream::connect(a.addr()).unwrap();
         io::Write::write_all(&mut raw, b"GET / HTTP/1.1\r\n\r\n").unwrap();
-        until("refused", || a.counts().refused >= 2);
+        wait_until("refused", || a.counts().refused >= 2);
         assert!(a.linked().is_empty() && a_rx.is_empty());
 
-        let (b, _b_rx) = start(me("b", 1, SECRET));
+        let (b, _b_rx) = start(local_vm("b", 1, SECRET));
         b.set_targets(&[target(&a)]);
-        until("linked", || !a.linked().is_empty());
+        wait_until("linked", || !a.linked().is_empty());
     }
 
-    /// A linked peer sends bytes that are no message. The link stays, since the next message may
-    /// be sound, and the refusal is counted.
+    /// A linked peer sends an invalid message. The refusal is counted, and the link stays because
+    /// later messages may be valid.
     #[test]
     fn a_malformed_message_is_counted_and_the_link_stays() {
-        let (a, a_rx) = start(me("a", 1, SECRET));
-        let (b, _b_rx) = start(me("b", 1, SECRET));
+        let (a, a_rx) = start(local_vm("a", 1, SECRET));
+        let (b, _b_rx) = start(local_vm("b", 1, SECRET));
         b.set_targets(&[target(&a)]);
-        until("linked", || a.linked().len() + b.linked().len() == 2);
+        wait_until("linked", || a.linked().len() + b.linked().len() == 2);
         let queue = b.shared.links.lock()["a"][0].queue.clone();
         queue.push(bytes::Bytes::from_static(b"no cbor"));
         b.send(&"a".into(), &want("x"));
--- a/src/gateway/fanout.rs
+++ b/src/gateway/fanout.rs
@@ -1,4 +1,7 @@
-//! Feeding followers: other entry VMs hear from this one what is known of the platform's store.
+//! Sends the store's records to followers, which are entry VMs that do not read the store.
+//!
+//! A follower gets a snapshot or a delta first and then each change. It is refused while the
+//! records here are outdated.
 
 use std::time;
 
@@ -8,47 +11,47 @@
 use tokio::task;
 
 use super::mirror::Mirror;
-use crate::coordination::mirror as order;
+use crate::coordination::mirror as follow_order;
 use crate::protocol::mirror;
 use crate::transport;
 
-/// The pause after a connection could not be accepted.
-const RETRY: time::Duration = time::Duration::from_millis(250);
+/// Pause after a failed `accept`.
+const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(250);
 
 impl Mirror {
-    /// Feeds followers until the process ends.
+    /// Serves followers until the process ends.
     pub async fn serve(self, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     let mirror = self.clone();
                     task::spawn_local(async move {
-                        // A follower that leaves or is too slow dials again, or another VM.
-                        if let Err(err) = mirror.feed(stream).await {
-                            slog::debug!(mirror.cx.log, "follower lost"; "why" => %err);
+                        // A disconnected or slow follower reconnects, here or to another VM.
+                        if let Err(err) = mirror.serve_follower(stream).await {
+                            slog::debug!(mirror.cx.log, "follower disconnected"; "why" => %err);
                         }
                     });
                 }
                 Err(err) => {
                     slog::warn!(self.cx.log, "cannot accept a connection"; "error" => %err);
-                    tokio::time::sleep(RETRY).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Waits until what is known is current, for as long as the follower waits. Refused at once, it would
-    /// ask again and again and be late by half of that pause.
+    /// Waits for current records, at most as long as the follower waits. If refused at once, the
+    /// follower would retry repeatedly and be late by half its retry pause.
     async fn await_current(
         &self,
-        news: &mut broadcast::Receiver<Bytes>,
+        updates: &mut broadcast::Receiver<Bytes>,
         wait_ms: u64,
         link: &mut transport::mirror::Link,
     ) {
         let until = tokio::time::Instant::now() + time::Duration::from_millis(wait_ms);
         loop {
             tokio::select! {
-                _ = news.recv() => {}
+                _ = updates.recv() => {}
                 () = link.closed() => return,
                 () = tokio::time::sleep_until(until) => return,
             }
@@ -58,7 +61,7 @@
         }
     }
 
-    /// What changed since a revision, or a snapshot where that is no longer known.
+    /// The changes since a revision, or a snapshot if removals since then are no longer known.
     fn delta_since(&self, since: u64) -> Result<Bytes, mirror::Error> {
         let delta = self.records.borrow().delta_since(since);
         match delta {
@@ -67,9 +70,8 @@
         }
     }
 
-    /// All that is known, encoded once for all followers that come before it changes.
-    ///
-    /// When all VMs start at once, a copy for each follower would fill a small VM's memory.
+    /// All records, encoded once for all followers until the next change: when all VMs start at
+    /// once, a copy per follower would fill a small VM's memory.
     fn snapshot(&self) -> Result<Bytes, mirror::Error> {
         let records = self.records.borrow();
         let mut snapshot = self.snapshot.borrow_mut();
@@ -84,15 +86,19 @@
 
     fn is_fresh(&self) -> bool {
         let age = self.cx.store_age();
-        self.current.get() && age.is_some_and(|age| age <= order::FRESH)
+        self.current.get() && age.is_some_and(|age| age <= follow_order::MAX_LEADER_STALENESS)
     }
 
-    async fn feed(&self, stream: tokio::net::TcpStream) -> Result<(), transport::mirror::Error> {
+    async fn serve_follower(
+        &self,
+        stream: tokio::net::TcpStream,
+    ) -> Result<(), transport::mirror::Error> {
         let mut link = transport::mirror::Link::accept(stream).await?;
-        let ask: mirror::Ask = link.receive(order::SILENCE).await?;
-        let mut news = self.news.subscribe();
+        let ask: mirror::Ask = link.receive(follow_order::SILENCE_TIMEOUT).await?;
+        let mut updates = self.updates.subscribe();
         if ask.fresh && !self.is_fresh() {
-            self.await_current(&mut news, ask.wait_ms, &mut link).await;
+            self.await_current(&mut updates, ask.wait_ms, &mut link)
+                .await;
         }
         if ask.fresh && !self.is_fresh() {
             link.send(mirror::encode(&mirror::Message::NotReading)?.into())
@@ -107,7 +113,7 @@
         }
         loop {
             let message = tokio::select! {
-                message = news.recv() => message,
+                message = updates.recv() => message,
                 () = link.closed() => return Ok(()),
             };
             let Ok(message) = message else {
--- a/src/gateway/place.rs
+++ b/src/gateway/placement.rs
@@ -1,4 +1,7 @@
-//! Finding a backend server for a request, or a place in line, or that neither is worth it.
+//! Reserves a backend server for a request, or says why none can take it now.
+//!
+//! Requests for one object, named by a cookie, go to the same few backend servers, which have it
+//! cached. Full, cold and failing backend servers are limited or skipped, so that they recover.
 
 use std::rc;
 
@@ -10,29 +13,29 @@
 use crate::protocol::routes;
 use crate::state::backends;
 
-/// What a request needs of a backend server.
+/// What a request requires of a backend server.
 #[derive(Debug)]
 pub struct Need<'a> {
     /// The service.
     pub service: &'a id::ServiceId,
-    /// The hash of its object.
+    /// The hash of the request's object, if it has one.
     pub key: Option<u64>,
-    /// Whether another region serves it.
-    pub away: bool,
-    /// Where it may run.
+    /// Whether the request is to run in another region.
+    pub remote: bool,
+    /// The regions where the request may run.
     pub homes: routes::Homes<'a>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether it ranks behind others of the service.
-    pub behind: bool,
-    /// Backend servers that it has been sent to.
+    /// Whether other requests of the service have a higher priority.
+    pub low_priority: bool,
+    /// Backend servers that the request was already sent to.
     pub tried: &'a [id::VmId],
 }
 
-/// One run of a backend server, from a start to the next under the same name.
+/// One run of a backend server, from a start until the next under the same name.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The backend server.
+    /// The backend server's name.
     pub id: id::VmId,
     /// The name of the run, see [`backends::Backend::run_name`].
     pub name: String,
@@ -40,59 +43,59 @@
 }
 
 impl Run {
-    /// Whether it is the one that is known now.
+    /// Whether this is the backend server's current run.
     pub fn is_of(&self, known: &backends::Backend) -> bool {
         rc::Rc::ptr_eq(&self.ended, known.ended())
     }
 
-    /// Waits until another run of it is known to have begun.
+    /// Waits until a newer run of the backend server is known.
     pub async fn ended(&self) {
         self.ended.notified().await;
     }
 }
 
-/// A request's hold on a backend server, given up when dropped.
+/// A request's slot at a backend server, released on drop.
 #[derive(Debug)]
-pub struct Seat {
+pub struct Reservation {
     cx: Gateway,
-    /// The run of the backend server that it is with.
+    /// The reserved backend server's run.
     pub run: Run,
-    /// Its address.
+    /// The backend server's address.
     pub addr: std::net::SocketAddr,
-    /// Whether it lies in another region.
-    pub far: bool,
+    /// Whether the backend server is in another region.
+    pub remote: bool,
     /// Whether the request's object is new there, as far as this VM knows.
-    pub new: bool,
-    /// Requests that ran or waited there before it, as far as known.
+    pub new_object: bool,
+    /// Requests running or queued there at the time, as far as this VM knows.
     pub ahead: f64,
 }
 
-impl Drop for Seat {
+impl Drop for Reservation {
     fn drop(&mut self) {
         let mut backends = self.cx.backends.borrow_mut();
         let known = backends.get_mut(&self.run.id);
         if let Some(backend) = known.filter(|b| self.run.is_of(b)) {
             backend.in_flight = backend.in_flight.saturating_sub(1);
-            if self.new {
+            if self.new_object {
                 backend.warming.request_ended();
             }
         }
     }
 }
 
-/// Why there is no backend server.
+/// Why no backend server takes the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Nowhere {
-    /// None is usable at all.
+pub enum PlacementError {
+    /// No backend server is usable.
     NoBackend,
-    /// Those that may have the object warm are full, so that it would be late.
+    /// The backend servers that may have the object cached are full; others would answer late.
     Full,
-    /// Its object is new there, and others that are hold the slots that these may have.
+    /// The object is new there, and other new objects use the slots allowed for them.
     Cold,
 }
 
-impl Nowhere {
-    /// A short name, for logs.
+impl PlacementError {
+    /// The reason as a log and metric value.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoBackend => "no usable backend server",
@@ -103,34 +106,34 @@
 }
 
 /// Backend servers that may get a request.
-struct InOrder<'a> {
-    /// Whether any can serve it, now or soon.
-    usable: bool,
-    /// Those that have a place in the order of objects.
-    in_order: Vec<&'a backends::Backend>,
+struct Candidates<'a> {
+    /// Whether any can serve the request, now or soon.
+    any_usable: bool,
+    /// Those to choose from now.
+    eligible: Vec<&'a backends::Backend>,
 }
 
 impl Gateway {
-    /// A backend server that takes the request now.
-    pub fn place(&self, need: &Need<'_>) -> Result<Seat, Nowhere> {
+    /// Reserves a slot at a backend server that takes the request now.
+    pub fn reserve(&self, need: &Need<'_>) -> Result<Reservation, PlacementError> {
         let now = self.now();
         let chosen = self.choose(need, now);
-        if chosen == Err(Nowhere::Full) && !need.behind {
-            self.with_desk(need.service, |desk| desk.precedence.urgent_refused(now));
+        if chosen == Err(PlacementError::Full) && !need.low_priority {
+            self.with_service(need.service, |state| state.precedence.urgent_refused(now));
         }
         let chosen = chosen?;
         let cfg = &self.cfg.thresholds.warming;
-        let cold = self.with_desk(need.service, |desk| desk.late.caches_cold(cfg));
+        let cold = self.with_service(need.service, |state| state.cold_lateness.caches_cold(cfg));
         let mut backends = self.backends.borrow_mut();
         let Some(backend) = backends.get_mut(&chosen) else {
-            return Err(Nowhere::NoBackend);
+            return Err(PlacementError::NoBackend);
         };
         let slots = f64::from(backend.listed.slots);
         let takes = |key| backend.warming.admits(cfg, slots, key);
         if cold && !need.key.is_none_or(takes) {
-            return Err(Nowhere::Cold);
+            return Err(PlacementError::Cold);
         }
-        let new = need
+        let new_object = need
             .key
             .is_some_and(|key| backend.warming.request_started(now, key));
         let ahead = backend.load(now);
@@ -143,7 +146,7 @@
         if backend.is_cold(now) {
             backend.pace.sent(now, self.cold_rate(need.service));
         }
-        Ok(Seat {
+        Ok(Reservation {
             cx: self.clone(),
             run: Run {
                 id: chosen,
@@ -151,33 +154,33 @@
                 ended: backend.ended().clone(),
             },
             addr: backend.listed.addr,
-            far: backend.region != self.region,
-            new,
+            remote: backend.region != self.region,
+            new_object,
             ahead,
         })
     }
 }
 
 impl Gateway {
-    fn choose(&self, need: &Need<'_>, now: policy::Moment) -> Result<id::VmId, Nowhere> {
-        // A region without any usable backend server has its callers served elsewhere, and so
-        // has a share whose regions elsewhere are all out.
+    fn choose(&self, need: &Need<'_>, now: policy::Moment) -> Result<id::VmId, PlacementError> {
+        // The sides, which are sets of regions, in order of preference. If one has no usable
+        // backend server, the next serves the request.
         let mut sides = match need.homes.are_open() {
             true => vec![backends::Side::Far],
-            false => self.homes_elsewhere(&need.homes),
+            false => self.other_allowed_regions(&need.homes),
         };
-        let near = if need.away { sides.len() } else { 0 };
+        let near = if need.remote { sides.len() } else { 0 };
         sides.insert(near, backends::Side::Near);
         let chosen = sides
             .into_iter()
             .find_map(|side| self.choose_on(side, need, now));
-        chosen.unwrap_or(Err(Nowhere::NoBackend))
+        chosen.unwrap_or(Err(PlacementError::NoBackend))
     }
 
-    /// The other regions in which a request may run. Each has an order of its own for each object, with
-    /// as many places as the region is large: taken for a part of all other regions, a small one would
-    /// be asked to keep each object at many backend servers, and none of its caches would hold any.
-    fn homes_elsewhere<'a>(&'a self, homes: &routes::Homes<'a>) -> Vec<backends::Side<'a>> {
+    /// The other regions where a request may run. Each has its own order of backend servers per
+    /// object, whose length follows from the region's size. In one order for all other regions, a
+    /// small region would keep each object at many backend servers, and its caches would hold none.
+    fn other_allowed_regions<'a>(&'a self, homes: &routes::Homes<'a>) -> Vec<backends::Side<'a>> {
         let own = self.region.as_ref();
         let named = match homes.route.is_empty() {
             true => homes.customer,
@@ -190,29 +193,28 @@
             .collect()
     }
 
-    /// The backend server on one side; `None` where none there is usable.
+    /// Chooses a backend server on one side; `None` if none there is usable.
     fn choose_on(
         &self,
         side: backends::Side<'_>,
         need: &Need<'_>,
         now: policy::Moment,
-    ) -> Option<Result<id::VmId, Nowhere>> {
-        let few = self.few(side, need);
+    ) -> Option<Result<id::VmId, PlacementError>> {
+        let shortlist = self.shortlist(side, need);
         let backends = self.backends.borrow();
         let region_backends = backends.count_on(need.service, side);
-        let listed = few.iter().filter_map(|name| backends.get(name));
-        let in_order = self.in_order(listed, need, now).in_order;
-        if in_order.len() >= affinity::SMALL_REGION_REPLICAS {
-            return Some(self.pick(&in_order, region_backends, need, now));
+        let listed = shortlist.iter().filter_map(|name| backends.get(name));
+        let eligible = self.find_eligible(listed, need, now).eligible;
+        if eligible.len() >= affinity::SMALL_REGION_REPLICAS {
+            return Some(self.pick(&eligible, region_backends, need, now));
         }
-        let all = self.in_order(backends.on(need.service, side), need, now);
-        all.usable
-            .then(|| self.pick(&all.in_order, region_backends, need, now))
+        let all = self.find_eligible(backends.on(need.service, side), need, now);
+        all.any_usable
+            .then(|| self.pick(&all.eligible, region_backends, need, now))
     }
 
-    /// Those among which the choice lies as a rule: the first of the object's order, or some drawn
-    /// at random.
-    fn few(&self, side: backends::Side<'_>, need: &Need<'_>) -> Vec<id::VmId> {
+    /// The shortlist to choose from first: the head of the object's order, or a random sample.
+    fn shortlist(&self, side: backends::Side<'_>, need: &Need<'_>) -> Vec<id::VmId> {
         let by_object = self.cfg.thresholds.placement.by_object;
         let mut backends = self.backends.borrow_mut();
         match need.key.filter(|_| by_object) {
@@ -221,37 +223,40 @@
         }
     }
 
-    /// Those that have a place in the order of objects now.
-    fn in_order<'a>(
+    /// Filters the backend servers to choose from now.
+    fn find_eligible<'a>(
         &self,
         backends: impl Iterator<Item = &'a backends::Backend>,
         need: &Need<'_>,
         now: policy::Moment,
-    ) -> InOrder<'a> {
-        let mut usable = false;
-        let in_order = backends
+    ) -> Candidates<'a> {
+        let mut any_usable = false;
+        let eligible = backends
             .filter(|b| self.may_serve(b, need, now))
-            .inspect(|_| usable = true)
-            .filter(|b| self.has_place(b, need, now))
+            .inspect(|_| any_usable = true)
+            .filter(|b| self.is_eligible(b, need, now))
             .collect();
-        InOrder { usable, in_order }
+        Candidates {
+            any_usable,
+            eligible,
+        }
     }
 
     fn pick(
         &self,
-        in_order: &[&backends::Backend],
+        eligible: &[&backends::Backend],
         region_backends: usize,
         need: &Need<'_>,
         now: policy::Moment,
-    ) -> Result<id::VmId, Nowhere> {
+    ) -> Result<id::VmId, PlacementError> {
         let limit = &self.cfg.thresholds.limit;
-        let candidates: Vec<affinity::Candidate> = in_order
+        let candidates: Vec<affinity::Candidate> = eligible
             .iter()
             .map(|b| affinity::Candidate {
                 hash: b.hash,
                 slots: f64::from(b.listed.slots),
                 load: b.load(now),
-                full: b.in_flight as usize >= b.limit.shared(limit, now, self.alone.get()),
+                full: b.in_flight as usize >= b.limit.shared(limit, now, self.is_sole_entry.get()),
                 recently_sent: need
                     .key
                     .is_some_and(|key| b.warming.sent_recently(now, key)),
@@ -262,15 +267,15 @@
             key: need.key,
             tie: self.jitter().to_bits(),
             region_backends,
-            low_priority: need.behind
-                && self.with_desk(need.service, |desk| desk.precedence.yields(now)),
+            low_priority: need.low_priority
+                && self.with_service(need.service, |state| state.precedence.yields(now)),
         };
         affinity::pick(&self.cfg.thresholds.placement, &request, &candidates)
-            .map(|i| in_order[i].id.clone())
-            .ok_or(Nowhere::Full)
+            .map(|i| eligible[i].id.clone())
+            .ok_or(PlacementError::Full)
     }
 
-    /// Whether a backend server counts as one that can serve the request, now or soon.
+    /// Whether a backend server can serve the request, now or soon.
     fn may_serve(&self, b: &backends::Backend, need: &Need<'_>, now: policy::Moment) -> bool {
         if b.listed.leaving || self.evacuated.borrow().contains(&b.listed.az) {
             return false;
@@ -285,30 +290,34 @@
         !out || (b.health.probe_due(now) && need.idempotent)
     }
 
-    /// Whether it has a place in the order of objects just now. One that is cold or on trial has
-    /// one only for a request that it takes at once: its objects go elsewhere meanwhile.
-    fn has_place(&self, b: &backends::Backend, need: &Need<'_>, now: policy::Moment) -> bool {
+    /// Whether a backend server can be chosen now. One that is cold or on trial can only if it
+    /// takes the request at once; meanwhile other backend servers serve its objects.
+    fn is_eligible(&self, b: &backends::Backend, need: &Need<'_>, now: policy::Moment) -> bool {
         let on_trial = b.health.state() != ejection::State::Active;
         if on_trial && (b.in_flight > 0 || !need.idempotent) {
             return false;
         }
-        !b.is_cold(now) || (b.pace.ready(now) && self.owns_cold(b))
+        !b.is_cold(now) || (b.pace.ready(now) && self.sends_to_cold(b))
     }
 
-    /// Whether this VM is the one that sends to a cold backend server. Only those that callers of
-    /// its region are told have requests for it.
-    fn owns_cold(&self, b: &backends::Backend) -> bool {
-        cold::owns(b.hash, self.own_hash, &self.told_in(b.region.as_ref()))
+    /// Whether this VM is the one that sends to a cold backend server. Only VMs advertised to
+    /// callers of that region have requests for it.
+    fn sends_to_cold(&self, b: &backends::Backend) -> bool {
+        cold::owns(
+            b.hash,
+            self.own_hash,
+            &self.advertised_hashes(b.region.as_ref()),
+        )
     }
 
     fn cold_rate(&self, service: &id::ServiceId) -> f64 {
-        /// Where the routes do not say: one each second does no harm to any backend server.
-        const UNKNOWN: f64 = 1.0;
+        /// Requests per second if the routes state no rate; one harms no backend server.
+        const DEFAULT_RATE_PER_S: f64 = 1.0;
         self.table
             .borrow()
             .as_ref()
             .and_then(|table| Some(table.services.get(service)?.cold_rate))
             .filter(|rate| *rate > 0.0)
-            .unwrap_or(UNKNOWN)
+            .unwrap_or(DEFAULT_RATE_PER_S)
     }
 }
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -1,4 +1,5 @@
-//! Connections to backend servers that rest between requests.
+//! Pool of idle connections to backend servers, limited in number and idle time, since a backend
+//! server limits its connections and closes idle ones.
 
 use std::collections;
 use std::time;
@@ -7,56 +8,56 @@
 use crate::id;
 use crate::transport::socket;
 
-/// Connections that rest for one backend server, at most. It works on few requests at once, and
-/// each connection counts against its limit.
-const EACH: usize = 4;
+/// Idle connections per backend server. It works on few requests at once, and each connection
+/// counts against its connection limit.
+const MAX_IDLE_PER_BACKEND: usize = 4;
 
 #[derive(Debug)]
 struct Idle {
     wire: socket::Wire,
     since: time::Instant,
-    /// How long its backend server says that it keeps it.
+    /// The keep-alive timeout that the backend server stated.
     stated: Option<time::Duration>,
 }
 
-/// A connection that rested, to be used again.
+/// An idle connection taken from the pool for reuse.
 #[derive(Debug)]
-pub struct Rested {
+pub struct IdleConnection {
     /// The connection.
     pub wire: socket::Wire,
-    /// How long it rested.
-    pub rested: time::Duration,
+    /// How long it was idle.
+    pub idle_for: time::Duration,
 }
 
-/// The resting connections by backend server.
+/// The idle connections by backend server.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: collections::HashMap<id::VmId, Vec<Idle>>,
-    /// How long they may rest.
-    pub rest: idle_limit::IdleLimit,
+    /// Limits how long connections may stay idle.
+    pub idle_limit: idle_limit::IdleLimit,
 }
 
 impl Pool {
-    /// A connection that has rested no longer than `limit`, the most recent first.
-    pub fn take(&mut self, id: &id::VmId, limit: time::Duration) -> Option<Rested> {
+    /// Takes the most recently used connection that was idle for less than `limit`.
+    pub fn take(&mut self, id: &id::VmId, limit: time::Duration) -> Option<IdleConnection> {
         let idle = self.idle.get_mut(id)?;
         while let Some(mut last) = idle.pop() {
-            let rested = last.since.elapsed();
-            if rested < self.rest.limit(last.stated).min(limit) && last.wire.rests() {
+            let idle_for = last.since.elapsed();
+            if idle_for < self.idle_limit.limit(last.stated).min(limit) && last.wire.rests() {
                 let wire = last.wire;
-                return Some(Rested { wire, rested });
+                return Some(IdleConnection { wire, idle_for });
             }
         }
         None
     }
 
-    /// Keeps a connection. `stated` is how long the backend server says that it keeps it.
+    /// Adds an idle connection. `stated` is the keep-alive timeout that the backend server stated.
     pub fn put(&mut self, id: &id::VmId, wire: socket::Wire, stated: Option<time::Duration>) {
-        if self.rest.limit(stated).is_zero() {
+        if self.idle_limit.limit(stated).is_zero() {
             return;
         }
         let idle = self.idle.entry(id.clone()).or_default();
-        if idle.len() >= EACH {
+        if idle.len() >= MAX_IDLE_PER_BACKEND {
             idle.remove(0);
         }
         idle.push(Idle {
@@ -66,16 +67,16 @@
         });
     }
 
-    /// Closes what has rested too long.
+    /// Closes connections that were idle for too long.
     pub fn sweep(&mut self) {
-        let rest = self.rest;
+        let idle_limit = self.idle_limit;
         self.idle.retain(|_, idle| {
-            idle.retain(|one| one.since.elapsed() < rest.limit(one.stated));
+            idle.retain(|one| one.since.elapsed() < idle_limit.limit(one.stated));
             !idle.is_empty()
         });
     }
 
-    /// Closes the connections to one backend server.
+    /// Closes all idle connections to one backend server.
     pub fn drop_all(&mut self, id: &id::VmId) {
         self.idle.remove(id);
     }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -1,4 +1,6 @@
-//! A caller's request from its first line to its answer.
+//! Handles one request from its head to its answer: chooses backend servers, sends, hedges and
+//! resends within the deadline, the retry budget and the customer's quota. A request that is not
+//! idempotent is sent again only if it has not run.
 
 use std::rc;
 use std::time;
@@ -7,79 +9,81 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 
-use super::{Gateway, attempt, facts, place, quotas, record};
+use super::{Gateway, attempt, facts, placement, quotas, record};
 use crate::decisions::{policy, regions, retry_delay};
 use crate::id;
 use crate::protocol::{http1, routes};
 use crate::transport::{callers, upstream};
 
-/// How much longer than the caller's time a backend server's own answer is awaited: it stops by
-/// itself at the time that it was given, and its word is better than ours.
-const AFTER: time::Duration = time::Duration::from_millis(120);
+/// Extra time beyond the caller's deadline to wait for a backend server's answer. The backend
+/// server stops at the deadline itself, and its answer says more than a timeout.
+const ANSWER_GRACE: time::Duration = time::Duration::from_millis(120);
 
-/// When a caller may come back whose request crashes backend servers: it will not be served for a
-/// minute at least.
-const BANNED: time::Duration = time::Duration::from_secs(60);
+/// Retry delay for requests that crash backend servers, which are refused for at least a minute.
+const BANNED_RETRY_DELAY: time::Duration = time::Duration::from_secs(60);
 
-/// When a caller may come back whose request must run elsewhere while too many more do: by then more
-/// may.
-const STAYS_AWAY: time::Duration = time::Duration::from_secs(1);
+/// Retry delay for requests that must run in another region while the cap on such requests is
+/// reached: by then the cap allows more.
+const REMOTE_CAP_RETRY_DELAY: time::Duration = time::Duration::from_secs(1);
 
-/// Counts the requests in hand, however they end, and tells of those whose callers left.
-struct InHand {
+/// Counts a request in progress, however it ends, and records it if its caller left.
+struct InProgress {
     cx: Gateway,
     id: Bytes,
-    ended: bool,
+    answered: bool,
 }
 
-impl InHand {
+impl InProgress {
     fn new(cx: &Gateway, head: &http1::RequestHead) -> Self {
-        cx.in_hand.set(cx.in_hand.get() + 1);
+        cx.in_progress.set(cx.in_progress.get() + 1);
         let id = head.fields.get(cx.cfg.names.id).unwrap_or_default();
         Self {
             cx: cx.clone(),
             id: Bytes::copy_from_slice(id),
-            ended: false,
+            answered: false,
         }
     }
 }
 
-impl Drop for InHand {
+impl Drop for InProgress {
     fn drop(&mut self) {
-        self.cx.in_hand.set(self.cx.in_hand.get() - 1);
-        if !self.ended {
-            self.cx.record_left(&self.id);
+        self.cx.in_progress.set(self.cx.in_progress.get() - 1);
+        if !self.answered {
+            self.cx.record_caller_left(&self.id);
         }
     }
 }
 
 impl Gateway {
-    /// Answers a request.
     pub(super) async fn handle(self, mut req: callers::Request) -> callers::Answer {
-        let mut in_hand = InHand::new(&self, &req.head);
+        let mut in_progress = InProgress::new(&self, &req.head);
         let facts = match self.facts(&req) {
             Ok(facts) => facts,
             Err(answer) => {
-                in_hand.ended = true;
+                in_progress.answered = true;
                 return answer;
             }
         };
         let fingerprint = facts::fingerprint(&req);
         if self.crashes.borrow().is_banned(fingerprint) {
-            in_hand.ended = true;
-            return self.not_here(&facts.id, BANNED, "it crashes backend servers");
+            in_progress.answered = true;
+            return self.refuse_temporarily(
+                &facts.id,
+                BANNED_RETRY_DELAY,
+                "it crashes backend servers",
+            );
         }
         let reach = self.reach(&facts.homes());
         if !self.may_leave(reach) {
-            in_hand.ended = true;
-            return self.stays_away(&facts);
+            in_progress.answered = true;
+            return self.refuse_remote(&facts);
         }
-        let let_in = self.now();
+        let admitted_at = self.now();
         let charge = match self.charge(facts.customer()) {
             Ok(charge) => charge,
             Err(refused) => {
-                in_hand.ended = true;
-                self.ran_nowhere(reach, let_in);
+                in_progress.answered = true;
+                self.uncount_departure(reach, admitted_at);
                 let left = facts.deadline.saturating_sub(self.now());
                 return self.beyond_quota(&facts, &refused, left);
             }
@@ -87,13 +91,13 @@
         let service = self.service_for(&facts);
         let bound = &self.cfg.resend;
         let now = self.now();
-        let away = self.with_desk(&service, |desk| {
-            desk.resends.count_request(bound, now);
-            desk.traffic += 1.0;
+        let remote = self.with_service(&service, |state| {
+            state.resends.count_request(bound, now);
+            state.traffic += 1.0;
             match reach {
-                regions::Reach::Anywhere => {
-                    desk.share.moves(facts.key.unwrap_or_else(rand::random))
-                }
+                regions::Reach::Anywhere => state
+                    .remote_share
+                    .moves(facts.key.unwrap_or_else(rand::random)),
                 regions::Reach::Here => false,
                 regions::Reach::Elsewhere => true,
             }
@@ -102,51 +106,51 @@
             head: req.head.clone(),
             id: facts.id.clone(),
             service,
-            customer: facts.asker.as_ref().map(|a| a.customer.clone()),
+            customer: facts.key_holder.as_ref().map(|a| a.customer.clone()),
             idempotent: facts.route.idempotent,
             fingerprint,
             deadline: facts.deadline,
-            aim: facts.route.aim,
+            target_latency: facts.route.aim,
         });
         let payload = std::mem::replace(&mut req.payload, upstream::Payload::Whole(Bytes::new()));
-        let mut run = Run {
+        let mut dispatch = Dispatch {
             cx: &self,
             facts: &facts,
             job,
-            away,
+            remote,
             payload: Some(payload),
             tried: Vec::new(),
             sends: 0,
-            ran: 0,
+            possible_runs: 0,
             first_sent: None,
-            new: false,
+            new_object: false,
             ahead: 0.0,
             fate: ("answered", ""),
             bond: &req.bond,
             revoked: false,
             charge,
         };
-        let answer = run.answer().await;
-        in_hand.ended = true;
-        if run.ran == 0 && run.fate.0 != "answered" {
-            self.ran_nowhere(reach, let_in);
+        let answer = dispatch.answer().await;
+        in_progress.answered = true;
+        if dispatch.possible_runs == 0 && dispatch.fate.0 != "answered" {
+            self.uncount_departure(reach, admitted_at);
         }
-        self.carried(&answer);
-        self.record(&record::Ended {
+        self.count_answer(&answer);
+        self.record(&record::RequestOutcome {
             id: &facts.id,
             route: &facts.route,
             customer: facts.customer_name(),
-            service: run.job.service.as_str(),
-            away,
-            new: run.new,
-            ahead: run.ahead,
+            service: dispatch.job.service.as_str(),
+            remote,
+            new_object: dispatch.new_object,
+            ahead: dispatch.ahead,
             status: answer.status,
-            fate: run.fate.0,
-            why: run.fate.1,
-            tried: &run.tried,
-            sends: run.sends,
+            fate: dispatch.fate.0,
+            why: dispatch.fate.1,
+            tried: &dispatch.tried,
+            sends: dispatch.sends,
             received: facts.received,
-            first_sent: run.first_sent,
+            first_sent: dispatch.first_sent,
             deadline: facts.deadline,
         });
         answer
@@ -154,97 +158,105 @@
 }
 
 impl Gateway {
-    /// Whether a request may leave its caller's region, if it must; then it counts.
+    /// Whether a request may run outside its caller's region if it must. Counts it if it may run.
     fn may_leave(&self, reach: regions::Reach) -> bool {
         let now = self.now();
         let leaves = reach == regions::Reach::Elsewhere;
         let mut departures = self.departures.borrow_mut();
-        if leaves && !departures.may_leave(now, self.cfg.shift_most) {
+        if leaves && !departures.may_leave(now, self.cfg.max_region_shift_share) {
             return false;
         }
         departures.count(now, leaves);
         true
     }
 
-    /// A request that was let in at this moment has run nowhere.
-    fn ran_nowhere(&self, reach: regions::Reach, let_in: policy::Moment) {
+    /// Takes a request that has not run back from the count of those that leave the region.
+    fn uncount_departure(&self, reach: regions::Reach, admitted_at: policy::Moment) {
         let leaves = reach == regions::Reach::Elsewhere;
         let mut departures = self.departures.borrow_mut();
-        departures.take_back(self.now(), let_in, leaves);
+        departures.take_back(self.now(), admitted_at, leaves);
     }
 
-    /// Refuses a request that must run elsewhere while too many more do than just before.
-    fn stays_away(&self, facts: &facts::Facts) -> callers::Answer {
+    /// Refuses a request that must run in another region while the cap on such requests is reached.
+    fn refuse_remote(&self, facts: &facts::Facts) -> callers::Answer {
         let left = facts.deadline.saturating_sub(self.now());
-        let after = retry_delay::after(STAYS_AWAY, left, self.jitter());
-        let mut answer = self.not_here(&facts.id, after, "too many more must run elsewhere");
+        let after = retry_delay::after(REMOTE_CAP_RETRY_DELAY, left, self.jitter());
+        let mut answer =
+            self.refuse_temporarily(&facts.id, after, "too many more must run elsewhere");
         answer.close = false;
         answer
     }
 }
 
-/// What happens next to a request whose sends are out.
+/// The next event for a request with sends in flight.
 enum Next {
     Ended(id::VmId, attempt::Outcome),
     Hedge,
     TimeUp,
 }
 
-/// A request on its way.
-struct Run<'a> {
+/// A request in progress.
+struct Dispatch<'a> {
     cx: &'a Gateway,
     facts: &'a facts::Facts,
     job: rc::Rc<attempt::Job>,
-    away: bool,
+    remote: bool,
     payload: Option<upstream::Payload>,
     tried: Vec<id::VmId>,
-    /// How often it was sent.
     sends: u32,
-    /// At how many backend servers it may have run.
-    ran: u32,
+    /// Number of sends that may have run.
+    possible_runs: u32,
     first_sent: Option<policy::Moment>,
-    /// Whether its object was new where it was sent last.
-    new: bool,
-    /// Requests that ran or waited there before it.
+    /// Whether the request's object was new at the latest backend server.
+    new_object: bool,
+    /// Requests running or queued there at the time of the send.
     ahead: f64,
-    /// What became of it, and why.
+    /// The request's fate and the reason, as metric labels.
     fate: (&'static str, &'static str),
     bond: &'a callers::Bond,
-    /// Whether its key was taken away while it was under way.
+    /// Whether its key was revoked while the request was in progress.
     revoked: bool,
-    /// What counts against its customer's quota for the last send.
+    /// The quota charge of the latest send.
     charge: Option<quotas::Charge>,
 }
 
-impl Run<'_> {
+impl Dispatch<'_> {
     async fn answer(&mut self) -> callers::Answer {
-        let seat = match self.cx.place(&self.need()) {
-            Ok(seat) => seat,
+        let reservation = match self.cx.reserve(&self.need()) {
+            Ok(reservation) => reservation,
             Err(why) => {
-                self.give_back();
+                self.refund();
                 return self.refuse(why.as_str());
             }
         };
-        self.sits(&seat);
+        self.note_reservation(&reservation);
         let mut out = FuturesUnordered::new();
         let Some(payload) = self.take_payload() else {
-            self.give_back();
+            self.refund();
             return self.refuse("the body is gone");
         };
-        self.sent();
-        out.push(self.cx.clone().attempt(self.job.clone(), payload, seat));
+        self.note_send();
+        out.push(
+            self.cx
+                .clone()
+                .attempt(self.job.clone(), payload, reservation),
+        );
         let mut hedge_at = self.hedge_at();
         let mut last = None;
         loop {
             match self.next(&mut out, hedge_at).await {
-                Next::TimeUp => return self.give_up("time is up"),
+                Next::TimeUp => return self.outcome_unknown("time is up"),
                 Next::Hedge => {
                     hedge_at = None;
                     if let Some(hung) = self.tried.last() {
-                        self.cx.hangs(&self.job, hung);
+                        self.cx.record_hang(&self.job, hung);
                     }
-                    if let Some((payload, seat)) = self.beside() {
-                        out.push(self.cx.clone().attempt(self.job.clone(), payload, seat));
+                    if let Some((payload, reservation)) = self.hedge() {
+                        out.push(
+                            self.cx
+                                .clone()
+                                .attempt(self.job.clone(), payload, reservation),
+                        );
                     }
                 }
                 Next::Ended(id, outcome) => {
@@ -256,11 +268,15 @@
                         continue;
                     }
                     match self.after_failure() {
-                        Some((payload, seat)) => {
-                            out.push(self.cx.clone().attempt(self.job.clone(), payload, seat));
+                        Some((payload, reservation)) => {
+                            out.push(self.cx.clone().attempt(
+                                self.job.clone(),
+                                payload,
+                                reservation,
+                            ));
                             hedge_at = self.hedge_at();
                         }
-                        None => return last.unwrap_or_else(|| self.ended()),
+                        None => return last.unwrap_or_else(|| self.final_answer()),
                     }
                 }
             }
@@ -271,7 +287,7 @@
     where
         F: Future<Output = (id::VmId, attempt::Outcome)>,
     {
-        let end = self.cx.instant(self.facts.deadline + AFTER);
+        let end = self.cx.instant(self.facts.deadline + ANSWER_GRACE);
         let hedge = hedge_at.map_or(end, |at| self.cx.instant(at));
         tokio::select! {
             biased;
@@ -281,14 +297,14 @@
         }
     }
 
-    fn need(&self) -> place::Need<'_> {
-        place::Need {
+    fn need(&self) -> placement::Need<'_> {
+        placement::Need {
             service: &self.job.service,
             key: self.facts.key,
-            away: self.away,
+            remote: self.remote,
             homes: self.homes(),
             idempotent: self.facts.route.idempotent,
-            behind: self
+            low_priority: self
                 .facts
                 .table
                 .is_behind(self.facts.rank(), &self.job.service),
@@ -303,13 +319,13 @@
         }
     }
 
-    fn sits(&mut self, seat: &place::Seat) {
-        self.tried.push(seat.run.id.clone());
-        self.new = seat.new;
-        self.ahead = seat.ahead;
+    fn note_reservation(&mut self, reservation: &placement::Reservation) {
+        self.tried.push(reservation.run.id.clone());
+        self.new_object = reservation.new_object;
+        self.ahead = reservation.ahead;
     }
 
-    fn sent(&mut self) {
+    fn note_send(&mut self) {
         self.sends += 1;
         self.first_sent.get_or_insert(self.cx.now());
         if !self.facts.route.idempotent {
@@ -331,81 +347,85 @@
         if !self.facts.route.idempotent {
             return None;
         }
-        let usual = self.cx.with_desk(&self.job.service, |desk| desk.work);
+        let usual = self
+            .cx
+            .with_service(&self.job.service, |state| state.mean_latency_s);
         let usual = time::Duration::from_secs_f64(usual);
         let hedge = &self.cx.cfg.thresholds.hedge;
         Some(self.cx.now() + hedge.after(usual, self.facts.route.aim))
     }
 
-    /// Whether one more send is allowed, and then takes it from the budget.
+    /// Whether one more send is allowed; if so, takes it from the retry budget.
     fn may_send(&self) -> bool {
-        let more = self.ran < self.facts.route.attempts && self.sends <= self.facts.route.attempts;
+        let more = self.possible_runs < self.facts.route.attempts
+            && self.sends <= self.facts.route.attempts;
         let fresh = self.payload.is_some();
-        // A caller that has left waits for nothing; what it wanted must not begin anew without it.
+        // Without a waiting caller, the request must not start at another backend server.
         let over = self.bond.left.get() || self.cx.now() >= self.facts.deadline;
         if !more || !fresh || over {
             return false;
         }
         let (now, vms) = (self.cx.now(), self.cx.entries.borrow().len());
         let bound = &self.cx.cfg.resend;
-        self.cx
-            .with_desk(&self.job.service, |desk| desk.resends.take(bound, now, vms))
+        self.cx.with_service(&self.job.service, |state| {
+            state.resends.take(bound, now, vms)
+        })
     }
 
-    /// One more send while another is still out, which may run as this one may.
-    fn beside(&mut self) -> Option<(upstream::Payload, place::Seat)> {
-        if self.ran + 2 > self.facts.route.attempts {
+    /// One more send while another is in flight. Both may run, so two attempts must remain.
+    fn hedge(&mut self) -> Option<(upstream::Payload, placement::Reservation)> {
+        if self.possible_runs + 2 > self.facts.route.attempts {
             return None;
         }
-        self.again()
+        self.resend()
     }
 
-    /// One more send after the last has failed.
-    fn after_failure(&mut self) -> Option<(upstream::Payload, place::Seat)> {
-        if self.ran > 0 && !self.facts.route.idempotent {
+    /// One more send after the previous one failed.
+    fn after_failure(&mut self) -> Option<(upstream::Payload, placement::Reservation)> {
+        if self.possible_runs > 0 && !self.facts.route.idempotent {
             return None;
         }
-        self.again()
+        self.resend()
     }
 
-    fn again(&mut self) -> Option<(upstream::Payload, place::Seat)> {
+    fn resend(&mut self) -> Option<(upstream::Payload, placement::Reservation)> {
         if !self.is_still_allowed() {
             return None;
         }
-        let seat = self.cx.place(&self.need()).ok()?;
-        if !self.may_send() || !self.charge_again() {
+        let reservation = self.cx.reserve(&self.need()).ok()?;
+        if !self.may_send() || !self.charge_resend() {
             return None;
         }
-        self.sits(&seat);
+        self.note_reservation(&reservation);
         let payload = self.take_payload()?;
-        self.sent();
-        Some((payload, seat))
+        self.note_send();
+        Some((payload, reservation))
     }
 
-    /// Whether its key is still held. One that was taken away while the request was under way must
-    /// start nothing more; one that was given to another customer asks for that one from now on.
+    /// Whether a customer still holds the request's key. A revoked key allows no further send;
+    /// after a key has moved to another customer, further sends carry the new customer's name.
     fn is_still_allowed(&mut self) -> bool {
-        let Ok(asker) = self.cx.still(self.facts) else {
+        let Ok(key_holder) = self.cx.current_key_holder(self.facts) else {
             self.revoked = true;
             return false;
         };
-        let customer = asker.map(|asker| asker.customer);
+        let customer = key_holder.map(|key_holder| key_holder.customer);
         if customer != self.job.customer {
             rc::Rc::make_mut(&mut self.job).customer = customer;
         }
         true
     }
 
-    /// Whether its customer's quota leaves one more send.
-    fn charge_again(&mut self) -> bool {
+    /// Whether the customer's quota allows one more send.
+    fn charge_resend(&mut self) -> bool {
         let charge = self.charge.as_mut();
-        charge.is_none_or(|charge| self.cx.charge_again(charge))
+        charge.is_none_or(|charge| self.cx.charge_resend(charge))
     }
 
-    /// What was counted for the last send has not run.
-    fn give_back(&self) {
+    /// Refunds the quota charge of the latest send, which has not run.
+    fn refund(&self) {
         if let Some(charge) = &self.charge {
-            self.cx.give_back(charge);
+            self.cx.refund(charge);
         }
     }
 
@@ -423,64 +443,66 @@
                 answer,
                 failed: true,
             } => {
-                self.note(id, name);
-                self.ran += 1;
+                self.record_failure(id, name);
+                self.possible_runs += 1;
                 self.fate = ("failed", "the backend server failed");
                 if !self.facts.route.idempotent {
                     return Settled::Answer(answer);
                 }
                 return Settled::Failed(Some(answer));
             }
-            attempt::Outcome::NotRun(_) => self.give_back(),
-            attempt::Outcome::Unknown(_) => self.ran += 1,
+            attempt::Outcome::NotRun(_) => self.refund(),
+            attempt::Outcome::Unknown(_) => self.possible_runs += 1,
         }
-        self.note(id, name);
+        self.record_failure(id, name);
         Settled::Failed(None)
     }
 
-    fn note(&self, id: &id::VmId, what: &'static str) {
+    fn record_failure(&self, id: &id::VmId, what: &'static str) {
         let service = self.job.service.as_str();
         self.cx
             .record_send(&self.facts.id, service, id, what, self.sends);
     }
 
-    fn left(&self) -> time::Duration {
+    fn time_left(&self) -> time::Duration {
         self.facts.deadline.saturating_sub(self.cx.now())
     }
 
-    /// No answer could be had, and no further send is possible.
-    fn ended(&mut self) -> callers::Answer {
-        match self.ran {
-            0 if self.revoked => self.turn_away(),
+    /// The answer when all sends failed and no further send is possible.
+    fn final_answer(&mut self) -> callers::Answer {
+        match self.possible_runs {
+            0 if self.revoked => self.refuse_revoked(),
             0 => self.refuse("not run anywhere"),
-            _ => self.give_up("no answer"),
+            _ => self.outcome_unknown("no answer"),
         }
     }
 
-    /// It has not run, and nobody that is known asks for it any more.
-    fn turn_away(&mut self) -> callers::Answer {
+    /// The answer to a request whose key was revoked before it ran.
+    fn refuse_revoked(&mut self) -> callers::Answer {
         self.fate = ("turned_away", "the key was taken away");
-        self.cx.own_answer(401, Some(&self.facts.id))
+        self.cx.gateway_answer(401, Some(&self.facts.id))
     }
 
-    /// It has not run and will not.
+    /// The answer to a request that has not run and will not.
     fn refuse(&mut self, why: &'static str) -> callers::Answer {
         self.fate = ("not_run", why);
-        let backlog = self.cx.with_desk(&self.job.service, |desk| desk.backlog());
-        let after = retry_delay::after(backlog, self.left(), self.cx.jitter());
-        let mut answer = self.cx.own_answer(503, Some(&self.facts.id));
+        let expected_wait = self
+            .cx
+            .with_service(&self.job.service, |state| state.expected_wait());
+        let after = retry_delay::after(expected_wait, self.time_left(), self.cx.jitter());
+        let mut answer = self.cx.gateway_answer(503, Some(&self.facts.id));
         facts::put_retry_after(&mut answer.fields, after);
         answer
     }
 
-    /// It may have run, and its caller gets no answer of a backend server.
-    fn give_up(&mut self, why: &'static str) -> callers::Answer {
+    /// The answer to a request that may have run and got no answer from a backend server.
+    fn outcome_unknown(&mut self, why: &'static str) -> callers::Answer {
         self.fate = ("unknown", why);
-        let status = match self.left().is_zero() {
+        let status = match self.time_left().is_zero() {
             true => 504,
             false => 502,
         };
-        self.cx.own_answer(status, Some(&self.facts.id))
+        self.cx.gateway_answer(status, Some(&self.facts.id))
     }
 }
 
--- a/src/platform/decode.rs
+++ b/src/platform/decode.rs
@@ -1,41 +1,42 @@
-//! What operators and backend servers write to the platform's store, decoded into our own types.
+//! Decodes the records that operators, backend servers and entry VMs write to the platform's store, and
+//! encodes those of this VM.
 
 use std::net;
 use std::time;
 
 use crate::decisions::policy;
-use crate::gateway::beliefs;
+use crate::gateway::cluster_state;
 use crate::id;
 use crate::protocol::{customers, routes};
 use crate::state::{backends, entries};
 
 use super::names;
 
-/// Why a value cannot be used.
+/// Why a record is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It is not the expected JSON.
-    #[error("cannot be read: {0}")]
+    /// Not JSON, or not of the expected structure.
+    #[error("cannot decode JSON: {0}")]
     Json(#[from] serde_json::Error),
     /// The version is not a hexadecimal number.
     #[error("version `{0}` is not a hexadecimal number")]
     Version(String),
-    /// A word that says nothing here.
-    #[error("`{0}` is not a state of a backend server")]
+    /// Unknown state of a backend server.
+    #[error("`{0}` is not a known state of a backend server")]
     State(String),
-    /// It has no slot to work in.
-    #[error("it has no slots")]
+    /// The backend server cannot run any request.
+    #[error("the backend server has 0 slots")]
     NoSlots,
-    /// A number is negative or no number.
-    #[error("`{0}` is not a time")]
+    /// A duration is negative, too large or not a number.
+    #[error("`{0}` is not a valid duration in seconds")]
     Time(f64),
-    /// A number of requests is negative or no number.
-    #[error("`{0}` is not a number of requests of customer `{1}`")]
+    /// A rate or burst of a customer is negative or not finite.
+    #[error("`{0}` is not a valid number of requests for customer `{1}`")]
     Quota(f64, String),
-    /// A key is not a digest.
-    #[error("a key of customer `{0}` is not sealed; run the same version on all entry VMs")]
-    Unsealed(String),
-    /// Customers contradict one another.
+    /// A customer's key is not a digest.
+    #[error("a key of customer `{0}` is not a digest; run the same version on all entry VMs")]
+    PlainKey(String),
+    /// Two customers have the same name or the same key.
     #[error(transparent)]
     Customers(#[from] customers::Error),
 }
@@ -46,7 +47,6 @@
     routes: Vec<Route>,
     services: Vec<Service>,
     limits: Option<Limits>,
-    /// The customers.
     #[serde(default)]
     tenants: Vec<Customer>,
 }
@@ -54,16 +54,16 @@
 #[derive(serde::Deserialize)]
 struct Customer {
     name: String,
-    /// The digests of its keys, see [`seal`].
+    /// Digests of the customer's keys, as [`hash_keys`] writes them.
     #[serde(default)]
     keys: Vec<String>,
     priority: Option<u32>,
-    /// 0: without limit.
+    /// 0 means unlimited.
     #[serde(default)]
     rate_per_s: f64,
     #[serde(default)]
     burst: f64,
-    /// Regions, although the name speaks of residence.
+    /// Regions that may serve the customer; empty: all.
     #[serde(default)]
     residency: Vec<String>,
 }
@@ -86,14 +86,14 @@
     sticky: bool,
     service: Option<String>,
     #[serde(default)]
-    split: Vec<Part>,
-    /// Regions, although the name speaks of residence.
+    split: Vec<WeightedService>,
+    /// Regions that may serve the route; empty: all.
     #[serde(default)]
     residency: Vec<String>,
 }
 
 #[derive(serde::Deserialize)]
-struct Part {
+struct WeightedService {
     service: String,
     weight: f64,
 }
@@ -113,10 +113,10 @@
     idle_timeout_s: f64,
 }
 
-/// A backend server's entry. Another writer may have left something else under its key; so each
-/// field must be there with its type, also those that are not used here.
+/// A backend server's record. Another program may have written something else under its key, so each
+/// field except `born` must be present with its type, including unused ones.
 #[derive(serde::Deserialize)]
-struct Server {
+struct BackendRecord {
     service: String,
     addr: net::SocketAddr,
     zone: String,
@@ -124,11 +124,11 @@
     _version: String,
     slots: u32,
     state: String,
-    /// How much longer it is cold, from when it wrote this.
+    /// Remaining warm-up time when the record was written.
     cold_left_s: f64,
     #[serde(rename = "seq")]
-    _count: u64,
-    /// The Unix millisecond of its start.
+    _sequence: u64,
+    /// Start time, in milliseconds since the Unix epoch.
     born: Option<u64>,
 }
 
@@ -136,7 +136,7 @@
     time::Duration::try_from_secs_f64(value).map_err(|_| Error::Time(value))
 }
 
-/// The operators' configuration.
+/// Decodes the operators' configuration; customer keys must be digests. Fails if any part is invalid.
 pub fn config(value: &[u8]) -> Result<routes::Table, Error> {
     let config: Config = serde_json::from_slice(value)?;
     let version = u64::from_str_radix(&config.version, 16)
@@ -157,9 +157,9 @@
     Ok(routes::Table::new(version, routes?, services, limits).with_customers(customers))
 }
 
-/// The operators' configuration with the digest of each key in the key's place, as entry VMs tell
-/// it to one another. What cannot be read becomes empty: a key may stand anywhere in it.
-pub fn seal(value: &[u8]) -> Vec<u8> {
+/// Replaces each customer key in the operators' configuration by its digest, as entry VMs store and
+/// forward it. Invalid JSON becomes empty, since a key may be anywhere in it.
+pub fn hash_keys(value: &[u8]) -> Vec<u8> {
     let Ok(mut config) = serde_json::from_slice::<serde_json::Value>(value) else {
         return Vec::new();
     };
@@ -179,21 +179,24 @@
 
 fn customer(customer: Customer) -> Result<(customers::Customer, Vec<customers::KeyDigest>), Error> {
     let name = customer.name;
-    let count = |value: f64| match value >= 0.0 && value.is_finite() {
+    let non_negative = |value: f64| match value >= 0.0 && value.is_finite() {
         true => Ok(value),
         false => Err(Error::Quota(value, name.clone())),
     };
-    let (rate, burst) = (count(customer.rate_per_s)?, count(customer.burst)?);
+    let (rate, burst) = (
+        non_negative(customer.rate_per_s)?,
+        non_negative(customer.burst)?,
+    );
     let digest = |text: &String| customers::KeyDigest::parse(text);
     let keys: Option<Vec<_>> = customer.keys.iter().map(digest).collect();
-    let keys = keys.ok_or_else(|| Error::Unsealed(name.clone()))?;
-    let found = customers::Customer {
+    let keys = keys.ok_or_else(|| Error::PlainKey(name.clone()))?;
+    let decoded = customers::Customer {
         name: name.as_str().into(),
         priority: customer.priority,
         quota: (rate > 0.0).then_some(customers::Quota { rate, burst }),
         regions: regions(&customer.residency),
     };
-    Ok((found, keys))
+    Ok((decoded, keys))
 }
 
 fn regions(names: &[String]) -> Vec<id::RegionId> {
@@ -201,14 +204,14 @@
 }
 
 fn route(route: Route) -> Result<routes::Route, Error> {
-    let whole = route.service.map(|service| Part {
+    let unsplit = route.service.map(|service| WeightedService {
         service,
         weight: 1.0,
     });
     let parts = route
         .split
         .into_iter()
-        .chain(whole)
+        .chain(unsplit)
         .map(|part| routes::Part {
             service: part.service.as_str().into(),
             weight: part.weight,
@@ -230,7 +233,7 @@
     })
 }
 
-/// Whether requests of a kind may run more than once.
+/// Whether requests of a kind may run more than once. Unknown kinds may not.
 fn is_idempotent(kind: &str) -> bool {
     matches!(kind, "safe" | "download")
 }
@@ -242,31 +245,31 @@
     }
 }
 
-/// A backend server's entry, read at `now`.
+/// Decodes a backend server's record that was read at `now`. Fails if a field is missing or invalid.
 pub fn backend(value: &[u8], now: policy::Moment) -> Result<backends::Listed, Error> {
-    let server: Server = serde_json::from_slice(value)?;
-    let leaving = match server.state.as_str() {
+    let record: BackendRecord = serde_json::from_slice(value)?;
+    let leaving = match record.state.as_str() {
         "ready" => false,
         "draining" => true,
-        _ => return Err(Error::State(server.state)),
+        _ => return Err(Error::State(record.state)),
     };
-    if server.slots == 0 {
+    if record.slots == 0 {
         return Err(Error::NoSlots);
     }
     Ok(backends::Listed {
-        service: server.service.as_str().into(),
-        addr: server.addr,
-        az: server.zone.as_str().into(),
-        slots: server.slots,
+        service: record.service.as_str().into(),
+        addr: record.addr,
+        az: record.zone.as_str().into(),
+        slots: record.slots,
         leaving,
-        cold_until: now + seconds(server.cold_left_s)?,
-        start: server.born.map(id::Incarnation),
+        cold_until: now + seconds(record.cold_left_s)?,
+        start: record.born.map(id::Incarnation),
     })
 }
 
-/// How an entry VM registers.
+/// An entry VM's registration, as stored.
 #[derive(serde::Serialize, serde::Deserialize)]
-struct Registered {
+struct EntryRecord {
     front: net::SocketAddr,
     peers: Option<net::SocketAddr>,
     az: String,
@@ -276,14 +279,14 @@
     requests: u32,
     #[serde(default)]
     busy: bool,
-    /// Customers by the hashes of their names.
+    /// Hashes of the names of customers that have nearly used their quotas.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     near_limits: Vec<u64>,
 }
 
-/// An entry VM's registration.
+/// Decodes an entry VM's registration.
 pub fn entry(value: &[u8]) -> Result<entries::Entry, Error> {
-    let entry: Registered = serde_json::from_slice(value)?;
+    let entry: EntryRecord = serde_json::from_slice(value)?;
     Ok(entries::Entry {
         front: entry.front,
         peers: entry.peers,
@@ -295,9 +298,9 @@
     })
 }
 
-/// An entry VM's registration as it is written.
-pub fn put_entry(entry: &entries::Entry) -> Result<Vec<u8>, Error> {
-    Ok(serde_json::to_vec(&Registered {
+/// Encodes an entry VM's registration.
+pub fn encode_entry(entry: &entries::Entry) -> Result<Vec<u8>, Error> {
+    Ok(serde_json::to_vec(&EntryRecord {
         front: entry.front,
         peers: entry.peers,
         az: entry.az.to_string(),
@@ -308,16 +311,21 @@
     })?)
 }
 
-/// A crash from the rest of its key.
-pub fn crash(rest: &str) -> Option<beliefs::Crash> {
-    let (fingerprint, run) = rest.split_once('/')?;
-    Some(beliefs::Crash {
+/// Decodes a crash record from its key without the prefix; `None` if malformed.
+pub fn crash(key_suffix: &str) -> Option<cluster_state::Crash> {
+    let (fingerprint, run) = key_suffix.split_once('/')?;
+    Some(cluster_state::Crash {
         fingerprint: u64::from_str_radix(fingerprint, 16).ok()?,
         run: run.to_owned(),
     })
 }
 
-/// The key of a crash.
-pub fn crash_key(crash: &beliefs::Crash) -> String {
-    format!("{}{:016x}/{}", names::CRASHES, crash.fingerprint, crash.run)
+/// Returns the store key of a crash record.
+pub fn crash_key(crash: &cluster_state::Crash) -> String {
+    format!(
+        "{}{:016x}/{}",
+        names::CRASH_PREFIX,
+        crash.fingerprint,
+        crash.run
+    )
 }
--- a/src/platform/calls.rs
+++ b/src/platform/endpoints.rs
@@ -1,5 +1,5 @@
-//! The platform's and callers' calls that are not requests to a service: readiness, where to
-//! connect, metrics.
+//! HTTP endpoints that the gateway answers itself instead of routing to a backend server: readiness
+//! (`/ready`), entry VM addresses (`/resolve`) and metrics (`/metrics`).
 
 use bytes::Bytes;
 
@@ -7,22 +7,22 @@
 use crate::transport::callers;
 use crate::{gateway, metrics};
 
-/// Answers these calls.
+/// Handler for these endpoints.
 #[derive(Clone, Debug)]
-pub struct Calls {
-    /// The gateway.
+pub struct Endpoints {
+    /// The gateway, for its readiness and its list of entry VMs.
     pub cx: gateway::Gateway,
-    /// How long an answer about where to connect may be kept, in seconds.
+    /// How long callers may cache a `/resolve` response, in seconds.
     pub ttl_s: f64,
 }
 
 #[derive(serde::Serialize)]
-struct Resolved<'a> {
+struct ResolveResponse<'a> {
     addrs: &'a [std::net::SocketAddr],
     ttl_s: f64,
 }
 
-impl callers::Handler for Calls {
+impl callers::Handler for Endpoints {
     fn limits(&self) -> routes::Limits {
         routes::Limits::default()
     }
@@ -33,7 +33,7 @@
     }
 }
 
-impl Calls {
+impl Endpoints {
     fn reply(&self, head: &http1::RequestHead) -> callers::Answer {
         match head.path() {
             "/ready" => self.ready(),
@@ -51,18 +51,18 @@
     }
 
     fn resolve(&self, target: &str) -> callers::Answer {
-        let addrs = self.cx.entries_for(query(target, "region"));
+        let addrs = self.cx.entries_for(query_parameter(target, "region"));
         if addrs.is_empty() {
             return callers::Answer::bare(503);
         }
-        json(&Resolved {
+        json(&ResolveResponse {
             addrs: &addrs,
             ttl_s: self.ttl_s,
         })
     }
 }
 
-fn query<'a>(target: &'a str, name: &str) -> Option<&'a str> {
+fn query_parameter<'a>(target: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = target.split_once('?')?;
     query.split('&').find_map(|pair| {
         let (key, value) = pair.split_once('=')?;
@@ -73,7 +73,7 @@
 fn json<T: serde::Serialize>(value: &T) -> callers::Answer {
     match serde_json::to_vec(value) {
         Ok(body) => with_body("application/json", body.into()),
-        // Our own types always serialize; should one not, the caller asks elsewhere.
+        // Not expected, since these types always serialize; the caller can use another entry VM.
         Err(_) => callers::Answer::bare(500),
     }
 }
--- a/src/platform/names.rs
+++ b/src/platform/names.rs
@@ -1,9 +1,9 @@
-//! The names that the platform uses on the wire.
+//! Header fields, store keys and the environment variable that the platform defines.
 
 use crate::id;
 use crate::protocol::names;
 
-/// Fields of requests and answers.
+/// Header fields of requests and responses.
 pub const FIELDS: names::Names = names::Names {
     id: "Bulrushwind-Try-Id",
     timeout_ms: "Bulrushwind-Deadline-Ms",
@@ -16,32 +16,32 @@
     customer: "Bulrushwind-Tenant",
 };
 
-/// The variable that holds the path of the settings file.
-pub const SETTINGS: &str = "BULRUSHWIND_SETTINGS";
+/// Environment variable with the path of the settings file.
+pub const SETTINGS_FILE_VAR: &str = "BULRUSHWIND_SETTINGS";
 
-/// Under this stands what operators write.
-pub const OPERATORS: &str = "op/";
+/// Prefix of the keys that operators write.
+pub const OPERATOR_PREFIX: &str = "op/";
 
-/// Under this stands what we write.
-pub const OWN: &str = "bulrushwind/";
+/// Prefix of the keys that entry VMs write.
+pub const ENTRY_VM_PREFIX: &str = "bulrushwind/";
 
-/// The key of the newest configuration.
-pub const CONFIG: &str = "op/config";
+/// Key of the current route configuration.
+pub const CONFIG_KEY: &str = "op/config";
 
-/// Under this stand the availability zones that are evacuated.
-pub const EVACUATED: &str = "op/evacuate/";
+/// Prefix of evacuation marks; the availability zone follows.
+pub const EVACUATION_PREFIX: &str = "op/evacuate/";
 
-/// Under this stand the backend servers, each under its incarnation's name.
-pub const BACKENDS: &str = "servers/";
+/// Prefix of backend server records; the name of the server's incarnation follows.
+pub const BACKEND_PREFIX: &str = "servers/";
 
-/// Under this our own entry VMs register: the availability zone, a slash, the VM's name.
-pub const ENTRIES: &str = "bulrushwind/entry/";
+/// Prefix of entry VM registrations; the availability zone, a slash and the VM's name follow.
+pub const REGISTRATION_PREFIX: &str = "bulrushwind/entry/";
 
-/// Under this register the entry VMs of one availability zone.
-pub fn entries_in(az: &id::AzId) -> String {
-    format!("{ENTRIES}{az}/")
+/// Prefix of the registrations of the entry VMs in one availability zone.
+pub fn registration_prefix(az: &id::AzId) -> String {
+    format!("{REGISTRATION_PREFIX}{az}/")
 }
 
-/// Under this stand requests that were in flight when a backend server crashed: the request's
-/// fingerprint, a slash, the name of the backend server's run.
-pub const CRASHES: &str = "bulrushwind/crash/";
+/// Prefix of records of requests that were in flight when a backend server crashed; the request's
+/// fingerprint, a slash and the name of the backend server's incarnation follow.
+pub const CRASH_PREFIX: &str = "bulrushwind/crash/";
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store as its published protocol describes it, with the ways in which it fails.
+//! A simulated platform store that implements the published protocol, with fault injection.
 
 use std::cell;
 use std::collections;
@@ -13,18 +13,18 @@
 use tokio::sync::{Notify, watch};
 use tokio::task;
 
-/// How the store serves.
+/// How the store responds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// As it should.
+    /// Responds normally.
     #[default]
     Up,
-    /// It does not answer.
+    /// Never responds.
     Silent,
-    /// It refuses everything.
+    /// Refuses every call with 503.
     Busy,
-    /// It does what it is asked, and the answer is lost.
-    LosesAnswers,
+    /// Performs writes but drops their responses.
+    DropsResponses,
 }
 
 #[derive(Clone, Debug)]
@@ -45,8 +45,8 @@
     items: collections::BTreeMap<String, Item>,
     events: Vec<(u64, String, Option<Item>)>,
     revision: u64,
-    /// History up to here is gone.
-    forgotten: u64,
+    /// Events up to this revision were discarded.
+    discarded_revision: u64,
     leases: collections::BTreeMap<u64, Lease>,
     next_lease: u64,
     mode: Mode,
@@ -84,19 +84,19 @@
         keys.iter().for_each(|key| self.remove(key));
     }
 
-    fn lapse(&mut self) {
+    fn expire_leases(&mut self) {
         let now = time::Instant::now();
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, lease)| lease.ends <= now)
             .map(|(id, _)| *id)
             .collect();
-        over.into_iter().for_each(|id| self.end_lease(id));
+        expired.into_iter().for_each(|id| self.end_lease(id));
     }
 }
 
-/// The store.
+/// A running store.
 #[derive(Clone, Debug)]
 pub(crate) struct Store {
     inner: rc::Rc<cell::RefCell<Inner>>,
@@ -105,7 +105,7 @@
 }
 
 impl Store {
-    /// Starts one on the current thread.
+    /// Starts a store on the current thread.
     pub(crate) fn start() -> Self {
         let listener = super::listen();
         let store = Self {
@@ -121,14 +121,14 @@
                 task::spawn_local(callers::serve(stream, served.clone(), stop.clone()));
             }
         });
-        let lapsing = store.clone();
+        let expiring = store.clone();
         task::spawn_local(async move {
             loop {
                 tokio::time::sleep(time::Duration::from_millis(50)).await;
-                let paused = lapsing.inner.borrow().mode == Mode::Silent;
+                let paused = expiring.inner.borrow().mode == Mode::Silent;
                 if !paused {
-                    lapsing.inner.borrow_mut().lapse();
-                    lapsing.changed.notify_waiters();
+                    expiring.inner.borrow_mut().expire_leases();
+                    expiring.changed.notify_waiters();
                 }
             }
         });
@@ -140,10 +140,10 @@
         self.changed.notify_waiters();
     }
 
-    /// Drops all history, so that watches from before must begin anew.
-    pub(crate) fn forget_history(&self) {
+    /// Discards all past events, so that watches from earlier revisions fail with 410.
+    pub(crate) fn discard_history(&self) {
         let mut inner = self.inner.borrow_mut();
-        inner.forgotten = inner.revision;
+        inner.discarded_revision = inner.revision;
         inner.events.clear();
         drop(inner);
         self.changed.notify_waiters();
@@ -163,7 +163,7 @@
             .collect()
     }
 
-    /// Writes as operators and backend servers do.
+    /// Writes a JSON value without a lease, as operators and backend servers do.
     pub(crate) fn write(&self, key: &str, value: &Value) {
         self.write_text(
             key,
@@ -171,7 +171,7 @@
         );
     }
 
-    /// Writes a value as it is to stand on the wire.
+    /// Writes a value in its wire form, without encoding it.
     pub(crate) fn write_text(&self, key: &str, text: String) {
         self.inner.borrow_mut().put(key, text, 0);
         self.changed.notify_waiters();
@@ -191,17 +191,17 @@
         match mode {
             Mode::Silent => return std::future::pending().await,
             Mode::Busy => return callers::Answer::bare(503),
-            Mode::Up | Mode::LosesAnswers => {}
+            Mode::Up | Mode::DropsResponses => {}
         }
-        let answer = self.act(&req).await;
+        let answer = self.handle(&req).await;
         let write = req.head.method() != b"GET";
-        if mode == Mode::LosesAnswers && write {
+        if mode == Mode::DropsResponses && write {
             return std::future::pending().await;
         }
         answer
     }
 
-    async fn act(&self, req: &callers::Request) -> callers::Answer {
+    async fn handle(&self, req: &callers::Request) -> callers::Answer {
         let path = req.head.path();
         let target = req.head.target();
         let body: Value = match &req.payload {
@@ -225,22 +225,22 @@
     }
 
     fn range(&self, target: &str) -> callers::Answer {
-        /// So few that a list needs several pages.
-        const PAGE: usize = 4;
+        /// Items per page; small, so that a range read takes several pages.
+        const PAGE_ITEM_COUNT: usize = 4;
         let inner = self.inner.borrow();
         let prefix = query(target, "prefix").unwrap_or_default();
         let after = query(target, "after").unwrap_or_default();
-        let mut found: Vec<Value> = inner
+        let mut items: Vec<Value> = inner
             .items
             .iter()
             .filter(|(key, _)| key.starts_with(&prefix) && **key > after)
-            .take(PAGE + 1)
-            .map(|(key, item)| shown(key, item))
+            .take(PAGE_ITEM_COUNT + 1)
+            .map(|(key, item)| item_json(key, item))
             .collect();
-        let truncated = found.len() > PAGE;
-        found.truncate(PAGE);
+        let truncated = items.len() > PAGE_ITEM_COUNT;
+        items.truncate(PAGE_ITEM_COUNT);
         json_answer(
-            &json!({"items": found, "truncated": truncated, "store_revision": inner.revision}),
+            &json!({"items": items, "truncated": truncated, "store_revision": inner.revision}),
         )
     }
 
@@ -252,7 +252,7 @@
             let changed = self.changed.notified();
             {
                 let inner = self.inner.borrow();
-                if after < inner.forgotten {
+                if after < inner.discarded_revision {
                     return callers::Answer::bare(410);
                 }
                 let events: Vec<Value> = inner
@@ -260,7 +260,7 @@
                     .iter()
                     .filter(|(rev, _, _)| *rev > after)
                     .map(|(rev, key, item)| match item {
-                        Some(item) => shown(key, item),
+                        Some(item) => item_json(key, item),
                         None => json!({"key": key, "rev": rev, "tombstone": true}),
                     })
                     .collect();
@@ -270,7 +270,7 @@
                     );
                 }
             }
-            // Whether told or out of time, the loop looks again.
+            // The loop checks again after a change as well as after the timeout.
             let _ = tokio::time::timeout_at(until.into(), changed).await;
         }
     }
@@ -336,7 +336,7 @@
     }
 }
 
-fn shown(key: &str, item: &Item) -> Value {
+fn item_json(key: &str, item: &Item) -> Value {
     json!({"key": key, "value": item.value, "rev": item.rev, "created_rev": item.rev, "lease": item.lease})
 }
 
