--- a/benches/capacity/gateway.rs
+++ b/benches/capacity/gateway.rs
@@ -46,7 +46,7 @@
             slots: 3,
             leaving: false,
             cold_until: policy::Moment::ZERO,
-            start: None,
+            incarnation: None,
         };
         cx.update_backend(&format!("backend-{i}").as_str().into(), listed);
     }
@@ -102,11 +102,11 @@
         let cx = region();
         for i in 0..count {
             let entry = entries::Entry {
-                front: addr(i),
-                peers: None,
+                caller_addr: addr(i),
+                peer_addr: None,
                 az: zone(i),
                 link_mbps: 20,
-                requests: 500,
+                requests_per_s: 500,
                 busy: false,
                 near_limits: Vec::new(),
             };
--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -208,14 +208,14 @@
         let directory = directory::Directory::build(&settings, &fleet, 0);
         let look_ups = 20_000_u32;
         let name_s = best_of(5, || {
-            let asks = |i: u32| directory::Asks {
+            let asks = |i: u32| directory::LookupQuery {
                 caller: net::Ipv4Addr::from(i).into(),
                 region: Some(&region),
                 az: &az,
-                first: &[],
+                preferred_azs: &[],
             };
             (0..look_ups)
-                .map(|i| directory.name(&asks(i)).len())
+                .map(|i| directory.select(&asks(i)).len())
                 .sum::<usize>()
         });
         let ns = name_s / f64::from(look_ups) * 1e9;
--- a/benches/http.rs
+++ b/benches/http.rs
@@ -78,7 +78,7 @@
         });
     }
 
-    fn gone(&self, _id: u64) {}
+    fn caller_disconnected(&self, _id: u64) {}
 
     fn fault(&self, _id: u64, _fault: server::Fault) -> server::Answer {
         server::Answer {
--- a/benches/paths.rs
+++ b/benches/paths.rs
@@ -59,7 +59,7 @@
         req.reply.send(answer);
     }
 
-    fn gone(&self, _id: u64) {}
+    fn caller_disconnected(&self, _id: u64) {}
 
     fn fault(&self, _id: u64, _fault: server::Fault) -> server::Answer {
         server::Answer::default()
@@ -91,7 +91,7 @@
         });
     }
 
-    fn gone(&self, _id: u64) {}
+    fn caller_disconnected(&self, _id: u64) {}
 
     fn fault(&self, _id: u64, _fault: server::Fault) -> server::Answer {
         server::Answer::default()
--- a/src/coordination/driver.rs
+++ b/src/coordination/driver.rs
@@ -182,7 +182,7 @@
         );
         return Ok((None, channel::never()));
     };
-    let me = link::Me {
+    let me = link::LocalIdentity {
         vm: cfg.node.vm.clone(),
         az: cfg.node.az.clone(),
         incarnation: cfg.node.incarnation,
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -93,7 +93,7 @@
 }
 
 struct Shared {
-    me: link::Me,
+    me: link::LocalIdentity,
     links: parking_lot::Mutex<collections::BTreeMap<id::VmId, Vec<OpenLink>>>,
     diallers: parking_lot::Mutex<collections::BTreeMap<net::SocketAddr, Dialler>>,
     counts: parking_lot::Mutex<Counts>,
@@ -115,7 +115,7 @@
 impl Peers {
     /// Listens for peers; returns the links and received messages. Fails if it cannot bind.
     pub fn start(
-        me: link::Me,
+        me: link::LocalIdentity,
         listen: net::SocketAddr,
         log: &slog::Logger,
     ) -> io::Result<(Self, crossbeam::channel::Receiver<Received>)> {
@@ -440,8 +440,8 @@
     const SECRET: &str = "0101010101010101010101010101010101010101010101010101010101010101";
     const OTHER_SECRET: &str = "0202020202020202020202020202020202020202020202020202020202020202";
 
-    fn local_vm(vm: &str, incarnation: u64, secret: &str) -> link::Me {
-        link::Me {
+    fn local_vm(vm: &str, incarnation: u64, secret: &str) -> link::LocalIdentity {
+        link::LocalIdentity {
             vm: vm.into(),
             az: "az-1".into(),
             incarnation: id::Incarnation(incarnation),
@@ -449,7 +449,7 @@
         }
     }
 
-    fn start(me: link::Me) -> (Peers, crossbeam::channel::Receiver<Received>) {
+    fn start(me: link::LocalIdentity) -> (Peers, crossbeam::channel::Receiver<Received>) {
         Peers::start(me, "127.0.0.1:0".parse().unwrap(), &logging::silent()).unwrap()
     }
 
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -188,7 +188,7 @@
     }
 
     /// The name of a request, unique in the fleet.
-    fn name(&self, id: u64) -> Option<hyper::header::HeaderValue> {
+    fn request_id(&self, id: u64) -> Option<hyper::header::HeaderValue> {
         let name = format!("{}-{}-{id}", self.cfg.vm, self.incarnation);
         name.parse().ok()
     }
@@ -217,7 +217,7 @@
         let _ = self.0.events.send(Event::Request(req));
     }
 
-    fn gone(&self, id: u64) {
+    fn caller_disconnected(&self, id: u64) {
         let _ = self.0.events.send(Event::Gone(policy::RequestId(id)));
     }
 
@@ -228,8 +228,8 @@
         answers::problem(&problem)
     }
 
-    fn name(&self, id: u64) -> Option<hyper::header::HeaderValue> {
-        self.0.name(id)
+    fn request_id(&self, id: u64) -> Option<hyper::header::HeaderValue> {
+        self.0.request_id(id)
     }
 }
 
@@ -352,7 +352,7 @@
     /// what is in flight ends and kept answers stay within reach until the last ticket expired.
     pub fn stop(self) {
         self.core.stopping.store(true, atomic::Ordering::SeqCst);
-        self.server.leave();
+        self.server.close_after_answers();
         if let Some(driver) = &self.driver {
             driver.announce_stop();
         }
@@ -362,7 +362,7 @@
             thread::sleep(TICK);
         }
         self.server.stop();
-        while self.server.open() > 0 && time::Instant::now() < until + LAST_BYTES {
+        while self.server.open_connections() > 0 && time::Instant::now() < until + LAST_BYTES {
             thread::sleep(TICK);
         }
     }
--- a/src/entry/desk.rs
+++ b/src/entry/desk.rs
@@ -377,7 +377,7 @@
         body: pending.body.clone(),
         timeout,
     };
-    if let Some(name) = core.name(pending.seen.id) {
+    if let Some(name) = core.request_id(pending.seen.id) {
         forward.headers.insert(headers::REQUEST_ID, name);
     }
     if let (Destination::Az(_), Ok(az)) = (&to, core.cfg.az.as_str().parse()) {
--- a/src/entry/observe.rs
+++ b/src/entry/observe.rs
@@ -25,7 +25,7 @@
     log: slog::Logger,
     limiter: logging::Limiter,
     services: names::Bounded,
-    recent: Mutex<explain::Ring>,
+    recent: Mutex<explain::DecisionRing>,
     history: Mutex<totals::History>,
     sent: Mutex<collections::BTreeMap<id::AzId, Moment>>,
 }
@@ -276,7 +276,7 @@
     /// A decision about one request: kept for its explanation, and logged unless there are too
     /// many like it.
     fn decided(&self, now: Moment, request: u64, event: &'static str, service: &str, why: &str) {
-        self.recent.lock().keep(request, now, event, service, why);
+        self.recent.lock().record(request, now, event, service, why);
         let Some(held_back) = self.limiter.admit(event, now) else {
             return metrics::counter!(names::LOG_SUPPRESSED, "event" => event).increment(1);
         };
@@ -291,7 +291,7 @@
 
     /// Notes how many requests of a service are in hand.
     pub(super) fn in_hand(&self, service: &id::ServiceId, count: u64) {
-        self.history.lock().in_hand(service, count);
+        self.history.lock().record_in_flight(service, count);
     }
 
     /// Keeps the past.
@@ -327,7 +327,7 @@
             totals.answered += 1;
             totals.worth_answered += worth;
             totals.in_time += u64::from(took <= seen.in_time);
-            totals.took(took);
+            totals.count_latency(took);
             return;
         }
         End::Failed => totals.failed += 1,
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -86,13 +86,13 @@
         }
         None => Vec::new(),
     };
-    let asks = directory::Asks {
+    let asks = directory::LookupQuery {
         caller,
         region: region.or(own),
         az: &core.cfg.az,
-        first: &first,
+        preferred_azs: &first,
     };
-    let mut entries = core.named.load().directory.name(&asks);
+    let mut entries = core.named.load().directory.select(&asks);
     entries.retain(|entry| !stopping || entry.vm != core.cfg.vm);
     Some(lookup::Lookup {
         service: service.name.clone(),
--- a/src/gateway/advertising.rs
+++ b/src/gateway/advertising.rs
@@ -75,7 +75,7 @@
         let near = |az: &id::AzId| region.is_some() && self.cfg.regions.get(az) == region;
         let entries = self.entries.borrow();
         let others = entries
-            .to_tell(near, |vm, _, entry| (vm.clone(), entry.front))
+            .candidates(near, |vm, _, entry| (vm.clone(), entry.caller_addr))
             .filter(|entry| entry.value.0 != self.cfg.vm);
         // This VM is running even if the store's entry for it is missing. Until it is ready it is
         // left out: callers that cache its address would be refused for as long.
@@ -108,7 +108,7 @@
     pub(super) fn selection_hashes(&self, region: Option<&id::RegionId>, more: usize) -> Vec<u64> {
         let near = |az: &id::AzId| self.cfg.regions.get(az) == region;
         let entries = self.entries.borrow();
-        let all = entries.to_tell(near, |_, hash, _| hash);
+        let all = entries.candidates(near, |_, hash, _| hash);
         entry_selection::select(self.cfg.thresholds.advertised_vms + more, all)
     }
 
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -97,8 +97,8 @@
             Self::NotRun(NotRun::Declined) => "declined",
             Self::NotRun(NotRun::Misdirected) => "misdirected",
             Self::Unknown(upstream::Failure::Lost) => "connection broke",
-            Self::Unknown(upstream::Failure::Garbage) => "not an answer",
-            Self::Unknown(upstream::Failure::CallerGone) => "caller broke off",
+            Self::Unknown(upstream::Failure::InvalidAnswer) => "not an answer",
+            Self::Unknown(upstream::Failure::CallerDisconnected) => "caller broke off",
             Self::Unknown(upstream::Failure::Unsent) => "not sent",
         }
     }
@@ -185,7 +185,7 @@
         }
         let received = sent.received;
         let unsent = matches!(received, Err(upstream::Failure::Unsent));
-        match unsent && payload.is_fresh() {
+        match unsent && payload.is_replayable() {
             true => None,
             false => Some((wire, received)),
         }
@@ -297,7 +297,7 @@
                 return self.relay(wire, head, reader, body, reservation);
             }
         }
-        if received.reusable && wire.rests() {
+        if received.reusable && wire.is_idle() {
             let stated = stated_keep_alive(&head.fields);
             self.pool
                 .borrow_mut()
@@ -312,7 +312,7 @@
         let good = (200..300).contains(&head.status);
         if good && head.fields.get(names.proof).is_none() {
             // Only a signed success proves that the backend server itself answered.
-            return Outcome::Unknown(upstream::Failure::Garbage);
+            return Outcome::Unknown(upstream::Failure::InvalidAnswer);
         }
         let answer = callers::Answer {
             status: head.status,
@@ -376,7 +376,7 @@
         };
         let now = self.now();
         if let Some(backend) = self.backends.borrow_mut().get_mut(id) {
-            backend.reported(now, running, waiting);
+            backend.record_load_report(now, running, waiting);
         }
         running < slots && waiting == 0
     }
--- a/src/gateway/cluster_state.rs
+++ b/src/gateway/cluster_state.rs
@@ -22,7 +22,7 @@
 pub struct Crash {
     /// The request's fingerprint.
     pub fingerprint: u64,
-    /// The run of the backend server that crashed, see [`backends::Backend::run_name`].
+    /// The run of the backend server that crashed, see [`backends::Backend::incarnation_name`].
     pub run: String,
 }
 
@@ -120,7 +120,7 @@
         if before.take_if(|b| listed.started_after(b)).is_some() {
             self.end_run(id);
         }
-        let start = listed.start;
+        let start = listed.incarnation;
         let leaving = listed.leaving && before.as_ref().is_none_or(|b| !b.leaving);
         let now = self.now();
         let cold = listed.cold_until > now;
@@ -180,7 +180,7 @@
         self.pool.borrow_mut().drop_all(id);
         slog::info!(self.log, "backend server started again"; "backend" => %id, "in_flight" => old.in_flight);
         old.ended().notify_waiters();
-        let run = old.run_name();
+        let run = old.incarnation_name();
         let crashed = self.crashes.borrow_mut().restarted(self.now(), &run);
         self.record_run_crash(&run, crashed);
     }
@@ -291,7 +291,7 @@
                 (backend.health.broke(cfg), true)
             }
             attempt::Outcome::NotRun(attempt::NotRun::Misdirected) => (true, true),
-            attempt::Outcome::Unknown(upstream::Failure::CallerGone) => (false, false),
+            attempt::Outcome::Unknown(upstream::Failure::CallerDisconnected) => (false, false),
             attempt::Outcome::Unknown(_) => (backend.health.failed(cfg), false),
         };
         let eject = eject && (down || self.may_eject(&backends, &job.service));
@@ -345,10 +345,10 @@
     /// Whether one more backend server of a service may be ejected.
     fn may_eject(&self, backends: &backends::Backends, service: &id::ServiceId) -> bool {
         let out = backends
-            .of(service)
+            .of_service(service)
             .filter(|b| b.health.state() != ejection::State::Active)
             .count();
-        let members = backends.of(service).count();
+        let members = backends.of_service(service).count();
         ejection::may_eject_outlier(&self.cfg.thresholds.ejection, members, out)
     }
 
@@ -426,7 +426,7 @@
                 )
         };
         let (mut own, mut all, mut load) = (0.0, 0.0, 0.0);
-        for backend in backends.of(service).filter(usable) {
+        for backend in backends.of_service(service).filter(usable) {
             let slots = f64::from(backend.listed.slots);
             all += slots;
             if backend.region == self.region {
--- a/src/gateway/facts.rs
+++ b/src/gateway/facts.rs
@@ -260,7 +260,7 @@
 
     /// An answer with a status and no body, made by the gateway itself.
     pub(super) fn gateway_answer(&self, status: u16, id: Option<&[u8]>) -> callers::Answer {
-        let mut answer = callers::Answer::bare(status);
+        let mut answer = callers::Answer::empty(status);
         if let Some(id) = id {
             http1::put_field(&mut answer.fields, self.cfg.names.id.as_bytes(), id);
         }
--- a/src/gateway/fanout.rs
+++ b/src/gateway/fanout.rs
@@ -52,7 +52,7 @@
         loop {
             tokio::select! {
                 _ = updates.recv() => {}
-                () = link.closed() => return,
+                () = link.wait_closed() => return,
                 () = tokio::time::sleep_until(until) => return,
             }
             if self.is_fresh() {
@@ -103,18 +103,18 @@
         if ask.fresh && !self.is_fresh() {
             link.send(mirror::encode(&mirror::Message::NotReading)?.into())
                 .await?;
-            link.closed().await;
+            link.wait_closed().await;
             return Ok(());
         }
         link.send(self.delta_since(ask.since)?).await?;
         if !ask.fresh {
-            link.closed().await;
+            link.wait_closed().await;
             return Ok(());
         }
         loop {
             let message = tokio::select! {
                 message = updates.recv() => message,
-                () = link.closed() => return Ok(()),
+                () = link.wait_closed() => return Ok(()),
             };
             let Ok(message) = message else {
                 return Err(transport::mirror::Error::Timeout);
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -208,9 +208,9 @@
             let (hops, open) = match candidate.az == self.cx.cfg.az {
                 true => (
                     1 + follow_order::LeaderOrder::depth(&candidate, &self.region_entries()),
-                    transport::mirror::OPEN_NEAR,
+                    transport::mirror::SAME_AZ_OPEN_TIMEOUT,
                 ),
-                false => (0, transport::mirror::OPEN),
+                false => (0, transport::mirror::OPEN_TIMEOUT),
             };
             let silence =
                 follow_order::SILENCE_TIMEOUT + follow_order::SILENCE_TIMEOUT_PER_HOP * hops;
@@ -265,7 +265,7 @@
                 hash,
                 vm: vm.clone(),
                 az: entry.az.clone(),
-                peers: entry.peers,
+                peers: entry.peer_addr,
                 link_mbps: entry.link_mbps,
             })
             .collect()
@@ -519,7 +519,7 @@
         source: &S,
         addr: net::SocketAddr,
     ) -> Result<usize, transport::mirror::Error> {
-        let mut link = transport::mirror::Link::open(addr, transport::mirror::OPEN).await?;
+        let mut link = transport::mirror::Link::open(addr, transport::mirror::OPEN_TIMEOUT).await?;
         let ask = mirror::Ask {
             fresh: false,
             wait_ms: 0,
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -37,7 +37,7 @@
 pub struct Run {
     /// The backend server's name.
     pub id: id::VmId,
-    /// The name of the run, see [`backends::Backend::run_name`].
+    /// The name of the run, see [`backends::Backend::incarnation_name`].
     pub name: String,
     ended: rc::Rc<sync::Notify>,
 }
@@ -150,7 +150,7 @@
             cx: self.clone(),
             run: Run {
                 id: chosen,
-                name: backend.run_name(),
+                name: backend.incarnation_name(),
                 ended: backend.ended().clone(),
             },
             addr: backend.listed.addr,
@@ -166,11 +166,11 @@
         // The sides, which are sets of regions, in order of preference. If one has no usable
         // backend server, the next serves the request.
         let mut sides = match need.homes.are_open() {
-            true => vec![backends::Side::Far],
+            true => vec![backends::RegionScope::Remote],
             false => self.other_allowed_regions(&need.homes),
         };
         let near = if need.remote { sides.len() } else { 0 };
-        sides.insert(near, backends::Side::Near);
+        sides.insert(near, backends::RegionScope::Local);
         let chosen = sides
             .into_iter()
             .find_map(|side| self.choose_on(side, need, now));
@@ -180,7 +180,10 @@
     /// The other regions where a request may run. Each has its own order of backend servers per
     /// object, whose length follows from the region's size. In one order for all other regions, a
     /// small region would keep each object at many backend servers, and its caches would hold none.
-    fn other_allowed_regions<'a>(&'a self, homes: &routes::Homes<'a>) -> Vec<backends::Side<'a>> {
+    fn other_allowed_regions<'a>(
+        &'a self,
+        homes: &routes::Homes<'a>,
+    ) -> Vec<backends::RegionScope<'a>> {
         let own = self.region.as_ref();
         let named = match homes.route.is_empty() {
             true => homes.customer,
@@ -189,37 +192,37 @@
         named
             .iter()
             .filter(|region| Some(*region) != own && homes.allow(Some(region)))
-            .map(backends::Side::In)
+            .map(backends::RegionScope::Only)
             .collect()
     }
 
     /// Chooses a backend server on one side; `None` if none there is usable.
     fn choose_on(
         &self,
-        side: backends::Side<'_>,
+        side: backends::RegionScope<'_>,
         need: &Need<'_>,
         now: policy::Moment,
     ) -> Option<Result<id::VmId, PlacementError>> {
         let shortlist = self.shortlist(side, need);
         let backends = self.backends.borrow();
-        let region_backends = backends.count_on(need.service, side);
+        let region_backends = backends.count_in_scope(need.service, side);
         let listed = shortlist.iter().filter_map(|name| backends.get(name));
         let eligible = self.find_eligible(listed, need, now).eligible;
         if eligible.len() >= affinity::SMALL_REGION_REPLICAS {
             return Some(self.pick(&eligible, region_backends, need, now));
         }
-        let all = self.find_eligible(backends.on(need.service, side), need, now);
+        let all = self.find_eligible(backends.in_scope(need.service, side), need, now);
         all.any_usable
             .then(|| self.pick(&all.eligible, region_backends, need, now))
     }
 
     /// The shortlist to choose from first: the head of the object's order, or a random sample.
-    fn shortlist(&self, side: backends::Side<'_>, need: &Need<'_>) -> Vec<id::VmId> {
+    fn shortlist(&self, side: backends::RegionScope<'_>, need: &Need<'_>) -> Vec<id::VmId> {
         let by_object = self.cfg.thresholds.placement.by_object;
         let mut backends = self.backends.borrow_mut();
         match need.key.filter(|_| by_object) {
-            Some(key) => backends.first(need.service, side, key),
-            None => backends.some(need.service, side, self.jitter().to_bits()),
+            Some(key) => backends.preferred(need.service, side, key),
+            None => backends.sample(need.service, side, self.jitter().to_bits()),
         }
     }
 
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -43,7 +43,7 @@
         let idle = self.idle.get_mut(id)?;
         while let Some(mut last) = idle.pop() {
             let idle_for = last.since.elapsed();
-            if idle_for < self.idle_limit.limit(last.stated).min(limit) && last.wire.rests() {
+            if idle_for < self.idle_limit.limit(last.stated).min(limit) && last.wire.is_idle() {
                 let wire = last.wire;
                 return Some(IdleConnection { wire, idle_for });
             }
--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -256,7 +256,7 @@
         let mut ips: Vec<net::IpAddr> = entries
             .iter()
             .filter(|(vm, hash, _)| **vm != self.cfg.vm && quotas.needs_reports(now, *hash))
-            .map(|(_, _, entry)| entry.front.ip())
+            .map(|(_, _, entry)| entry.caller_addr.ip())
             .collect();
         ips.sort_unstable();
         ips.dedup();
@@ -322,7 +322,7 @@
         let entries = self.entries.borrow();
         entries
             .get(vm)
-            .is_some_and(|entry| entry.front.ip() == from.ip())
+            .is_some_and(|entry| entry.caller_addr.ip() == from.ip())
     }
 
     fn apply_usage(&self, usage: usage::Usage) {
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -148,8 +148,8 @@
         if let Some(table) = self.table() {
             for name in table.services.keys() {
                 let service = self.labels.label(name.as_str());
-                let in_flight: u32 = backends.of(name).map(|b| b.in_flight).sum();
-                let slots: u32 = backends.of(name).map(|b| b.listed.slots).sum();
+                let in_flight: u32 = backends.of_service(name).map(|b| b.in_flight).sum();
+                let slots: u32 = backends.of_service(name).map(|b| b.listed.slots).sum();
                 gauge!(metric_names::IN_FLIGHT, "service" => service.clone())
                     .set(f64::from(in_flight));
                 gauge!(metric_names::SLOTS, "service" => service).set(f64::from(slots));
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -126,7 +126,7 @@
             new_object: false,
             ahead: 0.0,
             fate: ("answered", ""),
-            bond: &req.bond,
+            cancellation: &req.cancellation,
             revoked: false,
             charge,
         };
@@ -213,7 +213,7 @@
     ahead: f64,
     /// The request's fate and the reason, as metric labels.
     fate: (&'static str, &'static str),
-    bond: &'a callers::Bond,
+    cancellation: &'a callers::Cancellation,
     /// Whether its key was revoked while the request was in progress.
     revoked: bool,
     /// The quota charge of the latest send.
@@ -329,7 +329,7 @@
         self.sends += 1;
         self.first_sent.get_or_insert(self.cx.now());
         if !self.facts.route.idempotent {
-            self.bond.committed.set(true);
+            self.cancellation.committed.set(true);
         }
     }
 
@@ -361,7 +361,7 @@
             && self.sends <= self.facts.route.attempts;
         let fresh = self.payload.is_some();
         // Without a waiting caller, the request must not start at another backend server.
-        let over = self.bond.left.get() || self.cx.now() >= self.facts.deadline;
+        let over = self.cancellation.caller_left.get() || self.cx.now() >= self.facts.deadline;
         if !more || !fresh || over {
             return false;
         }
--- a/src/platform/decode.rs
+++ b/src/platform/decode.rs
@@ -263,7 +263,7 @@
         slots: record.slots,
         leaving,
         cold_until: now + seconds(record.cold_left_s)?,
-        start: record.born.map(id::Incarnation),
+        incarnation: record.born.map(id::Incarnation),
     })
 }
 
@@ -288,11 +288,11 @@
 pub fn entry(value: &[u8]) -> Result<entries::Entry, Error> {
     let entry: EntryRecord = serde_json::from_slice(value)?;
     Ok(entries::Entry {
-        front: entry.front,
-        peers: entry.peers,
+        caller_addr: entry.front,
+        peer_addr: entry.peers,
         az: entry.az.as_str().into(),
         link_mbps: entry.link_mbps,
-        requests: entry.requests,
+        requests_per_s: entry.requests,
         busy: entry.busy,
         near_limits: entry.near_limits,
     })
@@ -301,11 +301,11 @@
 /// Encodes an entry VM's registration.
 pub fn encode_entry(entry: &entries::Entry) -> Result<Vec<u8>, Error> {
     Ok(serde_json::to_vec(&EntryRecord {
-        front: entry.front,
-        peers: entry.peers,
+        front: entry.caller_addr,
+        peers: entry.peer_addr,
         az: entry.az.to_string(),
         link_mbps: entry.link_mbps,
-        requests: entry.requests,
+        requests: entry.requests_per_s,
         busy: entry.busy,
         near_limits: entry.near_limits.clone(),
     })?)
--- a/src/platform/endpoints.rs
+++ b/src/platform/endpoints.rs
@@ -39,12 +39,12 @@
             "/ready" => self.ready(),
             "/resolve" => self.resolve(head.target()),
             "/metrics" => text(metrics::exporter().render()),
-            _ => callers::Answer::bare(404),
+            _ => callers::Answer::empty(404),
         }
     }
 
     fn ready(&self) -> callers::Answer {
-        callers::Answer::bare(match self.cx.is_ready() {
+        callers::Answer::empty(match self.cx.is_ready() {
             true => 200,
             false => 503,
         })
@@ -53,7 +53,7 @@
     fn resolve(&self, target: &str) -> callers::Answer {
         let addrs = self.cx.entries_for(query_parameter(target, "region"));
         if addrs.is_empty() {
-            return callers::Answer::bare(503);
+            return callers::Answer::empty(503);
         }
         json(&ResolveResponse {
             addrs: &addrs,
@@ -74,7 +74,7 @@
     match serde_json::to_vec(value) {
         Ok(body) => with_body("application/json", body.into()),
         // Not expected, since these types always serialize; the caller can use another entry VM.
-        Err(_) => callers::Answer::bare(500),
+        Err(_) => callers::Answer::empty(500),
     }
 }
 
@@ -83,7 +83,7 @@
 }
 
 fn with_body(kind: &str, body: Bytes) -> callers::Answer {
-    let mut answer = callers::Answer::bare(200);
+    let mut answer = callers::Answer::empty(200);
     http1::put_field(&mut answer.fields, b"Content-Type", kind.as_bytes());
     answer.body = callers::Body::Whole(body);
     answer
--- a/src/platform/feed.rs
+++ b/src/platform/feed.rs
@@ -279,11 +279,11 @@
     fn entry(&self) -> entries::Entry {
         let capacity = &self.cx.cfg.capacity;
         entries::Entry {
-            front: self.settings.gateway.front,
-            peers: self.settings.peers,
+            caller_addr: self.settings.gateway.front,
+            peer_addr: self.settings.peers,
             az: self.settings.gateway.az.clone(),
             link_mbps: capacity.link_mbps as u32,
-            requests: capacity.requests_per_s(),
+            requests_per_s: capacity.requests_per_s(),
             busy: self.cx.is_busy(),
             near_limits: self.cx.near_limits(),
         }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -361,7 +361,7 @@
         target: &str,
         body: &[u8],
     ) -> Option<(socket::Wire, upstream::Received)> {
-        let idle = self.wire.take().and_then(socket::Wire::resting);
+        let idle = self.wire.take().and_then(socket::Wire::into_idle);
         let mut wire = match idle {
             Some(wire) => wire,
             None => socket::Wire::connect(self.addr, CONNECT_TIMEOUT)
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -185,7 +185,7 @@
 
     /// Connections that are open now.
     pub fn open(&self) -> usize {
-        self.server.open()
+        self.server.open_connections()
     }
 }
 
@@ -265,7 +265,7 @@
         }
     }
 
-    fn gone(&self, id: u64) {
+    fn caller_disconnected(&self, id: u64) {
         if let Some(cancelled) = self.0.cancels.lock().get(&id) {
             cancelled.store(true, atomic::Ordering::SeqCst);
         }
--- a/src/standin/store.rs
+++ b/src/standin/store.rs
@@ -346,7 +346,7 @@
 pub fn serve(memory: &Memory, addr: net::SocketAddr, threads: usize) -> io::Result<pool::Pool> {
     let cfg = pool::Config {
         threads,
-        waiting: MAX_WAITING,
+        max_queued: MAX_WAITING,
         limits: server::Limits {
             body_bytes: MAX_CALL_BYTES,
             ..server::Limits::default()
--- a/src/state/backends.rs
+++ b/src/state/backends.rs
@@ -28,13 +28,13 @@
     /// The end of its cold phase, on this process's clock.
     pub cold_until: policy::Moment,
     /// Its incarnation, which grows with each start; `None` if the list has no incarnation.
-    pub start: Option<id::Incarnation>,
+    pub incarnation: Option<id::Incarnation>,
 }
 
 impl Listed {
     /// Whether `self` is a later incarnation than `other` of the same backend server.
     pub fn started_after(&self, other: &Self) -> bool {
-        matches!((self.start, other.start), (Some(this), Some(other)) if this > other)
+        matches!((self.incarnation, other.incarnation), (Some(this), Some(other)) if this > other)
     }
 }
 
@@ -84,9 +84,9 @@
 
 impl Backend {
     /// Its VM id with its incarnation; unique for each start of the backend server.
-    pub fn run_name(&self) -> String {
-        match self.listed.start {
-            Some(start) => format!("{}@{start}", self.id),
+    pub fn incarnation_name(&self) -> String {
+        match self.listed.incarnation {
+            Some(incarnation) => format!("{}@{incarnation}", self.id),
             None => self.id.to_string(),
         }
     }
@@ -105,7 +105,7 @@
     }
 
     /// Records the running and waiting requests that an answer reported, including this VM's.
-    pub fn reported(&mut self, now: policy::Moment, running: u32, waiting: u32) {
+    pub fn record_load_report(&mut self, now: policy::Moment, running: u32, waiting: u32) {
         let others = f64::from(running + waiting) - f64::from(self.in_flight.saturating_sub(1));
         self.report = Report {
             others: others.max(0.0),
@@ -126,21 +126,21 @@
 
 /// A selection of a service's backend servers by region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side<'a> {
+pub enum RegionScope<'a> {
     /// Backend servers in this VM's region.
-    Near,
+    Local,
     /// Backend servers in all other regions.
-    Far,
+    Remote,
     /// Backend servers in one other region.
-    In(&'a id::RegionId),
+    Only(&'a id::RegionId),
 }
 
-impl Side<'_> {
+impl RegionScope<'_> {
     fn contains(self, local: &Option<id::RegionId>, region: &Option<id::RegionId>) -> bool {
         match self {
-            Side::Near => local == region,
-            Side::Far => local != region,
-            Side::In(one) => region.as_ref() == Some(one),
+            RegionScope::Local => local == region,
+            RegionScope::Remote => local != region,
+            RegionScope::Only(one) => region.as_ref() == Some(one),
         }
     }
 }
@@ -156,19 +156,22 @@
 }
 
 impl Group {
-    fn scope(&self, scope: Side<'_>) -> Option<&orders::PreferenceOrders<id::VmId>> {
+    fn scope(&self, scope: RegionScope<'_>) -> Option<&orders::PreferenceOrders<id::VmId>> {
         match scope {
-            Side::Near => Some(&self.local),
-            Side::Far => Some(&self.remote),
-            Side::In(region) => self.regions.get(region),
+            RegionScope::Local => Some(&self.local),
+            RegionScope::Remote => Some(&self.remote),
+            RegionScope::Only(region) => self.regions.get(region),
         }
     }
 
-    fn scope_mut(&mut self, scope: Side<'_>) -> Option<&mut orders::PreferenceOrders<id::VmId>> {
+    fn scope_mut(
+        &mut self,
+        scope: RegionScope<'_>,
+    ) -> Option<&mut orders::PreferenceOrders<id::VmId>> {
         match scope {
-            Side::Near => Some(&mut self.local),
-            Side::Far => Some(&mut self.remote),
-            Side::In(region) => self.regions.get_mut(region),
+            RegionScope::Local => Some(&mut self.local),
+            RegionScope::Remote => Some(&mut self.remote),
+            RegionScope::Only(region) => self.regions.get_mut(region),
         }
     }
 
@@ -272,7 +275,12 @@
 
     /// The head of an object's preference order within `scope`, see
     /// [`orders::PreferenceOrders::first`].
-    pub fn first(&mut self, service: &id::ServiceId, scope: Side<'_>, key: u64) -> Vec<id::VmId> {
+    pub fn preferred(
+        &mut self,
+        service: &id::ServiceId,
+        scope: RegionScope<'_>,
+        key: u64,
+    ) -> Vec<id::VmId> {
         let group = self.by_service.get_mut(service);
         match group.and_then(|group| group.scope_mut(scope)) {
             Some(order) => order.first(key).cloned().collect(),
@@ -281,7 +289,12 @@
     }
 
     /// A sample of the backend servers within `scope`, see [`orders::PreferenceOrders::sample`].
-    pub fn some(&self, service: &id::ServiceId, scope: Side<'_>, tie: u64) -> Vec<id::VmId> {
+    pub fn sample(
+        &self,
+        service: &id::ServiceId,
+        scope: RegionScope<'_>,
+        tie: u64,
+    ) -> Vec<id::VmId> {
         match self.order(service, scope) {
             Some(order) => order.sample(tie, SAMPLE_SIZE).cloned().collect(),
             None => Vec::new(),
@@ -291,23 +304,23 @@
     fn order(
         &self,
         service: &id::ServiceId,
-        scope: Side<'_>,
+        scope: RegionScope<'_>,
     ) -> Option<&orders::PreferenceOrders<id::VmId>> {
         self.by_service.get(service)?.scope(scope)
     }
 
     /// The number of a service's backend servers within `scope`.
-    pub fn count_on(&self, service: &id::ServiceId, scope: Side<'_>) -> usize {
+    pub fn count_in_scope(&self, service: &id::ServiceId, scope: RegionScope<'_>) -> usize {
         self.order(service, scope).map_or(0, |order| order.len())
     }
 
     /// A service's backend servers within `scope`.
-    pub fn on<'a>(
+    pub fn in_scope<'a>(
         &'a self,
         service: &id::ServiceId,
-        scope: Side<'a>,
+        scope: RegionScope<'a>,
     ) -> impl Iterator<Item = &'a Backend> {
-        self.of(service)
+        self.of_service(service)
             .filter(move |b| scope.contains(&self.local_region, &b.region))
     }
 
@@ -322,7 +335,7 @@
     }
 
     /// A service's backend servers.
-    pub fn of<'a>(&'a self, service: &id::ServiceId) -> impl Iterator<Item = &'a Backend> {
+    pub fn of_service<'a>(&'a self, service: &id::ServiceId) -> impl Iterator<Item = &'a Backend> {
         self.by_service
             .get(service)
             .into_iter()
--- a/src/state/directory.rs
+++ b/src/state/directory.rs
@@ -23,7 +23,7 @@
 
 /// A caller's look-up of entry VMs.
 #[derive(Clone, Copy, Debug)]
-pub struct Asks<'a> {
+pub struct LookupQuery<'a> {
     /// The caller's address.
     pub caller: net::IpAddr,
     /// The region nearest to the caller, if known.
@@ -31,7 +31,7 @@
     /// The availability zone of the entry VM that received the look-up.
     pub az: &'a id::AzId,
     /// Availability zones that precede all others, in this order.
-    pub first: &'a [id::AzId],
+    pub preferred_azs: &'a [id::AzId],
 }
 
 /// The entry VMs of each availability zone, and the zones by distance from each region.
@@ -100,12 +100,12 @@
     /// Zones and VMs of equal rank are ordered by a hash of the caller's address. With one fixed
     /// order all callers would use the first VM and leave the second idle. With a random order,
     /// each caller's connections and tickets would spread over all VMs.
-    pub fn name(&self, asks: &Asks<'_>) -> Vec<lookup::EntryVm> {
+    pub fn select(&self, query: &LookupQuery<'_>) -> Vec<lookup::EntryVm> {
         let mut selected = Vec::with_capacity(MAX_VMS);
-        for az in asks.first {
-            self.add_az(az, asks.caller, &mut selected);
+        for az in query.preferred_azs {
+            self.add_az(az, query.caller, &mut selected);
         }
-        let order = asks.region.and_then(|region| self.orders.get(region));
+        let order = query.region.and_then(|region| self.orders.get(region));
         let mut rest = order.unwrap_or(&self.unknown_region).as_slice();
         while let Some(row) = rest.first() {
             if selected.len() >= MAX_VMS {
@@ -113,7 +113,7 @@
             }
             let tied = rest.partition_point(|other| other.distance == row.distance);
             let (nearest, farther) = rest.split_at(tied);
-            self.add_equidistant(nearest, asks, &mut selected);
+            self.add_equidistant(nearest, query, &mut selected);
             rest = farther;
         }
         selected.truncate(MAX_VMS);
@@ -123,15 +123,15 @@
     fn add_equidistant(
         &self,
         rows: &[ZoneDistance],
-        asks: &Asks<'_>,
+        query: &LookupQuery<'_>,
         selected: &mut Vec<lookup::EntryVm>,
     ) {
         let mut azs: Vec<_> = rows
             .iter()
-            .filter(|row| !asks.first.contains(&row.az))
+            .filter(|row| !query.preferred_azs.contains(&row.az))
             .map(|row| {
-                let other = row.az != *asks.az || row.distance != Distance::Near;
-                ((other, caller_hash(asks.caller, row.az.as_str())), &row.az)
+                let other = row.az != *query.az || row.distance != Distance::Near;
+                ((other, caller_hash(query.caller, row.az.as_str())), &row.az)
             })
             .collect();
         azs.sort_unstable_by_key(|(rank, _)| *rank);
@@ -139,7 +139,7 @@
             if selected.len() >= MAX_VMS {
                 return;
             }
-            self.add_az(az, asks.caller, selected);
+            self.add_az(az, query.caller, selected);
         }
     }
 
@@ -205,11 +205,11 @@
     }
 
     fn lookup_vms(per_az: usize, caller: [u8; 4], region: &str, az: &str) -> Vec<lookup::EntryVm> {
-        directory(&cooperative(), per_az).name(&Asks {
+        directory(&cooperative(), per_az).select(&LookupQuery {
             caller: caller.into(),
             region: Some(&region.into()),
             az: &az.into(),
-            first: &[],
+            preferred_azs: &[],
         })
     }
 
@@ -228,11 +228,11 @@
     fn preferred_zones_are_returned_once() {
         let directory = directory(&cooperative(), 2);
         let first = ["dornod-a".into()];
-        let found = directory.name(&Asks {
+        let found = directory.select(&LookupQuery {
             caller: [10, 0, 0, 1].into(),
             region: Some(&"khovd".into()),
             az: &"khovd-a".into(),
-            first: &first,
+            preferred_azs: &first,
         });
         assert_eq!(found.len(), 12);
         assert!(found[..2].iter().all(|vm| vm.az == first[0]));
--- a/src/state/entries.rs
+++ b/src/state/entries.rs
@@ -10,15 +10,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     /// The address on which it accepts callers' requests.
-    pub front: net::SocketAddr,
+    pub caller_addr: net::SocketAddr,
     /// The address for other entry VMs, if it accepts their connections.
-    pub peers: Option<net::SocketAddr>,
+    pub peer_addr: Option<net::SocketAddr>,
     /// Its availability zone.
     pub az: id::AzId,
     /// The bandwidth of its link, in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
     /// Its capacity in requests of the usual size per second; 0 if unknown.
-    pub requests: u32,
+    pub requests_per_s: u32,
     /// Whether it has little capacity left for more callers.
     pub busy: bool,
     /// Hashes of the names of customers that it counts as close to their quotas.
@@ -87,7 +87,7 @@
 
     /// All entry VMs as candidates for callers, each with its `value`. `in_region` returns whether
     /// an availability zone is in the caller's region.
-    pub fn to_tell<'a, T: 'a>(
+    pub fn candidates<'a, T: 'a>(
         &'a self,
         in_region: impl Fn(&id::AzId) -> bool + 'a,
         value: impl Fn(&id::VmId, u64, &Entry) -> T + 'a,
@@ -96,7 +96,7 @@
             .map(move |(vm, hash, entry)| entry_selection::Candidate {
                 in_region: in_region(&entry.az),
                 az: &entry.az,
-                requests_per_s: entry.requests,
+                requests_per_s: entry.requests_per_s,
                 busy: entry.busy,
                 hash,
                 value: value(vm, hash, entry),
--- a/src/state/explain.rs
+++ b/src/state/explain.rs
@@ -28,11 +28,11 @@
 
 /// The ring buffer of recent decisions, oldest first.
 #[derive(Debug, Default)]
-pub struct Ring(collections::VecDeque<Decision>);
+pub struct DecisionRing(collections::VecDeque<Decision>);
 
-impl Ring {
+impl DecisionRing {
     /// Adds a decision and evicts the oldest one if the buffer is full.
-    pub fn keep(
+    pub fn record(
         &mut self,
         request: u64,
         at: time::Duration,
@@ -65,9 +65,9 @@
 
     #[test]
     fn a_full_buffer_evicts_the_oldest_decisions() {
-        let mut ring = Ring::default();
+        let mut ring = DecisionRing::default();
         for n in 0..10_000 {
-            ring.keep(n, time::Duration::ZERO, "refused", "ledger", "overload");
+            ring.record(n, time::Duration::ZERO, "refused", "ledger", "overload");
         }
         assert_eq!(ring.0.len(), MAX_DECISIONS);
         assert!(ring.about(0).is_empty());
--- a/src/state/totals.rs
+++ b/src/state/totals.rs
@@ -92,7 +92,7 @@
     }
 
     /// Counts an answer in its latency bucket.
-    pub fn took(&mut self, latency: time::Duration) {
+    pub fn count_latency(&mut self, latency: time::Duration) {
         let s = latency.as_secs_f64();
         let bucket = metrics::LATENCY_BUCKETS.partition_point(|upper| *upper < s);
         self.latency[bucket] += 1;
@@ -180,7 +180,7 @@
     }
 
     /// Records the current number of a service's requests in flight and waiting.
-    pub fn in_hand(&mut self, service: &id::ServiceId, count: u64) {
+    pub fn record_in_flight(&mut self, service: &id::ServiceId, count: u64) {
         if self.totals(service).is_some() {
             let peak = self.peaks.entry(service.clone()).or_default();
             *peak = (*peak).max(count);
@@ -287,7 +287,7 @@
             history.tick(minute(n));
             let totals = history.totals(&service).unwrap();
             totals.answered += 10;
-            totals.took(time::Duration::from_millis(4));
+            totals.count_latency(time::Duration::from_millis(4));
         }
         history
     }
--- a/src/transport/callers.rs
+++ b/src/transport/callers.rs
@@ -52,18 +52,18 @@
     /// When the head was complete.
     pub received: time::Instant,
     /// Whether the caller has disconnected, and whether the request then continues.
-    pub bond: rc::Rc<Bond>,
+    pub cancellation: rc::Rc<Cancellation>,
 }
 
 /// The cancellation state that a request's task shares with the caller's connection.
 #[derive(Debug, Default)]
-pub struct Bond {
+pub struct Cancellation {
     /// Set once the request must continue after its caller disconnects. It may be running on a
     /// backend server, and after an abort its outcome would be unknown.
     pub committed: cell::Cell<bool>,
     /// Set once the caller has disconnected. A request that continues is then sent to no further
     /// backend server.
-    pub left: cell::Cell<bool>,
+    pub caller_left: cell::Cell<bool>,
 }
 
 /// The body of an answer.
@@ -95,7 +95,7 @@
 
 impl Answer {
     /// An answer without fields and body.
-    pub fn bare(status: u16) -> Self {
+    pub fn empty(status: u16) -> Self {
         Self {
             status,
             fields: BytesMut::new(),
@@ -118,7 +118,7 @@
 struct Pending {
     rx: oneshot::Receiver<Answer>,
     task: Option<task::AbortHandle>,
-    bond: rc::Rc<Bond>,
+    cancellation: rc::Rc<Cancellation>,
     keep_alive: bool,
     framing: AnswerFraming,
 }
@@ -143,9 +143,9 @@
 
 impl Drop for Pending {
     fn drop(&mut self) {
-        self.bond.left.set(true);
+        self.cancellation.caller_left.set(true);
         if let Some(task) = self.task.take()
-            && !self.bond.committed.get()
+            && !self.cancellation.committed.get()
         {
             task.abort();
         }
@@ -186,7 +186,7 @@
 
 /// Serves one connection until it ends.
 pub async fn serve<H: Handler>(stream: TcpStream, handler: H, stop: watch::Receiver<bool>) {
-    if socket::guard(&stream).is_err() {
+    if socket::set_failure_detection(&stream).is_err() {
         // The caller disconnected before the connection was accepted.
         return;
     }
@@ -281,7 +281,7 @@
         }
         let answer = Answer {
             close: true,
-            ..Answer::bare(408)
+            ..Answer::empty(408)
         };
         self.write_answer(answer, true, AnswerFraming::default())
             .await
@@ -391,7 +391,7 @@
         let payload = upstream::Payload::Pieces {
             length,
             rx,
-            begun: false,
+            started: false,
         };
         self.start(head, payload, received);
         let piece = (!body.is_empty()).then(|| upstream::Piece::Data(body.freeze()));
@@ -454,7 +454,7 @@
         received: time::Instant,
     ) {
         let (tx, rx) = oneshot::channel();
-        let bond = rc::Rc::new(Bond::default());
+        let cancellation = rc::Rc::new(Cancellation::default());
         let keep_alive = head.keeps_alive();
         let framing = AnswerFraming {
             chunks: head.knows_chunks(),
@@ -464,7 +464,7 @@
             head,
             payload,
             received,
-            bond: bond.clone(),
+            cancellation: cancellation.clone(),
         });
         let task = task::spawn_local(async move {
             // The receiver is dropped if the caller disconnected and the request was committed.
@@ -474,7 +474,7 @@
         self.pending.push_back(Pending {
             rx,
             task: Some(task.abort_handle()),
-            bond,
+            cancellation,
             keep_alive,
             framing,
         });
@@ -486,7 +486,7 @@
         let (tx, rx) = oneshot::channel();
         let answer = Answer {
             close: true,
-            ..Answer::bare(status)
+            ..Answer::empty(status)
         };
         // Cannot fail: the receiver is still held in this function.
         let _ = tx.send(answer);
@@ -494,7 +494,7 @@
         self.pending.push_back(Pending {
             rx,
             task: None,
-            bond: rc::Rc::default(),
+            cancellation: rc::Rc::default(),
             keep_alive: false,
             framing: AnswerFraming::default(),
         });
@@ -619,7 +619,7 @@
         // The handler ended without an answer (a bug), so the request's outcome is unknown.
         Err(_) => Answer {
             close: true,
-            ..Answer::bare(502)
+            ..Answer::empty(502)
         },
     }
 }
--- a/src/transport/mirror.rs
+++ b/src/transport/mirror.rs
@@ -20,11 +20,11 @@
 use crate::protocol::mirror;
 
 /// The timeout for opening a link: two round trips over the longest network link, and a slow peer.
-pub const OPEN: time::Duration = time::Duration::from_millis(600);
+pub const OPEN_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 
 /// The open timeout within an availability zone, where two round trips take 2 ms. A VM that lost
 /// power does not refuse connections, so each attempt on it delays a start by the whole timeout.
-pub const OPEN_NEAR: time::Duration = time::Duration::from_millis(250);
+pub const SAME_AZ_OPEN_TIMEOUT: time::Duration = time::Duration::from_millis(250);
 
 /// The timeout for receiving a message after its first bytes: enough for the longest list of
 /// routes (1 MB, a third of that compressed) over a shared link of 10 Mbit/s.
@@ -119,7 +119,7 @@
 fn timestamped(
     stream: TcpStream,
 ) -> io::Result<(TimestampedStream, rc::Rc<cell::Cell<time::Instant>>)> {
-    socket::guard(&stream)?;
+    socket::set_failure_detection(&stream)?;
     let last_received = rc::Rc::new(cell::Cell::new(time::Instant::now()));
     let stamped = TimestampedStream {
         stream,
@@ -157,7 +157,7 @@
     pub async fn accept(stream: TcpStream) -> Result<Self, Error> {
         let (stamped, last_received) = timestamped(stream)?;
         let accept = tokio_tungstenite::accept_async_with_config(stamped, Some(config()));
-        let socket = tokio::time::timeout(OPEN, accept)
+        let socket = tokio::time::timeout(OPEN_TIMEOUT, accept)
             .await
             .map_err(|_| Error::Timeout)??;
         Ok(Self {
@@ -232,7 +232,7 @@
     }
 
     /// Waits until the peer closes the link or the link fails.
-    pub async fn closed(&mut self) {
+    pub async fn wait_closed(&mut self) {
         while let Some(Ok(message)) = self.socket.next().await {
             if message.is_close() {
                 return;
--- a/src/transport/operators.rs
+++ b/src/transport/operators.rs
@@ -77,7 +77,7 @@
 pub fn serve<S: Source>(addr: net::SocketAddr, source: S) -> Result<pool::Pool, error::Error> {
     let cfg = pool::Config {
         threads: THREAD_COUNT,
-        waiting: MAX_QUEUED_REQUESTS,
+        max_queued: MAX_QUEUED_REQUESTS,
         limits: server::Limits {
             connections: MAX_CONNECTIONS,
             body_bytes: MAX_BODY_BYTES,
--- a/src/transport/peer.rs
+++ b/src/transport/peer.rs
@@ -71,7 +71,7 @@
 
 /// The identity of this process for its peers.
 #[derive(Clone, Debug)]
-pub struct Me {
+pub struct LocalIdentity {
     /// The id of this VM.
     pub vm: id::VmId,
     /// Its availability zone.
@@ -92,14 +92,14 @@
 type Socket = tokio_tungstenite::WebSocketStream<tcp::TcpStream>;
 
 /// Connects to a peer.
-pub async fn dial(addr: net::SocketAddr, me: &Me) -> Result<Link, Error> {
+pub async fn dial(addr: net::SocketAddr, local: &LocalIdentity) -> Result<Link, Error> {
     let open = async {
         let stream = tcp::TcpStream::connect(addr).await?;
         stream.set_nodelay(true)?;
         let url = format!("ws://{addr}/peer");
         let (socket, _) =
             tokio_tungstenite::client_async_with_config(url, stream, Some(config())).await?;
-        authenticate(socket, me).await
+        authenticate(socket, local).await
     };
     tokio::time::timeout(OPEN_TIMEOUT, open)
         .await
@@ -107,31 +107,31 @@
 }
 
 /// Accepts a connection that a peer opened.
-pub async fn accept(stream: tcp::TcpStream, me: &Me) -> Result<Link, Error> {
+pub async fn accept(stream: tcp::TcpStream, local: &LocalIdentity) -> Result<Link, Error> {
     let open = async {
         stream.set_nodelay(true)?;
         let socket = tokio_tungstenite::accept_async_with_config(stream, Some(config())).await?;
-        authenticate(socket, me).await
+        authenticate(socket, local).await
     };
     tokio::time::timeout(OPEN_TIMEOUT, open)
         .await
         .unwrap_or(Err(Error::Timeout))
 }
 
-async fn authenticate(mut socket: Socket, me: &Me) -> Result<Link, Error> {
+async fn authenticate(mut socket: Socket, local: &LocalIdentity) -> Result<Link, Error> {
     let ours = hello::Hello {
         version: hello::VERSION,
-        vm: me.vm.clone(),
-        az: me.az.clone(),
-        incarnation: me.incarnation,
+        vm: local.vm.clone(),
+        az: local.az.clone(),
+        incarnation: local.incarnation,
         nonce: rand::rng().random(),
     };
     send(&mut socket, hello::encode(&ours).into()).await?;
     let theirs: hello::Hello = hello::decode(&next(&mut socket).await?)?;
-    let proof = me.secrets.prove(&ours, &theirs);
+    let proof = local.secrets.prove(&ours, &theirs);
     send(&mut socket, hello::encode(&proof).into()).await?;
     let proof: hello::Proof = hello::decode(&next(&mut socket).await?)?;
-    me.secrets.check(&ours, &theirs, &proof)?;
+    local.secrets.check(&ours, &theirs, &proof)?;
     Ok(Link {
         hello: theirs,
         socket,
--- a/src/transport/pool.rs
+++ b/src/transport/pool.rs
@@ -18,7 +18,7 @@
     /// The number of handler threads.
     pub threads: usize,
     /// The maximum number of queued requests. More are refused with [`server::Fault::Busy`].
-    pub waiting: usize,
+    pub max_queued: usize,
     /// The limits of the HTTP server.
     pub limits: server::Limits,
 }
@@ -68,7 +68,7 @@
         }
     }
 
-    fn gone(&self, _id: u64) {}
+    fn caller_disconnected(&self, _id: u64) {}
 
     fn fault(&self, _id: u64, fault: server::Fault) -> server::Answer {
         self.handler.fault(fault)
@@ -85,7 +85,7 @@
         .worker_threads(1)
         .enable_all()
         .build()?;
-    let (tx, rx) = channel::bounded(cfg.waiting);
+    let (tx, rx) = channel::bounded(cfg.max_queued);
     let handler = sync::Arc::new(handler);
     let sink = Sink {
         tx,
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -23,7 +23,7 @@
 
 use crate::protocol::headers;
 
-/// The unit in which bodies count against [`Limits::all_bodies`].
+/// The unit in which bodies count against [`Limits::total_body_bytes`].
 const BODY_UNIT_BYTES: usize = 1024;
 
 /// The limits on the resources that callers can use.
@@ -40,7 +40,7 @@
     /// The maximum bytes of one body.
     pub body_bytes: usize,
     /// The maximum bytes of all bodies in memory.
-    pub all_bodies: usize,
+    pub total_body_bytes: usize,
 }
 
 impl Default for Limits {
@@ -51,7 +51,7 @@
             head_timeout: time::Duration::from_secs(30),
             body_timeout: time::Duration::from_secs(10),
             body_bytes: 1 << 20,
-            all_bodies: 32 << 20,
+            total_body_bytes: 32 << 20,
         }
     }
 }
@@ -73,7 +73,7 @@
     pub body: Bytes,
     /// The channel for the answer.
     pub reply: Reply,
-    /// Holds the body's share of [`Limits::all_bodies`].
+    /// Holds the body's share of [`Limits::total_body_bytes`].
     pub permit: Option<tokio::sync::OwnedSemaphorePermit>,
 }
 
@@ -124,13 +124,13 @@
     fn request(&self, req: Request);
 
     /// Called when a caller disconnects before its request is answered.
-    fn gone(&self, id: u64);
+    fn caller_disconnected(&self, id: u64);
 
     /// The answer to a request that failed with `fault`.
     fn fault(&self, id: u64, fault: Fault) -> Answer;
 
     /// The id by which operators find a request, sent in a header of its answer.
-    fn name(&self, _id: u64) -> Option<header::HeaderValue> {
+    fn request_id(&self, _id: u64) -> Option<header::HeaderValue> {
         None
     }
 }
@@ -140,7 +140,7 @@
 pub struct Server {
     addr: net::SocketAddr,
     open: sync::Arc<atomic::AtomicUsize>,
-    leaving: sync::Arc<atomic::AtomicBool>,
+    closing: sync::Arc<atomic::AtomicBool>,
     stop: watch::Sender<bool>,
 }
 
@@ -151,15 +151,15 @@
     }
 
     /// The number of open connections.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.load(atomic::Ordering::Relaxed)
     }
 
     /// Closes each connection after its next answer from now on. A connection that stays open
     /// until the process stops could be closed just as its caller sends the next request, and
     /// that request would be lost.
-    pub fn leave(&self) {
-        self.leaving.store(true, atomic::Ordering::SeqCst);
+    pub fn close_after_answers(&self) {
+        self.closing.store(true, atomic::Ordering::SeqCst);
     }
 
     /// Accepts no more connections and closes each one after its current request is answered.
@@ -174,7 +174,7 @@
     bodies: sync::Arc<tokio::sync::Semaphore>,
     next_id: atomic::AtomicU64,
     open: sync::Arc<atomic::AtomicUsize>,
-    leaving: sync::Arc<atomic::AtomicBool>,
+    closing: sync::Arc<atomic::AtomicBool>,
 }
 
 /// Listens on `addr` and passes requests to `sink`. Fails if the address cannot be bound.
@@ -188,23 +188,23 @@
     listener.set_nonblocking(true)?;
     let bound = listener.local_addr()?;
     let open = sync::Arc::new(atomic::AtomicUsize::new(0));
-    let leaving = sync::Arc::new(atomic::AtomicBool::new(false));
+    let closing = sync::Arc::new(atomic::AtomicBool::new(false));
     let (stop, stopped) = watch::channel(false);
     let shared = sync::Arc::new(Shared {
         bodies: sync::Arc::new(tokio::sync::Semaphore::new(
-            limits.all_bodies / BODY_UNIT_BYTES,
+            limits.total_body_bytes / BODY_UNIT_BYTES,
         )),
         sink,
         limits,
         next_id: atomic::AtomicU64::new(1),
         open: open.clone(),
-        leaving: leaving.clone(),
+        closing: closing.clone(),
     });
     runtime.spawn(accept(listener, shared, stopped));
     Ok(Server {
         addr: bound,
         open,
-        leaving,
+        closing,
         stop,
     })
 }
@@ -310,14 +310,14 @@
     guard.answered = true;
     match answer {
         Ok(answer) => {
-            let leaving = shared.leaving.load(atomic::Ordering::Relaxed);
-            response(shared, id, answer, leaving)
+            let closing = shared.closing.load(atomic::Ordering::Relaxed);
+            response(shared, id, answer, closing)
         }
         Err(_) => response(shared, id, shared.sink.fault(id, Fault::Dropped), true),
     }
 }
 
-/// Calls [`Sink::gone`] on drop before the answer, that is, when the connection is closed.
+/// Calls [`Sink::caller_disconnected`] on drop before the answer: the connection was closed.
 struct DisconnectGuard<'a, S: Sink> {
     sink: &'a S,
     id: u64,
@@ -327,7 +327,7 @@
 impl<S: Sink> Drop for DisconnectGuard<'_, S> {
     fn drop(&mut self) {
         if !self.answered {
-            self.sink.gone(self.id);
+            self.sink.caller_disconnected(self.id);
         }
     }
 }
@@ -369,7 +369,7 @@
     let mut res = hyper::Response::new(Full::new(answer.body));
     *res.status_mut() = answer.status;
     *res.headers_mut() = answer.headers;
-    if let Some(name) = shared.sink.name(id) {
+    if let Some(name) = shared.sink.request_id(id) {
         res.headers_mut().insert(headers::REQUEST_ID, name);
     }
     if close {
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -40,7 +40,7 @@
 }
 
 /// Sets the socket options that make a connection fail soon after its peer has failed.
-pub fn guard(stream: &TcpStream) -> io::Result<()> {
+pub fn set_failure_detection(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
@@ -78,7 +78,7 @@
         let stream = tokio::time::timeout(timeout, TcpStream::connect(addr))
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-        guard(&stream)?;
+        set_failure_detection(&stream)?;
         Ok(Self {
             round_trip: start.elapsed(),
             ..stream.into()
@@ -130,13 +130,13 @@
         Ok(false)
     }
 
-    /// The connection if it is idle, see [`Wire::rests`].
-    pub fn resting(mut self) -> Option<Self> {
-        self.rests().then_some(self)
+    /// The connection if it is idle, see [`Wire::is_idle`].
+    pub fn into_idle(mut self) -> Option<Self> {
+        self.is_idle().then_some(self)
     }
 
     /// Whether the connection is open and has no unsolicited bytes.
-    pub fn rests(&mut self) -> bool {
+    pub fn is_idle(&mut self) -> bool {
         if !self.buf.is_empty() {
             return false;
         }
--- a/src/transport/upstream.rs
+++ b/src/transport/upstream.rs
@@ -37,14 +37,14 @@
         /// The channel of its pieces.
         rx: mpsc::Receiver<Piece>,
         /// Whether sending has started, so that the body cannot be sent again.
-        begun: bool,
+        started: bool,
     },
 }
 
 impl Payload {
     /// Whether the body can still be sent from its start.
-    pub fn is_fresh(&self) -> bool {
-        !matches!(self, Self::Pieces { begun: true, .. })
+    pub fn is_replayable(&self) -> bool {
+        !matches!(self, Self::Pieces { started: true, .. })
     }
 }
 
@@ -56,9 +56,9 @@
     /// The connection broke after bytes were written; the request may have run.
     Lost,
     /// The received bytes are not a valid answer; the request may have run.
-    Garbage,
+    InvalidAnswer,
     /// The caller's body was truncated; the request may have run.
-    CallerGone,
+    CallerDisconnected,
 }
 
 /// Identifies the answer to a request among late answers to earlier requests.
@@ -93,9 +93,13 @@
             send_whole(wire, head, body).await?;
             true
         }
-        Payload::Pieces { length, rx, begun } => {
+        Payload::Pieces {
+            length,
+            rx,
+            started,
+        } => {
             wire.send(head).await.map_err(write_failure)?;
-            *begun = true;
+            *started = true;
             send_pieces(wire, rx, length.is_none()).await?
         }
     };
@@ -137,7 +141,7 @@
             piece = rx.recv() => piece,
         };
         let last = match piece {
-            None => return Err(Failure::CallerGone),
+            None => return Err(Failure::CallerDisconnected),
             Some(Piece::Data(data)) if chunked => {
                 http1::put_chunk(&mut out, &data);
                 false
@@ -189,7 +193,7 @@
         }
         stale_answers += 1;
         if stale_answers > MAX_STALE_ANSWERS || head.framing == http1::Framing::UntilClose {
-            return Err(Failure::Garbage);
+            return Err(Failure::InvalidAnswer);
         }
         let mut body = http1::BodyReader::new(head.framing);
         while next_piece(wire, &mut body).await?.is_some() {}
@@ -202,7 +206,7 @@
 ) -> Result<http1::ResponseHead, Failure> {
     loop {
         let taken = http1::ResponseHead::take(&mut wire.buf, MAX_HEAD_BYTES, to_head);
-        if let Some(head) = taken.map_err(|_| Failure::Garbage)? {
+        if let Some(head) = taken.map_err(|_| Failure::InvalidAnswer)? {
             return Ok(head);
         }
         match wire.fill().await {
@@ -218,7 +222,9 @@
     body: &mut http1::BodyReader,
 ) -> Result<Option<Bytes>, Failure> {
     loop {
-        let piece = body.next(&mut wire.buf).map_err(|_| Failure::Garbage)?;
+        let piece = body
+            .next(&mut wire.buf)
+            .map_err(|_| Failure::InvalidAnswer)?;
         if piece.is_some() {
             return Ok(piece);
         }
--- a/tests/gateway/customers.rs
+++ b/tests/gateway/customers.rs
@@ -370,11 +370,11 @@
             .update_routes(routes_for(2, customer_list(&[(&limited, &["k1"])])));
         for (name, az) in [("vm-2", "az"), ("vm-3", "az-far"), ("vm-4", "az-far")] {
             let entry = entries::Entry {
-                front: "127.0.0.1:9".parse().unwrap(),
-                peers: None,
+                caller_addr: "127.0.0.1:9".parse().unwrap(),
+                peer_addr: None,
                 az: az.into(),
                 link_mbps: 0,
-                requests: 0,
+                requests_per_s: 0,
                 busy: false,
                 near_limits: Vec::new(),
             };
--- a/tests/gateway/following.rs
+++ b/tests/gateway/following.rs
@@ -103,7 +103,7 @@
         for frame in frames {
             link.send(frame.into()).await.unwrap();
         }
-        link.closed().await;
+        link.wait_closed().await;
     });
     proxy.addr
 }
--- a/tests/gateway/harness.rs
+++ b/tests/gateway/harness.rs
@@ -89,7 +89,7 @@
 
 pub(crate) struct Harness {
     pub(crate) cx: gateway::Gateway,
-    pub(crate) front: net::SocketAddr,
+    pub(crate) caller_addr: net::SocketAddr,
     pub(crate) seen: rc::Rc<cell::RefCell<Seen>>,
     pub(crate) script: Script,
     started: rc::Rc<tokio::sync::Notify>,
@@ -156,25 +156,25 @@
         };
         let cx = gateway::Gateway::new(cfg, logging::silent());
         let listener = socket::listen("127.0.0.1:0".parse().unwrap()).unwrap();
-        let front = listener.local_addr().unwrap();
+        let caller_addr = listener.local_addr().unwrap();
         task::spawn_local(front::accept(listener, cx.clone(), cx.clone()));
         cx.update_routes(table(
             1,
             vec![route("/read/", true), route("/book/", false)],
         ));
         let entry = entries::Entry {
-            front,
-            peers: None,
+            caller_addr,
+            peer_addr: None,
             az: "az".into(),
             link_mbps: 0,
-            requests: 0,
+            requests_per_s: 0,
             busy: false,
             near_limits: Vec::new(),
         };
         cx.update_entry(&"vm".into(), entry);
         let harness = Self {
             cx,
-            front,
+            caller_addr,
             seen: rc::Rc::default(),
             script: rc::Rc::new(cell::RefCell::new(script.iter().cloned().collect())),
             started: rc::Rc::default(),
@@ -200,7 +200,7 @@
             slots: 3,
             leaving: false,
             cold_until: time::Duration::ZERO,
-            start: start.map(id::Incarnation),
+            incarnation: start.map(id::Incarnation),
         };
         self.cx.update_backend(&name.into(), listed.clone());
         let (seen, script, started) =
@@ -222,7 +222,7 @@
 
     pub(crate) async fn caller(&self) -> Caller {
         Caller {
-            wire: socket::Wire::connect(self.front, LONG).await.unwrap(),
+            wire: socket::Wire::connect(self.caller_addr, LONG).await.unwrap(),
         }
     }
 
@@ -418,7 +418,7 @@
     pub(crate) async fn receive(&mut self) -> Result<CallerAnswer, upstream::Failure> {
         let head = loop {
             let taken = http1::ResponseHead::take(&mut self.wire.buf, 64 << 10, false);
-            if let Some(head) = taken.map_err(|_| upstream::Failure::Garbage)? {
+            if let Some(head) = taken.map_err(|_| upstream::Failure::InvalidAnswer)? {
                 break head;
             }
             if !matches!(self.wire.fill().await, Ok(1..)) {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -17,7 +17,7 @@
         self.0.lock().push(req);
     }
 
-    fn gone(&self, _id: u64) {}
+    fn caller_disconnected(&self, _id: u64) {}
 
     fn fault(&self, _id: u64, fault: server::Fault) -> server::Answer {
         server::Answer {
@@ -93,7 +93,7 @@
 #[test]
 fn total_body_bytes_are_bounded() {
     let running = start(server::Limits {
-        all_bodies: 64 * 1024,
+        total_body_bytes: 64 * 1024,
         ..server::Limits::default()
     });
     let first = open(&running, &post(40 * 1024));
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -76,7 +76,7 @@
         slots,
         leaving: false,
         cold_until: std::time::Duration::ZERO,
-        start: None,
+        incarnation: None,
     }
 }
 
@@ -91,7 +91,8 @@
     }
     let service = "archive".into();
     let count_first = |all: &mut backends::Backends| {
-        let first = |key| all.first(&service, backends::Side::Near, hash(key))[0].clone();
+        let first =
+            |key| all.preferred(&service, backends::RegionScope::Local, hash(key))[0].clone();
         (0..300)
             .map(first)
             .filter(|first| *first == name(7))
@@ -105,7 +106,10 @@
     assert!(after > before * 3, "{before} {after}");
     all.put(&name(7), listed(30), Some("other".into()));
     assert_eq!(count_first(&mut all), 0);
-    assert_eq!(all.first(&service, backends::Side::Far, 1), [name(7)]);
+    assert_eq!(
+        all.preferred(&service, backends::RegionScope::Remote, 1),
+        [name(7)]
+    );
 }
 
 /// A request may run in only one of two other regions. Its object needs an order for that region
@@ -120,10 +124,16 @@
         all.put(&name(n), listed(3), Some(region(n)));
     }
     let (small, large) = (region(1), region(2));
-    assert_eq!(all.count_on(&service, backends::Side::In(&small)), 20);
-    assert_eq!(all.count_on(&service, backends::Side::In(&large)), 40);
+    assert_eq!(
+        all.count_in_scope(&service, backends::RegionScope::Only(&small)),
+        20
+    );
+    assert_eq!(
+        all.count_in_scope(&service, backends::RegionScope::Only(&large)),
+        40
+    );
     for key in 0..50 {
-        let first = all.first(&service, backends::Side::In(&small), key);
+        let first = all.preferred(&service, backends::RegionScope::Only(&small), key);
         assert!(first.len() >= 2);
         let lies_there = |vm| all.get(vm).unwrap().region.as_ref() == Some(&small);
         assert!(first.iter().all(lies_there));
@@ -131,11 +141,17 @@
     // A removed backend server leaves both orders; one with changed slots stays in both.
     all.remove(&name(1));
     all.put(&name(5), listed(6), Some(small.clone()));
-    assert_eq!(all.count_on(&service, backends::Side::In(&small)), 19);
-    assert_eq!(all.count_on(&service, backends::Side::Far), 59);
+    assert_eq!(
+        all.count_in_scope(&service, backends::RegionScope::Only(&small)),
+        19
+    );
+    assert_eq!(
+        all.count_in_scope(&service, backends::RegionScope::Remote),
+        59
+    );
     let unknown = id::RegionId::from("nowhere");
     assert!(
-        all.first(&service, backends::Side::In(&unknown), 1)
+        all.preferred(&service, backends::RegionScope::Only(&unknown), 1)
             .is_empty()
     );
 }
--- a/tests/platform/decoding.rs
+++ b/tests/platform/decoding.rs
@@ -234,7 +234,7 @@
     let decode =
         |entry: &Value| decode::backend(entry.to_string().as_bytes(), time::Duration::ZERO);
     let listed = decode(&entry).unwrap();
-    assert_eq!(listed.start, Some(id::Incarnation(1_790_000_000_123)));
+    assert_eq!(listed.incarnation, Some(id::Incarnation(1_790_000_000_123)));
     for field in entry.as_object().unwrap().keys() {
         let mut without = entry.clone();
         without.as_object_mut().unwrap().remove(field);
--- a/tests/support/backend.rs
+++ b/tests/support/backend.rs
@@ -128,7 +128,7 @@
         if self.drops_responses.get() {
             return std::future::pending().await;
         }
-        let mut answer = callers::Answer::bare(200);
+        let mut answer = callers::Answer::empty(200);
         self.put_id_and_load(&mut answer, &id);
         http1::put_field(
             &mut answer.fields,
@@ -140,7 +140,7 @@
     }
 
     fn not_run(&self, status: u16, id: &str) -> callers::Answer {
-        let mut answer = callers::Answer::bare(status);
+        let mut answer = callers::Answer::empty(status);
         self.put_id_and_load(&mut answer, id);
         http1::put_field(&mut answer.fields, FIELDS.not_run.as_bytes(), b"1");
         answer
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -190,7 +190,7 @@
         };
         match mode {
             Mode::Silent => return std::future::pending().await,
-            Mode::Busy => return callers::Answer::bare(503),
+            Mode::Busy => return callers::Answer::empty(503),
             Mode::Up | Mode::DropsResponses => {}
         }
         let answer = self.handle(&req).await;
@@ -220,7 +220,7 @@
                 self.changed.notify_waiters();
                 json_answer(&json!({}))
             }
-            _ => callers::Answer::bare(404),
+            _ => callers::Answer::empty(404),
         }
     }
 
@@ -253,7 +253,7 @@
             {
                 let inner = self.inner.borrow();
                 if after < inner.discarded_revision {
-                    return callers::Answer::bare(410);
+                    return callers::Answer::empty(410);
                 }
                 let events: Vec<Value> = inner
                     .events
@@ -283,13 +283,13 @@
                 .get(condition["key"].as_str().unwrap())
                 .map_or(0, |item| item.rev);
             if condition["rev"] != rev {
-                return callers::Answer::bare(412);
+                return callers::Answer::empty(412);
             }
         }
         for put in body["put_items"].as_array().into_iter().flatten() {
             let lease = put["lease"].as_u64().unwrap_or_default();
             if lease != 0 && !inner.leases.contains_key(&lease) {
-                return callers::Answer::bare(404);
+                return callers::Answer::empty(404);
             }
             let key = put["key"].as_str().unwrap();
             assert!(!key.starts_with("op/") && !key.starts_with("servers/"));
@@ -321,7 +321,7 @@
                 lease.ends = time::Instant::now() + lease.ttl;
                 json_answer(&json!({"ttl_s_time": lease.ttl.as_secs_f64()}))
             }
-            None => callers::Answer::bare(404),
+            None => callers::Answer::empty(404),
         }
     }
 }
@@ -349,7 +349,7 @@
 }
 
 pub(crate) fn json_answer(value: &Value) -> callers::Answer {
-    let mut answer = callers::Answer::bare(200);
+    let mut answer = callers::Answer::empty(200);
     http1::put_field(&mut answer.fields, b"Content-Type", b"application/json");
     answer.body = callers::Body::Whole(Bytes::from(value.to_string()));
     answer
