--- a/examples/soak/faults.rs
+++ b/examples/soak/faults.rs
@@ -33,13 +33,13 @@
             3 => task::spawn_local(pause(scene, vm, length)),
             4 => task::spawn_local(store_mode(scene, store::Mode::Silent, length)),
             5 => task::spawn_local(store_mode(scene, store::Mode::Busy, length)),
-            6 => task::spawn_local(store_mode(scene, store::Mode::LosesAnswers, length)),
+            6 => task::spawn_local(store_mode(scene, store::Mode::DropsResponses, length)),
             7 => {
                 let harm = [
-                    proxy::Harm::Delay(ms(150)),
-                    proxy::Harm::DropsRequests,
-                    proxy::Harm::DropsAnswers,
-                    proxy::Harm::Resets,
+                    proxy::Fault::Delay(ms(150)),
+                    proxy::Fault::DropsRequests,
+                    proxy::Fault::DropsResponses,
+                    proxy::Fault::Resets,
                 ][rng.random_range(0..4)];
                 task::spawn_local(harm_link(scene, vm, harm, length))
             }
@@ -52,7 +52,7 @@
             10 => task::spawn_local(lose_answers(scene, length)),
             _ => task::spawn_local(async move {
                 scene.configure();
-                scene.store.forget_history();
+                scene.store.discard_history();
             }),
         });
     }
@@ -122,10 +122,10 @@
     scene.store.set_mode(store::Mode::Up);
 }
 
-async fn harm_link(scene: rc::Rc<Scene>, n: usize, harm: proxy::Harm, length: time::Duration) {
+async fn harm_link(scene: rc::Rc<Scene>, n: usize, harm: proxy::Fault, length: time::Duration) {
     scene.vms[n].to_store.set(harm);
     tokio::time::sleep(length).await;
-    scene.vms[n].to_store.set(proxy::Harm::None);
+    scene.vms[n].to_store.set(proxy::Fault::None);
 }
 
 /// A backend server leaves: it says so, serves on for a while, and ends.
@@ -137,7 +137,7 @@
     }
     let gone = scene.backends.borrow_mut().remove(0);
     gone.register(&scene.store, "draining");
-    tokio::time::sleep(backend::DRAIN + ms(500)).await;
+    tokio::time::sleep(backend::DRAIN_GRACE + ms(500)).await;
     scene.store.remove(&format!("servers/{}", gone.id));
     scene.backend_fault.set(Some(time::Instant::now()));
     gone.close();
@@ -149,9 +149,9 @@
         return;
     };
     scene.backend_fault.set(Some(time::Instant::now()));
-    backend.loses.set(true);
+    backend.drops_responses.set(true);
     tokio::time::sleep(length).await;
-    backend.loses.set(false);
+    backend.drops_responses.set(false);
     scene.backend_fault.set(Some(time::Instant::now()));
 }
 
@@ -160,7 +160,7 @@
     let Some(backend) = scene.backends.borrow().first().cloned() else {
         return;
     };
-    backend.delay(ms(400));
+    backend.set_service_time(ms(400));
     tokio::time::sleep(length).await;
-    backend.delay(super::scene::WORK);
+    backend.set_service_time(super::scene::WORK);
 }
--- a/src/bin/bulrushwind-gateway.rs
+++ b/src/bin/bulrushwind-gateway.rs
@@ -1,4 +1,4 @@
-//! The process on each entry VM of the users' platform.
+//! Runs the gateway process on an entry VM of the users' platform.
 
 use std::path;
 use std::process;
@@ -7,19 +7,19 @@
 use bulrushwind::{error, exit_codes, logging, platform};
 use clap::Parser;
 
-/// Brings callers' requests to backend servers by the routes in the platform's store.
+/// Forwards callers' requests to backend servers by the routes in the platform's store.
 ///
-/// Stops as planned on SIGTERM. Logs are JSON lines on standard output.
+/// Finishes requests in progress and exits on SIGTERM. Logs are JSON lines on standard output.
 #[derive(Debug, clap::Parser)]
 #[command(name = "bulrushwind-gateway", version, after_help = exit_codes::HELP, max_term_width = 100)]
 struct Args {
     /// The settings file that the platform writes
-    #[arg(long, value_name = "FILE", env = platform::names::SETTINGS)]
+    #[arg(long, value_name = "FILE", env = platform::names::SETTINGS_FILE_VAR)]
     settings: path::PathBuf,
     /// Port of this VM for metrics [default: the first of the ports that are free for us]
     #[arg(long, value_name = "PORT")]
     metrics_port: Option<u16>,
-    /// A TOML file with thresholds of decisions that differ from the defaults
+    /// TOML file with the decision thresholds that differ from the defaults
     #[arg(long, value_name = "FILE")]
     thresholds: Option<path::PathBuf>,
     /// Check the files and exit
@@ -44,7 +44,7 @@
         None => thresholds::Thresholds::default(),
     };
     let mut settings = platform::settings::read(&args.settings)?;
-    settings.gateway.resend.used_share = thresholds.second_sends;
+    settings.gateway.resend.used_share = thresholds.resend_budget_share;
     settings.gateway.thresholds = thresholds;
     if let Some(port) = args.metrics_port {
         settings.metrics.set_port(port);
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -222,7 +222,7 @@
         let _ = self.0.events.send(Event::Request(req));
     }
 
-    fn gone(&self, id: u64) {
+    fn caller_disconnected(&self, id: u64) {
         let _ = self.0.events.send(Event::CallerGone(policy::RequestId(id)));
     }
 
@@ -233,7 +233,7 @@
         answers::problem(&problem)
     }
 
-    fn name(&self, id: u64) -> Option<hyper::header::HeaderValue> {
+    fn request_id(&self, id: u64) -> Option<hyper::header::HeaderValue> {
         self.0.request_id(id)
     }
 }
@@ -358,7 +358,7 @@
     /// has expired.
     pub fn stop(self) {
         self.core.stopping.store(true, atomic::Ordering::SeqCst);
-        self.server.leave();
+        self.server.close_after_answers();
         if let Some(driver) = &self.driver {
             driver.announce_stop();
         }
@@ -368,7 +368,8 @@
             thread::sleep(TICK_INTERVAL);
         }
         self.server.stop();
-        while self.server.open() > 0 && time::Instant::now() < deadline + FLUSH_TIMEOUT {
+        while self.server.open_connections() > 0 && time::Instant::now() < deadline + FLUSH_TIMEOUT
+        {
             thread::sleep(TICK_INTERVAL);
         }
     }
--- a/src/entry/observe.rs
+++ b/src/entry/observe.rs
@@ -25,7 +25,7 @@
     log: slog::Logger,
     limiter: logging::Limiter,
     service_labels: metric_names::Bounded,
-    recent: Mutex<explain::Ring>,
+    recent: Mutex<explain::DecisionRing>,
     history: Mutex<totals::History>,
     last_sent_at: Mutex<collections::BTreeMap<id::AzId, Moment>>,
 }
@@ -296,7 +296,7 @@
         service: &str,
         why: &str,
     ) {
-        self.recent.lock().keep(request, now, event, service, why);
+        self.recent.lock().record(request, now, event, service, why);
         let Some(suppressed) = self.limiter.admit(event, now) else {
             return metrics::counter!(metric_names::LOG_SUPPRESSED, "event" => event).increment(1);
         };
@@ -311,7 +311,7 @@
 
     /// Records the number of pending requests of a service.
     pub(super) fn record_pending(&self, service: &id::ServiceId, count: u64) {
-        self.history.lock().in_hand(service, count);
+        self.history.lock().record_in_flight(service, count);
     }
 
     /// Advances the history's time windows.
@@ -352,7 +352,7 @@
             totals.answered += 1;
             totals.worth_answered += worth;
             totals.in_time += u64::from(latency <= info.latency_objective);
-            totals.took(latency);
+            totals.count_latency(latency);
             return;
         }
         End::Failed => totals.failed += 1,
--- /dev/null
+++ b/src/gateway/placement.rs
@@ -0,0 +1,326 @@
+//! Reserves a backend server for a request, or says why none can take it now.
+//!
+//! Requests for one object, named by a cookie, go to the same few backend servers, which have it
+//! cached. Full, cold and failing backend servers are limited or skipped, so that they recover.
+
+use std::rc;
+
+use tokio::sync;
+
+use super::Gateway;
+use crate::decisions::{affinity, cold, ejection, policy};
+use crate::id;
+use crate::protocol::routes;
+use crate::state::backends;
+
+/// What a request requires of a backend server.
+#[derive(Debug)]
+pub struct Need<'a> {
+    /// The service.
+    pub service: &'a id::ServiceId,
+    /// The hash of the request's object, if it has one.
+    pub key: Option<u64>,
+    /// Whether the request is to run in another region.
+    pub remote: bool,
+    /// The regions where the request may run.
+    pub homes: routes::Homes<'a>,
+    /// Whether the request may run more than once.
+    pub idempotent: bool,
+    /// Whether other requests of the service have a higher priority.
+    pub low_priority: bool,
+    /// Backend servers that the request was already sent to.
+    pub tried: &'a [id::VmId],
+}
+
+/// One run of a backend server, from a start until the next under the same name.
+#[derive(Clone, Debug)]
+pub struct Run {
+    /// The backend server's name.
+    pub id: id::VmId,
+    /// The name of the run, see [`backends::Backend::incarnation_name`].
+    pub name: String,
+    ended: rc::Rc<sync::Notify>,
+}
+
+impl Run {
+    /// Whether this is the backend server's current run.
+    pub fn is_of(&self, known: &backends::Backend) -> bool {
+        rc::Rc::ptr_eq(&self.ended, known.ended())
+    }
+
+    /// Waits until a newer run of the backend server is known.
+    pub async fn ended(&self) {
+        self.ended.notified().await;
+    }
+}
+
+/// A request's slot at a backend server, released on drop.
+#[derive(Debug)]
+pub struct Reservation {
+    cx: Gateway,
+    /// The reserved backend server's run.
+    pub run: Run,
+    /// The backend server's address.
+    pub addr: std::net::SocketAddr,
+    /// Whether the backend server is in another region.
+    pub remote: bool,
+    /// Whether the request's object is new there, as far as this VM knows.
+    pub new_object: bool,
+    /// Requests running or queued there at the time, as far as this VM knows.
+    pub ahead: f64,
+}
+
+impl Drop for Reservation {
+    fn drop(&mut self) {
+        let mut backends = self.cx.backends.borrow_mut();
+        let known = backends.get_mut(&self.run.id);
+        if let Some(backend) = known.filter(|b| self.run.is_of(b)) {
+            backend.in_flight = backend.in_flight.saturating_sub(1);
+            if self.new_object {
+                backend.warming.request_ended();
+            }
+        }
+    }
+}
+
+/// Why no backend server takes the request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PlacementError {
+    /// No backend server is usable.
+    NoBackend,
+    /// The backend servers that may have the object cached are full; others would answer late.
+    Full,
+    /// The object is new there, and other new objects use the slots allowed for them.
+    Cold,
+}
+
+impl PlacementError {
+    /// The reason as a log and metric value.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::NoBackend => "no usable backend server",
+            Self::Full => "all backend servers are full",
+            Self::Cold => "its object is cold and others are before it",
+        }
+    }
+}
+
+/// Backend servers that may get a request.
+struct Candidates<'a> {
+    /// Whether any can serve the request, now or soon.
+    any_usable: bool,
+    /// Those to choose from now.
+    eligible: Vec<&'a backends::Backend>,
+}
+
+impl Gateway {
+    /// Reserves a slot at a backend server that takes the request now.
+    pub fn reserve(&self, need: &Need<'_>) -> Result<Reservation, PlacementError> {
+        let now = self.now();
+        let chosen = self.choose(need, now);
+        if chosen == Err(PlacementError::Full) && !need.low_priority {
+            self.with_service(need.service, |state| state.precedence.urgent_refused(now));
+        }
+        let chosen = chosen?;
+        let cfg = &self.cfg.thresholds.warming;
+        let cold = self.with_service(need.service, |state| state.cold_lateness.caches_cold(cfg));
+        let mut backends = self.backends.borrow_mut();
+        let Some(backend) = backends.get_mut(&chosen) else {
+            return Err(PlacementError::NoBackend);
+        };
+        let slots = f64::from(backend.listed.slots);
+        let takes = |key| backend.warming.admits(cfg, slots, key);
+        if cold && !need.key.is_none_or(takes) {
+            return Err(PlacementError::Cold);
+        }
+        let new_object = need
+            .key
+            .is_some_and(|key| backend.warming.request_started(now, key));
+        let ahead = backend.load(now);
+        backend.in_flight += 1;
+        if backend.health.probe_due(now) {
+            backend
+                .health
+                .probed(&self.cfg.thresholds.ejection, now, true);
+        }
+        if backend.is_cold(now) {
+            backend.pace.sent(now, self.cold_rate(need.service));
+        }
+        Ok(Reservation {
+            cx: self.clone(),
+            run: Run {
+                id: chosen,
+                name: backend.incarnation_name(),
+                ended: backend.ended().clone(),
+            },
+            addr: backend.listed.addr,
+            remote: backend.region != self.region,
+            new_object,
+            ahead,
+        })
+    }
+}
+
+impl Gateway {
+    fn choose(&self, need: &Need<'_>, now: policy::Moment) -> Result<id::VmId, PlacementError> {
+        // The sides, which are sets of regions, in order of preference. If one has no usable
+        // backend server, the next serves the request.
+        let mut sides = match need.homes.are_open() {
+            true => vec![backends::RegionScope::Remote],
+            false => self.other_allowed_regions(&need.homes),
+        };
+        let near = if need.remote { sides.len() } else { 0 };
+        sides.insert(near, backends::RegionScope::Local);
+        let chosen = sides
+            .into_iter()
+            .find_map(|side| self.choose_on(side, need, now));
+        chosen.unwrap_or(Err(PlacementError::NoBackend))
+    }
+
+    /// The other regions where a request may run. Each has its own order of backend servers per
+    /// object, whose length follows from the region's size. In one order for all other regions, a
+    /// small region would keep each object at many backend servers, and its caches would hold none.
+    fn other_allowed_regions<'a>(
+        &'a self,
+        homes: &routes::Homes<'a>,
+    ) -> Vec<backends::RegionScope<'a>> {
+        let own = self.region.as_ref();
+        let named = match homes.route.is_empty() {
+            true => homes.customer,
+            false => homes.route,
+        };
+        named
+            .iter()
+            .filter(|region| Some(*region) != own && homes.allow(Some(region)))
+            .map(backends::RegionScope::Only)
+            .collect()
+    }
+
+    /// Chooses a backend server on one side; `None` if none there is usable.
+    fn choose_on(
+        &self,
+        side: backends::RegionScope<'_>,
+        need: &Need<'_>,
+        now: policy::Moment,
+    ) -> Option<Result<id::VmId, PlacementError>> {
+        let shortlist = self.shortlist(side, need);
+        let backends = self.backends.borrow();
+        let region_backends = backends.count_in_scope(need.service, side);
+        let listed = shortlist.iter().filter_map(|name| backends.get(name));
+        let eligible = self.find_eligible(listed, need, now).eligible;
+        if eligible.len() >= affinity::SMALL_REGION_REPLICAS {
+            return Some(self.pick(&eligible, region_backends, need, now));
+        }
+        let all = self.find_eligible(backends.in_scope(need.service, side), need, now);
+        all.any_usable
+            .then(|| self.pick(&all.eligible, region_backends, need, now))
+    }
+
+    /// The shortlist to choose from first: the head of the object's order, or a random sample.
+    fn shortlist(&self, side: backends::RegionScope<'_>, need: &Need<'_>) -> Vec<id::VmId> {
+        let by_object = self.cfg.thresholds.placement.by_object;
+        let mut backends = self.backends.borrow_mut();
+        match need.key.filter(|_| by_object) {
+            Some(key) => backends.preferred(need.service, side, key),
+            None => backends.sample(need.service, side, self.jitter().to_bits()),
+        }
+    }
+
+    /// Filters the backend servers to choose from now.
+    fn find_eligible<'a>(
+        &self,
+        backends: impl Iterator<Item = &'a backends::Backend>,
+        need: &Need<'_>,
+        now: policy::Moment,
+    ) -> Candidates<'a> {
+        let mut any_usable = false;
+        let eligible = backends
+            .filter(|b| self.may_serve(b, need, now))
+            .inspect(|_| any_usable = true)
+            .filter(|b| self.is_eligible(b, need, now))
+            .collect();
+        Candidates {
+            any_usable,
+            eligible,
+        }
+    }
+
+    fn pick(
+        &self,
+        eligible: &[&backends::Backend],
+        region_backends: usize,
+        need: &Need<'_>,
+        now: policy::Moment,
+    ) -> Result<id::VmId, PlacementError> {
+        let limit = &self.cfg.thresholds.limit;
+        let candidates: Vec<affinity::Candidate> = eligible
+            .iter()
+            .map(|b| affinity::Candidate {
+                hash: b.hash,
+                slots: f64::from(b.listed.slots),
+                load: b.load(now),
+                full: b.in_flight as usize >= b.limit.shared(limit, now, self.is_sole_entry.get()),
+                recently_sent: need
+                    .key
+                    .is_some_and(|key| b.warming.sent_recently(now, key)),
+                recent_objects: b.warming.object_count(),
+            })
+            .collect();
+        let request = affinity::PlacementRequest {
+            key: need.key,
+            tie: self.jitter().to_bits(),
+            region_backends,
+            low_priority: need.low_priority
+                && self.with_service(need.service, |state| state.precedence.yields(now)),
+        };
+        affinity::pick(&self.cfg.thresholds.placement, &request, &candidates)
+            .map(|i| eligible[i].id.clone())
+            .ok_or(PlacementError::Full)
+    }
+
+    /// Whether a backend server can serve the request, now or soon.
+    fn may_serve(&self, b: &backends::Backend, need: &Need<'_>, now: policy::Moment) -> bool {
+        if b.listed.leaving || self.evacuated.borrow().contains(&b.listed.az) {
+            return false;
+        }
+        if !need.homes.are_open() && !need.homes.allow(b.region.as_ref()) {
+            return false;
+        }
+        if need.tried.contains(&b.id) {
+            return false;
+        }
+        let out = matches!(b.health.state(), ejection::State::Ejected { .. });
+        !out || (b.health.probe_due(now) && need.idempotent)
+    }
+
+    /// Whether a backend server can be chosen now. One that is cold or on trial can only if it
+    /// takes the request at once; meanwhile other backend servers serve its objects.
+    fn is_eligible(&self, b: &backends::Backend, need: &Need<'_>, now: policy::Moment) -> bool {
+        let on_trial = b.health.state() != ejection::State::Active;
+        if on_trial && (b.in_flight > 0 || !need.idempotent) {
+            return false;
+        }
+        !b.is_cold(now) || (b.pace.ready(now) && self.sends_to_cold(b))
+    }
+
+    /// Whether this VM is the one that sends to a cold backend server. Only VMs advertised to
+    /// callers of that region have requests for it.
+    fn sends_to_cold(&self, b: &backends::Backend) -> bool {
+        cold::owns(
+            b.hash,
+            self.own_hash,
+            &self.advertised_hashes(b.region.as_ref()),
+        )
+    }
+
+    fn cold_rate(&self, service: &id::ServiceId) -> f64 {
+        /// Requests per second if the routes state no rate; one harms no backend server.
+        const DEFAULT_RATE_PER_S: f64 = 1.0;
+        self.table
+            .borrow()
+            .as_ref()
+            .and_then(|table| Some(table.services.get(service)?.cold_rate))
+            .filter(|rate| *rate > 0.0)
+            .unwrap_or(DEFAULT_RATE_PER_S)
+    }
+}
--- a/src/transport/operators.rs
+++ b/src/transport/operators.rs
@@ -1,8 +1,8 @@
 //! The operators' listener: metrics, health, readiness and status over HTTP.
 //!
-//! It has an address and threads of its own. On the callers' listener a flood of requests would
-//! hide what operators need to see most just then, and callers could read what is none of their
-//! business. It only reads: nothing that it answers changes the process.
+//! It has a separate address and separate threads. On the callers' listener, an overload would
+//! block operators when they need the data most, and callers could read internal data. The
+//! listener is read-only: no request to it changes the process.
 
 use std::net;
 
@@ -13,74 +13,74 @@
 use crate::protocol::operators;
 use crate::{error, metrics};
 
-/// Threads that answer operators. A long history must not hold up the health check.
-const THREADS: usize = 3;
+/// Threads for operators' requests. A long history must not delay the health check.
+const THREAD_COUNT: usize = 3;
 
-/// Questions that wait for one of them. More are turned away.
-const WAITING: usize = 64;
+/// Requests that wait for a thread. Further requests are refused.
+const MAX_QUEUED_REQUESTS: usize = 64;
 
-/// Connections at a time.
-const CONNECTIONS: usize = 256;
+/// Concurrent connections.
+const MAX_CONNECTIONS: usize = 256;
 
-/// The bytes of a body, which nothing here has a use for.
-const BODY_BYTES: usize = 1024;
+/// The maximum bytes of a request body, which no operator request needs.
+const MAX_BODY_BYTES: usize = 1024;
 
-/// What the answers are that are no metrics.
+/// The content type of JSON answers.
 const JSON_TYPE: &str = "application/json";
 
-/// What the text of metrics is, to those who scrape it.
+/// The content type of the metrics, in the Prometheus text format.
 const METRICS_TYPE: &str = "text/plain; version=0.0.4";
 
-/// Where the listener's answers come from.
+/// The source of the listener's data.
 pub trait Source: Send + Sync + 'static {
-    /// How the process is.
+    /// The status of the process.
     fn status(&self) -> operators::Status;
 
-    /// Changes of the metrics over past windows, as JSON. `query` names the windows.
+    /// Request counts over past windows, as JSON. `query` selects the windows.
     fn history(&self, query: &str) -> String;
 
-    /// What was decided about a request, as JSON.
+    /// The decisions about a request, as JSON.
     fn explain(&self, request: u64) -> String;
 
-    /// Called before metrics are rendered, so that gauges show the present.
+    /// Updates the gauges. Called before metrics are rendered.
     fn refresh(&self) {}
 }
 
-/// Answers from a source.
+/// Handles operators' requests with data from a source.
 struct Operators<S>(S);
 
 impl<S: Source> pool::Handler for Operators<S> {
     fn handle(&self, req: server::Request) {
-        let told = answer(&req.method, &req.uri, &self.0);
-        req.reply.send(told);
+        let answer = answer(&req.method, &req.uri, &self.0);
+        req.reply.send(answer);
     }
 
     fn fault(&self, fault: server::Fault) -> server::Answer {
         match fault {
             server::Fault::Busy => {
-                let busy = "too many questions at once; ask again in a second\n";
+                let busy = "too many concurrent requests; retry in a second\n";
                 text(StatusCode::SERVICE_UNAVAILABLE, busy)
             }
             server::Fault::Dropped => {
-                let failed = "the answer failed; the log says why\n";
+                let failed = "the request failed; see the log for the reason\n";
                 text(StatusCode::INTERNAL_SERVER_ERROR, failed)
             }
             server::Fault::TooLarge(_) | server::Fault::Incomplete => {
-                let unread = "the request was not understood; send a GET without a body\n";
+                let unread = "the request cannot be read; send a GET without a body\n";
                 text(StatusCode::BAD_REQUEST, unread)
             }
         }
     }
 }
 
-/// Answers operators on `addr` until the listener is dropped.
+/// Serves operators on `addr` until the returned pool is dropped.
 pub fn serve<S: Source>(addr: net::SocketAddr, source: S) -> Result<pool::Pool, error::Error> {
     let cfg = pool::Config {
-        threads: THREADS,
-        waiting: WAITING,
+        threads: THREAD_COUNT,
+        max_queued: MAX_QUEUED_REQUESTS,
         limits: server::Limits {
-            connections: CONNECTIONS,
-            body_bytes: BODY_BYTES,
+            connections: MAX_CONNECTIONS,
+            body_bytes: MAX_BODY_BYTES,
             ..server::Limits::default()
         },
     };
@@ -93,7 +93,7 @@
 
 fn answer<S: Source>(method: &Method, uri: &Uri, source: &S) -> server::Answer {
     if *method != Method::GET {
-        let only_get = "only GET is answered here\n";
+        let only_get = "method not allowed; send a GET\n";
         return text(StatusCode::METHOD_NOT_ALLOWED, only_get);
     }
     let query = uri.query().unwrap_or_default();
@@ -108,19 +108,19 @@
             let status = serde_json::to_string(&source.status());
             typed(
                 JSON_TYPE,
-                status.expect("a status has only values that JSON can hold"),
+                status.expect("a status has only values that JSON can represent"),
             )
         }
         "/history" => typed(JSON_TYPE, source.history(query)),
         "/explain" => explain(query, source),
         _ => text(
             StatusCode::NOT_FOUND,
-            "ask for /metrics, /health, /ready, /status, /history or /explain?request=ID\n",
+            "not found; use /metrics, /health, /ready, /status, /history or /explain?request=ID\n",
         ),
     }
 }
 
-/// A request is named as in its answer's header, or by its number alone.
+/// Explains a request, given by the id in its answer's header or by its number alone.
 fn explain<S: Source>(query: &str, source: &S) -> server::Answer {
     let name = query.strip_prefix("request=").unwrap_or_default();
     match name.rsplit('-').next().unwrap_or_default().parse() {
@@ -149,10 +149,10 @@
 }
 
 fn typed(content_type: &'static str, body: String) -> server::Answer {
-    let mut told = text(StatusCode::OK, body);
+    let mut answer = text(StatusCode::OK, body);
     let value = header::HeaderValue::from_static(content_type);
-    told.headers.insert(header::CONTENT_TYPE, value);
-    told
+    answer.headers.insert(header::CONTENT_TYPE, value);
+    answer
 }
 
 #[cfg(test)]
@@ -205,10 +205,10 @@
         assert_eq!(get(&server, "/explain?request=none").0, 400);
     }
 
-    /// Several tools keep their connections open and others ask at once. A health check that waits
-    /// for one of those connections to close would have a sound VM replaced.
+    /// Several tools keep connections open while others send requests. A health check that waited
+    /// for such a connection to close would time out, and a healthy VM would be replaced.
     #[test]
-    fn questions_that_come_at_once_are_all_answered() {
+    fn concurrent_requests_are_all_answered() {
         let server = serve("127.0.0.1:0".parse().unwrap(), Starting).unwrap();
         let addr = server.addr();
         let start = sync::Barrier::new(40);
@@ -217,17 +217,17 @@
                 scope.spawn(|| {
                     let agent = ureq::Agent::new_with_defaults();
                     start.wait();
-                    let asked = agent.get(format!("http://{addr}/health")).call();
+                    let result = agent.get(format!("http://{addr}/health")).call();
                     start.wait();
-                    assert_eq!(asked.unwrap().status(), 200);
+                    assert_eq!(result.unwrap().status(), 200);
                 });
             }
         });
     }
 
-    /// A script posts to the operators' listener. Nothing there may change the process.
+    /// A POST to the operators' listener must not change the process.
     #[test]
-    fn nothing_can_be_written() {
+    fn the_listener_is_read_only() {
         let server = serve("127.0.0.1:0".parse().unwrap(), Starting).unwrap();
         let res = attohttpc::post(format!("http://{}/status", server.addr())).send();
         assert_eq!(res.unwrap().status().as_u16(), 405);
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what surrounds a gateway process: the platform's store, backend servers, the
-//! process itself. Shared by the tests of the platform's adapter and the soak.
+//! Test doubles for the platform's store, backend servers and the network, and a handle for a gateway
+//! process. Shared by the tests of the platform adapter and of the gateway, and by the soak.
 
 pub(crate) mod backend;
 pub(crate) mod process;
@@ -11,25 +11,25 @@
 
 use tokio::net::TcpListener;
 
-/// Binds a port of this run. Ports that the system hands out by itself go from one run to the
-/// next within moments, and a gateway of another run that still dials its old store would reach
-/// a backend server of this one.
+/// Binds a port from this test process's own range. The system reuses ephemeral ports within
+/// moments, so a gateway of another test process that still dials its old store could reach a
+/// backend server of this one.
 pub(crate) fn bind() -> net::TcpListener {
-    const FIRST: u32 = 11_000;
-    const RUNS: u32 = 80;
-    const EACH: u32 = 250;
-    static NEXT: atomic::AtomicU32 = atomic::AtomicU32::new(0);
-    let base = FIRST + std::process::id() % RUNS * EACH;
+    const FIRST_PORT: u32 = 11_000;
+    const PORT_RANGE_COUNT: u32 = 80;
+    const PORTS_PER_RANGE: u32 = 250;
+    static NEXT_OFFSET: atomic::AtomicU32 = atomic::AtomicU32::new(0);
+    let base = FIRST_PORT + std::process::id() % PORT_RANGE_COUNT * PORTS_PER_RANGE;
     loop {
-        let n = NEXT.fetch_add(1, atomic::Ordering::Relaxed);
-        let port = u16::try_from(base + n % EACH).unwrap();
+        let n = NEXT_OFFSET.fetch_add(1, atomic::Ordering::Relaxed);
+        let port = u16::try_from(base + n % PORTS_PER_RANGE).unwrap();
         if let Ok(bound) = net::TcpListener::bind(("127.0.0.1", port)) {
             return bound;
         }
     }
 }
 
-/// Listens on a port of this run.
+/// Listens on a port from this test process's own range.
 pub(crate) fn listen() -> TcpListener {
     let bound = bind();
     bound.set_nonblocking(true).unwrap();
