--- a/benches/http.rs
+++ b/benches/http.rs
@@ -102,16 +102,17 @@
 /// A whole entry process with the cooperative's settings.
 fn serve_entry() {
     let root = path::Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/cooperative");
-    let shared = sync::Arc::new(entry::Shared::default());
+    let shared = sync::Arc::new(entry::SharedTables::default());
     shared
-        .put_in_force(settings::Settings::read(&root).unwrap())
+        .apply_settings(settings::Settings::read(&root).unwrap())
         .unwrap();
     let cfg = config::Config {
         az: "ub-a".into(),
         ..config::Config::default()
     };
     let log = logging::silent();
-    let entry = entry::Entry::start_with(cfg, entry::MakeNaive, shared, log).unwrap();
+    let entry =
+        entry::Entry::start_without_coordination(cfg, entry::MakeNaive, shared, log).unwrap();
     announce(entry.addr());
     loop {
         thread::park();
--- a/benches/paths.rs
+++ b/benches/paths.rs
@@ -98,7 +98,7 @@
     }
 }
 
-fn shared(backends: &[net::SocketAddr], entries: usize) -> sync::Arc<entry::Shared> {
+fn shared(backends: &[net::SocketAddr], entries: usize) -> sync::Arc<entry::SharedTables> {
     let root = path::Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/cooperative");
     let mut settings = settings::Settings::read(&root).unwrap();
     for team in settings.teams.values_mut() {
@@ -126,19 +126,19 @@
     };
     let vms = backends.iter().enumerate().map(backend);
     let vms = vms.chain((0..entries).map(entry)).collect();
-    let shared = sync::Arc::new(entry::Shared::default());
-    shared.put_in_force(settings).unwrap();
+    let shared = sync::Arc::new(entry::SharedTables::default());
+    shared.apply_settings(settings).unwrap();
     shared.fleet.store(sync::Arc::new(fleet::Fleet::new(vms)));
     shared
 }
 
-fn start<M: entry::MakePolicy>(make: M, shared: sync::Arc<entry::Shared>) -> entry::Entry<M> {
+fn start<M: entry::MakePolicy>(make: M, shared: sync::Arc<entry::SharedTables>) -> entry::Entry<M> {
     let cfg = config::Config {
         vm: "e0".into(),
         az: "ub-a".into(),
         ..config::Config::default()
     };
-    entry::Entry::start_with(cfg, make, shared, logging::silent()).unwrap()
+    entry::Entry::start_without_coordination(cfg, make, shared, logging::silent()).unwrap()
 }
 
 /// One keep-alive connection that sends a request and reads its answer.
--- a/src/bin/bulrushwind-entry.rs
+++ b/src/bin/bulrushwind-entry.rs
@@ -21,7 +21,7 @@
     let overrides = config::Overrides::new(env::vars(), &args.set)?;
     let cfg = config::Config::layered(args.config.as_deref(), &overrides)?;
     if args.print_config {
-        print!("{}", cfg.to_shown_toml());
+        print!("{}", cfg.to_redacted_toml());
         return Ok(());
     }
     entry::run(cfg, logging::root("bulrushwind-entry"))
--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -99,7 +99,7 @@
     let ring = remote
         .rings
         .get(team)
-        .ok_or_else(|| error::Error::NoRing { team: team.clone() })?;
+        .ok_or_else(|| error::Error::NoKeyRing { team: team.clone() })?;
     // The time of day keeps versions growing when the store was put back to an older backup.
     let version = change.base_version.saturating_add(1).max(signer.now_ms);
     let id = envelope::ChangeId::draw();
--- a/src/cli/drain.rs
+++ b/src/cli/drain.rs
@@ -190,7 +190,7 @@
     if vms.iter().any(|known| known.id == *vm) {
         return Ok(());
     }
-    let near = nearest::name(vm.as_str(), vms.iter().map(|vm| vm.id.as_str()));
+    let near = nearest::closest_name(vm.as_str(), vms.iter().map(|vm| vm.id.as_str()));
     let near = near.map_or_else(String::new, |near| format!(" (did you mean `{near}`?)"));
     Err(error::Error::Config(format!(
         "the platform's list has no VM `{vm}`{near}; `bulrushwind status` shows the entry VMs"
--- a/src/cli/plan.rs
+++ b/src/cli/plan.rs
@@ -127,7 +127,7 @@
         });
         let Some(next) = next else {
             let teams = rest.iter().map(|change| format!("`{}`", change.team));
-            return Err(error::Error::Entangled {
+            return Err(error::Error::InterdependentTeams {
                 teams: teams.collect::<Vec<_>>().join(" and "),
             });
         };
--- a/src/config.rs
+++ b/src/config.rs
@@ -135,7 +135,7 @@
     }
 
     /// The configuration as TOML, with secrets hidden.
-    pub fn to_shown_toml(&self) -> String {
+    pub fn to_redacted_toml(&self) -> String {
         let hidden = self.peer_secrets.iter().map(|_| "(hidden)".into());
         let shown = Self {
             peer_secrets: hidden.collect(),
@@ -201,7 +201,7 @@
     if known.contains_key(key) {
         return Ok(());
     }
-    let near = nearest::name(key, known.keys().map(String::as_str));
+    let near = nearest::closest_name(key, known.keys().map(String::as_str));
     let remedy = near.map_or_else(
         || "`bulrushwind-entry --print-config` shows every key".to_owned(),
         |near| format!("did you mean `{near}`?"),
@@ -422,7 +422,7 @@
             peer_secrets: vec!["5ec4e7".into()],
             ..Config::default()
         };
-        let shown = cfg.to_shown_toml();
+        let shown = cfg.to_redacted_toml();
         assert!(!shown.contains("5ec4e7") && !format!("{cfg:?}").contains("5ec4e7"));
         assert!(toml::from_str::<Config>(&shown).is_ok());
     }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -97,7 +97,7 @@
 
 /// Tables that coordination updates and the request path reads. Each is replaced atomically.
 #[derive(Debug, Default)]
-pub struct Shared {
+pub struct SharedTables {
     settings: arc_swap::ArcSwap<settings::Settings>,
     regions: arc_swap::ArcSwap<lookup::Regions>,
     /// The platform's list of VMs.
@@ -117,7 +117,7 @@
     pub peers: u64,
 }
 
-impl Shared {
+impl SharedTables {
     /// The settings in force.
     pub fn settings(&self) -> sync::Arc<settings::Settings> {
         self.settings.load_full()
@@ -128,7 +128,7 @@
     /// # Errors
     ///
     /// The settings name more regions than the table can number. The previous settings stay.
-    pub fn put_in_force(&self, settings: settings::Settings) -> Result<(), lookup::Error> {
+    pub fn apply_settings(&self, settings: settings::Settings) -> Result<(), lookup::Error> {
         let regions = lookup::Regions::build(&settings)?;
         self.regions.store(sync::Arc::new(regions));
         self.settings.store(sync::Arc::new(settings));
@@ -176,7 +176,7 @@
     steering: steering::Steering,
     incarnation: id::Incarnation,
     started: time::Instant,
-    shared: sync::Arc<Shared>,
+    shared: sync::Arc<SharedTables>,
     executors: arc_swap::ArcSwap<Executors<M::Policy>>,
     cached_directory: arc_swap::ArcSwap<CachedDirectory>,
     keys: Mutex<keys::Keys<server::Reply>>,
@@ -256,8 +256,8 @@
         platform: S,
         log: slog::Logger,
     ) -> Result<Self, error::Error> {
-        let shared = sync::Arc::new(Shared::default());
-        let mut entry = Self::start_with(cfg, make, shared, log)?;
+        let shared = sync::Arc::new(SharedTables::default());
+        let mut entry = Self::start_without_coordination(cfg, make, shared, log)?;
         let platform = sync::Arc::new(platform);
         let driver = feed::start(&entry.core, platform.clone())?;
         let (links, inbox) = (driver.peers().cloned(), driver.inbox().clone());
@@ -267,10 +267,10 @@
     }
 
     /// Starts an entry process without coordination; the caller updates `shared`.
-    pub fn start_with(
+    pub fn start_without_coordination(
         cfg: config::Config,
         make: M,
-        shared: sync::Arc<Shared>,
+        shared: sync::Arc<SharedTables>,
         log: slog::Logger,
     ) -> Result<Self, error::Error> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
--- a/src/entry/feed.rs
+++ b/src/entry/feed.rs
@@ -5,7 +5,7 @@
 use std::net;
 use std::sync;
 
-use super::{Core, MakePolicy, Shared};
+use super::{Core, MakePolicy, SharedTables};
 use crate::coordination::{budget, driver, node, reader, store};
 use crate::protocol::hello;
 use crate::state::fleet;
@@ -13,7 +13,7 @@
 
 /// Writes updates to the shared tables until the process's core is dropped.
 struct SharedUpdater {
-    shared: sync::Weak<Shared>,
+    shared: sync::Weak<SharedTables>,
     log: slog::Logger,
 }
 
@@ -22,7 +22,7 @@
         let Some(shared) = self.shared.upgrade() else {
             return;
         };
-        if let Err(err) = shared.put_in_force(sync::Arc::unwrap_or_clone(settings)) {
+        if let Err(err) = shared.apply_settings(sync::Arc::unwrap_or_clone(settings)) {
             slog::error!(self.log, "settings cannot be applied; the previous settings stay in force"; "error" => err.to_string());
         }
     }
--- a/src/entry/observe.rs
+++ b/src/entry/observe.rs
@@ -24,7 +24,7 @@
 pub(super) struct Observer {
     log: slog::Logger,
     limiter: logging::Limiter,
-    service_labels: metric_names::Bounded,
+    service_labels: metric_names::BoundedLabel,
     recent: Mutex<explain::DecisionRing>,
     history: Mutex<totals::History>,
     last_sent_at: Mutex<collections::BTreeMap<id::AzId, Moment>>,
@@ -101,7 +101,7 @@
         Self {
             log: log.clone(),
             limiter: logging::Limiter::default(),
-            service_labels: metric_names::Bounded::default(),
+            service_labels: metric_names::BoundedLabel::default(),
             recent: Mutex::default(),
             history: Mutex::default(),
             last_sent_at: Mutex::default(),
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -90,13 +90,13 @@
         }
         None => Vec::new(),
     };
-    let asks = directory::LookupQuery {
+    let query = directory::LookupQuery {
         caller,
         region: region.or(local_region),
         az: &core.cfg.az,
         preferred_azs: &preferred,
     };
-    let mut entries = core.cached_directory.load().directory.select(&asks);
+    let mut entries = core.cached_directory.load().directory.select(&query);
     entries.retain(|entry| !stopping || entry.vm != core.cfg.vm);
     Some(lookup::Lookup {
         service: service.name.clone(),
--- a/src/error.rs
+++ b/src/error.rs
@@ -44,7 +44,7 @@
     #[error(
         "team `{team}` has no sound key ring in the store; have a root key's holder add a key with `bulrushwind keys add {team}`"
     )]
-    NoRing {
+    NoKeyRing {
         /// The team.
         team: id::TeamId,
     },
@@ -53,7 +53,7 @@
     #[error(
         "the changes of teams {teams} depend on each other and cannot be written one by one; split them: first add what the other teams need and apply, then remove what is no longer needed"
     )]
-    Entangled {
+    InterdependentTeams {
         /// The teams.
         teams: String,
     },
@@ -107,11 +107,11 @@
             | Self::Config(_)
             | Self::Key(_)
             | Self::Envelope(envelope::Error::TooLarge { .. })
-            | Self::Entangled { .. } => exit_codes::ExitCode::Usage,
+            | Self::InterdependentTeams { .. } => exit_codes::ExitCode::Usage,
             Self::Changed(_) | Self::Store(store::Error::Conflict { .. }) => {
                 exit_codes::ExitCode::Conflict
             }
-            Self::Envelope(_) | Self::NoRing { .. } => exit_codes::ExitCode::Unauthorised,
+            Self::Envelope(_) | Self::NoKeyRing { .. } => exit_codes::ExitCode::Unauthorised,
             Self::Refused(_) => exit_codes::ExitCode::Refused,
             Self::Bind { .. }
             | Self::Store(_)
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -174,7 +174,7 @@
     /// Crashes seen here and not yet reported to other entry VMs.
     pending_crashes: cell::RefCell<Vec<cluster_state::Crash>>,
     log_limiter: logging::Limiter,
-    labels: metrics::Bounded,
+    labels: metrics::BoundedLabel,
     stop: watch::Sender<bool>,
     /// Notified when the first routes or backend servers are known.
     data_arrived: sync::Notify,
@@ -238,7 +238,7 @@
             crashes: cell::RefCell::default(),
             pending_crashes: cell::RefCell::default(),
             log_limiter: logging::Limiter::new(record::LOG_RATE),
-            labels: metrics::Bounded::default(),
+            labels: metrics::BoundedLabel::default(),
             stop: watch::channel(false).0,
             data_arrived: sync::Notify::new(),
             customer_active: sync::Notify::new(),
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -18,7 +18,7 @@
 /// than 1 % of the processor of a VM with a fifth of a core.
 pub(super) const LOG_RATE: logging::Rate = logging::Rate {
     burst: 60.0,
-    a_second: 40.0,
+    per_s: 40.0,
 };
 
 /// Maximum age of the store's last answer while it counts as up; a reader gets two per second.
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -108,14 +108,14 @@
     /// Bucket size: lines that pass at once.
     pub burst: f64,
     /// Refill rate, in lines per second.
-    pub a_second: f64,
+    pub per_s: f64,
 }
 
 impl Default for Rate {
     fn default() -> Self {
         Self {
             burst: 20.0,
-            a_second: 5.0,
+            per_s: 5.0,
         }
     }
 }
@@ -154,7 +154,7 @@
             suppressed: 0,
         });
         let elapsed = now.saturating_sub(bucket.refilled_at).as_secs_f64();
-        bucket.tokens = (bucket.tokens + elapsed * self.rate.a_second).min(self.rate.burst);
+        bucket.tokens = (bucket.tokens + elapsed * self.rate.per_s).min(self.rate.burst);
         bucket.refilled_at = now;
         if bucket.tokens < 1.0 {
             bucket.suppressed += 1;
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -3,8 +3,8 @@
 //! All code uses the `metrics` macros with the names declared here, so that each name is spelt
 //! once. Every label has a bounded set of values: services and operations declared in the settings,
 //! availability zones, and variants of enums. Text from callers never becomes a label; otherwise a
-//! caller could exhaust an entry VM's memory with ever new paths. [`Bounded`] limits the number of
-//! values of a label when the settings themselves are large.
+//! caller could exhaust an entry VM's memory with ever new paths. [`BoundedLabel`] limits the
+//! number of values of a label when the settings themselves are large.
 
 use std::collections;
 use std::sync;
@@ -355,11 +355,11 @@
 
 /// Set of one label's values, limited to [`MAX_LABEL_VALUES`].
 #[derive(Debug, Default)]
-pub struct Bounded {
+pub struct BoundedLabel {
     values: parking_lot::RwLock<collections::BTreeSet<sync::Arc<str>>>,
 }
 
-impl Bounded {
+impl BoundedLabel {
     /// Returns `value`, or [`OTHER`] for a new value once the limit is reached.
     pub fn label(&self, value: &str) -> sync::Arc<str> {
         if let Some(known) = self.values.read().get(value) {
@@ -428,7 +428,7 @@
     /// becomes a label by mistake: each new value takes memory permanently.
     #[test]
     fn the_values_of_a_label_are_limited() {
-        let bounded = Bounded::default();
+        let bounded = BoundedLabel::default();
         for n in 0..1000 {
             bounded.label(&format!("service-{n}"));
         }
--- a/src/nearest.rs
+++ b/src/nearest.rs
@@ -5,7 +5,7 @@
 const MIN_SIMILARITY: f64 = 0.75;
 
 /// Returns the known name most similar to `name`, if any is similar enough.
-pub fn name<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
+pub fn closest_name<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     known
         .into_iter()
         .map(|known| (strsim::jaro_winkler(name, known), known))
@@ -19,7 +19,7 @@
     let rest = &message[message.find("unknown ")?..];
     let mut quoted = rest.split('`').skip(1).step_by(2);
     let unknown = quoted.next()?;
-    let known = name(unknown, quoted)?;
+    let known = closest_name(unknown, quoted)?;
     Some(format!("did you mean `{known}`?"))
 }
 
--- a/tests/path/local.rs
+++ b/tests/path/local.rs
@@ -124,9 +124,9 @@
     backends: &[net::SocketAddr],
 ) -> entry::Entry<M> {
     let root = path::Path::new("examples/cooperative");
-    let shared = sync::Arc::new(entry::Shared::default());
+    let shared = sync::Arc::new(entry::SharedTables::default());
     shared
-        .put_in_force(settings::Settings::read(root).unwrap())
+        .apply_settings(settings::Settings::read(root).unwrap())
         .unwrap();
     let cfg = config::Config {
         az: testenv::AZ.into(),
@@ -146,7 +146,7 @@
         .fleet
         .store(sync::Arc::new(fleet::Fleet::new(vms.collect())));
     let log = logging::silent();
-    let entry = entry::Entry::start_with(cfg, make, shared, log).unwrap();
+    let entry = entry::Entry::start_without_coordination(cfg, make, shared, log).unwrap();
     testenv::wait_for("the entry process takes requests", || {
         send(
             entry.addr(),
