--- a/src/entry/observe.rs
+++ b/src/entry/observe.rs
@@ -50,7 +50,7 @@
 impl RequestInfo {
     pub(super) fn new(
         arrival: &policy::Arrival,
-        at: Moment,
+        arrived_at: Moment,
         service: &settings::Service,
         op: &settings::Operation,
         headers: &hyper::HeaderMap,
@@ -59,7 +59,7 @@
         let name = headers::text(headers, headers::REQUEST_ID).unwrap_or_default();
         Self {
             id: arrival.id.0,
-            arrived_at: at,
+            arrived_at,
             operation: op.name.clone(),
             worth: op.worth,
             latency_objective: time::Duration::from_millis(service.objective.latency_ms),
--- a/src/entry/steering.rs
+++ b/src/entry/steering.rs
@@ -326,20 +326,18 @@
             caps: caps::Config::of(service),
             max_load: max_load(core, &settings),
         };
-        let load_and_requests = executor.with_cross_az(|cross_az| {
+        let status = executor.with_cross_az(|cross_az| {
             cross_az.set_config(cfg);
             cross_az.set_routes(routes);
             cross_az.set_links(core.steering.links.clone());
             (cross_az.local_load(), cross_az.grant_requests(now))
         });
-        let Some((local_load, grant_requests)) = load_and_requests else {
-            continue;
-        };
-        let row = work_row(core, &executor, service, local_load);
-        set_load(core, now, &settings, &fleet, service, local_load, &row);
+        let Some((load, reqs)) = status else { continue };
+        let row = work_row(core, &executor, service, load);
+        set_load(core, now, &settings, &fleet, service, load, &row);
         rows.push(row);
         if let Some(peers) = peers {
-            send_grant_requests(core, now, peers, &service.name, &grant_requests);
+            send_grant_requests(core, now, peers, &service.name, &reqs);
         }
     }
     if report_due {
