--- a/src/state/totals.rs
+++ b/src/state/totals.rs
@@ -1,71 +1,71 @@
-//! What became of requests, counted per service, and a bounded memory of past minutes.
+//! Request outcomes counted per service, and a bounded history of one snapshot per minute.
 //!
-//! VMs keep nothing on disk, and the burn report needs windows of up to six hours. So each entry
-//! process keeps its own counts of the last hours in memory, a snapshot a minute, and says how
-//! far back it reaches. A VM that was replaced reaches back to its start only; the report says so
-//! rather than calling the missing time good.
+//! VMs keep no data on disk, and the burn report needs windows of up to six hours. Each entry
+//! process therefore keeps the counts of the last six hours in memory and reports how far back
+//! they reach. The history of a replaced VM starts with its process; the burn report shows the
+//! missing time instead of counting it as good.
 
 use std::collections;
 use std::time;
 
 use crate::{id, metrics};
 
-/// How often a snapshot is taken.
-const EVERY: time::Duration = time::Duration::from_secs(60);
+/// The interval between snapshots.
+const SNAPSHOT_INTERVAL: time::Duration = time::Duration::from_secs(60);
 
-/// Snapshots that are kept: six hours and the one before.
-const KEPT: usize = 361;
+/// Snapshots in the history: six hours and the one at their start.
+const MAX_SNAPSHOTS: usize = 361;
 
-/// Services whose past is kept. One snapshot of one service takes some 300 bytes, so that the past
-/// of all of them takes about 7 MB (worked out, not measured).
-const MOST_SERVICES: usize = metrics::MAX_LABEL_VALUES;
+/// Services with a history. A snapshot of one service takes about 300 bytes, so the whole history
+/// takes about 7 MB.
+const MAX_SERVICES: usize = metrics::MAX_LABEL_VALUES;
 
-/// Buckets of latency: those of the metrics, and one for all above.
-const BUCKETS: usize = metrics::LATENCY_BUCKETS.len() + 1;
+/// Latency buckets: those of the metrics, and one for all higher latencies.
+const LATENCY_BUCKET_COUNT: usize = metrics::LATENCY_BUCKETS.len() + 1;
 
 data! {
-    /// Counts of requests of one service.
+    /// Counts of one service's requests by outcome.
     #[derive(Eq)]
     pub struct Totals {
-        /// Answered by a backend server.
+        /// Requests that a backend server answered with success.
         pub answered: u64,
-        /// Answered, and the backend server says that it failed.
+        /// Requests that a backend server answered with a failure.
         pub failed: u64,
-        /// Not run.
+        /// Requests that did not run.
         pub not_run: u64,
-        /// Perhaps run.
+        /// Requests that may have run.
         pub unknown: u64,
         /// Answers within the objective's latency.
         pub in_time: u64,
-        /// Worth of the answered ones.
+        /// Total worth of the answered requests.
         pub worth_answered: u64,
-        /// Worth of all others.
+        /// Total worth of all other requests.
         pub worth_lost: u64,
-        /// Answers by latency, as in the metrics' buckets, not added up.
+        /// Answers per latency bucket of the metrics, not cumulative.
         pub latency: Vec<u64>,
     }
 
-    /// What became of requests in a window.
+    /// The request counts of a window.
     pub struct Window {
-        /// How far back was asked, in seconds.
+        /// The requested length of the window, in seconds.
         pub asked_s: u64,
-        /// How far back memory reaches, in seconds.
+        /// The length that the history covers, in seconds.
         pub covers_s: u64,
         /// The counts.
         pub totals: Totals,
-        /// The most requests in flight and waiting that a look found.
+        /// The highest observed number of requests in flight and waiting.
         pub peak_in_hand: u64,
     }
 
-    /// What became of requests in one past stretch, for a plot.
+    /// The request counts of one past interval, for a plot.
     pub struct Stretch {
-        /// When it ended, in seconds before now.
+        /// The end of the interval, in seconds before now.
         pub ago_s: u64,
-        /// How long it was, in seconds.
+        /// The length of the interval, in seconds.
         pub lasted_s: u64,
         /// The counts.
         pub totals: Totals,
-        /// The most requests in flight and waiting that a look found.
+        /// The highest observed number of requests in flight and waiting.
         pub peak_in_hand: u64,
     }
 }
@@ -80,38 +80,38 @@
             in_time: 0,
             worth_answered: 0,
             worth_lost: 0,
-            latency: vec![0; BUCKETS],
+            latency: vec![0; LATENCY_BUCKET_COUNT],
         }
     }
 }
 
 impl Totals {
-    /// All requests.
+    /// The number of all requests.
     pub fn requests(&self) -> u64 {
         self.answered + self.failed + self.not_run + self.unknown
     }
 
-    /// Counts an answer's latency.
-    pub fn took(&mut self, latency: time::Duration) {
+    /// Counts an answer in its latency bucket.
+    pub fn count_latency(&mut self, latency: time::Duration) {
         let s = latency.as_secs_f64();
         let bucket = metrics::LATENCY_BUCKETS.partition_point(|upper| *upper < s);
         self.latency[bucket] += 1;
     }
 
-    /// Adds another VM's or minute's counts.
+    /// Adds the counts of another VM or interval.
     pub fn add(&mut self, other: &Self) {
         self.combine(other, u64::saturating_add);
     }
 
-    /// What came since `earlier`.
+    /// The counts since `earlier`.
     pub fn since(&self, earlier: &Self) -> Self {
         let mut diff = self.clone();
         diff.combine(earlier, u64::saturating_sub);
         diff
     }
 
-    fn combine(&mut self, other: &Self, how: fn(u64, u64) -> u64) {
-        for (mine, theirs) in [
+    fn combine(&mut self, other: &Self, op: fn(u64, u64) -> u64) {
+        for (value, other_value) in [
             (&mut self.answered, other.answered),
             (&mut self.failed, other.failed),
             (&mut self.not_run, other.not_run),
@@ -120,28 +120,28 @@
             (&mut self.worth_answered, other.worth_answered),
             (&mut self.worth_lost, other.worth_lost),
         ] {
-            *mine = how(*mine, theirs);
+            *value = op(*value, other_value);
         }
-        for (mine, theirs) in self.latency.iter_mut().zip(&other.latency) {
-            *mine = how(*mine, *theirs);
+        for (value, other_value) in self.latency.iter_mut().zip(&other.latency) {
+            *value = op(*value, *other_value);
         }
     }
 
-    /// The latency that a share of answers stayed within, in seconds; `None` without answers. The
-    /// value is a bucket's upper bound, so it is never too small but may be twice too large,
-    /// and three times above 2 s.
+    /// The latency quantile for `share`, in seconds; `None` without answers. The value is the upper
+    /// bound of a bucket, so it is never too small, but may be up to twice the true value, and up
+    /// to three times above 2 s.
     pub fn quantile(&self, share: f64) -> Option<f64> {
         let all: u64 = self.latency.iter().sum();
         if all == 0 {
             return None;
         }
-        let mut left = (share * all as f64).ceil() as u64;
+        let mut remaining = (share * all as f64).ceil() as u64;
         for (n, count) in self.latency.iter().enumerate() {
-            if left <= *count {
+            if remaining <= *count {
                 let upper = metrics::LATENCY_BUCKETS.get(n).copied();
                 return Some(upper.unwrap_or(f64::INFINITY));
             }
-            left -= count;
+            remaining -= count;
         }
         Some(f64::INFINITY)
     }
@@ -154,19 +154,19 @@
     peaks: collections::BTreeMap<id::ServiceId, u64>,
 }
 
-/// The counts of each service, now and in past minutes.
+/// The current counts of each service and their past snapshots.
 #[derive(Debug, Default)]
 pub struct History {
     now: collections::BTreeMap<id::ServiceId, Totals>,
     peaks: collections::BTreeMap<id::ServiceId, u64>,
-    past: collections::VecDeque<Snapshot>,
+    snapshots: collections::VecDeque<Snapshot>,
 }
 
 impl History {
-    /// The counts of a service, to be added to. `None` where there are too many services.
+    /// The current counts of a service for modification; `None` if there are too many services.
     pub fn totals(&mut self, service: &id::ServiceId) -> Option<&mut Totals> {
         if !self.now.contains_key(service) {
-            if self.now.len() >= MOST_SERVICES {
+            if self.now.len() >= MAX_SERVICES {
                 return None;
             }
             self.now.insert(service.clone(), Totals::default());
@@ -174,41 +174,48 @@
         self.now.get_mut(service)
     }
 
-    /// Services that were counted.
+    /// The services with counts.
     pub fn services(&self) -> impl Iterator<Item = &id::ServiceId> {
         self.now.keys()
     }
 
-    /// Notes how many requests of a service are in hand.
-    pub fn in_hand(&mut self, service: &id::ServiceId, count: u64) {
+    /// Records the current number of a service's requests in flight and waiting.
+    pub fn record_in_flight(&mut self, service: &id::ServiceId, count: u64) {
         if self.totals(service).is_some() {
             let peak = self.peaks.entry(service.clone()).or_default();
             *peak = (*peak).max(count);
         }
     }
 
-    /// Takes a snapshot if one is due. The first one, at the start, is of nothing.
+    /// Takes a snapshot if one is due. The first one, at the process start, is empty.
     pub fn tick(&mut self, at: time::Duration) {
-        let due = self.past.back().is_none_or(|last| at >= last.at + EVERY);
+        let due = self
+            .snapshots
+            .back()
+            .is_none_or(|last| at >= last.at + SNAPSHOT_INTERVAL);
         if !due {
             return;
         }
-        if self.past.len() >= KEPT {
-            self.past.pop_front();
+        if self.snapshots.len() >= MAX_SNAPSHOTS {
+            self.snapshots.pop_front();
         }
-        self.past.push_back(Snapshot {
+        self.snapshots.push_back(Snapshot {
             at,
             services: self.now.clone(),
             peaks: std::mem::take(&mut self.peaks),
         });
     }
 
-    /// What became of a service's requests in the last `asked_s` seconds, or as far back as
-    /// memory reaches.
+    /// A service's request counts of the last `asked_s` seconds, or of the whole history if that is
+    /// shorter.
     pub fn window(&self, service: &id::ServiceId, at: time::Duration, asked_s: u64) -> Window {
         let from = at.saturating_sub(time::Duration::from_secs(asked_s));
-        let older = self.past.iter().rev().find(|snapshot| snapshot.at <= from);
-        let start = older.or(self.past.front());
+        let older = self
+            .snapshots
+            .iter()
+            .rev()
+            .find(|snapshot| snapshot.at <= from);
+        let start = older.or(self.snapshots.front());
         let now = self.now.get(service).cloned().unwrap_or_default();
         let Some(start) = start else {
             return Window {
@@ -218,7 +225,10 @@
                 peak_in_hand: 0,
             };
         };
-        let inside = self.past.iter().filter(|snapshot| snapshot.at > start.at);
+        let inside = self
+            .snapshots
+            .iter()
+            .filter(|snapshot| snapshot.at > start.at);
         let peaks = inside.filter_map(|snapshot| snapshot.peaks.get(service));
         let latest = self.peaks.get(service);
         Window {
@@ -232,22 +242,22 @@
         }
     }
 
-    /// At most `most` stretches of a service's past, oldest first.
+    /// A service's history in at most `max_count` intervals, oldest first.
     pub fn stretches(
         &self,
         service: &id::ServiceId,
         at: time::Duration,
-        most: usize,
+        max_count: usize,
     ) -> Vec<Stretch> {
-        let step = self.past.len().div_ceil(most.max(1)).max(1);
+        let step = self.snapshots.len().div_ceil(max_count.max(1)).max(1);
         let none = Totals::default();
         let of = |snapshot: &Snapshot| snapshot.services.get(service).unwrap_or(&none).clone();
-        let marks: Vec<usize> = (0..self.past.len()).step_by(step).collect();
-        let mut found = Vec::new();
-        for pair in marks.windows(2) {
-            let (from, to) = (&self.past[pair[0]], &self.past[pair[1]]);
-            let inside = self.past.range(pair[0] + 1..=pair[1]);
-            found.push(Stretch {
+        let bounds: Vec<usize> = (0..self.snapshots.len()).step_by(step).collect();
+        let mut intervals = Vec::new();
+        for pair in bounds.windows(2) {
+            let (from, to) = (&self.snapshots[pair[0]], &self.snapshots[pair[1]]);
+            let inside = self.snapshots.range(pair[0] + 1..=pair[1]);
+            intervals.push(Stretch {
                 ago_s: at.saturating_sub(to.at).as_secs(),
                 lasted_s: (to.at - from.at).as_secs(),
                 totals: of(to).since(&of(from)),
@@ -258,7 +268,7 @@
                     .unwrap_or(0),
             });
         }
-        found
+        intervals
     }
 }
 
@@ -267,7 +277,7 @@
     use super::*;
 
     fn minute(n: u64) -> time::Duration {
-        EVERY * u32::try_from(n).unwrap()
+        SNAPSHOT_INTERVAL * u32::try_from(n).unwrap()
     }
 
     fn run(minutes: u64) -> History {
@@ -277,36 +287,36 @@
             history.tick(minute(n));
             let totals = history.totals(&service).unwrap();
             totals.answered += 10;
-            totals.took(time::Duration::from_millis(4));
+            totals.count_latency(time::Duration::from_millis(4));
         }
         history
     }
 
     #[test]
-    fn a_window_counts_what_came_inside_it() {
+    fn a_window_counts_only_its_own_requests() {
         let history = run(20);
         let window = history.window(&"ledger".into(), minute(20), 300);
         assert_eq!((window.covers_s, window.totals.answered), (300, 50));
         assert_eq!(window.totals.quantile(0.99), Some(0.005));
     }
 
-    /// A VM was replaced ten minutes ago. Its six hours are ten minutes, and it says so.
+    /// The history of a VM that started ten minutes ago covers only ten minutes of six hours.
     #[test]
-    fn a_window_tells_how_far_back_it_reaches() {
+    fn a_window_reports_the_time_that_it_covers() {
         let window = run(10).window(&"ledger".into(), minute(10), 21_600);
         assert_eq!((window.covers_s, window.totals.answered), (600, 100));
     }
 
     #[test]
-    fn memory_is_bounded_in_time_and_services() {
+    fn history_is_bounded_in_time_and_services() {
         let mut history = run(1000);
-        assert_eq!(history.past.len(), KEPT);
+        assert_eq!(history.snapshots.len(), MAX_SNAPSHOTS);
         let window = history.window(&"ledger".into(), minute(1000), 21_600);
         assert_eq!(window.covers_s, 21_600);
         assert!(history.stretches(&"ledger".into(), minute(1000), 60).len() <= 60);
         for n in 0..1000 {
             let _ = history.totals(&format!("service-{n}").as_str().into());
         }
-        assert_eq!(history.services().count(), MOST_SERVICES);
+        assert_eq!(history.services().count(), MAX_SERVICES);
     }
 }
--- a/tests/path/decisions.rs
+++ b/tests/path/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions inside an availability zone, under real HTTP and with real processes.
+//! Decisions within an availability zone, over real HTTP and with separate processes.
 
 use std::net;
 
@@ -15,7 +15,7 @@
     caller::Caller::default().ask(entry, &ask).unwrap()
 }
 
-/// An entry VM before backend servers that behave as told.
+/// Starts an entry VM and one backend server per behaviour.
 fn start(
     env: &testenv::TestEnv,
     behaviours: &[backend::Behaviour],
@@ -31,10 +31,10 @@
     (entry, backends)
 }
 
-/// One of two backend servers refuses all work, as one does whose disk is full. Callers are
-/// answered all the same, and the one that refuses is left alone more and more.
+/// One of two backend servers sheds all requests, for example because its disk is full. All callers
+/// must be answered, and the shedding server must receive fewer and fewer requests.
 #[test]
-fn a_backend_server_that_sheds_costs_no_caller_an_answer() {
+fn callers_are_answered_although_a_backend_server_sheds() {
     let env = testenv::TestEnv::new();
     let shedding = backend::Behaviour {
         shedding: true,
@@ -42,17 +42,20 @@
     };
     let (entry, backends) = start(&env, &[shedding, backend::Behaviour::default()]);
     for i in 0..200 {
-        let told = read(entry.addr(), &format!("/ledger/bays?n={i}"));
-        assert_eq!(told.status, 200, "{told:?}");
+        let reply = read(entry.addr(), &format!("/ledger/bays?n={i}"));
+        assert_eq!(reply.status, 200, "{reply:?}");
     }
     let shed = backend::read_log(backends[0].addr()).unwrap().shed;
-    assert!(shed < 100, "{shed} of 200 were tried there");
+    assert!(
+        shed < 100,
+        "{shed} of 200 requests were sent to the shedding backend server"
+    );
 }
 
-/// One of two backend servers fails each request at once. It always looks idle, so it would draw
-/// more work than the sound one, and callers would get its errors.
+/// One of two backend servers fails every request immediately. It always appears idle, so without
+/// ejection it would attract most requests, and callers would get its errors.
 #[test]
-fn a_backend_server_that_fails_is_put_out() {
+fn a_failing_backend_server_is_ejected() {
     let env = testenv::TestEnv::new();
     let failing = backend::Behaviour {
         failing: true,
@@ -60,29 +63,35 @@
     };
     let (entry, backends) = start(&env, &[failing, backend::Behaviour::default()]);
     for i in 0..200 {
-        let told = read(entry.addr(), &format!("/ledger/bays?n={i}"));
-        assert_eq!(told.status, 200, "{told:?}");
+        let reply = read(entry.addr(), &format!("/ledger/bays?n={i}"));
+        assert_eq!(reply.status, 200, "{reply:?}");
     }
     let started = backend::read_log(backends[0].addr()).unwrap().started;
-    assert!(started < 50, "{started} of 200 were tried there");
+    assert!(
+        started < 50,
+        "{started} of 200 requests were sent to the failing backend server"
+    );
 }
 
-/// One request crashes each backend server that runs it, and its caller sends it again. After two
-/// crashes it is refused as not run, and the last backend server goes on answering others.
+/// A request crashes each backend server that runs it, and its caller retries. After two crashes it
+/// must be refused as not run, and the last backend server must keep answering other requests.
 #[test]
 fn a_request_that_crashes_backend_servers_is_refused() {
     let env = testenv::TestEnv::new();
-    let sound = [0; 3].map(|_| backend::Behaviour::default());
-    let (entry, backends) = start(&env, &sound);
-    let killer = format!("/ledger/bays?{}", backend::CRASH);
+    let healthy = [0; 3].map(|_| backend::Behaviour::default());
+    let (entry, backends) = start(&env, &healthy);
+    let crashing_request = format!("/ledger/bays?{}", backend::CRASH);
     testenv::wait_for("the request is refused as not run", || {
-        let told = read(entry.addr(), &killer);
-        let quarantined = told
+        let reply = read(entry.addr(), &crashing_request);
+        let quarantined = reply
             .problem()
             .is_some_and(|body| body.reason == "quarantined");
-        quarantined && told.outcome == Some(outcome::Outcome::NotRun)
+        quarantined && reply.outcome == Some(outcome::Outcome::NotRun)
     });
     let live = |b: &&processes::Process| backend::read_log(b.addr()).is_ok();
-    assert!(backends.iter().any(|b| live(&b)), "none is left");
+    assert!(
+        backends.iter().any(|b| live(&b)),
+        "no backend server is running"
+    );
     testenv::wait_answered(entry.addr(), "/ledger/bays");
 }
