--- a/src/config.rs
+++ b/src/config.rs
@@ -311,7 +311,7 @@
     )))
 }
 
-/// Text that is hidden in debug output.
+/// Secret text, which logs and debug output must not show.
 #[derive(Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(transparent)]
 pub struct Secret(String);
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -141,7 +141,7 @@
     /// A complete request arrived.
     Request(server::Request),
     /// The caller of a request disconnected.
-    CallerGone(policy::RequestId),
+    CallerDisconnected(policy::RequestId),
     /// An attempt ended.
     AttemptEnded(sync::Arc<executor::Executor<P>>, executor::AttemptEnd),
     /// A probe ended.
@@ -199,7 +199,7 @@
     fn handle(self: &sync::Arc<Self>, event: Event<M::Policy>) {
         match event {
             Event::Request(req) => route::request(self, req),
-            Event::CallerGone(req) => executor::handle_caller_gone(self, req),
+            Event::CallerDisconnected(req) => executor::handle_caller_disconnected(self, req),
             Event::AttemptEnded(executor, end) => executor::attempt_ended(self, &executor, end),
             Event::ProbeEnded(executor, vm, result) => {
                 executor::probe_ended(self, &executor, &vm, result)
@@ -223,7 +223,10 @@
     }
 
     fn caller_disconnected(&self, id: u64) {
-        let _ = self.0.events.send(Event::CallerGone(policy::RequestId(id)));
+        let _ = self
+            .0
+            .events
+            .send(Event::CallerDisconnected(policy::RequestId(id)));
     }
 
     fn fault(&self, id: u64, fault: server::Fault) -> server::Answer {
--- a/src/entry/answers.rs
+++ b/src/entry/answers.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// The problem for a request that was not received completely.
+/// The problem for a request that failed before routing.
 pub(super) fn fault(fault: server::Fault) -> outcome::Problem {
     match fault {
         server::Fault::TooLarge(max_bytes) => outcome::Problem::TooLarge(max_bytes),
--- a/src/entry/executor.rs
+++ b/src/entry/executor.rs
@@ -169,7 +169,10 @@
 }
 
 /// Handles the disconnection of a request's caller.
-pub(super) fn handle_caller_gone<M: MakePolicy>(core: &sync::Arc<Core<M>>, req: policy::RequestId) {
+pub(super) fn handle_caller_disconnected<M: MakePolicy>(
+    core: &sync::Arc<Core<M>>,
+    req: policy::RequestId,
+) {
     for executor in core.executors.load().values() {
         let mut inner = executor.inner.lock();
         if inner.pending.contains_key(&req) {
--- a/src/entry/observe.rs
+++ b/src/entry/observe.rs
@@ -75,7 +75,7 @@
     Answered,
     /// A backend server answered with a server error.
     Failed,
-    /// No backend server answered, with the outcome and the reason.
+    /// No backend server answered; holds the outcome and the reason.
     Problem(outcome::Outcome, &'static str),
 }
 
@@ -144,7 +144,7 @@
             let why = format!("{why}{}", origin_request_id.collect::<String>());
             self.record_decision(now, info.id, event, service.as_str(), &why);
         }
-        // The entry VM that received the request from its caller counts it.
+        // Counted only by the entry VM that received the request from its caller.
         if info.origin_request_id.is_some() {
             return;
         }
--- a/src/entry/operator_source.rs
+++ b/src/entry/operator_source.rs
@@ -186,7 +186,7 @@
     }
 }
 
-/// Unit of processor time in Linux's `/proc/self/stat`.
+/// Ticks of processor time per second in Linux's `/proc/self/stat`.
 const CPU_TICKS_PER_S: f64 = 100.0;
 
 /// Page size on the Linux VMs that run the entry process.
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -132,8 +132,8 @@
 ) {
     let id = req.id;
     let settings = core.shared.settings.load();
-    let sent_across = origin(core, &req) != policy::Origin::Caller;
-    let resolved = match resolve(&settings, &req, service, path, sent_across) {
+    let from_other_az = origin(core, &req) != policy::Origin::Caller;
+    let resolved = match resolve(&settings, &req, service, path, from_other_az) {
         Ok(resolved) => resolved,
         Err(problem) => return refuse(core, id, service, req.reply, &problem),
     };
@@ -186,7 +186,7 @@
     req: &server::Request,
     service: &str,
     path: &str,
-    sent_across: bool,
+    from_other_az: bool,
 ) -> Result<ResolvedRequest<'a>, Problem> {
     let found = settings.service(service);
     let service = found.ok_or_else(|| Problem::UnknownService(service.to_owned()))?;
@@ -206,7 +206,7 @@
     let key = match headers::text(&req.headers, headers::KEY) {
         // Ignores the key of an idempotent operation, and of a request from another availability
         // zone, whose entry VM has already checked the key.
-        _ if op.idempotent || sent_across => None,
+        _ if op.idempotent || from_other_az => None,
         None => return Err(Problem::NoKey),
         Some(key_text) => {
             let ticket = headers::text(&req.headers, headers::TICKET);
--- a/src/entry/steering.rs
+++ b/src/entry/steering.rs
@@ -39,15 +39,15 @@
     max_answer_bytes: Mutex<collections::BTreeMap<id::ServiceId, f64>>,
 }
 
-/// Requests under a valid grant that wait for a free slot, with the time since when each waits.
+/// Requests under a valid grant that wait for a free slot, and the time when each started to wait.
 #[derive(Default)]
 struct WaitingRequests {
     reqs: Vec<server::Request>,
     since: collections::HashMap<u64, policy::Moment>,
 }
 
-/// Decay of the maximum answer size per answer. The slow decay overestimates a link's usage rather
-/// than underestimating it.
+/// Factor by which the maximum answer size decays with each answer. The slow decay overestimates a
+/// link's usage rather than underestimating it.
 const ANSWER_SIZE_DECAY: f64 = 0.99;
 
 /// Maximum number of requests that wait for a free slot.
@@ -133,8 +133,8 @@
         self.demand.lock().record(service, region, work);
     }
 
-    /// A caller's availability zones in the plan's order, the assigned one first. Empty until a plan
-    /// is known; look-ups then return the nearest entry VMs.
+    /// A caller's availability zones in the plan's order, the assigned one first. Empty without a
+    /// known plan; look-ups then return the nearest entry VMs.
     pub(super) fn az_order(
         &self,
         now: policy::Moment,
@@ -245,8 +245,8 @@
     true
 }
 
-/// Sends a service's quarantined fingerprints to all linked entry VMs. Otherwise a request that
-/// crashed backend servers here would crash as many more through each other entry VM.
+/// Sends a service's quarantined fingerprints to all linked entry VMs. Otherwise a request that has
+/// crashed backend servers of this VM could crash as many again through each other entry VM.
 fn send_bans<P: Policy>(
     executor: &executor::Executor<P>,
     now: policy::Moment,
