--- a/src/protocol/backend.rs
+++ b/src/protocol/backend.rs
@@ -1,5 +1,5 @@
-//! What the request path needs of a backend server's wire. An adapter is one file that implements
-//! [`Wire`].
+//! Interface between the request path and the protocol of backend servers. An adapter implements
+//! [`Wire`]: it encodes requests and probes and interprets answers.
 
 use std::time;
 
@@ -8,20 +8,20 @@
 
 use crate::decisions::policy;
 
-/// A request on its way to a backend server.
+/// A request to be sent to a backend server.
 #[derive(Clone, Debug)]
 pub struct Forward {
-    /// The number of the attempt.
+    /// Number of the attempt.
     pub attempt: u64,
     /// The method.
     pub method: Method,
-    /// The path under the service, with its query.
+    /// The path below the service name, including the query.
     pub path: String,
-    /// The caller's headers, without those of its connection.
+    /// The caller's end-to-end headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// How long the answer is waited for.
+    /// Maximum time to wait for the answer.
     pub timeout: time::Duration,
 }
 
@@ -36,23 +36,23 @@
     pub body: Bytes,
 }
 
-/// What an answer means.
+/// Interpretation of an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reading {
     /// How the attempt ended.
     pub how: policy::Ended,
-    /// What the backend server said of itself.
+    /// The load that the backend server reported, if any.
     pub report: Option<policy::Report>,
 }
 
-/// The wire of backend servers.
+/// Encodes requests to a backend server and interprets its answers.
 pub trait Wire: Send + Sync + 'static {
-    /// The request to send.
+    /// Encodes a request.
     fn encode(&self, forward: Forward) -> hyper::Request<Bytes>;
 
-    /// The request that asks how a backend server is.
+    /// Returns the request that probes a backend server's health and load.
     fn probe(&self) -> hyper::Request<Bytes>;
 
-    /// Reads an answer to `attempt`. `None`: it is not the answer to it.
+    /// Interprets an answer. Returns `None` if it belongs to another attempt.
     fn read(&self, attempt: u64, answer: &Answer) -> Option<Reading>;
 }
