--- a/src/protocol/backend_http.rs
+++ b/src/protocol/backend_http.rs
@@ -1,8 +1,8 @@
-//! Backend servers over HTTP/1.1, as the stand-ins speak it.
+//! HTTP/1.1 adapter for backend servers, as implemented by the stand-in servers.
 //!
-//! The deadline goes along as [`headers::TIMEOUT`]. A backend server reports its load in
-//! [`headers::LOAD`], as `in_flight=1 queued=0 leaving=0`, and sheds with status 503 and the
-//! outcome header `not-run`, which is its word that the request did not run.
+//! [`headers::TIMEOUT`] carries the remaining time. A backend server reports its load in
+//! [`headers::LOAD`], as `in_flight=1 queued=0 leaving=0`. It sheds load with status 503 and the
+//! outcome header `not-run`, which guarantees that the request did not run.
 
 use std::sync::atomic;
 
@@ -15,7 +15,7 @@
 /// The path of probes.
 pub const PROBE_PATH: &str = "/_load";
 
-/// The wire of one backend server.
+/// HTTP/1.1 adapter for one backend server.
 #[derive(Debug, Default)]
 pub struct Http {
     echoes: atomic::AtomicBool,
@@ -42,8 +42,8 @@
         req
     }
 
-    /// A backend server that once sent an attempt's number back must do so with each answer: an
-    /// answer to an earlier request that comes late on the same connection is then told apart.
+    /// Once a backend server has echoed an attempt number, every answer must carry one. This detects
+    /// a late answer to an earlier request on the same connection.
     fn read(&self, attempt: u64, answer: &backend::Answer) -> Option<backend::Reading> {
         match headers::text(&answer.headers, headers::REQUEST) {
             Some(echo) if echo.parse() == Ok(attempt) => {
@@ -67,7 +67,7 @@
     }
 }
 
-/// The text of a load report.
+/// Formats a load report as the value of [`headers::LOAD`].
 pub fn format_load(report: &policy::Report) -> String {
     let policy::Report {
         in_flight,
@@ -80,7 +80,7 @@
     )
 }
 
-/// Reads a load report; `None` where it is garbled.
+/// Parses a load report; `None` if it is malformed.
 pub fn parse_load(text: &str) -> Option<policy::Report> {
     let mut report = policy::Report {
         in_flight: 0,
@@ -115,8 +115,8 @@
         assert_eq!(parse_load("in_flight=x"), None);
     }
 
-    /// A backend server answers an earlier request a second time, and the answer comes after the
-    /// next request was sent on the connection. Its caller would read another caller's booking.
+    /// A backend server answers a request twice, and the second answer arrives after the next
+    /// request on the connection. Otherwise a caller would receive another caller's answer.
     #[test]
     fn an_answer_to_another_attempt_is_refused() {
         let wire = Http::default();
