--- a/src/protocol/customers.rs
+++ b/src/protocol/customers.rs
@@ -1,8 +1,8 @@
-//! Customers: who asks, how much, how urgently, and where their requests may run.
+//! Customers: their keys, quotas, priorities and the regions in which their requests may run.
 //!
-//! A key is kept as its digest and nothing else. So a log, an error, a dump of memory or a message
-//! to another entry VM cannot give one away, and finding the customer of a key costs the same at
-//! a hundred customers and at a hundred thousand.
+//! Only the digest of a key is stored. Logs, errors, memory dumps and messages to other entry VMs
+//! therefore cannot disclose a key. The cost of finding the customer of a key does not depend on
+//! the number of customers.
 
 use std::collections;
 use std::rc;
@@ -11,19 +11,19 @@
 
 use crate::id;
 
-/// The longest key that is looked up, in bytes. Hashing a longer one would let anybody buy much
-/// work with one field.
+/// Maximum length of a key that is looked up. The limit keeps an unauthenticated caller from causing
+/// much hashing work with one long field.
 pub const LONGEST_KEY: usize = 256;
 
-/// What a key is known by.
+/// Truncated SHA-256 digest of a customer's key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyDigest([u8; Self::BYTES]);
 
 impl KeyDigest {
-    /// Two keys of a million collide with a probability of under 1e-26.
+    /// With 16 bytes, any two of a million keys collide with a probability of less than 1e-26.
     const BYTES: usize = 16;
 
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> Self {
         let whole = sha2::Sha256::digest(key);
         let mut digest = [0; Self::BYTES];
@@ -31,52 +31,52 @@
         Self(digest)
     }
 
-    /// Reads it as text; `None` where the text is none.
+    /// Parses lower-case hexadecimal text; `None` if it is malformed.
     pub fn parse(text: &str) -> Option<Self> {
         let bytes = data_encoding::HEXLOWER.decode(text.as_bytes()).ok()?;
         Some(Self(bytes.try_into().ok()?))
     }
 
-    /// It as text.
+    /// Formats the digest as lower-case hexadecimal text.
     pub fn to_text(self) -> String {
         data_encoding::HEXLOWER.encode(&self.0)
     }
 }
 
-/// How many requests a customer may have run.
+/// Limit on the requests that run for a customer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Requests a second.
+    /// Sustained rate, in requests per second.
     pub rate: f64,
-    /// Requests beyond that at once.
+    /// Additional requests allowed in a burst.
     pub burst: f64,
 }
 
-/// One customer.
+/// A customer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
-    /// Its name, which backend servers are told.
+    /// Its name, which is sent to backend servers.
     pub name: id::CustomerId,
-    /// Its rank, which goes before that of a route; 0 goes first.
+    /// Its priority, which overrides that of the route; 0 is the highest.
     pub priority: Option<u32>,
-    /// How much it may ask over all entry VMs; `None`: without limit.
+    /// Its quota over all entry VMs; `None`: unlimited.
     pub quota: Option<Quota>,
-    /// The regions that may serve it; empty: all.
+    /// Regions that may serve it; empty: all.
     pub regions: Vec<id::RegionId>,
 }
 
-/// Why customers cannot be taken.
+/// Why a list of customers is invalid.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// One key would stand for two.
+    /// Two customers share a key.
     #[error("customers `{0}` and `{1}` have a key in common; give each customer keys of its own")]
     SharedKey(id::CustomerId, id::CustomerId),
-    /// One name would stand for two.
+    /// Two customers share a name.
     #[error("customer `{0}` is listed twice; list it once with all of its keys")]
     Twice(id::CustomerId),
 }
 
-/// All customers of one version of the configuration.
+/// All customers of one configuration version.
 #[derive(Clone, Debug, Default)]
 pub struct Customers {
     by_key: collections::HashMap<KeyDigest, rc::Rc<Customer>>,
@@ -84,8 +84,8 @@
     homed: Homed,
 }
 
-/// The parts of all customers' requests that must run in some region, as far as their quotas tell
-/// how much each asks.
+/// Per region, the share of all customers' requests that must run there. The customers' quotas
+/// serve as the estimate of their demand.
 #[derive(Clone, Debug, Default)]
 pub struct Homed {
     parts: collections::BTreeMap<id::RegionId, f64>,
@@ -106,7 +106,7 @@
         Self { parts }
     }
 
-    /// The part that must run in one region.
+    /// The share that must run in `region`; 0 if the region is unknown.
     pub fn part(&self, region: Option<&id::RegionId>) -> f64 {
         region
             .and_then(|region| self.parts.get(region))
@@ -114,21 +114,21 @@
             .unwrap_or_default()
     }
 
-    /// All parts as text, for logs.
+    /// Formats all shares for logs.
     pub fn to_text(&self) -> String {
         let parts = self.parts.iter();
         let texts: Vec<String> = parts.map(|(r, part)| format!("{r} {part:.3}")).collect();
         texts.join(", ")
     }
 
-    /// The part that must run in some region.
+    /// The share that is bound to any region.
     pub fn all(&self) -> f64 {
         self.parts.values().sum()
     }
 }
 
 impl Customers {
-    /// Takes customers with their keys. One without keys is allowed: nobody can ask for it.
+    /// Builds the list from customers and their keys, if any. Fails if two share a key or a name.
     pub fn new(
         customers: impl IntoIterator<Item = (Customer, Vec<KeyDigest>)>,
     ) -> Result<Self, Error> {
@@ -155,32 +155,32 @@
         }
     }
 
-    /// Whether there is none. Then nobody needs a key.
+    /// Whether there are no customers. Callers then need no key.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// How many there are.
+    /// Number of customers.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// How many keys there are.
+    /// Number of keys.
     pub fn keys(&self) -> usize {
         self.by_key.len()
     }
 
-    /// All of them.
+    /// All customers.
     pub fn iter(&self) -> impl Iterator<Item = &rc::Rc<Customer>> {
         self.all.values()
     }
 
-    /// Which part of the requests must run where.
+    /// The shares of requests that are bound to regions.
     pub fn homed(&self) -> &Homed {
         &self.homed
     }
 
-    /// Whose key this is.
+    /// The customer that owns a key.
     pub fn holder(&self, key: KeyDigest) -> Option<&rc::Rc<Customer>> {
         self.by_key.get(&key)
     }
