--- a/src/protocol/headers.rs
+++ b/src/protocol/headers.rs
@@ -1,4 +1,4 @@
-//! The headers of the callers' side, and how their values are read.
+//! Headers that callers and entry VMs exchange, and the parsing of their values.
 
 use std::time;
 
@@ -6,34 +6,34 @@
 
 /// The key under which a non-idempotent request runs at most once.
 pub const KEY: &str = "idempotency-key";
-/// The ticket prefix under which a caller's own key stands.
+/// The ticket that is prefixed to a key which the caller chose itself.
 pub const TICKET: &str = "bulrushwind-ticket";
-/// How long the caller waits, in milliseconds.
+/// The caller's timeout, in milliseconds.
 pub const TIMEOUT: &str = "bulrushwind-timeout-ms";
-/// What became of the request: `answered`, `not-run` or `unknown`.
+/// Outcome of the request: `answered`, `not-run` or `unknown`.
 pub const OUTCOME: &str = "bulrushwind-outcome";
-/// The number of an attempt; a backend server that knows the header sends it back.
+/// Number of an attempt; a backend server that supports the header echoes it.
 pub const REQUEST: &str = "bulrushwind-request";
-/// The name under which operators find a request in logs and by `/explain`.
+/// The id by which operators find a request in logs and with `/explain`.
 pub const REQUEST_ID: &str = "bulrushwind-request-id";
-/// A backend server's word about itself.
+/// Load reported by a backend server.
 pub const LOAD: &str = "bulrushwind-load";
-/// The availability zone of the entry VM that sent a request across.
+/// Availability zone of the entry VM that forwarded a request to another availability zone.
 pub const ORIGIN_AZ: &str = "bulrushwind-origin-az";
-/// The grant under which a request was sent across.
+/// The grant under which a request was forwarded to another availability zone.
 pub const GRANT: &str = "bulrushwind-grant";
-/// The entry VM that passed a request on to the home of its key.
+/// The entry VM that forwarded a request to the VM that issued the ticket of its key.
 pub const VIA: &str = "bulrushwind-via";
 
-/// The longest patience that a caller may state.
+/// Maximum timeout that a caller may specify.
 pub const MAX_TIMEOUT: time::Duration = time::Duration::from_secs(600);
 
-/// The text of a header, or `None` where it is absent or not text.
+/// The text of a header; `None` if it is absent or not text.
 pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// The caller's patience. `Ok(None)` where the caller does not say; `Err` with the bad text.
+/// Parses the caller's timeout: `Ok(None)` if the header is absent, `Err` with an invalid value.
 pub fn timeout(headers: &HeaderMap) -> Result<Option<time::Duration>, String> {
     let Some(value) = headers.get(TIMEOUT) else {
         return Ok(None);
@@ -49,7 +49,7 @@
     Ok(Some(timeout))
 }
 
-/// Whether a header belongs to one connection and must not be passed on.
+/// Whether a header applies to one connection only and must not be forwarded.
 pub fn is_hop_by_hop(name: &header::HeaderName) -> bool {
     matches!(
         name.as_str(),
@@ -68,7 +68,7 @@
     )
 }
 
-/// Copies the headers that travel from end to end. Names listed in `Connection` stay behind too.
+/// Copies the end-to-end headers. Leaves out the headers that `Connection` lists.
 pub fn end_to_end(from: &HeaderMap) -> HeaderMap {
     let listed: Vec<String> = from
         .get_all(header::CONNECTION)
