--- a/src/protocol/hello.rs
+++ b/src/protocol/hello.rs
@@ -1,48 +1,48 @@
-//! How two entry processes prove to each other that they belong to the same fleet.
+//! Mutual authentication of two entry processes of the same fleet.
 //!
-//! Without a proof anybody who reaches the peers' port could hand out headroom that is not there
-//! or name itself reader of an availability zone. Each side sends a [`Hello`] with a nonce, then
-//! a [`Proof`]: a signature over both hellos. The nonce keeps an overheard proof from being used
-//! again, and both names under the signature keep it from being shown to a third process.
+//! Without it, any process that reaches the peer port could announce headroom that does not exist
+//! or claim to be the reader of an availability zone. Each side sends a [`Hello`] with a nonce, then
+//! a [`Proof`]: a signature over both hellos. The nonce prevents the replay of a recorded proof, and
+//! the two signed names prevent its use towards a third process.
 //!
-//! All VMs of a fleet hold the same secret, because they are replaced at any time and keep no
-//! disk for a key of their own. Several secrets may be accepted at a time: the first signs, so
-//! that a new one is rolled out as an accepted one first and as the signing one afterwards. The
-//! proof holds for the connection it was given on; it does not encrypt what follows.
+//! All VMs of a fleet share the same secret, because a VM can be replaced at any time and has no
+//! persistent disk for a key of its own. Several secrets can be accepted at a time; the first one
+//! signs. A new secret is first rolled out as an accepted one and then as the signing one. The proof
+//! authenticates only its connection; the messages that follow are not encrypted.
 
 use ed25519_dalek::Signer;
 
 use crate::id;
 
-/// The version of the peer protocol that this process speaks.
+/// The version of the peer protocol that this process implements.
 pub const VERSION: u16 = 1;
 
-/// The largest hello or proof, in bytes.
+/// Maximum length of a hello or a proof, in bytes.
 pub const MAX_BYTES: usize = 2048;
 
-/// Sets our signatures apart from others made with the same key.
+/// Domain separation from other signatures made with the same key.
 const CONTEXT: &[u8] = b"bulrushwind peer hello 1";
 
-/// Bytes in a nonce, in a secret and in half a signature.
+/// Length of a nonce, of a secret and of half a signature.
 const KEY_BYTES: usize = 32;
 
-/// Why a peer was not let in.
+/// Why a peer was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// What came is no hello.
-    #[error("not a hello of the peer protocol: {0}; check what connects to the peers' port")]
+    /// The message is not a hello.
+    #[error("not a hello of the peer protocol: {0}; check which process connects to the peer port")]
     Malformed(String),
-    /// The proof does not hold.
-    #[error("`{0}` did not prove that it belongs here; give it one of this fleet's `peer_secrets`")]
+    /// The proof is invalid.
+    #[error("peer `{0}` sent an invalid proof; configure one of this fleet's `peer_secrets` on it")]
     Forged(id::VmId),
-    /// The other side has our own name.
-    #[error("another process names itself `{0}` as well; give each VM its own `vm` name")]
+    /// The peer has the same VM name as this process.
+    #[error("the peer uses the same VM name `{0}`; give each VM a unique `vm` name")]
     SameName(id::VmId),
     /// A secret is not 64 hexadecimal digits.
-    #[error("a peer secret is not 64 hexadecimal digits; make one with 32 random bytes")]
+    #[error("a peer secret is not 64 hexadecimal digits; generate one from 32 random bytes")]
     Secret,
-    /// No secret was given.
-    #[error("no peer secret is set; put one into `peer_secrets` of every VM")]
+    /// No secret is configured.
+    #[error("no peer secret is configured; add one to `peer_secrets` on every VM")]
     NoSecret,
 }
 
@@ -51,13 +51,13 @@
     pub struct Hello {
         /// The version of the protocol.
         pub version: u16,
-        /// Who speaks.
+        /// The VM of the sender.
         pub vm: id::VmId,
         /// Its availability zone.
         pub az: id::AzId,
-        /// Which start of its process.
+        /// The incarnation of its process.
         pub incarnation: id::Incarnation,
-        /// Random, new for each connection.
+        /// Random bytes, new for each connection.
         pub nonce: [u8; KEY_BYTES],
     }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// The secrets that a fleet shares.
+/// The shared secrets of a fleet.
 #[derive(Clone)]
 pub struct Secrets {
     keys: Vec<ed25519_dalek::SigningKey>,
@@ -83,7 +83,7 @@
 }
 
 impl Secrets {
-    /// Reads secrets of 64 hexadecimal digits each. The first one signs.
+    /// Parses secrets of 64 hexadecimal digits each. The first one signs. Fails if there is none.
     pub fn parse<T: AsRef<str>>(secrets: &[T]) -> Result<Self, Error> {
         if secrets.is_empty() {
             return Err(Error::NoSecret);
@@ -107,7 +107,7 @@
         proof
     }
 
-    /// Checks the proof that came with `theirs` in answer to `ours`.
+    /// Verifies the proof that the sender of `theirs` gave in answer to `ours`.
     pub fn check(&self, ours: &Hello, theirs: &Hello, proof: &Proof) -> Result<(), Error> {
         if ours.vm == theirs.vm {
             return Err(Error::SameName(theirs.vm.clone()));
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Somebody overhears a proof, or has another fleet's secret, and connects. Let in, it could
-    /// hand out headroom that no region has, and callers would land in a full region.
+    /// An attacker replays a recorded proof or holds another fleet's secret. If accepted, it could
+    /// announce headroom that no region has, and requests would be sent to a full region.
     #[test]
     fn a_forged_or_repeated_proof_is_refused() {
         let (a, b) = (hello("a", 1), hello("b", 2));
@@ -192,8 +192,8 @@
         ));
     }
 
-    /// A fleet moves to a new secret VM by VM. A VM that already signs with the new one must not
-    /// be cut off from those that still sign with the old one.
+    /// A fleet rolls over to a new secret VM by VM. VMs that sign with the new secret must still
+    /// connect to VMs that sign with the old one.
     #[test]
     fn a_secret_is_rolled_over_without_a_cut() {
         let (a, b) = (hello("a", 1), hello("b", 2));
