--- a/src/protocol/history.rs
+++ b/src/protocol/history.rs
@@ -1,17 +1,17 @@
-//! What an entry process tells of the past, as JSON under `/history` on its operators' listener.
+//! Past load and outcomes of an entry process, served to operators as JSON under `/history`.
 
 use std::collections;
 
 use crate::id;
 use crate::state::totals;
 
-/// The windows that a report asks for where it does not say, in seconds.
+/// Windows of a report whose query names none.
 pub const WINDOWS_S: [u64; 3] = [300, 3_600, 21_600];
 
-/// The most windows that one question may have.
+/// Maximum number of windows in one query.
 const MOST_WINDOWS: usize = 8;
 
-/// Points of a plot.
+/// Number of points in a plot.
 pub const STRETCHES: usize = 72;
 
 data! {
@@ -22,44 +22,44 @@
         pub vm: String,
         /// Its availability zone.
         pub az: String,
-        /// How long the process has run, in seconds.
+        /// Uptime of the process, in seconds.
         pub uptime_s: u64,
-        /// Each service.
+        /// History of each service.
         pub services: collections::BTreeMap<id::ServiceId, Service>,
-        /// Drains in force, and how they go here.
+        /// Active drains and their progress on this VM.
         pub drains: Vec<Drain>,
     }
 
-    /// A service's past on one VM.
+    /// History of a service on one VM.
     #[derive(Default)]
     pub struct Service {
-        /// Slots of the backend servers that take work in this availability zone.
+        /// Slots of the backend servers in this availability zone that accept requests.
         pub slots: u64,
-        /// Requests in flight and waiting now.
+        /// Requests currently in flight or queued.
         pub in_hand: u64,
-        /// The windows that were asked for.
+        /// Totals of the requested windows.
         pub windows: Vec<totals::Window>,
-        /// The past in equal parts, oldest first.
+        /// Totals of consecutive intervals of equal length, oldest first.
         pub stretches: Vec<totals::Stretch>,
     }
 
-    /// How a drain goes on one VM.
+    /// Progress of a drain on one VM.
     pub struct Drain {
-        /// The place.
+        /// The region, availability zone or VM that is drained.
         pub target: String,
-        /// When it began, in seconds since 1970.
+        /// Start of the drain, in seconds since the Unix epoch.
         pub start_s: u64,
-        /// When this VM last sent a request there after the start, in seconds since the start.
-        /// Absent: it sent none.
+        /// Time from the start of the drain to this VM's last request to the target, in seconds.
+        /// Absent if it sent none.
         pub last_sent_s: Option<u64>,
-        /// How long ago that was, in seconds.
+        /// Time since then, in seconds.
         pub quiet_s: u64,
-        /// Requests of this VM that the place still works on.
+        /// Requests of this VM still in flight at the target.
         pub in_flight: u64,
     }
 }
 
-/// The windows that a query such as `windows=300,3600` asks for.
+/// Parses the windows, in seconds, from a query such as `windows=300,3600`.
 pub fn windows(query: &str) -> Vec<u64> {
     let asked = query
         .split('&')
