--- a/src/protocol/http1.rs
+++ b/src/protocol/http1.rs
@@ -1,44 +1,44 @@
-//! HTTP/1.1 heads and bodies as bytes: parsing, framing and writing.
+//! HTTP/1.1 heads and bodies: parsing, framing and writing, without any I/O.
 //!
-//! Heads are kept as the bytes that came, with the places of their fields, so that a request is
-//! passed on without copying each name and value. Nothing here touches a socket. Framing is
-//! strict: a message whose length can be read in two ways is refused, since whoever reads it the
-//! other way would take the rest of one request for the next one.
+//! A head is stored as the received bytes with the positions of its fields, so that a request is
+//! forwarded without copying each name and value. Framing is strict: a message with an ambiguous
+//! length is rejected, because a server that reads the length differently would treat the rest of
+//! one request as the next one (request smuggling).
 
 use std::ops;
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// The most fields a head may have. Common servers allow about a hundred.
+/// Maximum number of fields in a head. Common servers allow about a hundred.
 const MAX_FIELDS: usize = 100;
 
-/// Why a head or a body cannot be read.
+/// Why a head or a body is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
-    /// The bytes are not a head.
-    #[error("the bytes are no HTTP/1.1 head; send a request line and fields that end with CRLF")]
+    /// The bytes are not an HTTP/1.1 head.
+    #[error("malformed HTTP/1.1 head; send a request line and fields that end with CRLF")]
     Head,
-    /// The head is longer than allowed.
-    #[error("the head is longer than the limit; send fewer or shorter fields")]
+    /// The head exceeds the length limit.
+    #[error("the head exceeds the length limit; send fewer or shorter fields")]
     TooLong,
-    /// The body's length is given twice, or in a way that cannot be read.
+    /// The body's length is ambiguous or malformed.
     #[error(
-        "the body's length is unclear; send one Content-Length or Transfer-Encoding: chunked, not both"
+        "the body's length is ambiguous; send one Content-Length or Transfer-Encoding: chunked, not both"
     )]
     Length,
-    /// A chunk is not in the format.
+    /// A chunk is malformed.
     #[error("a chunk is malformed; check the sender's chunked encoding")]
     Chunk,
 }
 
-/// How a body ends.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// After this many bytes.
+    /// By its length in bytes.
     Length(u64),
-    /// With the last chunk.
+    /// By the last chunk.
     Chunked,
-    /// With the connection. Only answers may.
+    /// By the end of the connection. Allowed for answers only.
     UntilClose,
 }
 
@@ -77,7 +77,7 @@
             .collect()
     }
 
-    /// All fields in the order in which they came.
+    /// All fields in the order of arrival.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
         self.spans
             .iter()
@@ -91,12 +91,12 @@
             .map(|(_, value)| value)
     }
 
-    /// The value of the first field of this name, where it is text.
+    /// The value of the first field of this name, trimmed, if it is UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         std::str::from_utf8(self.get(name)?).ok().map(str::trim)
     }
 
-    /// Whether a comma-separated field of this name lists the word.
+    /// Whether a comma-separated field of this name contains the token, ignoring case.
     pub fn lists(&self, name: &str, word: &str) -> bool {
         self.iter()
             .filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()))
@@ -104,8 +104,8 @@
             .any(|part| part.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
     }
 
-    /// The fields that travel from end to end: those of one connection, and those that the
-    /// `Connection` field names, stay behind.
+    /// The end-to-end fields: all except hop-by-hop fields and those that the `Connection` field
+    /// lists.
     pub fn end_to_end(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
         self.iter().filter(|(name, _)| {
             let text = std::str::from_utf8(name).unwrap_or_default();
@@ -113,7 +113,7 @@
         })
     }
 
-    /// How the body is framed by these fields; `None` where they say nothing.
+    /// The framing that these fields specify, if any.
     fn framing(&self) -> Result<Option<Framing>, Malformed> {
         let mut length = None;
         let mut chunked = false;
@@ -164,7 +164,7 @@
         .any(|n| name.eq_ignore_ascii_case(n.as_bytes()))
 }
 
-/// A request's head.
+/// The head of a request.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
     /// Its fields.
@@ -177,9 +177,9 @@
 }
 
 impl RequestHead {
-    /// Takes a head off the front of what was read; `None` while it is not whole.
+    /// Removes a head of up to `limit` bytes from the front of `buf`; `None` while it is incomplete.
     pub fn take(buf: &mut BytesMut, limit: usize) -> Result<Option<Self>, Malformed> {
-        // Clients may send empty lines between requests.
+        // Clients may send empty lines between requests (RFC 9112).
         while buf.starts_with(b"\r\n") {
             buf.advance(2);
         }
@@ -220,7 +220,7 @@
         &self.fields.bytes[self.method.range()]
     }
 
-    /// The target: path and query.
+    /// The request target: path and query.
     pub fn target(&self) -> &str {
         std::str::from_utf8(&self.fields.bytes[self.target.range()]).unwrap_or_default()
     }
@@ -239,13 +239,13 @@
         self.minor >= 1 || self.fields.lists("connection", "keep-alive")
     }
 
-    /// Whether the sender understands chunks.
+    /// Whether the sender supports chunked bodies.
     pub fn knows_chunks(&self) -> bool {
         self.minor >= 1
     }
 }
 
-/// An answer's head.
+/// The head of an answer.
 #[derive(Clone, Debug)]
 pub struct ResponseHead {
     /// Its fields.
@@ -258,8 +258,8 @@
 }
 
 impl ResponseHead {
-    /// Takes a head off the front of what was read; `None` while it is not whole. `to_head`
-    /// says that the answer is to a request without an answer's body.
+    /// Removes a head of up to `limit` bytes from the front of `buf`; `None` while it is incomplete.
+    /// `to_head`: the answer is to a HEAD request and has no body.
     pub fn take(
         buf: &mut BytesMut,
         limit: usize,
@@ -294,7 +294,7 @@
         }))
     }
 
-    /// Whether the connection may carry another request.
+    /// Whether the connection can be used for another request.
     pub fn keeps_alive(&self) -> bool {
         self.framing != Framing::UntilClose
             && self.minor >= 1
@@ -310,7 +310,7 @@
     Trailer,
 }
 
-/// Takes a body apart as its bytes come.
+/// Incremental decoder of a body.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyReader {
     framing: Framing,
@@ -321,7 +321,7 @@
 }
 
 impl BodyReader {
-    /// A reader for a body framed so.
+    /// Creates a reader for a body with this framing.
     pub fn new(framing: Framing) -> Self {
         let left = match framing {
             Framing::Length(n) => n,
@@ -336,23 +336,23 @@
         }
     }
 
-    /// Whether the body is whole.
+    /// Whether the body is complete.
     pub fn is_done(&self) -> bool {
         self.done
     }
 
-    /// How many bytes of the body were taken.
+    /// Number of body bytes read, excluding chunk framing.
     pub fn taken(&self) -> u64 {
         self.taken
     }
 
-    /// The connection ended. Returns whether the body is whole by that.
+    /// Handles the end of the connection. Returns whether the body is complete.
     pub fn closed(&mut self) -> bool {
         self.done |= self.framing == Framing::UntilClose;
         self.done
     }
 
-    /// The next piece of what was read; `None` where more has to be read or the body is done.
+    /// Removes the next piece of the body from `buf`; `None` at the end or if more input is needed.
     pub fn next(&mut self, buf: &mut BytesMut) -> Result<Option<Bytes>, Malformed> {
         if self.done || buf.is_empty() {
             return Ok(None);
@@ -438,7 +438,7 @@
     put_field(buf, name.as_bytes(), value.to_string().as_bytes());
 }
 
-/// Writes an answer's first line.
+/// Writes the status line of an answer.
 pub fn put_status(buf: &mut BytesMut, status: u16) {
     let reason = hyper::StatusCode::from_u16(status)
         .ok()
@@ -447,7 +447,7 @@
     buf.put_slice(format!("HTTP/1.1 {status} {reason}\r\n").as_bytes());
 }
 
-/// Writes one chunk.
+/// Writes one chunk. Skips an empty piece, because an empty chunk would end the body.
 pub fn put_chunk(buf: &mut BytesMut, piece: &[u8]) {
     if piece.is_empty() {
         return;
@@ -457,5 +457,5 @@
     buf.put_slice(b"\r\n");
 }
 
-/// What ends a chunked body.
+/// Terminates a chunked body that has no trailers.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
