--- a/src/protocol/mirror.rs
+++ b/src/protocol/mirror.rs
@@ -1,5 +1,5 @@
-//! What entry VMs tell one another of the platform's store, so that one of them reads it for the
-//! others.
+//! Messages with which an entry VM that reads the platform's store forwards its contents to
+//! followers, so that not every VM reads the store.
 
 use std::io::{self, Read, Write};
 
@@ -7,69 +7,69 @@
 use flate2::{read, write};
 
 data! {
-    /// A key of the store with its value. What the value means is not known here.
+    /// A key of the store with its value, which this module does not interpret.
     pub struct Record {
         /// The key.
         pub key: String,
-        /// The value; `None` where the key was removed.
+        /// The value; `None` if the key was removed.
         pub value: Option<Bytes>,
     }
 
-    /// The first message on a link, from the one who wants to know.
+    /// The first message on a link, sent by the follower.
     pub struct Ask {
-        /// Whether only what comes straight from the store will do. A VM that starts while the
-        /// store is away takes what there is.
+        /// Whether the sender must read the store itself. A VM that starts during a store outage
+        /// also accepts an older copy.
         pub fresh: bool,
-        /// How long the one who asks can wait for it, in milliseconds.
+        /// How long the follower can wait for the snapshot, in milliseconds.
         #[serde(default)]
         pub wait_ms: u64,
-        /// The store's revision that it knows already; 0: it knows nothing.
+        /// The store revision that the follower already has; 0 if it has none.
         #[serde(default)]
         pub since: u64,
     }
 
-    /// What the other one answers.
+    /// The answer to a follower.
     pub enum Message {
-        /// All that it knows.
+        /// A snapshot of all records.
         Whole {
             /// The records.
             records: Vec<Record>,
             /// The store's revision that they show.
             revision: u64,
         },
-        /// What has changed since the last message. It comes with each answer of the store, also
-        /// where nothing has changed, and so says that the reader reads.
+        /// A delta since the last message. The sender forwards each answer of the store, also an
+        /// empty one, so that followers know that it still reads the store.
         Changes {
             /// The records.
             records: Vec<Record>,
             /// The store's revision that they show.
             revision: u64,
         },
-        /// It does not read the store.
+        /// The VM does not read the store.
         NotReading,
     }
 }
 
-/// Why a message cannot be read.
+/// A message that cannot be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
-#[error("a message of an entry VM cannot be read: {0}; run the same version on all entry VMs")]
+#[error("invalid message of an entry VM: {0}; run the same version on all entry VMs")]
 pub struct Error(String);
 
-/// From which length on a message is packed, in bytes. Shorter ones, as most are, gain less than
-/// the work costs.
+/// Messages longer than this are compressed. Most messages are shorter, and compressing them costs
+/// more than it saves.
 const PACK: usize = 4 << 10;
 
-/// The longest message that is unpacked, in bytes: the store's longest values and a thousand times
-/// as many backend servers as there are.
+/// Maximum length of a decompressed message. It covers the store's longest values and a thousand
+/// times the present number of backend servers.
 const LONGEST: u64 = 64 << 20;
 
-/// The first byte of a message that stands as it is.
+/// First byte of an uncompressed message.
 const PLAIN: u8 = 0;
 
-/// The first byte of a message that is packed with deflate.
+/// First byte of a message compressed with deflate.
 const PACKED: u8 = 1;
 
-/// Encodes a message. A long one is packed, so that narrow links carry it soon.
+/// Encodes a message and compresses it if it is long, to save time on slow links.
 pub fn encode<T: serde::Serialize>(message: &T) -> Result<Vec<u8>, Error> {
     let mut buf = vec![PLAIN];
     ciborium::into_writer(message, &mut buf).map_err(|err| Error(err.to_string()))?;
@@ -98,6 +98,6 @@
             let unpacked = io::BufReader::new(read::DeflateDecoder::new(rest).take(LONGEST));
             ciborium::from_reader(unpacked).map_err(|err| Error(err.to_string()))
         }
-        form => Err(Error(format!("its form is {form}"))),
+        form => Err(Error(format!("unknown format {form}"))),
     }
 }
