--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,5 @@
-//! Messages and headers, their checks and their codecs.
+//! Messages and headers exchanged with callers, backend servers, operators and other entry VMs:
+//! types, validation, encoding and decoding.
 
 pub mod backend;
 pub mod backend_http;
