--- a/src/protocol/names.rs
+++ b/src/protocol/names.rs
@@ -1,28 +1,27 @@
-//! The names of the fields that requests and answers carry, where a deployment may choose them.
+//! Names of the header fields of requests and answers that a deployment can configure.
 
 use super::headers;
 
-/// The names in force.
+/// The configured names.
 #[derive(Clone, Copy, Debug)]
 pub struct Names {
-    /// A request's id; backend servers repeat it.
+    /// Id of a request; backend servers echo it.
     pub id: &'static str,
-    /// How many milliseconds the sender waits.
+    /// The sender's timeout, in milliseconds.
     pub timeout_ms: &'static str,
-    /// The incarnation of the backend server that the request is meant for.
+    /// Incarnation of the backend server to which the request is addressed.
     pub instance: &'static str,
-    /// Present where a backend server did not run the request.
+    /// Present if the backend server did not run the request.
     pub not_run: &'static str,
-    /// Present on each whole answer of a backend server.
+    /// Present on every complete answer of a backend server.
     pub proof: &'static str,
-    /// Requests that run, requests that wait and slots, with commas between.
+    /// In-flight requests, queued requests and slots, separated by commas.
     pub load: &'static str,
-    /// The cookie that names the object of a request.
+    /// Name of the cookie that identifies the object of a request.
     pub object_cookie: &'static str,
-    /// A caller's key. Backend servers never get it.
+    /// A customer's key. It is never sent to backend servers.
     pub key: &'static str,
-    /// The name of the customer who asks, for backend servers. What a caller writes there counts
-    /// for nothing.
+    /// Name of the customer, for backend servers. A value that the caller sets is ignored.
     pub customer: &'static str,
 }
 
@@ -43,8 +42,8 @@
 }
 
 impl Names {
-    /// Whether a field is one that says who asks, in any spelling that some program takes for it:
-    /// many read an underscore as a hyphen.
+    /// Whether a field identifies the customer. Case and the difference between underscore and hyphen
+    /// are ignored, because many servers treat such spellings as equal.
     pub fn tells_who(&self, field: &[u8]) -> bool {
         let alike = |name: &str| {
             let fold = |b: &u8| match b {
@@ -57,7 +56,7 @@
     }
 }
 
-/// The value of a cookie among the pairs of a `Cookie` field.
+/// The value of a cookie in a `Cookie` field.
 pub fn cookie<'a>(field: &'a str, name: &str) -> Option<&'a str> {
     field.split(';').find_map(|pair| {
         let (key, value) = pair.trim().split_once('=')?;
@@ -65,7 +64,7 @@
     })
 }
 
-/// The load that an answer carried: running, waiting and slots.
+/// Parses the load that an answer reports: in-flight requests, queued requests and slots.
 pub fn load(text: &str) -> Option<(u32, u32, u32)> {
     let mut parts = text.split(',').map(|part| part.trim().parse().ok());
     Some((parts.next()??, parts.next()??, parts.next()??))
