--- a/src/protocol/operators.rs
+++ b/src/protocol/operators.rs
@@ -1,4 +1,4 @@
-//! What an entry process tells operators of itself, as JSON on its operators' listener.
+//! Status of an entry process, served as JSON on its operators' listener.
 
 use std::collections;
 
@@ -12,42 +12,42 @@
         pub vm: String,
         /// Its availability zone.
         pub az: String,
-        /// This start of the process.
+        /// Incarnation of the process.
         pub incarnation: u64,
-        /// How long it has run, in seconds.
+        /// Uptime of the process, in seconds.
         pub uptime_s: u64,
-        /// Why callers should not come here; empty when it is ready.
+        /// Reasons why callers should not use this VM; empty if it is ready.
         pub not_ready: Vec<String>,
-        /// Each team's settings in force here, by version.
+        /// Version of each team's settings that is in force on this VM.
         pub settings: collections::BTreeMap<id::TeamId, u64>,
         /// Whether the last call to the platform's store was answered.
         pub store_up: bool,
-        /// Entry VMs that this one hears from.
+        /// Number of entry VMs from which this one receives messages.
         pub peers: u64,
-        /// Each service.
+        /// State of each service.
         pub services: collections::BTreeMap<id::ServiceId, Service>,
-        /// Places that are being emptied.
+        /// Active drains.
         pub drains: Vec<Drain>,
     }
 
-    /// A service as this VM sees it.
+    /// State of a service on this VM.
     #[derive(Copy, Default)]
     pub struct Service {
-        /// Slots of the backend servers that take work in this availability zone.
+        /// Slots of the backend servers in this availability zone that accept requests.
         pub slots: u64,
-        /// Requests that they work on for this VM.
+        /// Requests of this VM in flight at these backend servers.
         pub in_flight: u64,
-        /// Requests that wait on this VM.
+        /// Requests queued on this VM.
         pub queued: u64,
     }
 
-    /// A place that is being emptied.
+    /// An active drain.
     pub struct Drain {
-        /// The place.
+        /// The region, availability zone or VM that is drained.
         pub target: String,
-        /// When it began, in seconds since 1970.
+        /// Start of the drain, in seconds since the Unix epoch.
         pub start_s: u64,
-        /// The share of this VM's own traffic that still goes there.
+        /// Share of this VM's traffic that is still sent to the target.
         pub remaining: f64,
     }
 }
