--- a/src/protocol/outcome.rs
+++ b/src/protocol/outcome.rs
@@ -1,5 +1,5 @@
-//! What a caller is told when there is no backend server's answer: an outcome that is true, why,
-//! what to do, and when to come back.
+//! The answer to a caller whose request got no answer from a backend server: the outcome, which is
+//! `not-run` only if the request certainly did not run, the reason, the remedy and the retry time.
 
 use std::time;
 
@@ -9,33 +9,33 @@
 use crate::decisions::policy;
 
 data! {
-    /// What became of a request.
+    /// Outcome of a request.
     #[derive(Copy, Eq)]
     #[serde(rename_all = "kebab-case")]
     pub enum Outcome {
         /// A backend server answered it.
         Answered,
-        /// It did not run and will not.
+        /// It did not run and will not run.
         NotRun,
         /// It may have run.
         Unknown,
     }
 
-    /// The JSON body of every answer that is not a backend server's.
+    /// JSON body of every answer that does not come from a backend server.
     pub struct Body {
-        /// What became of the request.
+        /// Outcome of the request.
         pub outcome: Outcome,
-        /// Why, as one word.
+        /// The reason, as one word.
         pub reason: String,
-        /// Why and what to do, for people.
+        /// The reason and the remedy, as a sentence for humans.
         pub message: String,
-        /// When to come back, in milliseconds; absent where coming back would not help.
+        /// Time after which to retry, in milliseconds; absent if a retry would not help.
         pub retry_after_ms: Option<u64>,
     }
 }
 
 impl Outcome {
-    /// The word of the header.
+    /// Value of the outcome header.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -45,11 +45,11 @@
     }
 }
 
-/// Why a request got no backend server's answer.
+/// Why a request got no answer from a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
-    /// The path is neither a look-up nor a service's.
-    #[error("no such path; ask GET /lookup/<service>, or send requests to /<service>/<path>")]
+    /// The path is neither a look-up nor that of a service.
+    #[error("no such path; send GET /lookup/<service>, or send requests to /<service>/<path>")]
     UnknownPath,
     /// The service is not declared.
     #[error("no service `{0}` is declared; check the name, or declare it in the settings")]
@@ -66,13 +66,13 @@
         /// The path under the service.
         path: String,
     },
-    /// A look-up came with another method.
+    /// A look-up was sent with a method other than GET.
     #[error("look-ups are read with GET; send GET /lookup/<service>")]
     LookupMethod,
-    /// A non-idempotent request came without a key.
+    /// A non-idempotent request has no key.
     #[error(
-        "this operation may run only once and the request has no Idempotency-Key; ask \
-         /lookup/<service> for a ticket and append `.` and a number of your own"
+        "this operation is not idempotent and the request has no Idempotency-Key; get a ticket from \
+         /lookup/<service> and append `.` and a number that you have not used before"
     )]
     NoKey,
     /// The key is malformed.
@@ -81,52 +81,56 @@
     /// The key was used with another method, path, body or credentials.
     #[error("the key was used for a different request; use a new key for a new request")]
     KeyReused,
-    /// The ticket expired before the key was seen for the first time.
-    #[error("the ticket has expired; ask /lookup/<service> for a new one")]
+    /// The ticket expired before the first request with the key arrived.
+    #[error("the ticket has expired; get a new one from /lookup/<service>")]
     TicketExpired,
-    /// The ticket expired so long ago that the key may have been forgotten.
+    /// The ticket expired so long ago that the key may have been removed from memory.
     #[error(
-        "the ticket expired so long ago that its keys are forgotten; find out from the service \
-         whether it ran before you send it with a new ticket"
+        "the ticket expired so long ago that its keys are no longer stored; check with the service \
+         whether the request ran before you send it with a new ticket"
     )]
     TicketForgotten,
-    /// The process that issued the ticket is gone, and its memory with it.
+    /// The process that issued the ticket has ended, and its record of keys is lost.
     #[error(
-        "the entry VM that issued the ticket has restarted or gone; find out from the service \
-         whether it ran before you send it with a new ticket"
+        "the entry VM that issued the ticket has restarted or stopped; check with the service \
+         whether the request ran before you send it with a new ticket"
     )]
     TicketVoid,
-    /// The process that issued the ticket did not answer.
-    #[error("the entry VM that issued the ticket does not answer; send the same key again later")]
+    /// The entry VM that issued the ticket did not answer.
+    #[error("the entry VM that issued the ticket does not answer; retry later with the same key")]
     HomeSilent,
-    /// Too many keys are remembered already.
-    #[error("this entry VM remembers as many keys as it can; come back when some have expired")]
+    /// The table of keys is full.
+    #[error("the key table of this entry VM is full; retry when some keys have expired")]
     KeysFull,
-    /// It ran, and its answer is no longer kept.
-    #[error("it ran, and its answer is no longer kept; read its result from the service")]
+    /// The request ran, and its answer is no longer stored.
+    #[error("the request ran, and its answer is no longer stored; get the result from the service")]
     AnswerGone,
-    /// The timeout header is no sound number.
-    #[error("Bulrushwind-Timeout-Ms is `{0}`; give milliseconds from 1 to 600000")]
+    /// The timeout header is malformed or out of range.
+    #[error("Bulrushwind-Timeout-Ms is `{0}`; set it to 1 to 600000 milliseconds")]
     BadTimeout(String),
-    /// The body is too large.
-    #[error("the body is larger than the {0} bytes that are allowed; send less")]
+    /// The body exceeds the limit, in bytes.
+    #[error("the body exceeds the limit of {0} bytes; send a smaller one")]
     TooLarge(usize),
-    /// The body did not arrive in full.
-    #[error("the body did not arrive in full; send it again at once and whole")]
+    /// The body arrived incompletely.
+    #[error("the body is incomplete; send the request again with the complete body")]
     BodyIncomplete,
-    /// This VM holds as many bodies as it can.
-    #[error("this entry VM holds as many request bodies as it can; come back, or use another one")]
+    /// The memory for request bodies on this VM is used up.
+    #[error(
+        "the memory for request bodies on this entry VM is full; retry later, or use another entry VM"
+    )]
     Busy,
-    /// The policy turned it away.
+    /// The admission policy refused the request. Carries the time after which to retry.
     #[error("{}", refusal(.0))]
     Refused(policy::Refusal, time::Duration),
-    /// It was sent and no answer came.
-    #[error("it was sent to a backend server and no complete answer came; send the same key again")]
+    /// The request was sent, and no complete answer arrived. Carries the time after which to retry.
+    #[error(
+        "the request was sent to a backend server and no complete answer arrived; retry with the same key"
+    )]
     Lost(time::Duration),
 }
 
 impl Problem {
-    /// What became of the request.
+    /// Outcome of the request.
     pub fn outcome(&self) -> Outcome {
         match self {
             Self::TicketForgotten
@@ -161,7 +165,7 @@
         }
     }
 
-    /// When to come back; `None` where the same request would be turned away again.
+    /// Time after which to retry; `None` if the same request would be refused again.
     pub fn retry_after(&self) -> Option<time::Duration> {
         match self {
             Self::Refused(_, after) | Self::Lost(after) => Some(*after),
@@ -225,25 +229,27 @@
 
 fn refusal(why: &policy::Refusal) -> &'static str {
     match why {
-        policy::Refusal::Overload => "more work than slots; come back after the time stated",
+        policy::Refusal::Overload => "the service is overloaded; retry after the stated time",
         policy::Refusal::Deadline => {
-            "it could not be answered in time; come back after the time stated, or wait longer"
+            "the request cannot be answered in time; retry after the stated time, or set a longer timeout"
         }
         policy::Refusal::CallerShare => {
-            "this caller has its share in hand already; wait for answers before sending more"
+            "this caller has reached its share of in-flight requests; wait for answers before sending more"
         }
         policy::Refusal::NoBackend => {
-            "no backend server takes work now; come back after the time stated"
+            "no backend server accepts requests now; retry after the stated time"
         }
         policy::Refusal::Quarantined => {
-            "requests like it crashed backend servers; change it, or tell the service's owners"
+            "similar requests crashed backend servers; change the request, or inform the service's owners"
         }
         policy::Refusal::Shed => {
-            "every backend server that was tried refused it; come back after the time stated"
+            "all backend servers tried shed the request; retry after the stated time"
+        }
+        policy::Refusal::CallerGone => {
+            "the caller disconnected before the request ran; send it again"
         }
-        policy::Refusal::CallerGone => "its caller went away before it ran; send it again",
         policy::Refusal::Stopping => {
-            "this entry VM is stopping; ask /lookup/<service> which one to use"
+            "this entry VM is stopping; use one that /lookup/<service> lists"
         }
     }
 }
