--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -1,9 +1,9 @@
 //! Messages between entry processes, as CBOR.
 //!
-//! A fleet is upgraded VM by VM, so two versions always talk to each other for a while. A field
-//! that a process does not know is skipped; a kind of message that it does not know is dropped
-//! and counted as [`Error::Unknown`], and the link stays. What is no message at all, or larger
-//! than [`MAX_BYTES`], is refused: one who notices sees `bulrushwind_peer_refused_total` grow.
+//! A fleet is upgraded VM by VM, so two versions exchange messages during an upgrade. The decoder
+//! ignores unknown fields. A message of unknown type is dropped and counted as [`Error::Unknown`],
+//! and the link stays open. Malformed messages and messages larger than [`MAX_BYTES`] are refused
+//! and counted in `bulrushwind_peer_refused_total`.
 
 use std::collections;
 use std::sync;
@@ -13,115 +13,115 @@
 use crate::decisions::{grants, plan, quarantine};
 use crate::id;
 
-/// The largest message, in bytes: a store value of 1 MB and what goes around it.
+/// Maximum length of a message, in bytes: a store value of 1 MB plus its framing.
 pub const MAX_BYTES: usize = 1_250_000;
 
-/// Bans that are taken from one message. A service that has more at once has another fault, and a
-/// peer that sends more is not to fill our table.
+/// Maximum number of bans accepted from one message, so that a faulty peer cannot fill the table. A
+/// service with more bans at once has a fault other than single crashing requests.
 pub const MAX_BANS: usize = 64;
 
-/// How deep a message may nest. A peer that nests deeper would cost us our stack.
+/// Maximum nesting depth of a message. Deeper nesting could overflow the stack.
 const MAX_DEPTH: usize = 24;
 
-/// Why bytes are no message for us.
+/// Why a message is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It is larger than any message.
-    #[error("a message of {0} bytes, over {MAX_BYTES}; send settings of one team at a time")]
+    /// It is longer than [`MAX_BYTES`].
+    #[error("message of {0} bytes exceeds {MAX_BYTES}; send settings of one team at a time")]
     TooLarge(usize),
-    /// It is not CBOR, or its fields do not fit.
-    #[error("not a peer message: {0}; check that this peer runs a version of ours")]
+    /// It is not CBOR, or its fields do not match.
+    #[error("malformed peer message: {0}; check which software version this peer runs")]
     Malformed(String),
-    /// A kind or value that only a newer version knows.
-    #[error("a message of a newer version: {0}; upgrade this VM too")]
+    /// A message type or value that only a newer version supports.
+    #[error("message of a newer version: {0}; upgrade this VM too")]
     Unknown(String),
 }
 
 data! {
-    /// What one entry process tells another.
+    /// A message from one entry process to another.
     #[non_exhaustive]
     pub enum Message {
-        /// The sender, or the one it speaks for, runs and may be reader of its availability zone.
+        /// Heartbeat of a candidate for reader of an availability zone, possibly relayed by the sender.
         Alive(Alive),
-        /// Somebody stopped hearing from a reader.
+        /// The sender no longer receives heartbeats of a reader.
         Accuse(Accuse),
-        /// One signed value of the store under `settings/` or `keys/`.
+        /// A signed store value under `settings/` or `keys/`.
         Signed(Signed),
-        /// What the sender holds, in short.
+        /// Digest of the signed values that the sender holds.
         Digest(Digest),
-        /// What the sender holds, key by key.
+        /// Version and hash of each signed value that the sender holds.
         Held(Vec<Held>),
-        /// Keys whose values the sender asks for.
+        /// Keys whose values the sender requests.
         Want(Vec<String>),
-        /// The platform's list of VMs, as the reader of the availability zone last saw it.
+        /// The platform's list of VMs, as last read by the reader of the availability zone.
         Vms(VmList),
-        /// The sender asks for the list of VMs.
+        /// Request for the list of VMs.
         WantVms,
-        /// An entry process is about to stop as planned.
+        /// An entry process is about to stop.
         Leaving(Leaving),
-        /// What one entry VM has in hand, for the others of its availability zone.
+        /// Load of one entry VM, for the others of its availability zone.
         Work(Work),
-        /// What an availability zone has in hand, for whoever computes the plan.
+        /// Load of an availability zone, for the VM that computes the steering plan.
         Loads(Loads),
-        /// A sender wants to send work across.
+        /// Request for a grant to forward requests to another availability zone.
         AskGrant(AskGrant),
-        /// Leave to send work across.
+        /// A grant to forward requests to another availability zone.
         Granted(Granted),
-        /// The newest version of the steering plan that the sender knows.
+        /// The newest steering plan that the sender holds.
         Plan(plan::Plan),
-        /// Requests that crashed backend servers.
+        /// Bans of requests that crashed backend servers.
         Bans(Bans),
     }
 
-    /// Requests of one service that are refused for a while because they crash backend servers.
+    /// Requests of one service that are temporarily refused because they crash backend servers.
     pub struct Bans {
         /// The service.
         pub service: id::ServiceId,
-        /// What is banned, at most [`MAX_BANS`].
+        /// The bans, at most [`MAX_BANS`].
         pub entries: Vec<quarantine::Ban>,
     }
 
-    /// What one entry VM has in hand.
+    /// Load of one entry VM.
     pub struct Work {
-        /// A row a service.
+        /// One row per service.
         pub rows: Vec<WorkRow>,
     }
 
-    /// What one entry VM has in hand of one service.
+    /// Load of one service on one entry VM.
     pub struct WorkRow {
         /// The service.
         pub service: id::ServiceId,
-        /// Slots of the backend servers that take work from it.
+        /// Slots of the backend servers that accept requests from it.
         pub slots: u32,
-        /// Requests in hand, its own callers' and those under grants.
+        /// Requests in flight or queued, both from its own callers and under grants.
         pub in_hand: u32,
-        /// Slots of these backend servers in use, on average over the last second.
+        /// Average number of slots of these backend servers in use over the last second.
         pub in_use: f64,
-        /// Work that callers bring, answered or not, in slots, by the callers' region.
+        /// Demand of callers, answered or not, in slots, by the callers' region.
         pub demand: collections::BTreeMap<id::RegionId, f64>,
     }
 
-    /// What an availability zone has in hand.
+    /// Load of an availability zone.
     pub struct Loads {
         /// The availability zone.
         pub az: id::AzId,
-        /// The entry VM that added it up, and its process start.
+        /// The entry VM that computed the sums.
         pub by: id::VmId,
-        /// Which start of it.
+        /// Incarnation of that entry VM.
         pub incarnation: id::Incarnation,
-        /// Counts what it sent, so that each is passed on once.
+        /// Sequence number, so that each message is forwarded only once.
         pub seq: u64,
-        /// A row a service.
+        /// One row per service.
         pub rows: Vec<WorkRow>,
     }
 
-    /// A wish for a grant.
+    /// A request for a grant.
     pub struct AskGrant {
         /// The service.
         pub service: id::ServiceId,
-        /// Requests a second.
+        /// Requested rate, in requests per second.
         pub per_s: f64,
-        /// The asker's time, sent back with the answer.
+        /// Time at the requester, echoed in the answer.
         pub asked: time::Duration,
     }
 
@@ -129,85 +129,85 @@
     pub struct Granted {
         /// The grant.
         pub grant: grants::Grant,
-        /// The asker's time when it asked.
+        /// The time that the request contained.
         pub asked: time::Duration,
     }
 
-    /// A heartbeat of one that contends for reader.
+    /// Heartbeat of a candidate for reader.
     #[derive(Eq)]
     pub struct Alive {
-        /// Whose heartbeat.
+        /// The candidate.
         pub vm: id::VmId,
-        /// Its process start.
+        /// Its incarnation.
         pub incarnation: id::Incarnation,
-        /// How often it was accused with cause.
+        /// Number of accusations against it that it accepted.
         pub counter: u64,
-        /// How often it gave the role up of its own accord.
+        /// Number of times it gave up the role voluntarily.
         pub phase: u64,
-        /// Counts its heartbeats, so that each is passed on once.
+        /// Sequence number of the heartbeat, so that each is forwarded only once.
         pub seq: u64,
-        /// A hash of the list of VMs that it goes by.
+        /// Hash of the list of VMs that it uses.
         pub list: u64,
         /// Whether the store answered its last call.
         #[serde(default)]
         pub store_up: bool,
     }
 
-    /// Word to a reader that its heartbeats did not arrive.
+    /// Notifies a reader that its heartbeats did not arrive.
     #[derive(Eq)]
     pub struct Accuse {
-        /// Who is accused.
+        /// The accused reader.
         pub vm: id::VmId,
-        /// The process start that was heard last.
+        /// Incarnation in the last heartbeat received.
         pub incarnation: id::Incarnation,
-        /// The phase that was heard last.
+        /// Phase in the last heartbeat received.
         pub phase: u64,
     }
 
-    /// A signed value, byte for byte as it stands in the store, so that a process of an older
-    /// version can pass on fields that it does not know without breaking the signature.
+    /// A signed value, byte for byte as in the store, so that a process of an older version can
+    /// forward fields that it does not support without invalidating the signature.
     #[derive(Eq)]
     pub struct Signed {
         /// The key in the store.
         pub key: String,
-        /// The value, JSON.
+        /// The value, as JSON.
         pub text: sync::Arc<str>,
     }
 
-    /// All that a process holds, as one number.
+    /// Summary of all signed values that a process holds.
     #[derive(Copy, Eq)]
     pub struct Digest {
-        /// How many keys.
+        /// Number of keys.
         pub keys: u64,
-        /// A hash over keys, versions and texts.
+        /// Hash over keys, versions and texts.
         pub hash: u64,
     }
 
-    /// The version of one key.
+    /// Version of the value of one key.
     #[derive(Eq)]
     pub struct Held {
         /// The key in the store.
         pub key: String,
         /// Its version.
         pub version: u64,
-        /// A hash of its text.
+        /// Hash of its text.
         pub hash: u64,
     }
 
     /// The platform's list of VMs.
     pub struct VmList {
-        /// The reader that read it.
+        /// The reader that read the list from the platform.
         pub reader: id::VmId,
         /// The rows.
         pub rows: Vec<store::Vm>,
     }
 
-    /// Word of an entry process that stops.
+    /// Announces that an entry process is stopping.
     #[derive(Eq)]
     pub struct Leaving {
         /// Its VM.
         pub vm: id::VmId,
-        /// Its process start. A later one of the same VM is not leaving.
+        /// Its incarnation. A later incarnation of the same VM is not leaving.
         pub incarnation: id::Incarnation,
     }
 }
@@ -284,9 +284,8 @@
         }
     }
 
-    /// Half of the fleet runs a newer version, which sends a field and a kind of message that the
-    /// older half does not know. If the older half dropped the links for that, an upgrade would
-    /// cut the fleet in two.
+    /// During an upgrade, half of the fleet sends a field and a message type that the other half does
+    /// not support. If the older half closed these links, the upgrade would partition the fleet.
     #[test]
     fn a_newer_version_is_understood_as_far_as_it_goes() {
         let mut value = ciborium::Value::serialized(&alive()).unwrap();
@@ -298,8 +297,8 @@
         assert!(matches!(decode(&to_bytes(&newer)), Err(Error::Unknown(_))));
     }
 
-    /// A broken or hostile peer sends what is no message. A process that panicked on it, or kept
-    /// all it was sent, would take its callers down with it.
+    /// A faulty or malicious peer sends malformed or oversized messages. They must neither crash the
+    /// process nor exhaust its memory.
     #[test]
     fn what_is_no_message_is_refused() {
         let deep = vec![0x81; 10_000];
@@ -309,7 +308,7 @@
         let mut trailing = encode(&alive());
         trailing.push(0);
         assert!(matches!(decode(&trailing), Err(Error::Malformed(_))));
-        // A list that claims to hold 2^62 rows.
+        // A list with a declared length of 2^62.
         let claim = [
             &[0xa1, 0x64][..],
             b"Want",
