--- a/src/protocol/routes.rs
+++ b/src/protocol/routes.rs
@@ -1,7 +1,7 @@
-//! Routes: which service a request goes to, and what may be done with it.
+//! Routes: which service gets a request, and its timeout, attempts, priority and regions.
 //!
-//! A configuration is one version of all routes, services and limits. It is replaced whole, and
-//! only by a later version, so that no request is handled by a mixture of two.
+//! A configuration is one version of all routes, services and limits. It is replaced as a whole, and
+//! only by a later version, so that no request is handled with a mixture of two versions.
 
 use std::collections;
 use std::rc;
@@ -10,68 +10,68 @@
 use super::customers;
 use crate::id;
 
-/// A part of a route's traffic.
+/// A service to which a route sends a share of its traffic.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Part {
-    /// The service that gets it.
+    /// The service.
     pub service: id::ServiceId,
-    /// Its share among the parts, in any unit.
+    /// Its weight relative to the other parts.
     pub weight: f64,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Its name, used in logs.
     pub name: String,
-    /// The host that it serves, in lower case and without a port.
+    /// The host that it serves, in lower case, without a port.
     pub host: String,
-    /// The paths that it serves begin so; it ends with a slash.
+    /// Prefix of the paths that it serves; ends with a slash.
     pub prefix: String,
-    /// Whether a request may run more than once.
+    /// Whether requests may run more than once.
     pub idempotent: bool,
-    /// How long a caller is kept waiting at most.
+    /// Maximum time until the caller gets an answer.
     pub timeout: time::Duration,
-    /// Within which time an answer is worth most.
+    /// Target latency.
     pub aim: time::Duration,
-    /// At how many backend servers one request may run.
+    /// Maximum number of backend servers at which one request may run.
     pub attempts: u32,
-    /// Its rank; 0 goes first.
+    /// Its priority; 0 is the highest.
     pub priority: u32,
-    /// Whether it serves callers without a key.
+    /// Whether it serves callers that have no key.
     pub public: bool,
-    /// Whether backend servers answer faster for an object that they handled lately.
+    /// Whether backend servers answer faster for an object that they handled recently (affinity).
     pub sticky: bool,
-    /// The services, with their shares.
+    /// The services, with their weights.
     pub parts: Vec<Part>,
-    /// The regions that may serve it; empty: all.
+    /// Regions that may serve it; empty: all.
     pub regions: Vec<id::RegionId>,
 }
 
 impl Route {
-    /// The rank of a request on it.
+    /// Priority of a request of `customer` on this route; 0 is the highest.
     pub fn rank(&self, customer: Option<&customers::Customer>) -> u32 {
         customer.and_then(|c| c.priority).unwrap_or(self.priority)
     }
 }
 
-/// The regions in which a request may run: those of its route and of its customer, where these
-/// name any.
+/// Residency rules of a request: it may run only in regions that both its route and its customer
+/// allow.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Homes<'a> {
-    /// The route's; empty: all.
+    /// Regions that the route allows; empty: all.
     pub route: &'a [id::RegionId],
-    /// The customer's; empty: all.
+    /// Regions that the customer allows; empty: all.
     pub customer: &'a [id::RegionId],
 }
 
 impl Homes<'_> {
-    /// Whether it may run anywhere.
+    /// Whether the request may run in every region.
     pub fn are_open(&self) -> bool {
         self.route.is_empty() && self.customer.is_empty()
     }
 
-    /// Whether it may run in a region; where that is not known, only what may run anywhere does.
+    /// Whether the request may run in `region`. `None` allows only unrestricted requests.
     pub fn allow(&self, region: Option<&id::RegionId>) -> bool {
         let names = |list: &[id::RegionId]| {
             list.is_empty() || region.is_some_and(|region| list.contains(region))
@@ -80,30 +80,30 @@
     }
 }
 
-/// One service.
+/// A service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Its name.
     pub name: id::ServiceId,
-    /// Requests a second that a cold backend server bears.
+    /// Requests per second that a backend server with a cold cache can handle.
     pub cold_rate: f64,
 }
 
-/// What a caller may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// The longest head, in bytes.
+    /// Maximum length of a head, in bytes.
     pub head: usize,
-    /// The longest body, in bytes.
+    /// Maximum length of a body, in bytes.
     pub body: u64,
-    /// How long a head may take to arrive.
+    /// Maximum time until a head has arrived.
     pub head_timeout: time::Duration,
-    /// How long a connection may rest.
+    /// Maximum time that a connection may be idle.
     pub idle_timeout: time::Duration,
 }
 
 impl Default for Limits {
-    /// In force until the first configuration is known: what common servers allow.
+    /// Limits used until the first configuration is loaded. They match those of common servers.
     fn default() -> Self {
         Self {
             head: 16 << 10,
@@ -117,21 +117,21 @@
 /// One version of all routes, services and limits.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    /// The version. A larger one is later.
+    /// The version. A larger number is a later version.
     pub version: u64,
     /// The services by name.
     pub services: collections::HashMap<id::ServiceId, Service>,
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     pub limits: Limits,
-    /// Who may ask; none: everybody.
+    /// The customers. If there are none, every caller is served without a key.
     pub customers: customers::Customers,
     by_host: collections::HashMap<String, collections::HashMap<String, rc::Rc<Route>>>,
-    /// The rank of the most urgent requests of each service.
+    /// The highest priority among the requests of each service.
     first: collections::HashMap<id::ServiceId, u32>,
 }
 
 impl Table {
-    /// Builds a version.
+    /// Builds a version without customers.
     pub fn new(version: u64, routes: Vec<Route>, services: Vec<Service>, limits: Limits) -> Self {
         let mut by_host: collections::HashMap<_, collections::HashMap<_, _>> =
             collections::HashMap::new();
@@ -152,12 +152,12 @@
         .ranked()
     }
 
-    /// The same with customers.
+    /// Returns this version with the given customers.
     pub fn with_customers(self, customers: customers::Customers) -> Self {
         Self { customers, ..self }.ranked()
     }
 
-    /// Works out the rank of the most urgent requests of each service.
+    /// Computes the highest priority among the requests of each service.
     fn ranked(mut self) -> Self {
         let mut first = collections::HashMap::new();
         for route in self.routes() {
@@ -171,7 +171,7 @@
         self
     }
 
-    /// The rank of a route's most urgent requests.
+    /// The highest priority among a route's requests.
     fn most_urgent(&self, route: &Route) -> u32 {
         if !self.needs_key(route) {
             return route.priority;
@@ -180,17 +180,17 @@
         ranks.min().unwrap_or(route.priority)
     }
 
-    /// Whether a route serves only callers with a key.
+    /// Whether a route serves only callers that have a key.
     pub fn needs_key(&self, route: &Route) -> bool {
         !route.public && !self.customers.is_empty()
     }
 
-    /// Whether requests of a rank come behind others of a service.
+    /// Whether a service also has requests of a higher priority than `rank`.
     pub fn is_behind(&self, rank: u32, service: &id::ServiceId) -> bool {
         self.first.get(service).is_some_and(|first| rank > *first)
     }
 
-    /// How many routes there are.
+    /// Number of routes.
     pub fn len(&self) -> usize {
         self.by_host.values().map(|routes| routes.len()).sum()
     }
@@ -205,9 +205,9 @@
         self.by_host.values().flat_map(|routes| routes.values())
     }
 
-    /// The route of a host with the longest prefix of the path. Prefixes end with a slash, so
-    /// each slash of the path is tried from the last one on: as many look-ups as the path has
-    /// parts, however many routes there are.
+    /// Selects the route of a host with the longest matching path prefix. Prefixes end with a slash,
+    /// so one look-up per slash of the path suffices, from the last to the first. The cost does not
+    /// depend on the number of routes.
     pub fn select(&self, host: &str, path: &str) -> Option<&rc::Rc<Route>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.by_host.get(host) {
