--- a/src/protocol/ticket.rs
+++ b/src/protocol/ticket.rs
@@ -1,11 +1,10 @@
-//! Tickets and the keys that callers make of them.
+//! Tickets, and the idempotency keys that callers derive from them.
 //!
-//! What goes wrong without them: a booking whose answer was lost is sent again, through another
-//! entry VM, and runs a second time; one bay is billed to two members. A ticket names the one
-//! process whose memory decides whether a key is new. The caller appends `.` and its own sequence
-//! number or key, so that one cached look-up serves many requests. No other process ever decides
-//! about such a key, so nothing has to be agreed on, and a partition or an outage of the store
-//! cannot cause a second run.
+//! Failure: a caller whose answer was lost sends a booking again through another entry VM, it runs a
+//! second time, and one bay is billed to two members. A ticket therefore names the one process whose
+//! memory decides whether a key is new. The caller appends `.` and its own sequence number or key, so
+//! that one cached look-up serves many requests. Because no other process decides about such a key,
+//! no consensus is needed, and neither a partition nor a store outage can cause a second run.
 
 use std::fmt;
 use std::str;
@@ -14,57 +13,59 @@
 use crate::decisions::policy;
 use crate::id;
 
-/// The longest key, in bytes.
+/// Maximum length of a key.
 pub const MAX_KEY_BYTES: usize = 200;
 
 const VERSION: &str = "t1";
 
 data! {
-    /// What an entry process hands out: `t1.<vm>.<incarnation>.<issued>.<random>`.
+    /// A ticket issued by an entry process: `t1.<vm>.<incarnation>.<issued>.<random>`.
     #[derive(Eq)]
     pub struct Ticket {
         /// The entry VM that issued it.
         pub vm: id::VmId,
-        /// The start of the process that issued it.
+        /// Incarnation of the process that issued it.
         pub incarnation: id::Incarnation,
-        /// When, on the clock of that process, in milliseconds since its start.
+        /// Time of issue on the clock of that process, in milliseconds since its start.
         pub issued_ms: u64,
-        /// Tells apart tickets issued in the same millisecond.
+        /// Distinguishes tickets issued in the same millisecond.
         pub random: u64,
     }
 
-    /// The key of one request: a ticket and the caller's part.
+    /// The idempotency key of a request: a ticket and the caller's suffix.
     #[derive(Eq)]
     pub struct Key {
         /// The ticket.
         pub ticket: Ticket,
-        /// The whole text, which is what gets compared.
+        /// The complete text, by which keys are compared.
         pub text: String,
     }
 }
 
-/// A text that is not a key.
+/// Why a text is not a valid key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// It does not begin with a ticket.
     #[error(
-        "the key does not begin with a ticket; ask /lookup/<service> for one and append `.` and a \
-         number of your own, or send the ticket as Bulrushwind-Ticket beside your own key"
+        "the key does not begin with a ticket; get one from /lookup/<service> and append `.` and a \
+         number that you have not used before, or send the ticket as Bulrushwind-Ticket in addition to your key"
     )]
     NoTicket,
-    /// It is a ticket and nothing else.
-    #[error("the key is a bare ticket; append `.` and a number that this caller has not used yet")]
+    /// It is a ticket without a suffix.
+    #[error(
+        "the key is a ticket without a suffix; append `.` and a number that you have not used before"
+    )]
     NoSequence,
-    /// It is too long.
+    /// It is longer than [`MAX_KEY_BYTES`].
     #[error("the key has {0} bytes; use at most {MAX_KEY_BYTES}")]
     TooLong(usize),
-    /// It holds something else than visible ASCII characters.
-    #[error("the key holds a character that is not visible ASCII; use letters, digits and `-`")]
+    /// It contains a character that is not visible ASCII.
+    #[error("the key contains a character that is not visible ASCII; use letters, digits and `-`")]
     Character,
 }
 
 impl Ticket {
-    /// When it was issued, on the clock of the process that issued it.
+    /// Time of issue, on the clock of the process that issued it.
     pub fn issued(&self) -> policy::Moment {
         time::Duration::from_millis(self.issued_ms)
     }
@@ -82,8 +83,8 @@
 }
 
 impl Key {
-    /// Reads a key. `own` is the text of the key header, `ticket` that of the ticket header, which
-    /// is put before a key that does not begin with a ticket itself.
+    /// Parses a key. `own` is the value of the key header. `ticket`, the value of the ticket header, is
+    /// prefixed to a key that does not begin with a ticket.
     pub fn parse(own: &str, ticket: Option<&str>) -> Result<Self, Error> {
         let text = match ticket {
             Some(ticket) if !own.starts_with(&format!("{VERSION}.")) => format!("{ticket}.{own}"),
@@ -117,7 +118,7 @@
         .ok_or(Error::NoTicket)
 }
 
-/// A VM's name may hold a dot, which parts the fields of a ticket.
+/// Encodes a VM name, which may contain the dot that separates the fields of a ticket.
 fn hex(text: &str) -> String {
     const DIGITS: &[u8; 16] = b"0123456789abcdef";
     let digits = |byte: u8| [byte >> 4, byte & 15].map(|at| char::from(DIGITS[usize::from(at)]));
