--- a/src/protocol/usage.rs
+++ b/src/protocol/usage.rs
@@ -1,45 +1,45 @@
-//! What entry VMs tell one another of the requests that they let in, in single datagrams.
+//! Reports of admitted requests per customer that entry VMs exchange in single datagrams.
 //!
-//! A datagram may be lost, come twice or come late: what it says of a customer stands for itself, and
-//! the number on it tells which of two is later.
+//! A datagram may be lost, duplicated or delayed. Each row is therefore complete for its customer,
+//! and the sequence number shows which of two reports is later.
 
 use crate::id;
 
-/// The longest datagram, in bytes: what passes any link in one piece.
+/// Maximum length of a datagram; at this length no link fragments it.
 pub const LONGEST: usize = 1200;
 
-/// How many customers one datagram tells of: the longest form of a row takes 25 bytes, and what
-/// stands before the rows 100 and the VM's name.
+/// Maximum number of customers in one datagram. A row takes up to 25 bytes, and the fields before
+/// the rows take up to 100 bytes plus the VM's name.
 pub const ROWS: usize = 40;
 
-/// A row without the names of its fields, which would be most of it.
+/// A row encoded without field names, which would take up most of its length.
 type Packed = (u64, u32, u32, u32);
 
 data! {
-    /// What one VM let in of one customer.
+    /// Requests of one customer that one VM admitted.
     #[serde(from = "Packed", into = "Packed")]
     pub struct Row {
-        /// The hash of the customer's name.
+        /// Hash of the customer's name.
         pub customer: u64,
-        /// Requests let in, in the window that ended then.
+        /// Requests admitted in the window that ends with the report.
         pub used: u32,
-        /// Requests let in, a second, just now.
+        /// Requests admitted per second since the previous report.
         pub pace: u32,
-        /// How often it was asked lately.
+        /// Requests in the last fifth of the window, admitted or refused.
         pub asked: u32,
     }
 
-    /// One datagram.
+    /// A report, sent as one datagram.
     pub struct Usage {
-        /// The VM that tells.
+        /// The reporting VM.
         pub vm: id::VmId,
-        /// When its process started, and how many it has sent since: a later one replaces an earlier.
+        /// Start time of its process. A report with a later (start, number) replaces an earlier one.
         pub start: u64,
-        /// See [`Usage::start`].
+        /// Sequence number within the process.
         pub number: u64,
-        /// What it tells.
+        /// The reported customers.
         pub rows: Vec<Row>,
-        /// Whether it let in nothing of any other customer.
+        /// Whether the VM admitted no requests of customers that are not listed.
         pub whole: bool,
     }
 }
@@ -61,19 +61,19 @@
     }
 }
 
-/// Why a datagram cannot be read.
+/// A datagram that cannot be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
-#[error("a datagram of an entry VM cannot be read: {0}; run the same version on all entry VMs")]
+#[error("invalid usage report of an entry VM: {0}; run the same version on all entry VMs")]
 pub struct Error(String);
 
-/// Encodes one.
+/// Encodes a report.
 pub fn encode(usage: &Usage) -> Result<Vec<u8>, Error> {
     let mut buf = Vec::with_capacity(LONGEST);
     ciborium::into_writer(usage, &mut buf).map_err(|err| Error(err.to_string()))?;
     Ok(buf)
 }
 
-/// Decodes one.
+/// Decodes a report. Fails if it is malformed or has too many rows.
 pub fn decode(bytes: &[u8]) -> Result<Usage, Error> {
     let usage: Usage = ciborium::from_reader(bytes).map_err(|err| Error(err.to_string()))?;
     match usage.rows.len() <= ROWS {
