--- a/tests/own_keys.rs
+++ b/tests/own_keys.rs
@@ -1,22 +1,22 @@
-//! Question 1 of the design, counted: who decides whether a key that a caller chose is new?
+//! Compares protocols that decide whether a key chosen by a caller is new.
 //!
-//! A small model in steps of time plays bookings through six entry VMs in three availability
-//! zones while something fails. One booking in five loses its answer and is sent again with the
-//! same key. `cargo test --test own_keys -- --nocapture` prints the counts that
-//! docs/design/at-most-once.md holds.
+//! A time-stepped model sends bookings through six entry VMs in three availability zones during a
+//! fault. One answer in five is lost, and the booking is sent again with the same key.
+//! `cargo test --test own_keys -- --nocapture` prints the counts that
+//! docs/design/at-most-once.md contains.
 
 use std::collections;
 
 use rand::{RngExt, SeedableRng};
 
-/// Milliseconds of one play, and when the fault begins and ends.
+/// Simulated time and the interval of the fault, in milliseconds.
 const END: u64 = 60_000;
 const FAULT: std::ops::Range<u64> = 20_000..40_000;
 
-/// Milliseconds until the platform's list and leases notice a VM that is gone.
+/// Time until the platform's VM list and leases reflect a lost VM.
 const LEASE: u64 = 5_000;
 
-/// Milliseconds between the sends of one booking, and for which a look-up is kept.
+/// Interval between attempts of one booking, and lifetime of a cached look-up.
 const RESEND: u64 = 2_000;
 const CACHED: u64 = 5_000;
 
@@ -35,14 +35,14 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Way {
-    /// A home for each key by hash, over a table of slots in the store that is changed by CAS
-    /// when a lease lapsed.
+    /// Hashing assigns each key to an owner through a slot table in the store. The table is changed
+    /// by compare-and-swap when a lease has expired.
     HashedHome,
-    /// The VM that gets the key asks all others.
+    /// The VM that receives the key queries all others.
     AskAll,
-    /// A hashed home that copies a key to a VM in another availability zone before it runs.
+    /// As `HashedHome`, but the owner replicates the key to another availability zone first.
     CopyFirst,
-    /// The key stands under a ticket of the VM that was looked up.
+    /// The key is prefixed with a ticket of the VM that the look-up returned.
     UnderTicket,
 }
 
@@ -51,7 +51,7 @@
     Answered,
     NotRun,
     Unknown,
-    /// Nothing listens there, so that nothing was sent.
+    /// The connection was refused, so nothing was sent.
     Refused,
 }
 
@@ -69,9 +69,9 @@
     fault: Fault,
     way: Way,
     now: u64,
-    /// What each VM remembers; a restart forgets.
+    /// The keys in the memory of each VM; lost on a restart.
     seen: Vec<collections::HashSet<u64>>,
-    /// The owner of each slot, as the store has it.
+    /// The owner of each slot, according to the store.
     owners: Vec<usize>,
     runs: collections::HashMap<u64, u64>,
 }
@@ -104,7 +104,7 @@
         !out || !self.faulty()
     }
 
-    /// Leases lapse and slots move on, where the store can be reached.
+    /// Moves the slots of VMs with expired leases, if the store is available.
     fn step(&mut self) {
         if self.now == FAULT.start && self.dead(0) {
             self.seen[0].clear();
@@ -137,7 +137,7 @@
             return Told::Refused;
         }
         if self.hit(vm) {
-            // A paused VM takes it and runs nothing before the deadline has passed.
+            // A paused VM accepts the request but runs nothing before the deadline.
             return Told::Unknown;
         }
         match self.way {
@@ -152,7 +152,7 @@
         let listed = |w: &Self, other: usize| !(w.hit(other) && noticed);
         let others: Vec<_> = (0..VMS).filter(|o| *o != vm && listed(self, *o)).collect();
         if others.iter().any(|other| !self.reaches(vm, *other)) {
-            // It may have run at the one that does not answer.
+            // The request may have run at the VM that does not answer.
             return Told::Unknown;
         }
         if others.iter().any(|other| self.seen[*other].contains(&key)) {
@@ -190,7 +190,7 @@
     }
 }
 
-/// A VM in the next availability zone.
+/// The backup VM, in the next availability zone.
 fn backup(vm: usize) -> usize {
     (vm + 2) % VMS
 }
@@ -226,7 +226,7 @@
                 key: world.now,
                 caller_az,
                 home,
-                // The look-up was made some time ago, when its VM still answered.
+                // The look-up is cached; its VM answered at that time.
                 issued: world.now.saturating_sub(rng.random_range(0..CACHED)),
                 sends: 0,
                 next: world.now,
@@ -247,14 +247,14 @@
     counts
 }
 
-/// Sends a booking once more. Returns whether its caller is done with it.
+/// Sends one attempt of a booking. Returns whether the booking is finished.
 fn settle(world: &mut World, booking: &mut Booking, lost: bool, counts: &mut Counts) -> bool {
     let vm = booking.caller_az * 2 + (booking.home + booking.sends as usize) % 2;
     let told = world.send(vm, booking.key, booking.home, booking.issued);
     booking.sends += 1;
     booking.next = world.now + RESEND;
     match told {
-        // The caller knows that it sent nothing, and looks up anew.
+        // Nothing was sent, so the caller repeats the look-up.
         Told::Refused if !booking.maybe => {
             booking.home = vm ^ 1;
             booking.issued = world.now;
@@ -279,9 +279,9 @@
     true
 }
 
-/// Callers send bookings again with the same key while a VM dies, an availability zone is cut
-/// off, the store is out, or the VM that decides is paused. A way of deciding that forgets runs
-/// one of them twice, and a bay is billed to two members.
+/// Callers repeat bookings with the same key while a VM dies, an availability zone is partitioned,
+/// the store is out, or the deciding VM is paused. A protocol that loses keys runs a booking twice,
+/// and a bay is billed to two members.
 #[test]
 fn only_keys_under_tickets_never_run_twice_and_need_nothing_agreed() {
     let faults = [
@@ -310,6 +310,6 @@
             }
         }
     }
-    // The model is strict enough to catch a way that forgets.
+    // Checks that the model detects a protocol that loses keys.
     assert!(play(Way::HashedHome, Fault::VmDies).second_runs > 0);
 }
