--- a/src/protocol/backend.rs
+++ b/src/protocol/backend.rs
@@ -38,7 +38,7 @@
 
 /// Interpretation of an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Reading {
+pub struct AttemptResult {
     /// How the attempt ended.
     pub how: policy::Ended,
     /// The load that the backend server reported, if any.
@@ -54,5 +54,5 @@
     fn probe(&self) -> hyper::Request<Bytes>;
 
     /// Interprets an answer. Returns `None` if it belongs to another attempt.
-    fn read(&self, attempt: u64, answer: &Answer) -> Option<Reading>;
+    fn read(&self, attempt: u64, answer: &Answer) -> Option<AttemptResult>;
 }
