--- a/src/protocol/backend_http.rs
+++ b/src/protocol/backend_http.rs
@@ -18,7 +18,7 @@
 /// HTTP/1.1 adapter for one backend server.
 #[derive(Debug, Default)]
 pub struct Http {
-    echoes: atomic::AtomicBool,
+    echoes_attempts: atomic::AtomicBool,
 }
 
 impl backend::Wire for Http {
@@ -44,13 +44,13 @@
 
     /// Once a backend server has echoed an attempt number, every answer must carry one. This detects
     /// a late answer to an earlier request on the same connection.
-    fn read(&self, attempt: u64, answer: &backend::Answer) -> Option<backend::Reading> {
+    fn read(&self, attempt: u64, answer: &backend::Answer) -> Option<backend::AttemptResult> {
         match headers::text(&answer.headers, headers::REQUEST) {
             Some(echo) if echo.parse() == Ok(attempt) => {
-                self.echoes.store(true, atomic::Ordering::Relaxed);
+                self.echoes_attempts.store(true, atomic::Ordering::Relaxed);
             }
             Some(_) => return None,
-            None if self.echoes.load(atomic::Ordering::Relaxed) => return None,
+            None if self.echoes_attempts.load(atomic::Ordering::Relaxed) => return None,
             None => {}
         }
         let outcome = headers::text(&answer.headers, headers::OUTCOME);
@@ -63,7 +63,7 @@
             _ => policy::Ended::Answered,
         };
         let report = headers::text(&answer.headers, headers::LOAD).and_then(parse_load);
-        Some(backend::Reading { how, report })
+        Some(backend::AttemptResult { how, report })
     }
 }
 
