--- a/src/protocol/customers.rs
+++ b/src/protocol/customers.rs
@@ -25,9 +25,9 @@
 
     /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> Self {
-        let whole = sha2::Sha256::digest(key);
+        let full_digest = sha2::Sha256::digest(key);
         let mut digest = [0; Self::BYTES];
-        digest.copy_from_slice(&whole[..Self::BYTES]);
+        digest.copy_from_slice(&full_digest[..Self::BYTES]);
         Self(digest)
     }
 
@@ -94,15 +94,18 @@
 impl Homed {
     fn of<'a>(customers: impl Iterator<Item = &'a Customer>) -> Self {
         let mut parts = collections::BTreeMap::new();
-        let mut all = 0.0;
+        let mut total_rate_per_s = 0.0;
         for customer in customers {
-            let asks = customer.quota.map_or(0.0, |quota| quota.rate);
-            all += asks;
+            let rate_per_s = customer.quota.map_or(0.0, |quota| quota.rate);
+            total_rate_per_s += rate_per_s;
             for region in &customer.regions {
-                *parts.entry(region.clone()).or_insert(0.0) += asks / customer.regions.len() as f64;
+                *parts.entry(region.clone()).or_insert(0.0) +=
+                    rate_per_s / customer.regions.len() as f64;
             }
         }
-        parts.values_mut().for_each(|part| *part /= all.max(1.0));
+        parts
+            .values_mut()
+            .for_each(|part| *part /= total_rate_per_s.max(1.0));
         Self { parts }
     }
 
@@ -132,12 +135,12 @@
     pub fn new(
         customers: impl IntoIterator<Item = (Customer, Vec<KeyDigest>)>,
     ) -> Result<Self, Error> {
-        let mut found = Self::default();
+        let mut list = Self::default();
         for (customer, keys) in customers {
-            found.add(rc::Rc::new(customer), &keys)?;
+            list.add(rc::Rc::new(customer), &keys)?;
         }
-        found.homed = Homed::of(found.iter().map(|c| &**c));
-        Ok(found)
+        list.homed = Homed::of(list.iter().map(|c| &**c));
+        Ok(list)
     }
 
     fn add(&mut self, customer: rc::Rc<Customer>, keys: &[KeyDigest]) -> Result<(), Error> {
