--- a/src/protocol/hello.rs
+++ b/src/protocol/hello.rs
@@ -90,14 +90,14 @@
         }
         let keys = secrets
             .iter()
-            .map(|text| secret(text.as_ref()).ok_or(Error::Secret))
+            .map(|text| parse_secret(text.as_ref()).ok_or(Error::Secret))
             .collect::<Result<_, _>>()?;
         Ok(Self { keys })
     }
 
     /// Proves to the sender of `theirs` that the sender of `ours` knows a secret.
     pub fn prove(&self, ours: &Hello, theirs: &Hello) -> Proof {
-        let bytes = self.keys[0].sign(&signed(ours, theirs)).to_bytes();
+        let bytes = self.keys[0].sign(&signed_message(ours, theirs)).to_bytes();
         let mut proof = Proof {
             r: [0; KEY_BYTES],
             s: [0; KEY_BYTES],
@@ -113,7 +113,7 @@
             return Err(Error::SameName(theirs.vm.clone()));
         }
         let signature = ed25519_dalek::Signature::from_components(proof.r, proof.s);
-        let message = signed(theirs, ours);
+        let message = signed_message(theirs, ours);
         let known = self.keys.iter().any(|key| {
             key.verifying_key()
                 .verify_strict(&message, &signature)
@@ -138,14 +138,14 @@
     ciborium::from_reader(bytes).map_err(|err| Error::Malformed(err.to_string()))
 }
 
-fn signed(signer: &Hello, reader: &Hello) -> Vec<u8> {
+fn signed_message(signer: &Hello, reader: &Hello) -> Vec<u8> {
     let mut message = CONTEXT.to_vec();
     message.extend(encode(signer));
     message.extend(encode(reader));
     message
 }
 
-fn secret(text: &str) -> Option<ed25519_dalek::SigningKey> {
+fn parse_secret(text: &str) -> Option<ed25519_dalek::SigningKey> {
     let mut bytes = [0; KEY_BYTES];
     if text.len() != 2 * KEY_BYTES || !text.is_ascii() {
         return None;
