--- a/src/protocol/history.rs
+++ b/src/protocol/history.rs
@@ -9,7 +9,7 @@
 pub const WINDOWS_S: [u64; 3] = [300, 3_600, 21_600];
 
 /// Maximum number of windows in one query.
-const MOST_WINDOWS: usize = 8;
+const MAX_WINDOWS: usize = 8;
 
 /// Number of points in a plot.
 pub const STRETCHES: usize = 72;
@@ -61,14 +61,14 @@
 
 /// Parses the windows, in seconds, from a query such as `windows=300,3600`.
 pub fn windows(query: &str) -> Vec<u64> {
-    let asked = query
+    let requested = query
         .split('&')
         .find_map(|part| part.strip_prefix("windows="));
-    let windows = asked
+    let windows = requested
         .unwrap_or_default()
         .split(',')
         .filter_map(|s| s.parse().ok());
-    let windows: Vec<u64> = windows.take(MOST_WINDOWS).collect();
+    let windows: Vec<u64> = windows.take(MAX_WINDOWS).collect();
     if windows.is_empty() {
         return WINDOWS_S.to_vec();
     }
