--- a/src/protocol/http1.rs
+++ b/src/protocol/http1.rs
@@ -97,11 +97,11 @@
     }
 
     /// Whether a comma-separated field of this name contains the token, ignoring case.
-    pub fn lists(&self, name: &str, word: &str) -> bool {
+    pub fn lists(&self, name: &str, token: &str) -> bool {
         self.iter()
             .filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()))
             .flat_map(|(_, value)| value.split(|b| *b == b','))
-            .any(|part| part.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
+            .any(|part| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 
     /// The end-to-end fields: all except hop-by-hop fields and those that the `Connection` field
@@ -173,7 +173,7 @@
     pub framing: Framing,
     method: Span,
     target: Span,
-    minor: u8,
+    minor_version: u8,
 }
 
 impl RequestHead {
@@ -201,7 +201,7 @@
         }
         let method = Span::of(base, parsed.method.unwrap_or_default().as_bytes());
         let target = Span::of(base, parsed.path.unwrap_or_default().as_bytes());
-        let minor = parsed.version.unwrap_or(1);
+        let minor_version = parsed.version.unwrap_or(1);
         let spans = Fields::spans(base, parsed.headers);
         let bytes = buf.split_to(len).freeze();
         let fields = Fields { bytes, spans };
@@ -211,7 +211,7 @@
             framing,
             method,
             target,
-            minor,
+            minor_version,
         }))
     }
 
@@ -236,12 +236,12 @@
         if self.fields.lists("connection", "close") {
             return false;
         }
-        self.minor >= 1 || self.fields.lists("connection", "keep-alive")
+        self.minor_version >= 1 || self.fields.lists("connection", "keep-alive")
     }
 
     /// Whether the sender supports chunked bodies.
     pub fn knows_chunks(&self) -> bool {
-        self.minor >= 1
+        self.minor_version >= 1
     }
 }
 
@@ -254,16 +254,16 @@
     pub status: u16,
     /// How its body is framed.
     pub framing: Framing,
-    minor: u8,
+    minor_version: u8,
 }
 
 impl ResponseHead {
     /// Removes a head of up to `limit` bytes from the front of `buf`; `None` while it is incomplete.
-    /// `to_head`: the answer is to a HEAD request and has no body.
+    /// `is_head_request`: the answer is to a HEAD request and has no body.
     pub fn take(
         buf: &mut BytesMut,
         limit: usize,
-        to_head: bool,
+        is_head_request: bool,
     ) -> Result<Option<Self>, Malformed> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut parsed = httparse::Response::new(&mut headers);
@@ -276,13 +276,13 @@
             return Ok(None);
         };
         let status = parsed.code.unwrap_or_default();
-        let minor = parsed.version.unwrap_or(1);
+        let minor_version = parsed.version.unwrap_or(1);
         let spans = Fields::spans(base, parsed.headers);
         let bytes = buf.split_to(len).freeze();
         let fields = Fields { bytes, spans };
-        let bodyless = to_head || status < 200 || status == 204 || status == 304;
+        let has_no_body = is_head_request || status < 200 || status == 204 || status == 304;
         let framing = match fields.framing()? {
-            _ if bodyless => Framing::Length(0),
+            _ if has_no_body => Framing::Length(0),
             Some(framing) => framing,
             None => Framing::UntilClose,
         };
@@ -290,20 +290,20 @@
             fields,
             status,
             framing,
-            minor,
+            minor_version,
         }))
     }
 
-    /// Whether the connection can be used for another request.
+    /// Whether the connection can be reused for another request.
     pub fn keeps_alive(&self) -> bool {
         self.framing != Framing::UntilClose
-            && self.minor >= 1
+            && self.minor_version >= 1
             && !self.fields.lists("connection", "close")
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Chunk {
+enum ChunkState {
     Size,
     Data,
     AfterData,
@@ -314,24 +314,24 @@
 #[derive(Clone, Copy, Debug)]
 pub struct BodyReader {
     framing: Framing,
-    left: u64,
+    remaining: u64,
     taken: u64,
-    chunk: Chunk,
+    chunk_state: ChunkState,
     done: bool,
 }
 
 impl BodyReader {
     /// Creates a reader for a body with this framing.
     pub fn new(framing: Framing) -> Self {
-        let left = match framing {
+        let remaining = match framing {
             Framing::Length(n) => n,
             Framing::Chunked | Framing::UntilClose => 0,
         };
         Self {
             framing,
-            left,
+            remaining,
             taken: 0,
-            chunk: Chunk::Size,
+            chunk_state: ChunkState::Size,
             done: framing == Framing::Length(0),
         }
     }
@@ -359,48 +359,48 @@
         }
         let piece = match self.framing {
             Framing::UntilClose => Some(buf.split().freeze()),
-            Framing::Length(_) => Some(self.take_left(buf)),
+            Framing::Length(_) => Some(self.take_remaining(buf)),
             Framing::Chunked => self.next_chunk(buf)?,
         };
         self.taken += piece.as_ref().map_or(0, |p| p.len() as u64);
         Ok(piece)
     }
 
-    fn take_left(&mut self, buf: &mut BytesMut) -> Bytes {
+    fn take_remaining(&mut self, buf: &mut BytesMut) -> Bytes {
         let n = buf
             .len()
-            .min(usize::try_from(self.left).unwrap_or(usize::MAX));
-        self.left -= n as u64;
-        self.done = self.left == 0 && self.framing != Framing::Chunked;
+            .min(usize::try_from(self.remaining).unwrap_or(usize::MAX));
+        self.remaining -= n as u64;
+        self.done = self.remaining == 0 && self.framing != Framing::Chunked;
         buf.split_to(n).freeze()
     }
 
     fn next_chunk(&mut self, buf: &mut BytesMut) -> Result<Option<Bytes>, Malformed> {
         loop {
-            match self.chunk {
-                Chunk::Size => match httparse::parse_chunk_size(buf) {
-                    Ok(httparse::Status::Complete((used, size))) => {
-                        buf.advance(used);
-                        self.left = size;
-                        self.chunk = match size {
-                            0 => Chunk::Trailer,
-                            _ => Chunk::Data,
+            match self.chunk_state {
+                ChunkState::Size => match httparse::parse_chunk_size(buf) {
+                    Ok(httparse::Status::Complete((consumed, size))) => {
+                        buf.advance(consumed);
+                        self.remaining = size;
+                        self.chunk_state = match size {
+                            0 => ChunkState::Trailer,
+                            _ => ChunkState::Data,
                         };
                     }
                     Ok(httparse::Status::Partial) => return Ok(None),
                     Err(_) => return Err(Malformed::Chunk),
                 },
-                Chunk::Data => {
+                ChunkState::Data => {
                     if buf.is_empty() {
                         return Ok(None);
                     }
-                    let piece = self.take_left(buf);
-                    if self.left == 0 {
-                        self.chunk = Chunk::AfterData;
+                    let piece = self.take_remaining(buf);
+                    if self.remaining == 0 {
+                        self.chunk_state = ChunkState::AfterData;
                     }
                     return Ok(Some(piece));
                 }
-                Chunk::AfterData => {
+                ChunkState::AfterData => {
                     if buf.len() < 2 {
                         return Ok(None);
                     }
@@ -408,9 +408,9 @@
                         return Err(Malformed::Chunk);
                     }
                     buf.advance(2);
-                    self.chunk = Chunk::Size;
+                    self.chunk_state = ChunkState::Size;
                 }
-                Chunk::Trailer => {
+                ChunkState::Trailer => {
                     let Some(end) = buf.iter().position(|b| *b == b'\n') else {
                         return Ok(None);
                     };
