--- a/src/protocol/mirror.rs
+++ b/src/protocol/mirror.rs
@@ -57,47 +57,48 @@
 
 /// Messages longer than this are compressed. Most messages are shorter, and compressing them costs
 /// more than it saves.
-const PACK: usize = 4 << 10;
+const COMPRESSION_THRESHOLD_BYTES: usize = 4 << 10;
 
 /// Maximum length of a decompressed message. It covers the store's longest values and a thousand
 /// times the present number of backend servers.
-const LONGEST: u64 = 64 << 20;
+const MAX_DECOMPRESSED_BYTES: u64 = 64 << 20;
 
 /// First byte of an uncompressed message.
-const PLAIN: u8 = 0;
+const FORMAT_PLAIN: u8 = 0;
 
 /// First byte of a message compressed with deflate.
-const PACKED: u8 = 1;
+const FORMAT_DEFLATE: u8 = 1;
 
 /// Encodes a message and compresses it if it is long, to save time on slow links.
 pub fn encode<T: serde::Serialize>(message: &T) -> Result<Vec<u8>, Error> {
-    let mut buf = vec![PLAIN];
+    let mut buf = vec![FORMAT_PLAIN];
     ciborium::into_writer(message, &mut buf).map_err(|err| Error(err.to_string()))?;
-    match buf.len() > PACK {
-        true => pack(&buf[1..]),
+    match buf.len() > COMPRESSION_THRESHOLD_BYTES {
+        true => compress(&buf[1..]),
         false => Ok(buf),
     }
 }
 
-fn pack(bytes: &[u8]) -> Result<Vec<u8>, Error> {
-    let mut packer = write::DeflateEncoder::new(vec![PACKED], flate2::Compression::fast());
-    packer
+fn compress(bytes: &[u8]) -> Result<Vec<u8>, Error> {
+    let mut encoder = write::DeflateEncoder::new(vec![FORMAT_DEFLATE], flate2::Compression::fast());
+    encoder
         .write_all(bytes)
-        .and_then(|()| packer.finish())
+        .and_then(|()| encoder.finish())
         .map_err(|err| Error(err.to_string()))
 }
 
 /// Decodes a message.
 pub fn decode<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
-    let (form, rest) = bytes
+    let (format, rest) = bytes
         .split_first()
         .ok_or_else(|| Error("it is empty".into()))?;
-    match *form {
-        PLAIN => ciborium::from_reader(rest).map_err(|err| Error(err.to_string())),
-        PACKED => {
-            let unpacked = io::BufReader::new(read::DeflateDecoder::new(rest).take(LONGEST));
-            ciborium::from_reader(unpacked).map_err(|err| Error(err.to_string()))
+    match *format {
+        FORMAT_PLAIN => ciborium::from_reader(rest).map_err(|err| Error(err.to_string())),
+        FORMAT_DEFLATE => {
+            let decompressed =
+                io::BufReader::new(read::DeflateDecoder::new(rest).take(MAX_DECOMPRESSED_BYTES));
+            ciborium::from_reader(decompressed).map_err(|err| Error(err.to_string()))
         }
-        form => Err(Error(format!("unknown format {form}"))),
+        format => Err(Error(format!("unknown format {format}"))),
     }
 }
