--- a/src/protocol/names.rs
+++ b/src/protocol/names.rs
@@ -45,14 +45,19 @@
     /// Whether a field identifies the customer. Case and the difference between underscore and hyphen
     /// are ignored, because many servers treat such spellings as equal.
     pub fn tells_who(&self, field: &[u8]) -> bool {
-        let alike = |name: &str| {
-            let fold = |b: &u8| match b {
+        let matches_name = |name: &str| {
+            let normalize = |b: &u8| match b {
                 b'_' => b'-',
                 b => b.to_ascii_lowercase(),
             };
-            name.len() == field.len() && name.as_bytes().iter().map(fold).eq(field.iter().map(fold))
+            name.len() == field.len()
+                && name
+                    .as_bytes()
+                    .iter()
+                    .map(normalize)
+                    .eq(field.iter().map(normalize))
         };
-        alike(self.key) || alike(self.customer)
+        matches_name(self.key) || matches_name(self.customer)
     }
 }
 
