--- a/src/protocol/outcome.rs
+++ b/src/protocol/outcome.rs
@@ -120,7 +120,7 @@
     )]
     Busy,
     /// The admission policy refused the request. Carries the time after which to retry.
-    #[error("{}", refusal(.0))]
+    #[error("{}", refusal_message(.0))]
     Refused(policy::Refusal, time::Duration),
     /// The request was sent, and no complete answer arrived. Carries the time after which to retry.
     #[error(
@@ -196,7 +196,7 @@
             Self::TooLarge(_) => "too-large",
             Self::BodyIncomplete => "body-incomplete",
             Self::Busy => "busy",
-            Self::Refused(why, _) => refusal_word(*why),
+            Self::Refused(why, _) => refusal_reason(*why),
             Self::Lost(_) => "no-answer",
         }
     }
@@ -214,7 +214,7 @@
     }
 }
 
-fn refusal_word(why: policy::Refusal) -> &'static str {
+fn refusal_reason(why: policy::Refusal) -> &'static str {
     match why {
         policy::Refusal::Overload => "overload",
         policy::Refusal::Deadline => "deadline",
@@ -227,7 +227,7 @@
     }
 }
 
-fn refusal(why: &policy::Refusal) -> &'static str {
+fn refusal_message(why: &policy::Refusal) -> &'static str {
     match why {
         policy::Refusal::Overload => "the service is overloaded; retry after the stated time",
         policy::Refusal::Deadline => {
