--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -21,7 +21,7 @@
 pub const MAX_BANS: usize = 64;
 
 /// Maximum nesting depth of a message. Deeper nesting could overflow the stack.
-const MAX_DEPTH: usize = 24;
+const MAX_NESTING_DEPTH: usize = 24;
 
 /// Why a message is rejected.
 #[derive(Debug, thiserror::Error)]
@@ -225,15 +225,15 @@
         return Err(Error::TooLarge(bytes.len()));
     }
     let mut rest = bytes;
-    let message = ciborium::de::from_reader_with_recursion_limit(&mut rest, MAX_DEPTH)
-        .map_err(|err| refusal(&err))?;
+    let message = ciborium::de::from_reader_with_recursion_limit(&mut rest, MAX_NESTING_DEPTH)
+        .map_err(|err| classify_error(&err))?;
     if !rest.is_empty() {
         return Err(Error::Malformed(format!("{} bytes too many", rest.len())));
     }
     Ok(message)
 }
 
-fn refusal(err: &ciborium::de::Error<std::io::Error>) -> Error {
+fn classify_error(err: &ciborium::de::Error<std::io::Error>) -> Error {
     let text = err.to_string();
     if text.contains("unknown variant") {
         Error::Unknown(text)
@@ -249,7 +249,7 @@
     use proptest::prelude::*;
     use proptest::test_runner;
 
-    fn fixed(cases: u32) -> ProptestConfig {
+    fn fixed_seed_config(cases: u32) -> ProptestConfig {
         ProptestConfig {
             cases,
             failure_persistence: None,
@@ -325,7 +325,7 @@
     }
 
     proptest! {
-        #![proptest_config(fixed(2_000))]
+        #![proptest_config(fixed_seed_config(2_000))]
 
         #[test]
         fn random_bytes_do_no_harm(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
