--- a/src/protocol/routes.rs
+++ b/src/protocol/routes.rs
@@ -127,7 +127,7 @@
     pub customers: customers::Customers,
     by_host: collections::HashMap<String, collections::HashMap<String, rc::Rc<Route>>>,
     /// The highest priority among the requests of each service.
-    first: collections::HashMap<id::ServiceId, u32>,
+    top_ranks: collections::HashMap<id::ServiceId, u32>,
 }
 
 impl Table {
@@ -147,32 +147,32 @@
             limits,
             customers: customers::Customers::default(),
             by_host,
-            first: collections::HashMap::new(),
+            top_ranks: collections::HashMap::new(),
         }
-        .ranked()
+        .with_top_ranks()
     }
 
     /// Returns this version with the given customers.
     pub fn with_customers(self, customers: customers::Customers) -> Self {
-        Self { customers, ..self }.ranked()
+        Self { customers, ..self }.with_top_ranks()
     }
 
     /// Computes the highest priority among the requests of each service.
-    fn ranked(mut self) -> Self {
-        let mut first = collections::HashMap::new();
+    fn with_top_ranks(mut self) -> Self {
+        let mut top_ranks = collections::HashMap::new();
         for route in self.routes() {
-            let most_urgent = self.most_urgent(route);
+            let top_rank = self.top_rank(route);
             for part in &route.parts {
-                let rank = first.entry(part.service.clone()).or_insert(most_urgent);
-                *rank = most_urgent.min(*rank);
+                let rank = top_ranks.entry(part.service.clone()).or_insert(top_rank);
+                *rank = top_rank.min(*rank);
             }
         }
-        self.first = first;
+        self.top_ranks = top_ranks;
         self
     }
 
     /// The highest priority among a route's requests.
-    fn most_urgent(&self, route: &Route) -> u32 {
+    fn top_rank(&self, route: &Route) -> u32 {
         if !self.needs_key(route) {
             return route.priority;
         }
@@ -187,7 +187,9 @@
 
     /// Whether a service also has requests of a higher priority than `rank`.
     pub fn is_behind(&self, rank: u32, service: &id::ServiceId) -> bool {
-        self.first.get(service).is_some_and(|first| rank > *first)
+        self.top_ranks
+            .get(service)
+            .is_some_and(|top_rank| rank > *top_rank)
     }
 
     /// Number of routes.
