--- a/src/protocol/ticket.rs
+++ b/src/protocol/ticket.rs
@@ -16,7 +16,7 @@
 /// Maximum length of a key.
 pub const MAX_KEY_BYTES: usize = 200;
 
-const VERSION: &str = "t1";
+const TICKET_VERSION: &str = "t1";
 
 data! {
     /// A ticket issued by an entry process: `t1.<vm>.<incarnation>.<issued>.<random>`.
@@ -48,7 +48,8 @@
     /// It does not begin with a ticket.
     #[error(
         "the key does not begin with a ticket; get one from /lookup/<service> and append `.` and a \
-         number that you have not used before, or send the ticket as Bulrushwind-Ticket in addition to your key"
+         number that you have not used before, or send the ticket as Bulrushwind-Ticket in addition \
+         to your key"
     )]
     NoTicket,
     /// It is a ticket without a suffix.
@@ -73,22 +74,24 @@
 
 impl fmt::Display for Ticket {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (vm, issued, random) = (hex(self.vm.as_str()), self.issued_ms, self.random);
+        let (vm, issued, random) = (encode_vm(self.vm.as_str()), self.issued_ms, self.random);
         write!(
             f,
-            "{VERSION}.{vm}.{}.{issued:x}.{random:x}",
+            "{TICKET_VERSION}.{vm}.{}.{issued:x}.{random:x}",
             self.incarnation
         )
     }
 }
 
 impl Key {
-    /// Parses a key. `own` is the value of the key header. `ticket`, the value of the ticket header, is
-    /// prefixed to a key that does not begin with a ticket.
-    pub fn parse(own: &str, ticket: Option<&str>) -> Result<Self, Error> {
+    /// Parses the value of the key header. `ticket`, the value of the ticket header, is prefixed to a
+    /// key that does not begin with a ticket.
+    pub fn parse(caller_key: &str, ticket: Option<&str>) -> Result<Self, Error> {
         let text = match ticket {
-            Some(ticket) if !own.starts_with(&format!("{VERSION}.")) => format!("{ticket}.{own}"),
-            _ => own.to_owned(),
+            Some(ticket) if !caller_key.starts_with(&format!("{TICKET_VERSION}.")) => {
+                format!("{ticket}.{caller_key}")
+            }
+            _ => caller_key.to_owned(),
         };
         if text.len() > MAX_KEY_BYTES {
             return Err(Error::TooLong(text.len()));
@@ -97,14 +100,14 @@
             return Err(Error::Character);
         }
         let mut parts = text.splitn(6, '.');
-        if parts.next() != Some(VERSION) {
+        if parts.next() != Some(TICKET_VERSION) {
             return Err(Error::NoTicket);
         }
         let ticket = Ticket {
-            vm: parts.next().and_then(unhex).ok_or(Error::NoTicket)?,
-            incarnation: id::Incarnation(number(parts.next())?),
-            issued_ms: number(parts.next())?,
-            random: number(parts.next())?,
+            vm: parts.next().and_then(decode_vm).ok_or(Error::NoTicket)?,
+            incarnation: id::Incarnation(parse_hex_number(parts.next())?),
+            issued_ms: parse_hex_number(parts.next())?,
+            random: parse_hex_number(parts.next())?,
         };
         if parts.next().is_none_or(str::is_empty) {
             return Err(Error::NoSequence);
@@ -113,19 +116,19 @@
     }
 }
 
-fn number(part: Option<&str>) -> Result<u64, Error> {
+fn parse_hex_number(part: Option<&str>) -> Result<u64, Error> {
     part.and_then(|part| u64::from_str_radix(part, 16).ok())
         .ok_or(Error::NoTicket)
 }
 
 /// Encodes a VM name, which may contain the dot that separates the fields of a ticket.
-fn hex(text: &str) -> String {
+fn encode_vm(text: &str) -> String {
     const DIGITS: &[u8; 16] = b"0123456789abcdef";
     let digits = |byte: u8| [byte >> 4, byte & 15].map(|at| char::from(DIGITS[usize::from(at)]));
     text.bytes().flat_map(digits).collect()
 }
 
-fn unhex(text: &str) -> Option<id::VmId> {
+fn decode_vm(text: &str) -> Option<id::VmId> {
     let bytes: Option<Vec<u8>> = (0..text.len())
         .step_by(2)
         .map(|at| u8::from_str_radix(text.get(at..at + 2)?, 16).ok())
@@ -150,9 +153,9 @@
     fn a_key_is_read_back() {
         let key = Key::parse(&format!("{}.5", ticket()), None).unwrap();
         assert_eq!(key.ticket, ticket());
-        let own = Key::parse("bay-7.b", Some(&ticket().to_string())).unwrap();
-        assert_eq!(own.ticket, ticket());
-        assert!(own.text.ends_with(".bay-7.b"));
+        let prefixed = Key::parse("bay-7.b", Some(&ticket().to_string())).unwrap();
+        assert_eq!(prefixed.ticket, ticket());
+        assert!(prefixed.text.ends_with(".bay-7.b"));
     }
 
     #[test]
