--- a/tests/own_keys.rs
+++ b/tests/own_keys.rs
@@ -10,18 +10,18 @@
 use rand::{RngExt, SeedableRng};
 
 /// Simulated time and the interval of the fault, in milliseconds.
-const END: u64 = 60_000;
-const FAULT: std::ops::Range<u64> = 20_000..40_000;
+const END_MS: u64 = 60_000;
+const FAULT_MS: std::ops::Range<u64> = 20_000..40_000;
 
 /// Time until the platform's VM list and leases reflect a lost VM.
-const LEASE: u64 = 5_000;
+const LEASE_MS: u64 = 5_000;
 
 /// Interval between attempts of one booking, and lifetime of a cached look-up.
-const RESEND: u64 = 2_000;
-const CACHED: u64 = 5_000;
+const RESEND_INTERVAL_MS: u64 = 2_000;
+const LOOKUP_TTL_MS: u64 = 5_000;
 
-const VMS: usize = 6;
-const SENDS: u64 = 8;
+const VM_COUNT: usize = 6;
+const MAX_ATTEMPTS: u64 = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
@@ -34,7 +34,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
+enum Protocol {
     /// Hashing assigns each key to an owner through a slot table in the store. The table is changed
     /// by compare-and-swap when a lease has expired.
     HashedHome,
@@ -47,7 +47,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Told {
+enum Reply {
     Answered,
     NotRun,
     Unknown,
@@ -67,211 +67,222 @@
 
 struct World {
     fault: Fault,
-    way: Way,
-    now: u64,
+    protocol: Protocol,
+    now_ms: u64,
     /// The keys in the memory of each VM; lost on a restart.
-    seen: Vec<collections::HashSet<u64>>,
+    known_keys: Vec<collections::HashSet<u64>>,
     /// The owner of each slot, according to the store.
     owners: Vec<usize>,
     runs: collections::HashMap<u64, u64>,
 }
 
 impl World {
-    fn faulty(&self) -> bool {
-        FAULT.contains(&self.now)
+    fn in_fault(&self) -> bool {
+        FAULT_MS.contains(&self.now_ms)
     }
 
-    fn hit(&self, vm: usize) -> bool {
-        let dead = matches!(self.fault, Fault::VmDies | Fault::StoreOutAndVmDies);
-        (dead || self.fault == Fault::OwnerPaused) && vm == 0 && self.faulty()
+    fn is_down(&self, vm: usize) -> bool {
+        let is_dead = matches!(self.fault, Fault::VmDies | Fault::StoreOutAndVmDies);
+        (is_dead || self.fault == Fault::OwnerPaused) && vm == 0 && self.in_fault()
     }
 
-    fn dead(&self, vm: usize) -> bool {
-        self.hit(vm) && self.fault != Fault::OwnerPaused
+    fn is_dead(&self, vm: usize) -> bool {
+        self.is_down(vm) && self.fault != Fault::OwnerPaused
     }
 
-    fn cut(&self, from: usize, to: usize) -> bool {
+    fn is_partitioned(&self, from: usize, to: usize) -> bool {
         let cut_off = |vm: usize| vm / 2 == 0;
-        self.fault == Fault::AzCutOff && self.faulty() && cut_off(from) != cut_off(to)
+        self.fault == Fault::AzCutOff && self.in_fault() && cut_off(from) != cut_off(to)
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
-        !self.hit(to) && !self.cut(from, to)
+        !self.is_down(to) && !self.is_partitioned(from, to)
     }
 
     fn store_up(&self) -> bool {
         let out = matches!(self.fault, Fault::StoreOut | Fault::StoreOutAndVmDies);
-        !out || !self.faulty()
+        !out || !self.in_fault()
     }
 
     /// Moves the slots of VMs with expired leases, if the store is available.
     fn step(&mut self) {
-        if self.now == FAULT.start && self.dead(0) {
-            self.seen[0].clear();
+        if self.now_ms == FAULT_MS.start && self.is_dead(0) {
+            self.known_keys[0].clear();
         }
-        let noticed = self.now >= FAULT.start + LEASE && self.faulty();
-        let lapsed = |vm: usize| match self.fault {
+        let detected = self.now_ms >= FAULT_MS.start + LEASE_MS && self.in_fault();
+        let has_expired = |vm: usize| match self.fault {
             Fault::AzCutOff => vm / 2 == 0,
-            _ => self.hit(vm),
+            _ => self.is_down(vm),
         };
-        if !noticed || !self.store_up() {
+        if !detected || !self.store_up() {
             return;
         }
-        let moved: Vec<_> = self.owners.iter().map(|owner| lapsed(*owner)).collect();
-        for (slot, moved) in moved.into_iter().enumerate() {
-            if moved {
+        let expired: Vec<_> = self
+            .owners
+            .iter()
+            .map(|owner| has_expired(*owner))
+            .collect();
+        for (slot, expired) in expired.into_iter().enumerate() {
+            if expired {
                 self.owners[slot] = backup(self.owners[slot]);
             }
         }
     }
 
-    fn run_once(&mut self, at: usize, key: u64) -> Told {
-        if self.seen[at].insert(key) {
+    fn run_if_new(&mut self, at: usize, key: u64) -> Reply {
+        if self.known_keys[at].insert(key) {
             *self.runs.entry(key).or_default() += 1;
         }
-        Told::Answered
+        Reply::Answered
     }
 
-    fn send(&mut self, vm: usize, key: u64, home: usize, issued: u64) -> Told {
-        if self.dead(vm) {
-            return Told::Refused;
+    fn send(&mut self, vm: usize, key: u64, issuer: usize, issued_ms: u64) -> Reply {
+        if self.is_dead(vm) {
+            return Reply::Refused;
         }
-        if self.hit(vm) {
+        if self.is_down(vm) {
             // A paused VM accepts the request but runs nothing before the deadline.
-            return Told::Unknown;
+            return Reply::Unknown;
         }
-        match self.way {
-            Way::AskAll => self.ask_all(vm, key),
-            Way::HashedHome | Way::CopyFirst => self.hashed(vm, key),
-            Way::UnderTicket => self.under_ticket(vm, key, home, issued),
+        match self.protocol {
+            Protocol::AskAll => self.query_all(vm, key),
+            Protocol::HashedHome | Protocol::CopyFirst => self.send_to_owner(vm, key),
+            Protocol::UnderTicket => self.send_to_issuer(vm, key, issuer, issued_ms),
         }
     }
 
-    fn ask_all(&mut self, vm: usize, key: u64) -> Told {
-        let noticed = self.now >= FAULT.start + LEASE && self.store_up();
-        let listed = |w: &Self, other: usize| !(w.hit(other) && noticed);
-        let others: Vec<_> = (0..VMS).filter(|o| *o != vm && listed(self, *o)).collect();
+    fn query_all(&mut self, vm: usize, key: u64) -> Reply {
+        let detected = self.now_ms >= FAULT_MS.start + LEASE_MS && self.store_up();
+        let listed = |w: &Self, other: usize| !(w.is_down(other) && detected);
+        let others: Vec<_> = (0..VM_COUNT)
+            .filter(|o| *o != vm && listed(self, *o))
+            .collect();
         if others.iter().any(|other| !self.reaches(vm, *other)) {
             // The request may have run at the VM that does not answer.
-            return Told::Unknown;
+            return Reply::Unknown;
         }
-        if others.iter().any(|other| self.seen[*other].contains(&key)) {
-            return Told::Answered;
+        if others
+            .iter()
+            .any(|other| self.known_keys[*other].contains(&key))
+        {
+            return Reply::Answered;
         }
-        self.run_once(vm, key)
+        self.run_if_new(vm, key)
     }
 
-    fn hashed(&mut self, vm: usize, key: u64) -> Told {
+    fn send_to_owner(&mut self, vm: usize, key: u64) -> Reply {
         let owner = self.owners[key as usize % self.owners.len()];
         if vm != owner && !self.reaches(vm, owner) {
-            return Told::Unknown;
+            return Reply::Unknown;
         }
-        if self.way == Way::HashedHome || self.seen[owner].contains(&key) {
-            return self.run_once(owner, key);
+        if self.protocol == Protocol::HashedHome || self.known_keys[owner].contains(&key) {
+            return self.run_if_new(owner, key);
         }
         let copy = backup(owner);
         if !self.reaches(owner, copy) {
-            return Told::NotRun;
+            return Reply::NotRun;
         }
-        let told = self.run_once(owner, key);
-        self.seen[copy].insert(key);
-        told
+        let reply = self.run_if_new(owner, key);
+        self.known_keys[copy].insert(key);
+        reply
     }
 
-    fn under_ticket(&mut self, vm: usize, key: u64, home: usize, issued: u64) -> Told {
+    fn send_to_issuer(&mut self, vm: usize, key: u64, issuer: usize, issued_ms: u64) -> Reply {
         let restarted = matches!(self.fault, Fault::VmDies | Fault::StoreOutAndVmDies)
-            && home == 0
-            && issued < FAULT.end
-            && self.now >= FAULT.start;
-        if restarted || vm != home && !self.reaches(vm, home) {
-            return Told::Unknown;
+            && issuer == 0
+            && issued_ms < FAULT_MS.end
+            && self.now_ms >= FAULT_MS.start;
+        if restarted || vm != issuer && !self.reaches(vm, issuer) {
+            return Reply::Unknown;
         }
-        self.run_once(home, key)
+        self.run_if_new(issuer, key)
     }
 }
 
 /// The backup VM, in the next availability zone.
 fn backup(vm: usize) -> usize {
-    (vm + 2) % VMS
+    (vm + 2) % VM_COUNT
 }
 
 struct Booking {
     key: u64,
     caller_az: usize,
-    home: usize,
-    issued: u64,
-    sends: u64,
-    next: u64,
-    maybe: bool,
+    issuer: usize,
+    issued_ms: u64,
+    attempts: u64,
+    next_ms: u64,
+    may_have_run: bool,
 }
 
-fn play(way: Way, fault: Fault) -> Counts {
+fn simulate(protocol: Protocol, fault: Fault) -> Counts {
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(7);
     let mut world = World {
         fault,
-        way,
-        now: 0,
-        seen: vec![collections::HashSet::new(); VMS],
-        owners: (0..VMS * 4).map(|slot| slot % VMS).collect(),
+        protocol,
+        now_ms: 0,
+        known_keys: vec![collections::HashSet::new(); VM_COUNT],
+        owners: (0..VM_COUNT * 4).map(|slot| slot % VM_COUNT).collect(),
         runs: collections::HashMap::new(),
     };
     let mut open: Vec<Booking> = Vec::new();
     let mut counts = Counts::default();
-    while world.now < END {
+    while world.now_ms < END_MS {
         world.step();
-        if world.now < END - SENDS * RESEND {
+        if world.now_ms < END_MS - MAX_ATTEMPTS * RESEND_INTERVAL_MS {
             let caller_az = rng.random_range(0..3);
-            let home = caller_az * 2 + rng.random_range(0..2);
+            let issuer = caller_az * 2 + rng.random_range(0..2);
             open.push(Booking {
-                key: world.now,
+                key: world.now_ms,
                 caller_az,
-                home,
+                issuer,
                 // The look-up is cached; its VM answered at that time.
-                issued: world.now.saturating_sub(rng.random_range(0..CACHED)),
-                sends: 0,
-                next: world.now,
-                maybe: false,
+                issued_ms: world
+                    .now_ms
+                    .saturating_sub(rng.random_range(0..LOOKUP_TTL_MS)),
+                attempts: 0,
+                next_ms: world.now_ms,
+                may_have_run: false,
             });
             counts.bookings += 1;
         }
-        let due: Vec<_> = open.extract_if(.., |b| b.next <= world.now).collect();
+        let due: Vec<_> = open.extract_if(.., |b| b.next_ms <= world.now_ms).collect();
         for mut booking in due {
             let lost = rng.random_range(0..5) == 0;
-            if !settle(&mut world, &mut booking, lost, &mut counts) {
+            if !attempt(&mut world, &mut booking, lost, &mut counts) {
                 open.push(booking);
             }
         }
-        world.now += 10;
+        world.now_ms += 10;
     }
     counts.second_runs = world.runs.values().map(|runs| runs - 1).sum();
     counts
 }
 
 /// Sends one attempt of a booking. Returns whether the booking is finished.
-fn settle(world: &mut World, booking: &mut Booking, lost: bool, counts: &mut Counts) -> bool {
-    let vm = booking.caller_az * 2 + (booking.home + booking.sends as usize) % 2;
-    let told = world.send(vm, booking.key, booking.home, booking.issued);
-    booking.sends += 1;
-    booking.next = world.now + RESEND;
-    match told {
+fn attempt(world: &mut World, booking: &mut Booking, lost: bool, counts: &mut Counts) -> bool {
+    let vm = booking.caller_az * 2 + (booking.issuer + booking.attempts as usize) % 2;
+    let reply = world.send(vm, booking.key, booking.issuer, booking.issued_ms);
+    booking.attempts += 1;
+    booking.next_ms = world.now_ms + RESEND_INTERVAL_MS;
+    match reply {
         // Nothing was sent, so the caller repeats the look-up.
-        Told::Refused if !booking.maybe => {
-            booking.home = vm ^ 1;
-            booking.issued = world.now;
+        Reply::Refused if !booking.may_have_run => {
+            booking.issuer = vm ^ 1;
+            booking.issued_ms = world.now_ms;
         }
-        Told::Answered if !lost => {
+        Reply::Answered if !lost => {
             counts.answered += 1;
             return true;
         }
-        Told::NotRun if !booking.maybe => {
+        Reply::NotRun if !booking.may_have_run => {
             counts.false_notruns += u64::from(world.runs.contains_key(&booking.key));
         }
-        _ => booking.maybe = true,
+        _ => booking.may_have_run = true,
     }
-    if booking.sends < SENDS {
+    if booking.attempts < MAX_ATTEMPTS {
         return false;
     }
-    if booking.maybe {
+    if booking.may_have_run {
         counts.unknown += 1;
     } else {
         counts.not_booked += 1;
@@ -292,18 +303,18 @@
         Fault::StoreOutAndVmDies,
         Fault::OwnerPaused,
     ];
-    let ways = [
-        Way::HashedHome,
-        Way::AskAll,
-        Way::CopyFirst,
-        Way::UnderTicket,
+    let protocols = [
+        Protocol::HashedHome,
+        Protocol::AskAll,
+        Protocol::CopyFirst,
+        Protocol::UnderTicket,
     ];
-    for way in ways {
+    for protocol in protocols {
         for fault in faults {
-            let counts = play(way, fault);
-            println!("{way:?} {fault:?}: {counts:?}");
-            assert_eq!(counts.false_notruns, 0, "{way:?} {fault:?}");
-            if way == Way::UnderTicket {
+            let counts = simulate(protocol, fault);
+            println!("{protocol:?} {fault:?}: {counts:?}");
+            assert_eq!(counts.false_notruns, 0, "{protocol:?} {fault:?}");
+            if protocol == Protocol::UnderTicket {
                 assert_eq!(counts.second_runs, 0, "{fault:?}");
                 let lost = counts.not_booked + counts.unknown;
                 assert!(lost * 20 < counts.bookings, "{fault:?}: {counts:?}");
@@ -311,5 +322,5 @@
         }
     }
     // Checks that the model detects a protocol that loses keys.
-    assert!(play(Way::HashedHome, Fault::VmDies).second_runs > 0);
+    assert!(simulate(Protocol::HashedHome, Fault::VmDies).second_runs > 0);
 }
