--- a/src/protocol/mirror.rs
+++ b/src/protocol/mirror.rs
@@ -17,8 +17,8 @@
 
     /// The first message on a link, sent by the follower.
     pub struct Ask {
-        /// Whether the sender must read the store itself. A VM that starts during a store outage
-        /// also accepts an older copy.
+        /// Whether only records read directly from the store are acceptable. A VM that starts
+        /// during a store outage accepts any copy.
         pub fresh: bool,
         /// How long the follower can wait for the snapshot, in milliseconds.
         #[serde(default)]
--- a/src/protocol/outcome.rs
+++ b/src/protocol/outcome.rs
@@ -1,5 +1,5 @@
-//! The answer to a caller whose request got no answer from a backend server: the outcome, which is
-//! `not-run` only if the request certainly did not run, the reason, the remedy and the retry time.
+//! Answers to requests that got no answer from a backend server: outcome, reason, remedy and retry
+//! time. The outcome is `not-run` only if the request certainly did not run and will not run.
 
 use std::time;
 
@@ -63,7 +63,7 @@
         service: String,
         /// The method.
         method: String,
-        /// The path under the service.
+        /// The path below the service name.
         path: String,
     },
     /// A look-up was sent with a method other than GET.
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -16,8 +16,8 @@
 /// Maximum length of a message, in bytes: a store value of 1 MB plus its framing.
 pub const MAX_BYTES: usize = 1_250_000;
 
-/// Maximum number of bans accepted from one message, so that a faulty peer cannot fill the table. A
-/// service with more bans at once has a fault other than single crashing requests.
+/// Maximum number of bans accepted from one message, so that a peer cannot fill the table. A service
+/// that needs more bans at once has a different fault.
 pub const MAX_BANS: usize = 64;
 
 /// Maximum nesting depth of a message. Deeper nesting could overflow the stack.
--- a/src/protocol/routes.rs
+++ b/src/protocol/routes.rs
@@ -15,7 +15,7 @@
 pub struct Part {
     /// The service.
     pub service: id::ServiceId,
-    /// Its weight relative to the other parts.
+    /// Its weight relative to the other services of the route.
     pub weight: f64,
 }
 
@@ -32,7 +32,7 @@
     pub idempotent: bool,
     /// Maximum time until the caller gets an answer.
     pub timeout: time::Duration,
-    /// Target latency.
+    /// Latency within which an answer has its full value.
     pub aim: time::Duration,
     /// Maximum number of backend servers at which one request may run.
     pub attempts: u32,
@@ -55,8 +55,7 @@
     }
 }
 
-/// Residency rules of a request: it may run only in regions that both its route and its customer
-/// allow.
+/// The regions in which a request may run: those that both its route and its customer allow.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Homes<'a> {
     /// Regions that the route allows; empty: all.
