--- a/src/protocol/backend_http.rs
+++ b/src/protocol/backend_http.rs
@@ -105,7 +105,7 @@
     use backend::Wire;
 
     #[test]
-    fn a_load_report_is_read_back() {
+    fn a_load_report_round_trips() {
         let report = policy::Report {
             in_flight: 2,
             queued: 5,
--- a/src/protocol/headers.rs
+++ b/src/protocol/headers.rs
@@ -91,7 +91,7 @@
     use super::*;
 
     #[test]
-    fn headers_of_one_connection_stay_behind() {
+    fn hop_by_hop_headers_are_not_forwarded() {
         let mut from = HeaderMap::new();
         from.insert("connection", "close, X-Private".parse().unwrap());
         from.insert("x-private", "1".parse().unwrap());
--- a/src/protocol/hello.rs
+++ b/src/protocol/hello.rs
@@ -195,7 +195,7 @@
     /// A fleet rolls over to a new secret VM by VM. VMs that sign with the new secret must still
     /// connect to VMs that sign with the old one.
     #[test]
-    fn a_secret_is_rolled_over_without_a_cut() {
+    fn a_secret_is_rolled_over_without_disconnects() {
         let (a, b) = (hello("a", 1), hello("b", 2));
         let before = Secrets::parse(&[OLD, NEW]).unwrap();
         let after = Secrets::parse(&[NEW, OLD]).unwrap();
@@ -204,7 +204,7 @@
     }
 
     #[test]
-    fn a_bad_secret_is_refused_with_its_remedy() {
+    fn invalid_secrets_are_rejected() {
         assert!(matches!(Secrets::parse(&["xyz"]), Err(Error::Secret)));
         assert!(matches!(Secrets::parse::<&str>(&[]), Err(Error::NoSecret)));
     }
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -271,7 +271,7 @@
     }
 
     #[test]
-    fn a_message_comes_back_as_it_was_sent() {
+    fn a_message_round_trips() {
         for message in [
             alive(),
             Message::Want(vec!["settings/a".to_owned()]),
@@ -287,7 +287,7 @@
     /// During an upgrade, half of the fleet sends a field and a message type that the other half does
     /// not support. If the older half closed these links, the upgrade would partition the fleet.
     #[test]
-    fn a_newer_version_is_understood_as_far_as_it_goes() {
+    fn unknown_fields_are_ignored_and_unknown_messages_reported() {
         let mut value = ciborium::Value::serialized(&alive()).unwrap();
         let fields = value.as_map_mut().unwrap()[0].1.as_map_mut().unwrap();
         fields.push(("mood".into(), 5.into()));
@@ -300,7 +300,7 @@
     /// A faulty or malicious peer sends malformed or oversized messages. They must neither crash the
     /// process nor exhaust its memory.
     #[test]
-    fn what_is_no_message_is_refused() {
+    fn malformed_messages_are_refused() {
         let deep = vec![0x81; 10_000];
         assert!(matches!(decode(&deep), Err(Error::Malformed(_))));
         let large = vec![0; MAX_BYTES + 1];
@@ -328,14 +328,14 @@
         #![proptest_config(fixed_seed_config(2_000))]
 
         #[test]
-        fn random_bytes_do_no_harm(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+        fn random_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
             let _ = decode(&bytes);
             let _ = crate::protocol::hello::decode::<crate::protocol::hello::Hello>(&bytes);
             let _ = crate::protocol::hello::decode::<crate::protocol::hello::Proof>(&bytes);
         }
 
         #[test]
-        fn a_damaged_message_does_no_harm(at in 0_usize..60, byte in any::<u8>(), cut in 0_usize..60) {
+        fn a_damaged_message_does_not_panic(at in 0_usize..60, byte in any::<u8>(), cut in 0_usize..60) {
             let mut bytes = encode(&alive());
             let len = bytes.len();
             bytes[at % len] = byte;
--- a/src/protocol/ticket.rs
+++ b/src/protocol/ticket.rs
@@ -150,7 +150,7 @@
     }
 
     #[test]
-    fn a_key_is_read_back() {
+    fn a_key_round_trips() {
         let key = Key::parse(&format!("{}.5", ticket()), None).unwrap();
         assert_eq!(key.ticket, ticket());
         let prefixed = Key::parse("bay-7.b", Some(&ticket().to_string())).unwrap();
@@ -159,7 +159,7 @@
     }
 
     #[test]
-    fn what_is_no_key_is_told_apart() {
+    fn malformed_keys_are_rejected() {
         let bare = ticket().to_string();
         assert_eq!(Key::parse("order-1", None), Err(Error::NoTicket));
         assert_eq!(Key::parse("t1.zz.1.1.1.1", None), Err(Error::NoTicket));
