--- a/examples/soak/scene.rs
+++ b/examples/soak/scene.rs
@@ -50,7 +50,7 @@
 
 /// An entry VM and what is done to it.
 pub(crate) struct Vm {
-    pub(crate) start: process::Start,
+    pub(crate) start: process::GatewayOptions,
     pub(crate) gateway: cell::RefCell<Option<process::Gateway>>,
     pub(crate) to_store: proxy::Proxy,
     /// When it was last killed or paused, or came back from it.
@@ -164,7 +164,7 @@
             .map(|(n, ports)| {
                 let to_store = proxy::Proxy::start(store.addr);
                 Vm {
-                    start: process::Start {
+                    start: process::GatewayOptions {
                         bootstrap: false,
                         program: program.clone(),
                         dir: dir.to_owned(),
@@ -243,8 +243,8 @@
             return;
         };
         leaving.register(&self.store, "draining");
-        tokio::time::sleep(backend::DRAIN + time::Duration::from_secs(1)).await;
-        for id in &self.log.borrow().late {
+        tokio::time::sleep(backend::DRAIN_GRACE + time::Duration::from_secs(1)).await;
+        for id in &self.log.borrow().late_requests {
             self.breaks(format!(
                 "request {id} reached a backend server that had left"
             ));
@@ -283,7 +283,7 @@
         .collect();
     faults::play(&scene, &mut rng).await;
     scene.all_serve().await;
-    scene.log.borrow_mut().late.clear();
+    scene.log.borrow_mut().late_requests.clear();
     scene.calm_leaving().await;
     tasks.iter().for_each(task::JoinHandle::abort);
     let registered = scene.store.keys("bulrushwind/entry/").len();
--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -1,8 +1,7 @@
-//! Customers' quotas: what this VM lets in, and what it tells the others and hears of them.
+//! Enforces customers' quotas and exchanges usage reports with other entry VMs.
 //!
-//! Each VM that callers may be sent to hears what every other lets in, without a link that has to be
-//! kept: datagrams, sent when something differs from what was told, and twice a second at
-//! least.
+//! Each VM that callers may be sent to receives what every other VM admits, in datagrams without a
+//! connection: sent when something differs from the last report, and at least twice a second.
 
 use std::collections;
 use std::io;
@@ -15,30 +14,30 @@
 use super::{Gateway, facts};
 use crate::decisions::{affinity, entry_selection, policy, quota, retry_delay};
 use crate::id;
-use crate::metrics as known;
+use crate::metrics as metric_names;
 use crate::protocol::{customers, usage};
 use crate::transport::callers;
 
-/// How often this VM looks whether there is something to tell.
-const LOOK: time::Duration = time::Duration::from_millis(100);
+/// Interval of checks for usage to report.
+const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// How often it looks where no customer asks for anything.
-const LOOK_IDLE: time::Duration = time::Duration::from_millis(500);
+/// Interval of checks while no customer sends requests.
+const IDLE_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// How often it speaks at the least, so that the others know that it serves.
-const SPEAK: time::Duration = time::Duration::from_millis(500);
+/// Longest time between two reports, which also show the other VMs that this one serves.
+const MAX_REPORT_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// How often it tells everything, for those that missed a message.
-const WHOLE: time::Duration = time::Duration::from_millis(2000);
+/// Interval of full reports, for VMs that missed a datagram.
+const FULL_REPORT_INTERVAL: time::Duration = time::Duration::from_millis(2000);
 
-/// How many VMs of a region that are next in line hear what is let in: as many as callers are told, which
-/// may all become busy at once.
-const NEXT: usize = entry_selection::DEFAULT_VM_COUNT;
+/// How many VMs of a region beyond the advertised ones get reports: as many as are advertised,
+/// since all of those may become busy at once.
+const STANDBY_COUNT: usize = entry_selection::DEFAULT_VM_COUNT;
 
-/// Datagrams of one time, at the most: customers far from their limits are left out beyond it.
-const DATAGRAMS: usize = 8;
+/// Datagrams per report; customers far from their limits are left out beyond that.
+const MAX_DATAGRAMS_PER_REPORT: usize = 8;
 
-/// A request that counts against its customer's quota until it is known not to have run.
+/// A request counted against its customer's quota until it is known not to have run.
 #[derive(Debug)]
 pub(super) struct Charge {
     customer: quota::NameHash,
@@ -46,16 +45,16 @@
     at: policy::Moment,
 }
 
-/// When this VM spoke last, and when it told everything.
+/// When this VM sent its last report, and its last full report.
 #[derive(Clone, Copy, Debug, Default)]
-struct Spoken {
+struct LastReports {
     last: Option<policy::Moment>,
-    whole: Option<policy::Moment>,
+    full: Option<policy::Moment>,
 }
 
-/// What this VM has heard of another's datagrams.
+/// The position of another VM's latest datagram.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
-pub(super) struct Latest {
+pub(super) struct SequenceNumber {
     start: u64,
     number: u64,
 }
@@ -67,25 +66,25 @@
     })
 }
 
-fn name_of(customer: &customers::Customer) -> quota::NameHash {
+fn quota_name(customer: &customers::Customer) -> quota::NameHash {
     affinity::hash(customer.name.as_str().as_bytes())
 }
 
 impl Gateway {
-    /// Counts a request against its customer's quota; `None`: it has none.
+    /// Counts a request against its customer's quota; `None` if the customer has none.
     pub(super) fn charge(
         &self,
         customer: Option<&customers::Customer>,
     ) -> Result<Option<Charge>, quota::Refused> {
-        let Some((customer, limit)) = customer.and_then(|c| Some((name_of(c), limit_of(c)?)))
+        let Some((customer, limit)) = customer.and_then(|c| Some((quota_name(c), limit_of(c)?)))
         else {
             return Ok(None);
         };
         let at = self.now();
-        self.expect_others();
+        self.update_expected_vms();
         let mut quotas = self.quotas.borrow_mut();
         if !quotas.is_active() {
-            self.asked.notify_one();
+            self.customer_active.notify_one();
         }
         quotas.admit(at, customer, limit, self.jitter())?;
         Ok(Some(Charge {
@@ -95,8 +94,8 @@
         }))
     }
 
-    /// Counts one more send of a request. Returns whether the quota leaves one.
-    pub(super) fn charge_again(&self, charge: &mut Charge) -> bool {
+    /// Counts a resend. Returns whether the quota allows it.
+    pub(super) fn charge_resend(&self, charge: &mut Charge) -> bool {
         let at = self.now();
         let mut quotas = self.quotas.borrow_mut();
         let taken = quotas.admit_resend(at, charge.customer, charge.limit, self.jitter());
@@ -104,60 +103,63 @@
         taken.is_ok()
     }
 
-    /// A request that was counted has not run.
-    pub(super) fn give_back(&self, charge: &Charge) {
+    /// Refunds the charge of a request that has not run.
+    pub(super) fn refund(&self, charge: &Charge) {
         let mut quotas = self.quotas.borrow_mut();
         quotas.give_back(self.now(), charge.customer, charge.at);
     }
 
-    /// Tells the other VMs what this one lets in, and hears them, until the process ends.
+    /// Sends and receives usage reports until the process ends.
     pub async fn share_quotas(self, socket: UdpSocket) {
         let mut buf = vec![0; usage::LONGEST];
         let mut next = tokio::time::Instant::now();
-        let mut spoken = Spoken::default();
+        let mut last_reports = LastReports::default();
         loop {
             tokio::select! {
                 received = socket.recv_from(&mut buf) => match received {
-                    Ok((len, from)) => self.hear_usage(&buf[..len], from),
-                    // A datagram that somebody's machine refused; the next ones may arrive.
-                    Err(err) => slog::debug!(self.log, "usage not heard"; "error" => %err),
+                    Ok((len, from)) => self.receive_usage(&buf[..len], from),
+                    // Another machine refused an earlier datagram; later ones may arrive.
+                    Err(err) => slog::debug!(self.log, "cannot receive usage reports"; "error" => %err),
                 },
-                // What is let in after a rest is told as soon as what is let in amid work.
-                () = self.asked.notified() => next = next.min(tokio::time::Instant::now() + LOOK),
+                // Usage after an idle period is reported as soon as during steady use.
+                () = self.customer_active.notified() => next = next.min(tokio::time::Instant::now() + CHECK_INTERVAL),
                 () = tokio::time::sleep_until(next) => {
-                    let idle = !self.tell_usage(&socket, &mut spoken).await;
-                    let pause = if idle { LOOK_IDLE } else { LOOK };
+                    let idle = !self.report_usage(&socket, &mut last_reports).await;
+                    let pause = if idle { IDLE_CHECK_INTERVAL } else { CHECK_INTERVAL };
                     next = tokio::time::Instant::now() + pause;
                 }
             }
         }
     }
 
-    /// Tells the others what they do not know yet. Returns whether any customer asked for anything.
-    async fn tell_usage(&self, socket: &UdpSocket, spoken: &mut Spoken) -> bool {
+    /// Sends usage that the other VMs do not know yet. Returns whether any customer is active.
+    async fn report_usage(&self, socket: &UdpSocket, last_reports: &mut LastReports) -> bool {
         let now = self.now();
-        let over =
+        let has_elapsed =
             |at: Option<policy::Moment>, span| at.is_none_or(|at| now.saturating_sub(at) >= span);
-        let (speak, whole) = (over(spoken.last, SPEAK), over(spoken.whole, WHOLE));
-        if speak {
-            self.expect_others();
-            self.forget_others(now);
+        let (is_report_due, whole) = (
+            has_elapsed(last_reports.last, MAX_REPORT_INTERVAL),
+            has_elapsed(last_reports.full, FULL_REPORT_INTERVAL),
+        );
+        if is_report_due {
+            self.update_expected_vms();
+            self.forget_departed_vms(now);
         }
         let (rows, active, whole) = {
             let mut quotas = self.quotas.borrow_mut();
             let whole = quotas.take_full_report_due() || whole;
-            let rows = quotas.due_reports(now, whole, DATAGRAMS * usage::ROWS);
+            let rows = quotas.due_reports(now, whole, MAX_DATAGRAMS_PER_REPORT * usage::ROWS);
             (rows, quotas.is_active(), whole)
         };
-        let speaks = active || self.awaits_customers();
-        if !speaks || (rows.is_empty() && !speak) {
+        let may_report = active || self.expects_customers();
+        if !may_report || (rows.is_empty() && !is_report_due) {
             return active;
         }
-        spoken.last = Some(now);
+        last_reports.last = Some(now);
         if whole {
-            spoken.whole = Some(now);
+            last_reports.full = Some(now);
         }
-        let to = self.audience();
+        let to = self.report_recipients();
         for datagram in self.datagrams(&rows, whole) {
             for addr in &to {
                 self.send_usage(socket, &datagram, *addr).await;
@@ -166,16 +168,19 @@
         active
     }
 
-    /// Whether customers' callers are sent here. Others count on what such a VM may let in, until it
-    /// says that it lets in nothing.
-    fn awaits_customers(&self) -> bool {
+    /// Whether customers' callers are sent here. Other VMs reserve a share of the quotas for such a
+    /// VM until it reports that it admits nothing.
+    fn expects_customers(&self) -> bool {
         let customers = self
             .table()
             .is_some_and(|table| !table.customers.is_empty());
-        customers && self.told_in(self.region.as_ref()).contains(&self.own_hash)
+        customers
+            && self
+                .advertised_hashes(self.region.as_ref())
+                .contains(&self.own_hash)
     }
 
-    /// Customers that have nearly used their quotas, which outlive this process where it registers.
+    /// Customers that have nearly used their quotas, for this VM's registration, which outlives it.
     pub fn near_limits(&self) -> Vec<quota::NameHash> {
         self.quotas.borrow_mut().near_limits(self.now())
     }
@@ -185,13 +190,13 @@
         rows: &[(quota::NameHash, quota::UsageReport)],
         whole: bool,
     ) -> Vec<Vec<u8>> {
-        // What a large VM let in of one customer in a window stays far below the type's bound.
+        // The count of one customer in a window at a large VM stays far below `u32::MAX`.
         let count = |n: f64| n.round() as u32;
-        let row = |(customer, told): &(quota::NameHash, quota::UsageReport)| usage::Row {
+        let row = |(customer, reported): &(quota::NameHash, quota::UsageReport)| usage::Row {
             customer: *customer,
-            used: count(told.used),
-            pace: count(told.rate_per_s),
-            asked: count(told.demand),
+            used: count(reported.used),
+            pace: count(reported.rate_per_s),
+            asked: count(reported.demand),
         };
         let mut parts: Vec<Vec<usage::Row>> = rows
             .chunks(usage::ROWS)
@@ -200,11 +205,11 @@
         if parts.is_empty() {
             parts.push(Vec::new());
         }
-        // Only one that holds everything says that there is nothing else.
+        // Only a datagram with all rows can say that there are no others.
         let whole = whole && parts.len() == 1;
         let encoded = parts.into_iter().map(|rows| {
-            let number = self.told_usage.get() + 1;
-            self.told_usage.set(number);
+            let number = self.usage_sent.get() + 1;
+            self.usage_sent.set(number);
             usage::encode(&usage::Usage {
                 vm: self.cfg.vm.clone(),
                 start: self.started_ms,
@@ -217,7 +222,7 @@
             .filter_map(|datagram| match datagram {
                 Ok(datagram) => Some(datagram),
                 Err(err) => {
-                    slog::error!(self.log, "usage not told"; "error" => %err);
+                    slog::error!(self.log, "cannot encode a usage report"; "error" => %err);
                     None
                 }
             })
@@ -226,21 +231,23 @@
 
     async fn send_usage(&self, socket: &UdpSocket, datagram: &[u8], to: net::SocketAddr) {
         match socket.send_to(datagram, to).await {
-            Ok(len) => counter!(known::PEER_BYTES, "direction" => "out").increment(len as u64),
-            Err(err) => self.usage_unsent(to, &err),
+            Ok(len) => {
+                counter!(metric_names::PEER_BYTES, "direction" => "out").increment(len as u64)
+            }
+            Err(err) => self.log_send_failure(to, &err),
         }
     }
 
-    fn usage_unsent(&self, to: net::SocketAddr, err: &io::Error) {
-        if let Some(left_out) = self.lines.admit("usage unsent", self.now()) {
-            slog::info!(self.log, "usage not told"; "to" => %to, "error" => %err, "left_out" => left_out);
+    fn log_send_failure(&self, to: net::SocketAddr, err: &io::Error) {
+        if let Some(left_out) = self.log_limiter.admit("usage unsent", self.now()) {
+            slog::info!(self.log, "cannot send a usage report"; "to" => %to, "error" => %err, "left_out" => left_out);
         }
     }
 
-    /// The VMs that must know what this one lets in: those that callers are told, and those that spoke
-    /// lately.
-    fn audience(&self) -> Vec<net::SocketAddr> {
-        let Some(own) = self.cfg.usage else {
+    /// The VMs that need this VM's usage: those advertised to callers, and those that reported
+    /// recently.
+    fn report_recipients(&self) -> Vec<net::SocketAddr> {
+        let Some(own_addr) = self.cfg.usage_addr else {
             return Vec::new();
         };
         let now = self.now();
@@ -254,57 +261,60 @@
         ips.sort_unstable();
         ips.dedup();
         ips.into_iter()
-            .map(|ip| net::SocketAddr::new(ip, own.port()))
+            .map(|ip| net::SocketAddr::new(ip, own_addr.port()))
             .collect()
     }
 
-    /// Takes in which VMs callers are sent to, where that has changed. A VM that has just started and
-    /// let requests in before it knew of the others would take all that is left for itself, as each of
-    /// them would.
-    fn expect_others(&self) {
+    /// Updates the VMs that callers are sent to, if the list has changed. A VM that admits requests
+    /// before it knows the other VMs would take all that is left of a quota, and so would each of
+    /// them.
+    fn update_expected_vms(&self) {
         let version = Some(self.entries.borrow().version());
-        if self.expected_by.replace(version) == version {
+        if self.expected_version.replace(version) == version {
             return;
         }
         let mut regions: Vec<Option<&id::RegionId>> = self.cfg.regions.values().map(Some).collect();
         regions.sort_unstable();
         regions.dedup();
-        let told = regions.iter().map(|region| self.told_in(*region));
-        let told = self.others(told.flat_map(|hashes| hashes.to_vec()));
-        let next = regions.iter().map(|region| self.hashes_in(*region, NEXT));
-        let next = self.others(next.flatten());
+        let advertised = regions.iter().map(|region| self.advertised_hashes(*region));
+        let advertised = self.distinct_others(advertised.flat_map(|hashes| hashes.to_vec()));
+        let next = regions
+            .iter()
+            .map(|region| self.selection_hashes(*region, STANDBY_COUNT));
+        let next = self.distinct_others(next.flatten());
         let vms = self.entries.borrow().len();
-        self.quotas.borrow_mut().set_peers(told, next, vms);
+        self.quotas.borrow_mut().set_peers(advertised, next, vms);
     }
 
-    /// Each of these VMs once, but for this one.
-    fn others(&self, vms: impl Iterator<Item = quota::NameHash>) -> Vec<quota::NameHash> {
-        let mut others: Vec<quota::NameHash> = vms.filter(|hash| *hash != self.own_hash).collect();
-        others.sort_unstable();
-        others.dedup();
-        others
+    /// The VMs without this one and without duplicates.
+    fn distinct_others(&self, vms: impl Iterator<Item = quota::NameHash>) -> Vec<quota::NameHash> {
+        let mut distinct: Vec<quota::NameHash> =
+            vms.filter(|hash| *hash != self.own_hash).collect();
+        distinct.sort_unstable();
+        distinct.dedup();
+        distinct
     }
 
-    /// Forgets VMs that are gone.
-    fn forget_others(&self, now: policy::Moment) {
+    /// Forgets the usage of VMs that are no longer registered.
+    fn forget_departed_vms(&self, now: policy::Moment) {
         let entries = self.entries.borrow();
         let serving: collections::HashSet<u64> = entries.iter().map(|(_, h, _)| h).collect();
         let mut quotas = self.quotas.borrow_mut();
         quotas.remove_departed(now, |vm| serving.contains(&vm));
     }
 
-    /// Hears what another VM lets in. Only one that is listed, and from its own address: anybody else
-    /// could have a customer refused everywhere.
-    fn hear_usage(&self, bytes: &[u8], from: net::SocketAddr) {
-        counter!(known::PEER_BYTES, "direction" => "in").increment(bytes.len() as u64);
+    /// Handles a usage report. It must come from a listed VM's own address: otherwise anybody could
+    /// have a customer refused everywhere.
+    fn receive_usage(&self, bytes: &[u8], from: net::SocketAddr) {
+        counter!(metric_names::PEER_BYTES, "direction" => "in").increment(bytes.len() as u64);
         let why = match usage::decode(bytes) {
-            Ok(usage) if self.is_listed(&usage.vm, from) => return self.take_usage(usage),
-            Ok(_) => "it is of no entry VM that is listed".to_owned(),
+            Ok(usage) if self.is_listed(&usage.vm, from) => return self.apply_usage(usage),
+            Ok(_) => "the sender is not a listed entry VM".to_owned(),
             Err(err) => err.to_string(),
         };
-        counter!(known::PEER_REFUSED).increment(1);
-        if let Some(left_out) = self.lines.admit("usage", self.now()) {
-            slog::info!(self.log, "usage not taken"; "from" => %from, "why" => why, "left_out" => left_out);
+        counter!(metric_names::PEER_REFUSED).increment(1);
+        if let Some(left_out) = self.log_limiter.admit("usage", self.now()) {
+            slog::info!(self.log, "usage report rejected"; "from" => %from, "why" => why, "left_out" => left_out);
         }
     }
 
@@ -315,40 +325,40 @@
             .is_some_and(|entry| entry.front.ip() == from.ip())
     }
 
-    fn take_usage(&self, usage: usage::Usage) {
+    fn apply_usage(&self, usage: usage::Usage) {
         let vm = affinity::hash(usage.vm.as_str().as_bytes());
-        let latest = Latest {
+        let sequence = SequenceNumber {
             start: usage.start,
             number: usage.number,
         };
-        let mut heard = self.heard_usage.borrow_mut();
-        let before = heard.entry(vm).or_default();
-        if *before >= latest {
+        let mut sequences = self.peer_usage.borrow_mut();
+        let before = sequences.entry(vm).or_default();
+        if *before >= sequence {
             return;
         }
-        *before = latest;
+        *before = sequence;
         let rows = usage.rows.iter().map(|row| {
-            let told = quota::UsageReport {
+            let reported = quota::UsageReport {
                 used: f64::from(row.used),
                 rate_per_s: f64::from(row.pace),
                 demand: f64::from(row.asked),
             };
-            (row.customer, told)
+            (row.customer, reported)
         });
         let mut quotas = self.quotas.borrow_mut();
         quotas.apply_report(self.now(), vm, usage.start, rows, usage.whole);
     }
 
-    /// Refuses a request that is beyond its customer's quota.
+    /// Refuses a request that exceeds its customer's quota.
     pub(super) fn beyond_quota(
         &self,
         facts: &facts::Facts,
         refused: &quota::Refused,
         left: time::Duration,
     ) -> callers::Answer {
-        self.record_beyond(facts, refused);
+        self.record_beyond_quota(facts, refused);
         let after = retry_delay::after(refused.retry_after, left, self.jitter());
-        let mut answer = self.own_answer(429, Some(&facts.id));
+        let mut answer = self.gateway_answer(429, Some(&facts.id));
         facts::put_retry_after(&mut answer.fields, after);
         answer
     }
--- a/src/gateway/thresholds.rs
+++ b/src/gateway/thresholds.rs
@@ -1,7 +1,6 @@
-//! Thresholds of the decisions about a request, and the file in which operators may change them.
+//! Thresholds of request decisions, and the file in which operators may change them.
 //!
-//! The file holds what differs from the defaults, for trials
-//! and to switch a mechanism off.
+//! The file holds only values that differ from the defaults, for trials and to disable a mechanism.
 
 use std::fs;
 use std::path;
@@ -15,39 +14,42 @@
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Thresholds {
-    /// How many entry VMs that are not busy callers are told.
-    pub told: usize,
-    /// Of what operators allow, the part of second sends that is used.
-    pub second_sends: f64,
-    /// Placement by object.
+    /// Number of non-busy entry VMs advertised to callers.
+    #[serde(rename = "told")]
+    pub advertised_vms: usize,
+    /// The share of the operators' bound on resends that is used, from 0 to 1.
+    #[serde(rename = "second_sends")]
+    pub resend_budget_share: f64,
+    /// Placement of requests by object.
     pub placement: affinity::Config,
-    /// The share that other regions serve.
+    /// Shift of requests to other regions.
     pub regions: regions::Config,
-    /// Ejection of backend servers that fail.
+    /// Ejection of failing backend servers.
     pub ejection: ejection::Config,
-    /// The limit at a backend server.
+    /// Limit on requests in flight per backend server.
     pub limit: limit::Config,
-    /// Objects that are handled for the first time.
+    /// Objects that are new to a backend server.
     pub warming: warming::Config,
-    /// Second sends of a read beside the first.
+    /// Hedging of reads.
     pub hedge: hedge::Config,
 }
 
 impl Default for Thresholds {
     fn default() -> Self {
         Self {
-            told: entry_selection::DEFAULT_VM_COUNT,
-            second_sends: 0.75,
+            advertised_vms: entry_selection::DEFAULT_VM_COUNT,
+            resend_budget_share: 0.75,
             placement: affinity::Config::default(),
             regions: regions::Config::default(),
             ejection: ejection::Config {
-                // An object stays with its backend server, so a broken one is noticed by its own
-                // failures and not by its share of the load: ten answers and no more.
-                in_a_row: 3,
-                broken_in_a_row: 1,
-                share: 0.4,
-                window: 10.0,
-                trial: 3,
+                // Requests for an object stay with its backend server, so a broken one is noticed
+                // by its own failures rather than by its share of the load. Ten answers suffice for
+                // that.
+                consecutive_failures: 3,
+                consecutive_breaks: 1,
+                max_failure_ratio: 0.4,
+                window_answers: 10.0,
+                trial_answers: 3,
                 ..ejection::Config::default()
             },
             limit: limit::Config::default(),
@@ -58,7 +60,9 @@
 }
 
 impl Thresholds {
-    /// Reads a TOML file; what does not stand there keeps its default.
+    /// Reads a TOML file. Values that it does not name keep their defaults.
+    ///
+    /// Fails if the file cannot be read, names an unknown threshold or has a value out of range.
     pub fn read(path: &path::Path) -> Result<Self, error::Error> {
         let text = fs::read_to_string(path).map_err(|source| error::Error::Read {
             path: path.to_owned(),
@@ -67,12 +71,12 @@
         Self::parse(&text).map_err(|why| error::Error::Config(format!("{}: {why}", path.display())))
     }
 
-    /// Reads the file's text.
+    /// Parses the file's text.
     pub fn parse(text: &str) -> Result<Self, String> {
         let message = |err: toml::de::Error| err.message().to_owned();
         let given: toml::Table = toml::from_str(text).map_err(message)?;
         let mut all = toml::Table::try_from(Self::default()).map_err(|err| err.to_string())?;
-        put_over(&mut all, given);
+        merge_into(&mut all, given);
         let read: Self = all.try_into().map_err(message)?;
         read.check().map_err(|err| err.to_string())?;
         Ok(read)
@@ -81,10 +85,10 @@
     fn check(&self) -> Result<(), range::Error> {
         range::check(
             "told",
-            self.told as f64,
+            self.advertised_vms as f64,
             1.0..=entry_selection::MAX_VM_COUNT as f64,
         )?;
-        range::check("second_sends", self.second_sends, 0.0..=1.0)?;
+        range::check("second_sends", self.resend_budget_share, 0.0..=1.0)?;
         self.placement.check()?;
         self.regions.check()?;
         self.ejection.check()?;
@@ -94,10 +98,12 @@
     }
 }
 
-fn put_over(all: &mut toml::Table, given: toml::Table) {
+fn merge_into(all: &mut toml::Table, given: toml::Table) {
     for (name, value) in given {
         match (all.get_mut(&name), value) {
-            (Some(toml::Value::Table(known)), toml::Value::Table(given)) => put_over(known, given),
+            (Some(toml::Value::Table(known)), toml::Value::Table(given)) => {
+                merge_into(known, given)
+            }
             (_, value) => drop(all.insert(name, value)),
         }
     }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,8 +1,9 @@
-//! Where the product meets the platform: its settings file, store, names and calls, translated
-//! into our own types and back. Nothing here decides; nothing outside knows the platform's names.
+//! Adapter for the platform that runs the entry VMs. Translates its settings file, store records, wire
+//! names and endpoints to the crate's own types and back. It makes no routing decisions, and the
+//! platform's names are not used outside this module.
 
-pub mod calls;
 pub mod decode;
+pub mod endpoints;
 pub mod feed;
 pub mod names;
 pub mod settings;
@@ -21,17 +22,17 @@
 use crate::transport::{callers, socket};
 use crate::{error, gateway, metrics};
 
-/// How long before the end of the grace time a planned stop ends whatever is in hand.
-const MARGIN: time::Duration = time::Duration::from_millis(400);
+/// A planned stop ends requests that are still in flight this long before the grace period is over.
+const SHUTDOWN_MARGIN: time::Duration = time::Duration::from_millis(400);
 
-/// Runs an entry VM's process on the platform until it is told to stop.
+/// Runs an entry VM's process until SIGTERM. Fails if the runtime or a required listener cannot start.
 pub fn run(settings: settings::Settings, log: &slog::Logger) -> Result<(), error::Error> {
     let settings = rc::Rc::new(settings);
     let log = log.new(slog::o!("on" => settings.gateway.vm.to_string()));
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|err| error::Error::Config(format!("cannot start: {err}")))?;
+        .map_err(|err| error::Error::Config(format!("cannot start the async runtime: {err}")))?;
     let local = task::LocalSet::new();
     local.block_on(&runtime, serve(settings, log))
 }
@@ -43,27 +44,27 @@
     let cx = gateway::Gateway::new(settings.gateway.clone(), log.clone());
     slog::info!(log, "start"; "vm" => %cx.cfg.vm, "az" => %cx.cfg.az, "front" => %cx.cfg.front, "metrics" => %settings.metrics);
     let mirror = mirror::Mirror::new(cx.clone());
-    let calls = calls::Calls {
+    let endpoints = endpoints::Endpoints {
         cx: cx.clone(),
         ttl_s: settings.lookup_ttl.as_secs_f64(),
     };
     listen(settings.gateway.front, "front", cx.clone(), &cx)?;
-    listen(settings.ready, "ready", calls.clone(), &cx)?;
+    listen(settings.ready, "ready", endpoints.clone(), &cx)?;
     if let Some(addr) = settings.directory {
-        listen(addr, "directory", calls.clone(), &cx)?;
+        listen(addr, "directory", endpoints.clone(), &cx)?;
     }
-    // Callers are served without metrics rather than not at all.
-    if let Err(err) = listen(settings.metrics, "metrics", calls, &cx) {
-        slog::warn!(log, "no metrics"; "error" => %err);
+    // A metrics listener that cannot bind must not keep the VM from serving callers.
+    if let Err(err) = listen(settings.metrics, "metrics", endpoints, &cx) {
+        slog::warn!(log, "cannot serve metrics; continuing without them"; "error" => %err);
     }
     if let Some(addr) = settings.peers {
         task::spawn_local(mirror.clone().serve(bind(addr, "control")?));
     }
-    if let Some(addr) = settings.gateway.usage {
+    if let Some(addr) = settings.gateway.usage_addr {
         match bind_datagrams(addr) {
             Ok(socket) => drop(task::spawn_local(cx.clone().share_quotas(socket))),
-            // The others then count on it as on one that they never heard.
-            Err(err) => slog::warn!(log, "quotas are not told"; "error" => %err),
+            // Other VMs then treat this one as a VM that has never reported quota usage.
+            Err(err) => slog::warn!(log, "no usage socket; quotas are not shared"; "error" => %err),
         }
     }
     let feed = feed::Feed::new(cx.clone(), settings.store);
@@ -73,12 +74,12 @@
         mirror,
         settings: settings.clone(),
     };
-    let registered = task::spawn_local(registration.keep());
+    let registration_task = task::spawn_local(registration.maintain());
     task::spawn_local(cx.clone().upkeep());
-    task::spawn_local(count(cx.clone()));
-    until_told(&cx).await?;
-    leave(&cx, registered).await;
-    slog::info!(log, "stop"; "in_hand" => cx.in_hand());
+    task::spawn_local(update_metrics(cx.clone()));
+    wait_for_sigterm(&cx).await?;
+    drain(&cx, registration_task).await;
+    slog::info!(log, "stop"; "in_hand" => cx.requests_in_progress());
     Ok(())
 }
 
@@ -101,55 +102,54 @@
 }
 
 fn bind_datagrams(addr: net::SocketAddr) -> Result<UdpSocket, error::Error> {
-    let failed = |err: io::Error| error::Error::Bind {
+    let bind_error = |err: io::Error| error::Error::Bind {
         addr: addr.to_string(),
         setting: "port_range",
         reason: err.to_string(),
     };
-    let socket = net::UdpSocket::bind(addr).map_err(failed)?;
-    socket.set_nonblocking(true).map_err(failed)?;
-    UdpSocket::from_std(socket).map_err(failed)
+    let socket = net::UdpSocket::bind(addr).map_err(bind_error)?;
+    socket.set_nonblocking(true).map_err(bind_error)?;
+    UdpSocket::from_std(socket).map_err(bind_error)
 }
 
-/// Keeps the gauges, and folds what histograms gathered: without that it piles up until somebody
-/// asks for the metrics.
-async fn count(cx: gateway::Gateway) {
-    const EVERY: time::Duration = time::Duration::from_secs(2);
+/// Updates the gauges and aggregates the histograms' samples periodically. Without this, samples
+/// accumulate in memory until the next scrape.
+async fn update_metrics(cx: gateway::Gateway) {
+    const GAUGE_UPDATE_INTERVAL: time::Duration = time::Duration::from_secs(2);
     loop {
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(GAUGE_UPDATE_INTERVAL).await;
         cx.set_gauges();
         metrics::exporter().upkeep();
     }
 }
 
-/// Waits for SIGTERM. The settings of a running process do not change where it listens, so a
-/// SIGHUP only leaves a line.
-async fn until_told(cx: &gateway::Gateway) -> Result<(), error::Error> {
+/// Waits for SIGTERM. SIGHUP is only logged: the listen addresses of a running process cannot change.
+async fn wait_for_sigterm(cx: &gateway::Gateway) -> Result<(), error::Error> {
     let signal = |kind| {
         unix::signal(kind)
-            .map_err(|err| error::Error::Config(format!("cannot take signals: {err}")))
+            .map_err(|err| error::Error::Config(format!("cannot install a signal handler: {err}")))
     };
     let mut term = signal(unix::SignalKind::terminate())?;
     let mut hup = signal(unix::SignalKind::hangup())?;
     loop {
         tokio::select! {
             _ = term.recv() => return Ok(()),
-            _ = hup.recv() => slog::info!(cx.log, "settings file changed"; "why" => "SIGHUP"),
+            _ = hup.recv() => slog::info!(cx.log, "settings not reloaded; restart the process to apply changes"; "why" => "SIGHUP"),
         }
     }
 }
 
-/// Takes this VM out of use and ends once what is in hand has ended.
-async fn leave(cx: &gateway::Gateway, registered: task::JoinHandle<()>) {
-    let begun = cx.now();
-    slog::info!(cx.log, "planned stop"; "in_hand" => cx.in_hand());
+/// Deregisters this VM and waits until its requests have ended, at most for the grace period.
+async fn drain(cx: &gateway::Gateway, registration: task::JoinHandle<()>) {
+    let started = cx.now();
+    slog::info!(cx.log, "planned stop"; "in_hand" => cx.requests_in_progress());
     cx.stop();
-    // A panic in it was logged by its own task; the lease then lapses.
-    let _ = registered.await;
-    let end = begun + cx.cfg.grace.saturating_sub(MARGIN);
+    // The task logs its own panic; the registration's lease then expires.
+    let _ = registration.await;
+    let deadline = started + cx.cfg.grace.saturating_sub(SHUTDOWN_MARGIN);
     loop {
         tokio::time::sleep(time::Duration::from_millis(50)).await;
-        if cx.is_done() || cx.now() >= end {
+        if cx.is_drained() || cx.now() >= deadline {
             return;
         }
     }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's store.
+//! Client for the platform's key-value store: range reads, watches, leases and writes over HTTP.
 
 use std::net;
 use std::time;
@@ -7,64 +7,68 @@
 use futures_util::future;
 use serde::de;
 
-use crate::coordination::pages;
-use crate::metrics as known;
+use crate::coordination::list_ranges;
+use crate::metrics as metric_names;
 use crate::protocol::{http1, mirror};
 use crate::transport::{socket, upstream};
 
-/// How long connecting may take.
-const CONNECT: time::Duration = time::Duration::from_millis(500);
+/// Timeout for connecting.
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// How long the store may be silent in a call. It answers in a few milliseconds, and from the
-/// farthest region after 0.12 s; a slow one takes fifty times as long and still helps.
-const CALL: time::Duration = time::Duration::from_millis(1000);
+/// Timeout for the response head and for each piece of the body. The store responds within a few
+/// milliseconds, or 0.12 s from the farthest region; a response fifty times slower is still useful.
+const RESPONSE_TIMEOUT: time::Duration = time::Duration::from_millis(1000);
 
-/// How long an answer may take that has begun to arrive. The longest value is 1.4 MB as text; a
-/// link of 10 Mbit/s that others use as well carries it in two seconds. Given up on after one, it
-/// would be asked for again and never be had.
-const ARRIVE: time::Duration = time::Duration::from_secs(4);
+/// Timeout for a response body, from the end of the head. The longest value is 1.4 MB as text, which
+/// takes two seconds over a shared 10 Mbit/s link. With a timeout of one second, every retry would
+/// time out as well and the value would never be read.
+const BODY_TIMEOUT: time::Duration = time::Duration::from_secs(4);
 
-/// Keys that one call may write.
-pub const MOST_PUTS: usize = 32;
+/// Maximum number of keys that one call may write.
+pub const MAX_PUTS_PER_CALL: usize = 32;
 
-/// Why a call did not do what was asked.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No answer came; a write may have been done or may be done later.
-    #[error("the store did not answer; check that it runs and that this VM reaches it")]
+    /// No response; a write may have taken effect or may do so later.
+    #[error("no response from the store; check that it is running and reachable from this VM")]
     NoAnswer,
-    /// The store refused and did nothing.
-    #[error("the store refused with {0}; it is overloaded or turns this VM away")]
+    /// The store refused the call without any effect. Holds the HTTP status.
+    #[error(
+        "the store refused the call with status {0}; it is overloaded or does not accept this VM"
+    )]
     Refused(u16),
-    /// A condition did not hold, or what was named does not exist.
-    #[error("the store answered {0}: the condition does not hold or there is no such thing")]
+    /// A precondition failed, or the lease does not exist. Holds the HTTP status.
+    #[error(
+        "the store responded with status {0}: a precondition failed or the lease does not exist"
+    )]
     Condition(u16),
-    /// The history asked for is gone.
-    #[error("the store no longer has this history; read everything again")]
+    /// The store no longer has the changes after the requested revision.
+    #[error("the store no longer has the requested history; read all records again")]
     Gap,
-    /// The answer cannot be read.
-    #[error("the store's answer cannot be read: {0}")]
+    /// The response cannot be parsed.
+    #[error("cannot parse the store's response: {0}")]
     Json(#[from] serde_json::Error),
-    /// A value of our own cannot be written.
+    /// A value cannot be encoded for the store.
     #[error(transparent)]
     Value(#[from] super::decode::Error),
 }
 
-/// A key with its value, or with the mark that it was removed.
+/// A key with its value, or a tombstone for a removed key.
 #[derive(serde::Deserialize)]
 struct Item {
     key: String,
-    /// In base64.
+    /// Base64.
     value: Option<String>,
     #[serde(default)]
     tombstone: bool,
 }
 
 impl Item {
-    /// A value that is not base64 stands for one without any bytes, which nothing can be read
-    /// from. Failing here would lose the other news of the same answer, again at each call, for as
-    /// long as one value is bad.
-    fn record(self) -> mirror::Record {
+    /// Converts the item. Invalid base64 yields an empty value, which no decoder accepts. An error
+    /// here would discard all other items of the response, in every call, for as long as one value
+    /// is invalid.
+    fn into_record(self) -> mirror::Record {
         let decode = |text: String| data_encoding::BASE64.decode(text.as_bytes());
         let value = self.value.filter(|_| !self.tombstone);
         mirror::Record {
@@ -96,7 +100,7 @@
 
 #[derive(serde::Serialize)]
 struct Ttl {
-    /// Seconds, although the name speaks of a time.
+    /// Duration in seconds.
     ttl_s_time: f64,
 }
 
@@ -120,16 +124,15 @@
     remove: Vec<&'a str>,
 }
 
-/// A list of items.
+/// A range read of one prefix.
 #[derive(Clone, Copy)]
-struct List<'a> {
-    /// What their keys begin with.
+struct Range<'a> {
     prefix: &'a str,
-    /// Whether a view that may be old will do.
+    /// Whether the store may answer from a view that is some seconds old.
     stale: bool,
 }
 
-/// A connection to the store. One call at a time.
+/// A connection to the store, which carries one call at a time.
 #[derive(Debug)]
 pub struct Client {
     addr: net::SocketAddr,
@@ -137,102 +140,102 @@
 }
 
 impl Client {
-    /// A client that connects with its first call.
+    /// Creates a client that connects on its first call.
     pub fn new(addr: net::SocketAddr) -> Self {
         Self { addr, wire: None }
     }
 
-    /// Connects, so that the next call need not. A failure shows in that call.
+    /// Connects ahead of the next call. If this fails, the next call tries again and reports the error.
     pub async fn connect(&mut self) {
         if self.wire.is_none() {
-            self.wire = socket::Wire::connect(self.addr, CONNECT).await.ok();
+            self.wire = socket::Wire::connect(self.addr, CONNECT_TIMEOUT).await.ok();
         }
     }
 
-    /// Gives up the connection.
+    /// Closes the connection.
     pub fn close(&mut self) {
         self.wire = None;
     }
 
-    /// All items under a prefix, and the revision from which to watch. A view that may be some
-    /// seconds old costs a tenth; its revision is as old, so a watch from it brings the rest.
+    /// Reads all items under a prefix and returns them with the revision to watch from. A `stale` read
+    /// may be some seconds old and costs a tenth of another; a watch from its revision returns the rest.
     pub async fn range(
         &mut self,
         prefix: &str,
         stale: bool,
     ) -> Result<(Vec<mirror::Record>, u64), Error> {
-        let list = List { prefix, stale };
-        let (mut records, mut revision, more) = self.page(list, "").await?;
+        let range = Range { prefix, stale };
+        let (mut records, mut revision, more) = self.page(range, "").await?;
         if !more {
             return Ok((records, revision));
         }
         let keys: Vec<&str> = records.iter().map(|r| r.key.as_str()).collect();
         let last = keys[keys.len() - 1].to_owned();
-        let beginnings = pages::beginnings(prefix, &keys);
-        let mut ends = beginnings.iter().skip(1).map(String::as_str);
+        let range_starts = list_ranges::range_starts(prefix, &keys);
+        let mut ends = range_starts.iter().skip(1).map(String::as_str);
         let addr = self.addr;
-        let others = beginnings.iter().map(|after| {
+        let others = range_starts.iter().map(|after| {
             let until = ends.next();
-            async move { Client::new(addr).rest(list, after, until).await }
+            async move { Client::new(addr).remaining_pages(range, after, until).await }
         });
         let others = future::try_join_all(others);
-        let first = self.rest(list, &last, beginnings.first().map(String::as_str));
+        let first = self.remaining_pages(range, &last, range_starts.first().map(String::as_str));
         let (first, others) = tokio::try_join!(first, others)?;
-        for (part, seen) in std::iter::once(first).chain(others) {
+        for (part, part_revision) in std::iter::once(first).chain(others) {
             records.extend(part);
-            // Pages are not a snapshot: what changed since the oldest shows in a watch from its
-            // revision.
-            revision = revision.min(seen);
+            // The pages are no consistent snapshot. A watch from the oldest page's revision returns
+            // all changes since then.
+            revision = revision.min(part_revision);
         }
         Ok((records, revision))
     }
 
-    /// The items of a list behind a key, up to and including another, and the oldest revision of their
-    /// pages.
-    async fn rest(
+    /// Reads the items with keys after `after`, up to and including `until`. Returns them with the
+    /// oldest revision of their pages.
+    async fn remaining_pages(
         &mut self,
-        list: List<'_>,
+        range: Range<'_>,
         after: &str,
         until: Option<&str>,
     ) -> Result<(Vec<mirror::Record>, u64), Error> {
-        let beyond = |key: &str| until.is_some_and(|until| key > until);
+        let past_end = |key: &str| until.is_some_and(|until| key > until);
         let mut records: Vec<mirror::Record> = Vec::new();
         let mut oldest = u64::MAX;
         loop {
             let from = records.last().map_or(after, |last| last.key.as_str());
-            let (page, revision, more) = self.page(list, from).await?;
+            let (page, revision, more) = self.page(range, from).await?;
             oldest = oldest.min(revision);
-            let ends = page.last().is_none_or(|last| beyond(&last.key));
-            records.extend(page.into_iter().filter(|record| !beyond(&record.key)));
+            let ends = page.last().is_none_or(|last| past_end(&last.key));
+            records.extend(page.into_iter().filter(|record| !past_end(&record.key)));
             if !more || ends {
                 return Ok((records, oldest));
             }
         }
     }
 
-    /// One page of a list, behind a key: its items, its revision, and whether there are more.
+    /// Reads the page after the key `after`: its items, its revision, and whether more pages follow.
     async fn page(
         &mut self,
-        list: List<'_>,
+        range: Range<'_>,
         after: &str,
     ) -> Result<(Vec<mirror::Record>, u64, bool), Error> {
-        let prefix = list.prefix;
+        let prefix = range.prefix;
         let after = match after {
             "" => String::new(),
             key => format!("&after={key}"),
         };
-        let stale = match list.stale {
+        let stale = match range.stale {
             true => "&stale_ok=1",
             false => "",
         };
         let target = format!("/kv-range?prefix={prefix}{after}{stale}");
-        let page: Page = self.read(&target, CALL).await?;
+        let page: Page = self.read(&target, RESPONSE_TIMEOUT).await?;
         let more = page.truncated && !page.items.is_empty();
-        let records = page.items.into_iter().map(Item::record);
+        let records = page.items.into_iter().map(Item::into_record);
         Ok((records.collect(), page.store_revision, more))
     }
 
-    /// What changed under a prefix after a revision, waiting at most so long for it.
+    /// Waits up to `wait` for changes under a prefix after a revision; returns them and the new revision.
     pub async fn watch(
         &mut self,
         prefix: &str,
@@ -241,39 +244,45 @@
     ) -> Result<(Vec<mirror::Record>, u64), Error> {
         let ms = wait.as_millis();
         let target = format!("/kv-watch?prefix={prefix}&after={after}&wait_ms={ms}");
-        let events: Events = self.read(&target, wait + CALL).await?;
-        let records = events.events.into_iter().map(Item::record).collect();
+        let events: Events = self.read(&target, wait + RESPONSE_TIMEOUT).await?;
+        let records = events.events.into_iter().map(Item::into_record).collect();
         Ok((records, events.store_revision))
     }
 
-    /// Takes a lease.
+    /// Creates a lease and returns its id.
     pub async fn lease(&mut self, ttl: time::Duration) -> Result<u64, Error> {
         let body = serde_json::to_vec(&Ttl {
             ttl_s_time: ttl.as_secs_f64(),
         })?;
-        let answer = self.call("POST", "/kv-lease", &body, CALL).await?;
-        let lease: Lease = serde_json::from_slice(&answer)?;
+        let response = self
+            .call("POST", "/kv-lease", &body, RESPONSE_TIMEOUT)
+            .await?;
+        let lease: Lease = serde_json::from_slice(&response)?;
         Ok(lease.lease)
     }
 
     /// Renews a lease.
     pub async fn renew(&mut self, lease: u64) -> Result<(), Error> {
         let target = format!("/kv-keep/{lease}");
-        self.call("POST", &target, b"", CALL).await.map(drop)
+        self.call("POST", &target, b"", RESPONSE_TIMEOUT)
+            .await
+            .map(drop)
     }
 
-    /// Ends a lease and removes its keys.
+    /// Revokes a lease, which removes its keys.
     pub async fn end_lease(&mut self, lease: u64) -> Result<(), Error> {
         let target = format!("/kv-lease-end/{lease}");
-        self.call("DELETE", &target, b"", CALL).await.map(drop)
+        self.call("DELETE", &target, b"", RESPONSE_TIMEOUT)
+            .await
+            .map(drop)
     }
 
-    /// Writes a key that goes with a lease.
+    /// Writes a key that is attached to a lease.
     pub async fn put(&mut self, key: &str, value: &[u8], lease: u64) -> Result<(), Error> {
         self.put_all(&[key.to_owned()], value, lease).await
     }
 
-    /// Writes keys with one value that go with a lease, [`MOST_PUTS`] at most.
+    /// Writes one value under up to [`MAX_PUTS_PER_CALL`] keys that are attached to a lease.
     pub async fn put_all(
         &mut self,
         keys: &[String],
@@ -290,7 +299,9 @@
             ..Txn::default()
         };
         let body = serde_json::to_vec(&txn)?;
-        self.call("POST", "/kv-txn", &body, CALL).await.map(drop)
+        self.call("POST", "/kv-txn", &body, RESPONSE_TIMEOUT)
+            .await
+            .map(drop)
     }
 
     async fn read<T: de::DeserializeOwned>(
@@ -298,8 +309,8 @@
         target: &str,
         limit: time::Duration,
     ) -> Result<T, Error> {
-        let answer = self.call("GET", target, b"", limit).await?;
-        Ok(serde_json::from_slice(&answer)?)
+        let response = self.call("GET", target, b"", limit).await?;
+        Ok(serde_json::from_slice(&response)?)
     }
 
     async fn call(
@@ -309,22 +320,22 @@
         body: &[u8],
         limit: time::Duration,
     ) -> Result<Bytes, Error> {
-        let answered = self.exchange(method, target, body, limit).await;
-        count(target, answered.as_ref().map(|(status, _)| *status));
-        let Some((status, answer)) = answered else {
-            // A connection on which an answer is missing brings nothing further.
+        let response = self.exchange(method, target, body, limit).await;
+        count_call(target, response.as_ref().map(|(status, _)| *status));
+        let Some((status, response_body)) = response else {
+            // After a missing response the connection cannot be reused.
             self.wire = None;
             return Err(Error::NoAnswer);
         };
         match status {
-            200..300 => Ok(answer),
+            200..300 => Ok(response_body),
             410 => Err(Error::Gap),
             404 | 412 => Err(Error::Condition(status)),
             _ => Err(Error::Refused(status)),
         }
     }
 
-    /// One call; `None` where no answer came within the limit.
+    /// Sends one call and reads its status and body; `None` if no response arrives in time.
     async fn exchange(
         &mut self,
         method: &str,
@@ -332,27 +343,30 @@
         body: &[u8],
         limit: time::Duration,
     ) -> Option<(u16, Bytes)> {
-        let asked = tokio::time::timeout(limit, self.ask(method, target, body)).await;
-        let (mut wire, received) = asked.ok()??;
-        let answer = tokio::time::timeout(ARRIVE, take(&mut wire, received.head.framing)).await;
-        let answer = answer.ok()??;
+        let response = tokio::time::timeout(limit, self.send(method, target, body)).await;
+        let (mut wire, received) = response.ok()??;
+        let response_body =
+            tokio::time::timeout(BODY_TIMEOUT, read_body(&mut wire, received.head.framing)).await;
+        let response_body = response_body.ok()??;
         if received.reusable {
             self.wire = Some(wire);
         }
-        Some((received.head.status, answer))
+        Some((received.head.status, response_body))
     }
 
-    /// Sends a call and waits for its answer's head.
-    async fn ask(
+    /// Sends a call and waits for the response head.
+    async fn send(
         &mut self,
         method: &str,
         target: &str,
         body: &[u8],
     ) -> Option<(socket::Wire, upstream::Received)> {
-        let resting = self.wire.take().and_then(socket::Wire::resting);
-        let mut wire = match resting {
+        let idle = self.wire.take().and_then(socket::Wire::resting);
+        let mut wire = match idle {
             Some(wire) => wire,
-            None => socket::Wire::connect(self.addr, CONNECT).await.ok()?,
+            None => socket::Wire::connect(self.addr, CONNECT_TIMEOUT)
+                .await
+                .ok()?,
         };
         let head = format!(
             "{method} {target} HTTP/1.1\r\nHost: {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
@@ -372,8 +386,8 @@
     }
 }
 
-/// Counts a call by its path's first part and by how it ended.
-fn count(target: &str, status: Option<u16>) {
+/// Counts a call by the first segment of its path and by its outcome.
+fn count_call(target: &str, status: Option<u16>) {
     let call = target.split(['/', '?']).nth(1).unwrap_or_default();
     let outcome = match status {
         Some(200..300) => "answered",
@@ -381,19 +395,20 @@
         Some(_) => "refused",
         None => "lost",
     };
-    metrics::counter!(known::STORE_CALLS, "call" => call.to_owned(), "outcome" => outcome)
+    metrics::counter!(metric_names::STORE_CALLS, "call" => call.to_owned(), "outcome" => outcome)
         .increment(1);
 }
 
-/// Reads an answer's body; `None` where it breaks off or falls silent.
-async fn take(wire: &mut socket::Wire, framing: http1::Framing) -> Option<Bytes> {
+/// Reads a response body; `None` if the connection fails or no piece arrives within the timeout.
+async fn read_body(wire: &mut socket::Wire, framing: http1::Framing) -> Option<Bytes> {
     let mut reader = http1::BodyReader::new(framing);
-    let mut answer = BytesMut::new();
+    let mut body = BytesMut::new();
     loop {
-        let piece = tokio::time::timeout(CALL, upstream::next_piece(wire, &mut reader)).await;
+        let piece =
+            tokio::time::timeout(RESPONSE_TIMEOUT, upstream::next_piece(wire, &mut reader)).await;
         match piece.ok()?.ok()? {
-            Some(piece) => answer.extend_from_slice(&piece),
-            None => return Some(answer.freeze()),
+            Some(piece) => body.extend_from_slice(&piece),
+            None => return Some(body.freeze()),
         }
     }
 }
--- a/src/protocol/backend.rs
+++ b/src/protocol/backend.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptResult {
     /// How the attempt ended.
-    pub how: policy::Ended,
+    pub how: policy::AttemptOutcome,
     /// The load that the backend server reported, if any.
     pub report: Option<policy::Report>,
 }
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -1,5 +1,5 @@
-//! How many places objects have, played in virtual time: two entry VMs, backend servers that are warm
-//! for few objects, and objects that are asked for more than one backend server can answer.
+//! Tests of the number of replicas per object, in virtual time: two entry VMs, backend servers with
+//! small caches, and objects that get more requests than one backend server can answer.
 
 use std::time;
 
@@ -11,22 +11,22 @@
 const CACHE: usize = 8;
 const COLD_S: f64 = 2.3;
 const WARM_S: f64 = 0.576;
-const AIM_S: f64 = 1.2;
+const TARGET_S: f64 = 1.2;
 const OBJECTS: usize = 40;
-/// Requests that one VM may have in flight at a backend server.
+/// The in-flight limit of one VM at a backend server.
 const LIMIT: usize = 3;
 
 #[derive(Clone, Default)]
 struct Backend {
     cache: Vec<usize>,
-    /// When the requests that it has end, and which VM sent each.
+    /// The end of each request here, and the VM that sent it.
     ends: Vec<(f64, usize)>,
     gone: bool,
     used: bool,
 }
 
 impl Backend {
-    /// Takes a request, first come first served. Returns when it ends.
+    /// Runs a request in FIFO order. Returns when it ends.
     fn run(&mut self, now: f64, vm: usize, object: usize) -> f64 {
         let warm = self.cache.contains(&object);
         self.cache.retain(|o| *o != object);
@@ -47,25 +47,25 @@
     }
 }
 
-/// What callers got.
+/// The results of a run.
 #[derive(Debug, Default)]
-struct Got {
-    asked: f64,
+struct Results {
+    requests: f64,
     in_time: f64,
     refused: f64,
     /// Backend servers that never got a request.
     idle: usize,
 }
 
-/// A region for half a minute, at three tenths of what its backend servers carry warm. Between 12 and
-/// 15 s callers ask 1.7 times as much, and from 20 s on a third of the backend servers is gone.
-fn play(cfg: &affinity::Config, n: usize) -> Got {
+/// Simulates a region for 30 s at three tenths of its warm capacity. From 12 to 15 s the load is 1.7
+/// times as high, and after 20 s a third of the backend servers is gone.
+fn play(cfg: &affinity::Config, n: usize) -> Results {
     let per_s = 0.3 * (n * SLOTS) as f64 / WARM_S;
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     let mut backends = vec![Backend::default(); n];
     let hashes: Vec<u64> = (0..n).map(|i| affinity::hash(&i.to_le_bytes())).collect();
-    let mut known = vec![vec![warming::Warming::default(); n]; 2];
-    let mut got = Got::default();
+    let mut known = vec![vec![warming::SentObjects::default(); n]; 2];
+    let mut results = Results::default();
     let mut now = 0.0;
     while now < 30.0 {
         let burst = (12.0..15.0).contains(&now);
@@ -75,7 +75,7 @@
             backend.gone = now > 20.0 && i % 3 == 0;
         }
         let vm = rng.random_range(0..2);
-        // Some objects are asked for three times as often as others.
+        // Some objects are requested three times as often as others.
         let drawn: [usize; 2] = [rng.random_range(0..OBJECTS), rng.random_range(0..OBJECTS)];
         let object = drawn[0].min(drawn[1]);
         let key = affinity::hash(&object.to_le_bytes());
@@ -88,66 +88,66 @@
                 slots: SLOTS as f64,
                 load: backends[*i].ends.len() as f64,
                 full: backends[*i].ends.iter().filter(|(_, by)| *by == vm).count() >= LIMIT,
-                known: known[vm][*i].has(moment, key),
-                objects: known[vm][*i].objects(),
+                recently_sent: known[vm][*i].sent_recently(moment, key),
+                recent_objects: known[vm][*i].object_count(),
             })
             .collect();
-        let want = affinity::Want {
+        let request = affinity::PlacementRequest {
             key: Some(key),
             tie: 0,
-            behind: false,
-            among: n,
+            low_priority: false,
+            region_backends: n,
         };
-        got.asked += 1.0;
-        let Some(at) = affinity::pick(cfg, &want, &candidates) else {
-            got.refused += 1.0;
+        results.requests += 1.0;
+        let Some(at) = affinity::pick(cfg, &request, &candidates) else {
+            results.refused += 1.0;
             continue;
         };
         let chosen = alive[at];
-        known[vm][chosen].begun(moment, key);
+        known[vm][chosen].request_started(moment, key);
         let end = backends[chosen].run(now, vm, object);
-        got.in_time += f64::from(u8::from(end - now <= AIM_S));
+        results.in_time += f64::from(u8::from(end - now <= TARGET_S));
     }
-    got.idle = backends.iter().filter(|b| !b.used).count();
-    got
+    results.idle = backends.iter().filter(|b| !b.used).count();
+    results
 }
 
-/// Two places and no third, and the second only when the first is full.
-fn two_places() -> affinity::Config {
+/// At most two replicas, and the second only when the first is full.
+fn two_replicas() -> affinity::Config {
     affinity::Config {
-        few: 0,
-        known: 2.0,
+        max_objects: 0,
+        recent_cost: 2.0,
         ..affinity::Config::default()
     }
 }
 
-/// Forty objects are asked for, some more than two backend servers can answer, while most backend
-/// servers of a large fleet are never asked. Callers are refused and come back late although two
-/// thirds of the slots are free.
+/// Some of forty objects get more requests than two backend servers can answer, while most backend
+/// servers of a large fleet get none. With two replicas, callers are refused and retry late
+/// although two thirds of the slots are free.
 #[test]
-fn an_object_that_is_asked_for_much_gets_further_places_where_caches_have_room() {
+fn a_busy_object_gets_further_replicas_where_caches_have_room() {
     for n in [96, 258] {
         let (before, now) = (
-            play(&two_places(), n),
+            play(&two_replicas(), n),
             play(&affinity::Config::default(), n),
         );
         println!("{n}: {before:?} {now:?}");
-        let refused = |got: &Got| got.refused / got.asked;
-        let in_time = |got: &Got| got.in_time / got.asked;
+        let refused = |results: &Results| results.refused / results.requests;
+        let in_time = |results: &Results| results.in_time / results.requests;
         assert!(refused(&now) < refused(&before) / 2.0, "{n}");
         assert!(in_time(&now) > 0.9, "{n}");
         assert!(now.idle < before.idle, "{n}");
     }
 }
 
-/// Twelve backend servers handle forty objects, so their caches are nearly full. A third place for
-/// one object would make another cold.
+/// Twelve backend servers handle forty objects, so their caches are nearly full. A third replica of
+/// one object would evict another.
 #[test]
-fn where_caches_are_full_objects_keep_to_two_places() {
+fn objects_keep_to_two_replicas_where_caches_are_full() {
     let (before, now) = (
-        play(&two_places(), 12),
+        play(&two_replicas(), 12),
         play(&affinity::Config::default(), 12),
     );
     println!("12: {before:?} {now:?}");
-    assert!(now.in_time / now.asked > before.in_time / before.asked - 0.01);
+    assert!(now.in_time / now.requests > before.in_time / before.requests - 0.01);
 }
