--- a/src/entry/desk.rs
+++ b/src/entry/desk.rs
@@ -26,7 +26,7 @@
 use crate::state::keys;
 use crate::transport::{client, server};
 use crate::{id, settings};
-use backend::Wire;
+use backend::Adapter;
 use policy::{Action, AttemptOutcome, Destination, Policy, RequestOutcome};
 
 pub(super) use upkeep::{all_in_hand, end_overdue, in_flight_at, observe, refresh, wall_clock_s};
@@ -242,15 +242,15 @@
         headers: answer.headers.clone(),
         body: answer.body.clone(),
     };
-    let Some(reading) = end.wire.read(end.number, &answer) else {
+    let Some(reading) = end.wire.interpret(end.number, &answer) else {
         return (AttemptOutcome::Lost, None, None);
     };
     let kept = matches!(
-        reading.how,
+        reading.attempt_outcome,
         AttemptOutcome::Answered | AttemptOutcome::Failed
     )
     .then_some(answer);
-    (reading.how, reading.report, kept)
+    (reading.attempt_outcome, reading.report, kept)
 }
 
 fn failed(failure: client::Failure) -> AttemptOutcome {
--- a/src/protocol/backend.rs
+++ b/src/protocol/backend.rs
@@ -1,5 +1,5 @@
 //! Interface between the request path and the protocol of backend servers. An adapter implements
-//! [`Wire`]: it encodes requests and probes and interprets answers.
+//! [`Adapter`]: it encodes requests and probes and interprets answers.
 
 use std::time;
 
@@ -40,13 +40,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptResult {
     /// How the attempt ended.
-    pub how: policy::AttemptOutcome,
+    pub attempt_outcome: policy::AttemptOutcome,
     /// The load that the backend server reported, if any.
     pub report: Option<policy::Report>,
 }
 
 /// Encodes requests to a backend server and interprets its answers.
-pub trait Wire: Send + Sync + 'static {
+pub trait Adapter: Send + Sync + 'static {
     /// Encodes a request.
     fn encode(&self, forward: Forward) -> hyper::Request<Bytes>;
 
@@ -54,5 +54,5 @@
     fn probe(&self) -> hyper::Request<Bytes>;
 
     /// Interprets an answer. Returns `None` if it belongs to another attempt.
-    fn read(&self, attempt: u64, answer: &Answer) -> Option<AttemptResult>;
+    fn interpret(&self, attempt: u64, answer: &Answer) -> Option<AttemptResult>;
 }
--- a/src/protocol/backend_http.rs
+++ b/src/protocol/backend_http.rs
@@ -21,7 +21,7 @@
     echoes_attempts: atomic::AtomicBool,
 }
 
-impl backend::Wire for Http {
+impl backend::Adapter for Http {
     fn encode(&self, forward: backend::Forward) -> hyper::Request<Bytes> {
         let mut req = hyper::Request::new(forward.body);
         *req.method_mut() = forward.method;
@@ -44,7 +44,7 @@
 
     /// Once a backend server has echoed an attempt number, every answer must carry one. This detects
     /// a late answer to an earlier request on the same connection.
-    fn read(&self, attempt: u64, answer: &backend::Answer) -> Option<backend::AttemptResult> {
+    fn interpret(&self, attempt: u64, answer: &backend::Answer) -> Option<backend::AttemptResult> {
         match headers::text(&answer.headers, headers::REQUEST) {
             Some(echo) if echo.parse() == Ok(attempt) => {
                 self.echoes_attempts.store(true, atomic::Ordering::Relaxed);
@@ -56,14 +56,17 @@
         let outcome = headers::text(&answer.headers, headers::OUTCOME);
         let not_run = outcome == Some(outcome::Outcome::NotRun.as_str());
         let unknown = outcome == Some(outcome::Outcome::Unknown.as_str());
-        let how = match answer.status {
+        let attempt_outcome = match answer.status {
             _ if not_run => policy::AttemptOutcome::Shed,
             _ if unknown => policy::AttemptOutcome::Lost,
             status if status.is_server_error() => policy::AttemptOutcome::Failed,
             _ => policy::AttemptOutcome::Answered,
         };
         let report = headers::text(&answer.headers, headers::LOAD).and_then(parse_load);
-        Some(backend::AttemptResult { how, report })
+        Some(backend::AttemptResult {
+            attempt_outcome,
+            report,
+        })
     }
 }
 
@@ -102,7 +105,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use backend::Wire;
+    use backend::Adapter;
 
     #[test]
     fn a_load_report_round_trips() {
@@ -122,9 +125,9 @@
         let wire = Http::default();
         let mut answer = backend::Answer::default();
         answer.headers.insert(headers::REQUEST, 7.into());
-        assert!(wire.read(7, &answer).is_some());
-        assert!(wire.read(8, &answer).is_none());
+        assert!(wire.interpret(7, &answer).is_some());
+        assert!(wire.interpret(8, &answer).is_none());
         answer.headers.remove(headers::REQUEST);
-        assert!(wire.read(8, &answer).is_none());
+        assert!(wire.interpret(8, &answer).is_none());
     }
 }
