--- a/benches/capacity/customers.rs
+++ b/benches/capacity/customers.rs
@@ -65,7 +65,7 @@
         let found = best_of(3, || {
             for n in 0..REQUESTS {
                 let digest = KeyDigest::of(keys[n % keys.len()].as_bytes());
-                hint::black_box(all.holder(digest));
+                hint::black_box(all.find_by_key(digest));
             }
         });
         let counted = best_of(3, || count_requests(count));
--- a/src/gateway/cluster_state.rs
+++ b/src/gateway/cluster_state.rs
@@ -99,7 +99,7 @@
             return false;
         }
         slog::info!(self.log, "routes"; "version" => table.version, "before" => known, "routes" => table.len(),
-            "customers" => table.customers.len(), "keys" => table.customers.keys(), "homed" => table.customers.homed().to_text());
+            "customers" => table.customers.len(), "keys" => table.customers.key_count(), "homed" => table.customers.region_bound().to_text());
         *self.table.borrow_mut() = Some(rc::Rc::new(table));
         if known.is_none() {
             self.data_arrived.notify_one();
@@ -435,7 +435,7 @@
             }
         }
         let table = self.table();
-        let homed = table.as_ref().map(|table| table.customers.homed());
+        let homed = table.as_ref().map(|table| table.customers.region_bound());
         let zones = self.cfg.regions.len().max(1) as f64;
         let in_region = self
             .cfg
@@ -449,8 +449,8 @@
             callers: in_region / zones,
             load: load / f64::max(own, 1.0),
             traffic: self.with_service(service, |state| state.traffic),
-            pinned_here: homed.map_or(0.0, |h| h.part(self.region.as_ref())),
-            pinned: homed.map_or(0.0, |h| h.all()),
+            pinned_here: homed.map_or(0.0, |h| h.share(self.region.as_ref())),
+            pinned: homed.map_or(0.0, |h| h.total()),
         }
     }
 }
--- a/src/gateway/facts.rs
+++ b/src/gateway/facts.rs
@@ -56,7 +56,7 @@
     if second.is_some() {
         return Err(Unidentified::TwoKeys);
     }
-    if key.is_empty() || key.len() > customers::LONGEST_KEY {
+    if key.is_empty() || key.len() > customers::MAX_KEY_BYTES {
         return Err(Unidentified::InvalidKey);
     }
     Ok(customers::KeyDigest::of(key))
@@ -190,7 +190,7 @@
         let key = key_of(fields, self.cfg.names.key)?;
         let customer = table
             .customers
-            .holder(key)
+            .find_by_key(key)
             .ok_or(Unidentified::UnknownKey)?;
         Ok(Some(KeyHolder {
             customer: customer.clone(),
@@ -222,7 +222,11 @@
         if table.version == facts.table.version {
             return Ok(Some(key_holder.clone()));
         }
-        let customer = table.customers.holder(key_holder.key).ok_or(())?.clone();
+        let customer = table
+            .customers
+            .find_by_key(key_holder.key)
+            .ok_or(())?
+            .clone();
         Ok(Some(KeyHolder {
             customer,
             ..key_holder.clone()
--- a/src/protocol/customers.rs
+++ b/src/protocol/customers.rs
@@ -13,7 +13,7 @@
 
 /// Maximum length of a key that is looked up. The limit keeps an unauthenticated caller from causing
 /// much hashing work with one long field.
-pub const LONGEST_KEY: usize = 256;
+pub const MAX_KEY_BYTES: usize = 256;
 
 /// Truncated SHA-256 digest of a customer's key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -73,7 +73,7 @@
     SharedKey(id::CustomerId, id::CustomerId),
     /// Two customers share a name.
     #[error("customer `{0}` is listed twice; list it once with all of its keys")]
-    Twice(id::CustomerId),
+    DuplicateName(id::CustomerId),
 }
 
 /// All customers of one configuration version.
@@ -81,52 +81,52 @@
 pub struct Customers {
     by_key: collections::HashMap<KeyDigest, rc::Rc<Customer>>,
     all: collections::BTreeMap<id::CustomerId, rc::Rc<Customer>>,
-    homed: Homed,
+    region_bound: RegionBoundShares,
 }
 
 /// Per region, the share of all customers' requests that must run there. The customers' quotas
 /// serve as the estimate of their demand.
 #[derive(Clone, Debug, Default)]
-pub struct Homed {
-    parts: collections::BTreeMap<id::RegionId, f64>,
+pub struct RegionBoundShares {
+    shares: collections::BTreeMap<id::RegionId, f64>,
 }
 
-impl Homed {
+impl RegionBoundShares {
     fn of<'a>(customers: impl Iterator<Item = &'a Customer>) -> Self {
-        let mut parts = collections::BTreeMap::new();
+        let mut shares = collections::BTreeMap::new();
         let mut total_rate_per_s = 0.0;
         for customer in customers {
             let rate_per_s = customer.quota.map_or(0.0, |quota| quota.rate);
             total_rate_per_s += rate_per_s;
             for region in &customer.regions {
-                *parts.entry(region.clone()).or_insert(0.0) +=
+                *shares.entry(region.clone()).or_insert(0.0) +=
                     rate_per_s / customer.regions.len() as f64;
             }
         }
-        parts
+        shares
             .values_mut()
-            .for_each(|part| *part /= total_rate_per_s.max(1.0));
-        Self { parts }
+            .for_each(|share| *share /= total_rate_per_s.max(1.0));
+        Self { shares }
     }
 
     /// The share that must run in `region`; 0 if the region is unknown.
-    pub fn part(&self, region: Option<&id::RegionId>) -> f64 {
+    pub fn share(&self, region: Option<&id::RegionId>) -> f64 {
         region
-            .and_then(|region| self.parts.get(region))
+            .and_then(|region| self.shares.get(region))
             .copied()
             .unwrap_or_default()
     }
 
     /// Formats all shares for logs.
     pub fn to_text(&self) -> String {
-        let parts = self.parts.iter();
-        let texts: Vec<String> = parts.map(|(r, part)| format!("{r} {part:.3}")).collect();
+        let shares = self.shares.iter();
+        let texts: Vec<String> = shares.map(|(r, share)| format!("{r} {share:.3}")).collect();
         texts.join(", ")
     }
 
     /// The share that is bound to any region.
-    pub fn all(&self) -> f64 {
-        self.parts.values().sum()
+    pub fn total(&self) -> f64 {
+        self.shares.values().sum()
     }
 }
 
@@ -139,7 +139,7 @@
         for (customer, keys) in customers {
             list.add(rc::Rc::new(customer), &keys)?;
         }
-        list.homed = Homed::of(list.iter().map(|c| &**c));
+        list.region_bound = RegionBoundShares::of(list.iter().map(|c| &**c));
         Ok(list)
     }
 
@@ -153,7 +153,7 @@
         }
         let name = customer.name.clone();
         match self.all.insert(name.clone(), customer) {
-            Some(_) => Err(Error::Twice(name)),
+            Some(_) => Err(Error::DuplicateName(name)),
             None => Ok(()),
         }
     }
@@ -169,7 +169,7 @@
     }
 
     /// Number of keys.
-    pub fn keys(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.by_key.len()
     }
 
@@ -179,12 +179,12 @@
     }
 
     /// The shares of requests that are bound to regions.
-    pub fn homed(&self) -> &Homed {
-        &self.homed
+    pub fn region_bound(&self) -> &RegionBoundShares {
+        &self.region_bound
     }
 
     /// The customer that owns a key.
-    pub fn holder(&self, key: KeyDigest) -> Option<&rc::Rc<Customer>> {
+    pub fn find_by_key(&self, key: KeyDigest) -> Option<&rc::Rc<Customer>> {
         self.by_key.get(&key)
     }
 }
--- a/tests/gateway/customers.rs
+++ b/tests/gateway/customers.rs
@@ -345,11 +345,11 @@
         with("d", 20.0, &["north", "south"]),
     ];
     let customer_list = customers::Customers::new(list.map(|c| (c, Vec::new()))).unwrap();
-    let part = |name: &str| customer_list.homed().part(Some(&name.into()));
+    let part = |name: &str| customer_list.region_bound().share(Some(&name.into()));
     assert!((part("north") - 0.4).abs() < 1e-9);
     assert!((part("south") - 0.1).abs() < 1e-9);
-    assert!((customer_list.homed().all() - 0.5).abs() < 1e-9);
-    assert_eq!(customer_list.homed().part(None), 0.0);
+    assert!((customer_list.region_bound().total() - 0.5).abs() < 1e-9);
+    assert_eq!(customer_list.region_bound().share(None), 0.0);
 }
 
 /// All VMs have just started and exchanged no reports, while a customer exceeds its quota
--- a/tests/platform/decoding.rs
+++ b/tests/platform/decoding.rs
@@ -130,7 +130,7 @@
         {"name": "herders", "keys": [], "rate_per_s": 0, "burst": 5},
     ]));
     let table = decode_with_hashed_keys(&text).unwrap();
-    let holder = |key: &[u8]| table.customers.holder(customers::KeyDigest::of(key));
+    let holder = |key: &[u8]| table.customers.find_by_key(customers::KeyDigest::of(key));
     let pilots = holder(b"k2").unwrap();
     assert_eq!(pilots.name.as_str(), "pilots");
     assert_eq!(
@@ -207,7 +207,7 @@
             .collect();
         if let Ok(table) = decode_with_hashed_keys(&with_customers(&json!(tenants))) {
             for (name, key) in names.iter().zip(keys.iter().cycle()) {
-                let holder = table.customers.holder(customers::KeyDigest::of(key.as_bytes()));
+                let holder = table.customers.find_by_key(customers::KeyDigest::of(key.as_bytes()));
                 assert_eq!(holder.unwrap().name.as_str(), name);
             }
         }
