--- a/src/burn/mod.rs
+++ b/src/burn/mod.rs
@@ -33,7 +33,7 @@
     let out = output::Output::new(cli::args::Format::Table, args.color);
     let cx = cli::Context::new(&args.place, out)?;
     let addrs = entries::addresses(&cx)?;
-    let windows = history::WINDOWS_S.map(|s| s.to_string()).join(",");
+    let windows = history::DEFAULT_WINDOWS_S.map(|s| s.to_string()).join(",");
     let answers = entries::ask(&addrs, |addr| {
         let body = entries::get(addr, &format!("/history?windows={windows}"), "operators'")?;
         serde_json::from_slice(&body).map_err(|err| error::Error::Entry {
--- a/src/burn/report.rs
+++ b/src/burn/report.rs
@@ -171,7 +171,7 @@
     service: &settings::Service,
     found: &Found<'_>,
 ) -> Service {
-    let windows: Vec<Window> = history::WINDOWS_S
+    let windows: Vec<Window> = history::DEFAULT_WINDOWS_S
         .iter()
         .map(|asked_s| window(service, found, *asked_s))
         .collect();
@@ -351,12 +351,14 @@
             not_run,
             ..totals::Totals::default()
         };
-        let windows = history::WINDOWS_S.iter().map(|asked_s| totals::Window {
-            asked_s: *asked_s,
-            covers_s: covers_s.min(*asked_s),
-            totals: totals.clone(),
-            peak_in_hand: 0,
-        });
+        let windows = history::DEFAULT_WINDOWS_S
+            .iter()
+            .map(|asked_s| totals::Window {
+                asked_s: *asked_s,
+                covers_s: covers_s.min(*asked_s),
+                totals: totals.clone(),
+                peak_in_hand: 0,
+            });
         let service = history::Service {
             slots: 6,
             in_hand: 2,
--- a/src/entry/operate.rs
+++ b/src/entry/operate.rs
@@ -104,7 +104,7 @@
             slots: hand.slots,
             in_hand: hand.in_flight + hand.queued,
             windows: windows.iter().map(|s| kept.window(name, now, *s)).collect(),
-            stretches: kept.stretches(name, now, history::STRETCHES),
+            stretches: kept.stretches(name, now, history::PLOT_POINT_COUNT),
         }
     };
     let services = core.observer.with_history(|kept| {
--- a/src/protocol/history.rs
+++ b/src/protocol/history.rs
@@ -6,13 +6,13 @@
 use crate::state::totals;
 
 /// Windows of a report whose query names none.
-pub const WINDOWS_S: [u64; 3] = [300, 3_600, 21_600];
+pub const DEFAULT_WINDOWS_S: [u64; 3] = [300, 3_600, 21_600];
 
 /// Maximum number of windows in one query.
 const MAX_WINDOWS: usize = 8;
 
 /// Number of points in a plot.
-pub const STRETCHES: usize = 72;
+pub const PLOT_POINT_COUNT: usize = 72;
 
 data! {
     /// The answer to `/history`.
@@ -70,7 +70,7 @@
         .filter_map(|s| s.parse().ok());
     let windows: Vec<u64> = windows.take(MAX_WINDOWS).collect();
     if windows.is_empty() {
-        return WINDOWS_S.to_vec();
+        return DEFAULT_WINDOWS_S.to_vec();
     }
     windows
 }
