--- a/src/protocol/http1.rs
+++ b/src/protocol/http1.rs
@@ -97,7 +97,7 @@
     }
 
     /// Whether a comma-separated field of this name contains the token, ignoring case.
-    pub fn lists(&self, name: &str, token: &str) -> bool {
+    pub fn contains_token(&self, name: &str, token: &str) -> bool {
         self.iter()
             .filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()))
             .flat_map(|(_, value)| value.split(|b| *b == b','))
@@ -109,7 +109,7 @@
     pub fn end_to_end(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
         self.iter().filter(|(name, _)| {
             let text = std::str::from_utf8(name).unwrap_or_default();
-            !is_hop_by_hop(name) && !self.lists("connection", text)
+            !is_hop_by_hop(name) && !self.contains_token("connection", text)
         })
     }
 
@@ -233,14 +233,14 @@
 
     /// Whether the sender keeps the connection open after the answer.
     pub fn keeps_alive(&self) -> bool {
-        if self.fields.lists("connection", "close") {
+        if self.fields.contains_token("connection", "close") {
             return false;
         }
-        self.minor_version >= 1 || self.fields.lists("connection", "keep-alive")
+        self.minor_version >= 1 || self.fields.contains_token("connection", "keep-alive")
     }
 
     /// Whether the sender supports chunked bodies.
-    pub fn knows_chunks(&self) -> bool {
+    pub fn supports_chunked(&self) -> bool {
         self.minor_version >= 1
     }
 }
@@ -298,7 +298,7 @@
     pub fn keeps_alive(&self) -> bool {
         self.framing != Framing::UntilClose
             && self.minor_version >= 1
-            && !self.fields.lists("connection", "close")
+            && !self.fields.contains_token("connection", "close")
     }
 }
 
@@ -315,7 +315,7 @@
 pub struct BodyReader {
     framing: Framing,
     remaining: u64,
-    taken: u64,
+    bytes_read: u64,
     chunk_state: ChunkState,
     done: bool,
 }
@@ -330,7 +330,7 @@
         Self {
             framing,
             remaining,
-            taken: 0,
+            bytes_read: 0,
             chunk_state: ChunkState::Size,
             done: framing == Framing::Length(0),
         }
@@ -342,12 +342,12 @@
     }
 
     /// Number of body bytes read, excluding chunk framing.
-    pub fn taken(&self) -> u64 {
-        self.taken
+    pub fn bytes_read(&self) -> u64 {
+        self.bytes_read
     }
 
     /// Handles the end of the connection. Returns whether the body is complete.
-    pub fn closed(&mut self) -> bool {
+    pub fn handle_close(&mut self) -> bool {
         self.done |= self.framing == Framing::UntilClose;
         self.done
     }
@@ -362,7 +362,7 @@
             Framing::Length(_) => Some(self.take_remaining(buf)),
             Framing::Chunked => self.next_chunk(buf)?,
         };
-        self.taken += piece.as_ref().map_or(0, |p| p.len() as u64);
+        self.bytes_read += piece.as_ref().map_or(0, |p| p.len() as u64);
         Ok(piece)
     }
 
--- a/src/transport/callers.rs
+++ b/src/transport/callers.rs
@@ -317,7 +317,7 @@
                         }
                         Err(_) => return self.refuse(400),
                     }
-                    if reader.taken() > self.handler.limits().body {
+                    if reader.bytes_read() > self.handler.limits().body {
                         return self.refuse(413);
                     }
                     self.hold_or_pass(head, reader, body, received);
@@ -348,7 +348,7 @@
         {
             return self.refuse(413).map(|()| false);
         }
-        if head.fields.lists("expect", "100-continue") && self.pending.is_empty() {
+        if head.fields.contains_token("expect", "100-continue") && self.pending.is_empty() {
             self.wr.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
         }
         let reader = http1::BodyReader::new(head.framing);
@@ -413,7 +413,7 @@
         }
         match reader.next(&mut self.buf) {
             Ok(Some(data)) => {
-                if reader.taken() > limit {
+                if reader.bytes_read() > limit {
                     return self.refuse(413).map(|()| true);
                 }
                 *piece = Some(upstream::Piece::Data(data));
@@ -452,7 +452,7 @@
         let bond = rc::Rc::new(Bond::default());
         let keep_alive = head.keeps_alive();
         let form = Form {
-            chunks: head.knows_chunks(),
+            chunks: head.supports_chunked(),
             to_head: head.method() == b"HEAD",
         };
         let answer = self.handler.answer(Request {
--- a/src/transport/upstream.rs
+++ b/src/transport/upstream.rs
@@ -226,7 +226,7 @@
         }
         match wire.fill().await {
             // A reset is no end: only an orderly close ends a body without a length.
-            Ok(0) if body.closed() => return Ok(None),
+            Ok(0) if body.handle_close() => return Ok(None),
             Ok(0) | Err(_) => return Err(Failure::Lost),
             Ok(_) => {}
         }
--- a/tests/gateway/callers.rs
+++ b/tests/gateway/callers.rs
@@ -131,7 +131,7 @@
         let mut caller = harness.caller().await;
         let text = get("/read/a", "r1").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
         let answer = caller.ask(&text).await;
-        assert!(answer.head.fields.lists("connection", "close"));
+        assert!(answer.head.fields.contains_token("connection", "close"));
         assert!(caller.is_closed().await);
     });
 }
--- a/tests/gateway/stop.rs
+++ b/tests/gateway/stop.rs
@@ -20,7 +20,7 @@
         );
         let answer = caller.receive().await.unwrap();
         assert_eq!((answer.status, answer.text()), (200, "late"));
-        assert!(answer.head.fields.lists("connection", "close"));
+        assert!(answer.head.fields.contains_token("connection", "close"));
         assert!(caller.is_closed().await);
     });
 }
