--- a/src/coordination/mirror.rs
+++ b/src/coordination/mirror.rs
@@ -171,7 +171,7 @@
             key: key.clone(),
             value: Some(versioned.value.clone()),
         });
-        mirror::Message::Whole {
+        mirror::Message::Snapshot {
             records: records.collect(),
             revision: self.revision,
         }
@@ -195,7 +195,7 @@
             key: key.clone(),
             value: None,
         });
-        Some(mirror::Message::Changes {
+        Some(mirror::Message::Delta {
             records: values.chain(removed).collect(),
             revision: self.revision,
         })
--- a/src/gateway/fanout.rs
+++ b/src/gateway/fanout.rs
@@ -94,7 +94,7 @@
         stream: tokio::net::TcpStream,
     ) -> Result<(), transport::mirror::Error> {
         let mut link = transport::mirror::Link::accept(stream).await?;
-        let ask: mirror::Ask = link.receive(follow_order::SILENCE_TIMEOUT).await?;
+        let ask: mirror::FollowRequest = link.receive(follow_order::SILENCE_TIMEOUT).await?;
         let mut updates = self.updates.subscribe();
         if ask.fresh && !self.is_fresh() {
             self.await_current(&mut updates, ask.wait_ms, &mut link)
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -304,7 +304,7 @@
         received: &mut bool,
     ) -> Result<(), transport::mirror::Error> {
         let mut link = transport::mirror::Link::open(addr, timeouts.open).await?;
-        let ask = mirror::Ask {
+        let ask = mirror::FollowRequest {
             fresh: true,
             wait_ms: timeouts.first_message.as_millis() as u64,
             since: self.records.borrow().revision(),
@@ -315,17 +315,17 @@
             let bytes = link.receive_bytes(limit).await?;
             limit = timeouts.silence;
             let message: mirror::Message = mirror::decode(&bytes)?;
-            let whole = matches!(message, mirror::Message::Whole { .. });
+            let whole = matches!(message, mirror::Message::Snapshot { .. });
             let len = bytes.len();
             let (updates, revision) = match message {
                 mirror::Message::NotReading => return Ok(()),
-                mirror::Message::Whole { records, revision } => {
+                mirror::Message::Snapshot { records, revision } => {
                     let updates = self.replace_all(source, &records, revision);
                     // Cached as received, so that a long list is not encoded again at each hop.
                     *self.snapshot.borrow_mut() = (self.records.borrow().version(), bytes);
                     (updates, revision)
                 }
-                mirror::Message::Changes { records, revision } => {
+                mirror::Message::Delta { records, revision } => {
                     (self.apply_changes(source, &records, revision), revision)
                 }
             };
@@ -489,7 +489,7 @@
         }
         drop(snapshot);
         metrics::gauge!(metric_names::FOLLOWERS).set(self.updates.receiver_count() as f64);
-        match mirror::encode(&mirror::Message::Changes { records, revision }) {
+        match mirror::encode(&mirror::Message::Delta { records, revision }) {
             // Sending fails if there is no follower.
             Ok(message) => drop(self.updates.send(message.into())),
             Err(err) => {
@@ -520,18 +520,18 @@
         addr: net::SocketAddr,
     ) -> Result<usize, transport::mirror::Error> {
         let mut link = transport::mirror::Link::open(addr, transport::mirror::OPEN).await?;
-        let ask = mirror::Ask {
+        let ask = mirror::FollowRequest {
             fresh: false,
             wait_ms: 0,
             since: 0,
         };
         link.send(mirror::encode(&ask)?.into()).await?;
         match link.receive(follow_order::SILENCE_TIMEOUT).await? {
-            mirror::Message::Whole { records, revision } => {
+            mirror::Message::Snapshot { records, revision } => {
                 self.replace_all(source, &records, revision);
                 Ok(records.len())
             }
-            mirror::Message::Changes { .. } | mirror::Message::NotReading => Ok(0),
+            mirror::Message::Delta { .. } | mirror::Message::NotReading => Ok(0),
         }
     }
 }
--- a/src/protocol/mirror.rs
+++ b/src/protocol/mirror.rs
@@ -16,7 +16,7 @@
     }
 
     /// The first message on a link, sent by the follower.
-    pub struct Ask {
+    pub struct FollowRequest {
         /// Whether only records read directly from the store are acceptable. A VM that starts
         /// during a store outage accepts any copy.
         pub fresh: bool,
@@ -31,7 +31,8 @@
     /// The answer to a follower.
     pub enum Message {
         /// A snapshot of all records.
-        Whole {
+        #[serde(rename = "Whole")]
+        Snapshot {
             /// The records.
             records: Vec<Record>,
             /// The store's revision that they show.
@@ -39,7 +40,8 @@
         },
         /// A delta since the last message. The sender forwards each answer of the store, also an
         /// empty one, so that followers know that it still reads the store.
-        Changes {
+        #[serde(rename = "Changes")]
+        Delta {
             /// The records.
             records: Vec<Record>,
             /// The store's revision that they show.
--- a/tests/gateway/following.rs
+++ b/tests/gateway/following.rs
@@ -52,7 +52,7 @@
 
 async fn ask(addr: std::net::SocketAddr) -> mirror::Message {
     let mut link = links::Link::open(addr, LONG).await.unwrap();
-    let ask = mirror::encode(&mirror::Ask {
+    let ask = mirror::encode(&mirror::FollowRequest {
         fresh: true,
         wait_ms: 0,
         since: 0,
@@ -82,7 +82,8 @@
         let store = SilenceableStore::default();
         task::spawn_local(mirror.clone().serve(listener));
         task::spawn_local(mirror.run(store.clone(), Vec::new()));
-        let whole = |m: &mirror::Message| matches!(m, mirror::Message::Whole { revision: 7, .. });
+        let whole =
+            |m: &mirror::Message| matches!(m, mirror::Message::Snapshot { revision: 7, .. });
         wait_until(addr, "it tells what it reads", whole).await;
         store.0.set(true);
         let not = |m: &mirror::Message| *m == mirror::Message::NotReading;
@@ -120,7 +121,7 @@
         key: "a".to_owned(),
         value: Some(random_bytes(len)),
     };
-    mirror::Message::Whole {
+    mirror::Message::Snapshot {
         records: vec![record],
         revision: 7,
     }
@@ -156,7 +157,7 @@
 #[test]
 fn long_messages_are_compressed_and_decoded_unchanged() {
     let text = "{\"host\":\"a.example\",\"prefix\":\"/a/b/\",\"kind\":\"safe\"},".repeat(2_000);
-    let message = mirror::Message::Changes {
+    let message = mirror::Message::Delta {
         records: vec![mirror::Record {
             key: "routes".to_owned(),
             value: Some(text.clone().into()),
--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -866,8 +866,7 @@
     leader.advance_to(12);
     leader.put(&record("c", None), 15);
     leader.advance_to(16);
-    let changes =
-        |records, revision| Some(protocol::mirror::Message::Changes { records, revision });
+    let changes = |records, revision| Some(protocol::mirror::Message::Delta { records, revision });
     assert!(
         leader.delta_since(9).is_none(),
         "earlier removals are not recorded"
