--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -242,7 +242,7 @@
             let replaced = [names.timeout_ms, names.instance, "expect"]
                 .iter()
                 .any(|n| name.eq_ignore_ascii_case(n.as_bytes()));
-            if !replaced && !names.tells_who(name) {
+            if !replaced && !names.identifies_customer(name) {
                 http1::put_field(&mut out, name, value);
             }
         }
@@ -370,7 +370,10 @@
 
     /// Records the load that an answer reports. Returns whether it leaves a free slot.
     fn note_load(&self, id: &id::VmId, head: &http1::ResponseHead) -> bool {
-        let stated = head.fields.text(self.cfg.names.load).and_then(names::load);
+        let stated = head
+            .fields
+            .text(self.cfg.names.load)
+            .and_then(names::parse_load);
         let Some((running, waiting, slots)) = stated else {
             return false;
         };
--- a/src/protocol/names.rs
+++ b/src/protocol/names.rs
@@ -44,7 +44,7 @@
 impl Names {
     /// Whether a field identifies the customer. Case and the difference between underscore and hyphen
     /// are ignored, because many servers treat such spellings as equal.
-    pub fn tells_who(&self, field: &[u8]) -> bool {
+    pub fn identifies_customer(&self, field: &[u8]) -> bool {
         let matches_name = |name: &str| {
             let normalize = |b: &u8| match b {
                 b'_' => b'-',
@@ -70,7 +70,7 @@
 }
 
 /// Parses the load that an answer reports: in-flight requests, queued requests and slots.
-pub fn load(text: &str) -> Option<(u32, u32, u32)> {
+pub fn parse_load(text: &str) -> Option<(u32, u32, u32)> {
     let mut parts = text.split(',').map(|part| part.trim().parse().ok());
     Some((parts.next()??, parts.next()??, parts.next()??))
 }
