--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -143,7 +143,7 @@
         return ask_home(core, req, &asked);
     }
     if key.ticket.incarnation != core.incarnation {
-        return refuse(core, id, service, req.reply, &Problem::TicketVoid);
+        return refuse(core, id, service, req.reply, &Problem::IssuerRestarted);
     }
     let print = fingerprint(&req, path);
     let (now, stops) = (core.now(), core.stopping.load(atomic::Ordering::SeqCst));
@@ -163,7 +163,7 @@
             reply.send(answers::backend(&answer));
         }
         keys::Admission::Ended(keys::End::AnswerGone, reply) => {
-            refuse(core, id, service, reply, &Problem::AnswerGone);
+            refuse(core, id, service, reply, &Problem::AnswerExpired);
         }
         keys::Admission::Ended(keys::End::Unknown(problem), reply)
         | keys::Admission::Refused(problem, reply) => refuse(core, id, service, reply, &problem),
@@ -420,7 +420,7 @@
             req.id,
             asked.service.name.as_str(),
             req.reply,
-            &Problem::TicketVoid,
+            &Problem::IssuerRestarted,
         );
     };
     let mut out = hyper::Request::new(req.body);
@@ -467,7 +467,7 @@
     result: Result<server::Answer, client::Failure>,
 ) {
     let Ok(answer) = result else {
-        let problem = Problem::HomeSilent;
+        let problem = Problem::IssuerUnreachable;
         return refuse(core, home.id, home.service.as_str(), home.reply, &problem);
     };
     // The home's own word about the outcome stands.
--- a/src/protocol/outcome.rs
+++ b/src/protocol/outcome.rs
@@ -95,16 +95,16 @@
         "the entry VM that issued the ticket has restarted or stopped; check with the service \
          whether the request ran before you send it with a new ticket"
     )]
-    TicketVoid,
+    IssuerRestarted,
     /// The entry VM that issued the ticket did not answer.
     #[error("the entry VM that issued the ticket does not answer; retry later with the same key")]
-    HomeSilent,
+    IssuerUnreachable,
     /// The table of keys is full.
     #[error("the key table of this entry VM is full; retry when some keys have expired")]
-    KeysFull,
+    KeyTableFull,
     /// The request ran, and its answer is no longer stored.
     #[error("the request ran, and its answer is no longer stored; get the result from the service")]
-    AnswerGone,
+    AnswerExpired,
     /// The timeout header is malformed or out of range.
     #[error("Bulrushwind-Timeout-Ms is `{0}`; set it to 1 to 600000 milliseconds")]
     BadTimeout(String),
@@ -134,9 +134,9 @@
     pub fn outcome(&self) -> Outcome {
         match self {
             Self::TicketForgotten
-            | Self::TicketVoid
-            | Self::HomeSilent
-            | Self::AnswerGone
+            | Self::IssuerRestarted
+            | Self::IssuerUnreachable
+            | Self::AnswerExpired
             | Self::Lost(_) => Outcome::Unknown,
             _ => Outcome::NotRun,
         }
@@ -156,11 +156,11 @@
             Self::TicketExpired => StatusCode::PRECONDITION_FAILED,
             Self::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
             Self::Refused(policy::Refusal::CallerShare, _) => StatusCode::TOO_MANY_REQUESTS,
-            Self::KeysFull | Self::Busy | Self::Refused(..) => StatusCode::SERVICE_UNAVAILABLE,
+            Self::KeyTableFull | Self::Busy | Self::Refused(..) => StatusCode::SERVICE_UNAVAILABLE,
             Self::TicketForgotten
-            | Self::TicketVoid
-            | Self::HomeSilent
-            | Self::AnswerGone
+            | Self::IssuerRestarted
+            | Self::IssuerUnreachable
+            | Self::AnswerExpired
             | Self::Lost(_) => StatusCode::GATEWAY_TIMEOUT,
         }
     }
@@ -169,7 +169,7 @@
     pub fn retry_after(&self) -> Option<time::Duration> {
         match self {
             Self::Refused(_, after) | Self::Lost(after) => Some(*after),
-            Self::KeysFull | Self::Busy | Self::HomeSilent | Self::BodyIncomplete => {
+            Self::KeyTableFull | Self::Busy | Self::IssuerUnreachable | Self::BodyIncomplete => {
                 Some(time::Duration::from_secs(1))
             }
             _ => None,
@@ -188,10 +188,10 @@
             Self::KeyReused => "key-reused",
             Self::TicketExpired => "ticket-expired",
             Self::TicketForgotten => "ticket-forgotten",
-            Self::TicketVoid => "ticket-void",
-            Self::HomeSilent => "home-silent",
-            Self::KeysFull => "keys-full",
-            Self::AnswerGone => "answer-gone",
+            Self::IssuerRestarted => "ticket-void",
+            Self::IssuerUnreachable => "home-silent",
+            Self::KeyTableFull => "keys-full",
+            Self::AnswerExpired => "answer-gone",
             Self::BadTimeout(_) => "bad-timeout",
             Self::TooLarge(_) => "too-large",
             Self::BodyIncomplete => "body-incomplete",
--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -160,7 +160,7 @@
             return Err(outcome::Problem::TicketExpired);
         }
         if self.spent.len() >= self.limits.keys {
-            return Err(outcome::Problem::KeysFull);
+            return Err(outcome::Problem::KeyTableFull);
         }
         Ok(())
     }
