--- a/benches/capacity/gateway.rs
+++ b/benches/capacity/gateway.rs
@@ -71,7 +71,7 @@
                         service: &"archive".into(),
                         key: Some(affinity::hash(&object.to_le_bytes())),
                         remote: false,
-                        homes: routes::Homes::default(),
+                        homes: routes::AllowedRegions::default(),
                         idempotent: true,
                         low_priority: false,
                         tried: &[],
--- a/src/gateway/facts.rs
+++ b/src/gateway/facts.rs
@@ -84,8 +84,8 @@
 }
 
 impl Facts {
-    pub(super) fn homes(&self) -> routes::Homes<'_> {
-        routes::Homes {
+    pub(super) fn homes(&self) -> routes::AllowedRegions<'_> {
+        routes::AllowedRegions {
             route: &self.route.regions,
             customer: self.customer().map_or(&[], |c| &c.regions),
         }
@@ -110,13 +110,13 @@
 
 impl Gateway {
     /// Where a request with these homes may run, relative to this VM's region.
-    pub(super) fn reach(&self, homes: &routes::Homes<'_>) -> regions::Reach {
-        if homes.are_open() {
+    pub(super) fn reach(&self, homes: &routes::AllowedRegions<'_>) -> regions::Reach {
+        if homes.is_unrestricted() {
             return regions::Reach::Anywhere;
         }
         let own = self.region.as_ref();
         let mut others = self.cfg.regions.values().filter(|r| Some(*r) != own);
-        match (homes.allow(own), others.any(|r| homes.allow(Some(r)))) {
+        match (homes.includes(own), others.any(|r| homes.includes(Some(r)))) {
             (true, true) => regions::Reach::Anywhere,
             (true, false) => regions::Reach::Here,
             (false, _) => regions::Reach::Elsewhere,
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -23,7 +23,7 @@
     /// Whether the request is to run in another region.
     pub remote: bool,
     /// The regions where the request may run.
-    pub homes: routes::Homes<'a>,
+    pub homes: routes::AllowedRegions<'a>,
     /// Whether the request may run more than once.
     pub idempotent: bool,
     /// Whether other requests of the service have a higher priority.
@@ -165,7 +165,7 @@
     fn choose(&self, need: &Need<'_>, now: policy::Moment) -> Result<id::VmId, PlacementError> {
         // The sides, which are sets of regions, in order of preference. If one has no usable
         // backend server, the next serves the request.
-        let mut sides = match need.homes.are_open() {
+        let mut sides = match need.homes.is_unrestricted() {
             true => vec![backends::Side::Far],
             false => self.other_allowed_regions(&need.homes),
         };
@@ -180,7 +180,10 @@
     /// The other regions where a request may run. Each has its own order of backend servers per
     /// object, whose length follows from the region's size. In one order for all other regions, a
     /// small region would keep each object at many backend servers, and its caches would hold none.
-    fn other_allowed_regions<'a>(&'a self, homes: &routes::Homes<'a>) -> Vec<backends::Side<'a>> {
+    fn other_allowed_regions<'a>(
+        &'a self,
+        homes: &routes::AllowedRegions<'a>,
+    ) -> Vec<backends::Side<'a>> {
         let own = self.region.as_ref();
         let named = match homes.route.is_empty() {
             true => homes.customer,
@@ -188,7 +191,7 @@
         };
         named
             .iter()
-            .filter(|region| Some(*region) != own && homes.allow(Some(region)))
+            .filter(|region| Some(*region) != own && homes.includes(Some(region)))
             .map(backends::Side::In)
             .collect()
     }
@@ -280,7 +283,7 @@
         if b.listed.leaving || self.evacuated.borrow().contains(&b.listed.az) {
             return false;
         }
-        if !need.homes.are_open() && !need.homes.allow(b.region.as_ref()) {
+        if !need.homes.is_unrestricted() && !need.homes.includes(b.region.as_ref()) {
             return false;
         }
         if need.tried.contains(&b.id) {
@@ -316,7 +319,7 @@
         self.table
             .borrow()
             .as_ref()
-            .and_then(|table| Some(table.services.get(service)?.cold_rate))
+            .and_then(|table| Some(table.services.get(service)?.cold_rate_per_s))
             .filter(|rate| *rate > 0.0)
             .unwrap_or(DEFAULT_RATE_PER_S)
     }
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -72,7 +72,7 @@
             counter!(metric_names::RETRIES, "service" => service.clone())
                 .increment(u64::from(outcome.sends - 1));
         }
-        let in_time = outcome.fate == "answered" && took <= outcome.route.aim;
+        let in_time = outcome.fate == "answered" && took <= outcome.route.latency_target;
         if in_time {
             counter!(metric_names::IN_TIME, "service" => service).increment(1);
         }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -110,7 +110,7 @@
             idempotent: facts.route.idempotent,
             fingerprint,
             deadline: facts.deadline,
-            target_latency: facts.route.aim,
+            target_latency: facts.route.latency_target,
         });
         let payload = std::mem::replace(&mut req.payload, upstream::Payload::Whole(Bytes::new()));
         let mut dispatch = Dispatch {
@@ -307,13 +307,13 @@
             low_priority: self
                 .facts
                 .table
-                .is_behind(self.facts.rank(), &self.job.service),
+                .is_below_top_rank(self.facts.rank(), &self.job.service),
             tried: &self.tried,
         }
     }
 
-    fn homes(&self) -> routes::Homes<'_> {
-        routes::Homes {
+    fn homes(&self) -> routes::AllowedRegions<'_> {
+        routes::AllowedRegions {
             route: &self.facts.route.regions,
             customer: self.job.customer.as_ref().map_or(&[], |c| &c.regions),
         }
@@ -352,7 +352,7 @@
             .with_service(&self.job.service, |state| state.mean_latency_s);
         let usual = time::Duration::from_secs_f64(usual);
         let hedge = &self.cx.cfg.thresholds.hedge;
-        Some(self.cx.now() + hedge.after(usual, self.facts.route.aim))
+        Some(self.cx.now() + hedge.after(usual, self.facts.route.latency_target))
     }
 
     /// Whether one more send is allowed; if so, takes it from the retry budget.
--- a/src/platform/decode.rs
+++ b/src/platform/decode.rs
@@ -145,8 +145,8 @@
     let services = config.services.into_iter().map(service).collect();
     let limits = match config.limits {
         Some(limits) => routes::Limits {
-            head: limits.header_bytes,
-            body: limits.body_bytes,
+            max_head_bytes: limits.header_bytes,
+            max_body_bytes: limits.body_bytes,
             head_timeout: seconds(limits.header_timeout_s)?,
             idle_timeout: seconds(limits.idle_timeout_s)?,
         },
@@ -212,7 +212,7 @@
         .split
         .into_iter()
         .chain(unsplit)
-        .map(|part| routes::Part {
+        .map(|part| routes::WeightedService {
             service: part.service.as_str().into(),
             weight: part.weight,
         })
@@ -223,7 +223,7 @@
         prefix: route.prefix,
         idempotent: is_idempotent(&route.kind),
         timeout: seconds(route.timeout_s)?,
-        aim: seconds(route.target_latency_s)?,
+        latency_target: seconds(route.target_latency_s)?,
         attempts: route.attempts.max(1),
         priority: route.priority,
         public: route.public,
@@ -241,7 +241,7 @@
 fn service(service: Service) -> routes::Service {
     routes::Service {
         name: service.name.as_str().into(),
-        cold_rate: service.cold_per_s,
+        cold_rate_per_s: service.cold_per_s,
     }
 }
 
--- a/src/protocol/routes.rs
+++ b/src/protocol/routes.rs
@@ -12,7 +12,7 @@
 
 /// A service to which a route sends a share of its traffic.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct WeightedService {
     /// The service.
     pub service: id::ServiceId,
     /// Its weight relative to the other services of the route.
@@ -33,7 +33,7 @@
     /// Maximum time until the caller gets an answer.
     pub timeout: time::Duration,
     /// Latency within which an answer has its full value.
-    pub aim: time::Duration,
+    pub latency_target: time::Duration,
     /// Maximum number of backend servers at which one request may run.
     pub attempts: u32,
     /// Its priority; 0 is the highest.
@@ -43,7 +43,7 @@
     /// Whether backend servers answer faster for an object that they handled recently (affinity).
     pub sticky: bool,
     /// The services, with their weights.
-    pub parts: Vec<Part>,
+    pub parts: Vec<WeightedService>,
     /// Regions that may serve it; empty: all.
     pub regions: Vec<id::RegionId>,
 }
@@ -57,21 +57,21 @@
 
 /// The regions in which a request may run: those that both its route and its customer allow.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Homes<'a> {
+pub struct AllowedRegions<'a> {
     /// Regions that the route allows; empty: all.
     pub route: &'a [id::RegionId],
     /// Regions that the customer allows; empty: all.
     pub customer: &'a [id::RegionId],
 }
 
-impl Homes<'_> {
+impl AllowedRegions<'_> {
     /// Whether the request may run in every region.
-    pub fn are_open(&self) -> bool {
+    pub fn is_unrestricted(&self) -> bool {
         self.route.is_empty() && self.customer.is_empty()
     }
 
     /// Whether the request may run in `region`. `None` allows only unrestricted requests.
-    pub fn allow(&self, region: Option<&id::RegionId>) -> bool {
+    pub fn includes(&self, region: Option<&id::RegionId>) -> bool {
         let names = |list: &[id::RegionId]| {
             list.is_empty() || region.is_some_and(|region| list.contains(region))
         };
@@ -85,16 +85,16 @@
     /// Its name.
     pub name: id::ServiceId,
     /// Requests per second that a backend server with a cold cache can handle.
-    pub cold_rate: f64,
+    pub cold_rate_per_s: f64,
 }
 
 /// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Maximum length of a head, in bytes.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Maximum length of a body, in bytes.
-    pub body: u64,
+    pub max_body_bytes: u64,
     /// Maximum time until a head has arrived.
     pub head_timeout: time::Duration,
     /// Maximum time that a connection may be idle.
@@ -105,8 +105,8 @@
     /// Limits used until the first configuration is loaded. They match those of common servers.
     fn default() -> Self {
         Self {
-            head: 16 << 10,
-            body: 64 << 20,
+            max_head_bytes: 16 << 10,
+            max_body_bytes: 64 << 20,
             head_timeout: time::Duration::from_secs(3),
             idle_timeout: time::Duration::from_secs(15),
         }
@@ -185,7 +185,7 @@
     }
 
     /// Whether a service also has requests of a higher priority than `rank`.
-    pub fn is_behind(&self, rank: u32, service: &id::ServiceId) -> bool {
+    pub fn is_below_top_rank(&self, rank: u32, service: &id::ServiceId) -> bool {
         self.top_ranks
             .get(service)
             .is_some_and(|top_rank| rank > *top_rank)
--- a/src/transport/callers.rs
+++ b/src/transport/callers.rs
@@ -241,7 +241,7 @@
     async fn step(&mut self) -> Step {
         let until = self.patience();
         // A head that may be longer than what is read ahead must still be read whole.
-        let room = self.buf.len() < AHEAD.max(self.handler.limits().head + 1);
+        let room = self.buf.len() < AHEAD.max(self.handler.limits().max_head_bytes + 1);
         if room {
             self.buf.reserve(4 << 10);
         }
@@ -317,7 +317,7 @@
                         }
                         Err(_) => return self.refuse(400),
                     }
-                    if reader.bytes_read() > self.handler.limits().body {
+                    if reader.bytes_read() > self.handler.limits().max_body_bytes {
                         return self.refuse(413);
                     }
                     self.hold_or_pass(head, reader, body, received);
@@ -336,7 +336,7 @@
     /// Reads a head. Returns whether there was a whole one.
     async fn begin_request(&mut self) -> io::Result<bool> {
         let limits = self.handler.limits();
-        let head = match http1::RequestHead::take(&mut self.buf, limits.head) {
+        let head = match http1::RequestHead::take(&mut self.buf, limits.max_head_bytes) {
             Ok(Some(head)) => head,
             Ok(None) => return Ok(false),
             Err(http1::Malformed::TooLong) => return self.refuse(431).map(|()| false),
@@ -344,7 +344,7 @@
         };
         let received = time::Instant::now();
         if let http1::Framing::Length(n) = head.framing
-            && n > limits.body
+            && n > limits.max_body_bytes
         {
             return self.refuse(413).map(|()| false);
         }
@@ -395,7 +395,7 @@
 
     /// Takes the next piece of a body that is passed on. Returns whether reading may go on.
     fn next_piece(&mut self) -> io::Result<bool> {
-        let limit = self.handler.limits().body;
+        let limit = self.handler.limits().max_body_bytes;
         let Reading::Passed { reader, tx, piece } = &mut self.reading else {
             return Ok(true);
         };
--- a/tests/gateway/at_most_once.rs
+++ b/tests/gateway/at_most_once.rs
@@ -79,7 +79,7 @@
         let reactions = [vec![Reaction::ShedAfterNext], reactions].concat();
         let harness = Harness::new(4, &reactions).await;
         let quick = routes::Route {
-            aim: time::Duration::from_millis(200),
+            latency_target: time::Duration::from_millis(200),
             ..route("/read/", true)
         };
         harness.cx.update_routes(table(2, vec![quick]));
--- a/tests/gateway/bodies.rs
+++ b/tests/gateway/bodies.rs
@@ -23,7 +23,7 @@
     run_test(|| async {
         let harness = Harness::new(1, &[]).await;
         let mut table = table(2, vec![route("/book/", false)]);
-        table.limits.body = 10;
+        table.limits.max_body_bytes = 10;
         harness.cx.update_routes(table);
         let mut caller = harness.caller().await;
         let head = "POST /book/a HTTP/1.1\r\nHost: example.test\r\nx-id: b1\r\nTransfer-Encoding: chunked\r\n\r\n";
--- a/tests/gateway/customers.rs
+++ b/tests/gateway/customers.rs
@@ -262,7 +262,7 @@
 }
 
 /// Finds a backend server for a request with these homes; returns whether it is in another region.
-fn find_remote(harness: &Harness, homes: routes::Homes<'_>) -> Option<bool> {
+fn find_remote(harness: &Harness, homes: routes::AllowedRegions<'_>) -> Option<bool> {
     let service = id::ServiceId::from("svc");
     let need = placement::Need {
         service: &service,
@@ -305,7 +305,7 @@
             (&there, &here, None),
         ];
         for (route, customer, found) in cases {
-            let homes = routes::Homes { route, customer };
+            let homes = routes::AllowedRegions { route, customer };
             assert_eq!(find_remote(&harness, homes), found, "{homes:?}");
         }
     });
@@ -425,6 +425,6 @@
     let route = table.select("example.test", "/read/a").unwrap();
     let service = id::ServiceId::from("svc");
     assert_eq!((route.rank(None), route.rank(Some(&urgent))), (1, 0));
-    assert!(table.is_behind(route.rank(None), &service));
-    assert!(!table.is_behind(route.rank(Some(&urgent)), &service));
+    assert!(table.is_below_top_rank(route.rank(None), &service));
+    assert!(!table.is_below_top_rank(route.rank(Some(&urgent)), &service));
 }
--- a/tests/gateway/harness.rs
+++ b/tests/gateway/harness.rs
@@ -116,12 +116,12 @@
         prefix: prefix.to_owned(),
         idempotent,
         timeout: time::Duration::from_secs(10),
-        aim: time::Duration::from_secs(5),
+        latency_target: time::Duration::from_secs(5),
         attempts: 3,
         priority: 1,
         public: false,
         sticky: true,
-        parts: vec![routes::Part {
+        parts: vec![routes::WeightedService {
             service: "svc".into(),
             weight: 1.0,
         }],
@@ -132,10 +132,10 @@
 pub(crate) fn table(version: u64, routes: Vec<routes::Route>) -> routes::Table {
     let service = routes::Service {
         name: "svc".into(),
-        cold_rate: 3.0,
+        cold_rate_per_s: 3.0,
     };
     let limits = routes::Limits {
-        body: 4 << 20,
+        max_body_bytes: 4 << 20,
         ..routes::Limits::default()
     };
     routes::Table::new(version, routes, vec![service], limits)
--- a/tests/gateway/restart.rs
+++ b/tests/gateway/restart.rs
@@ -120,7 +120,7 @@
         service: &service,
         key: Some(1),
         remote: false,
-        homes: bulrushwind::protocol::routes::Homes::default(),
+        homes: bulrushwind::protocol::routes::AllowedRegions::default(),
         idempotent: true,
         low_priority: false,
         tried: &[],
--- a/tests/platform/decoding.rs
+++ b/tests/platform/decoding.rs
@@ -77,7 +77,7 @@
     assert_eq!((short.parts.len(), short.attempts), (2, 3));
     assert!(table.select("a.example", "/xy").is_none());
     assert!(table.select("b.example", "/x/").is_none());
-    assert_eq!(table.limits.head, 16384);
+    assert_eq!(table.limits.max_head_bytes, 16384);
 }
 
 /// Guards against downloads that fail with one backend server although another could run them again.
--- a/tests/platform/entries.rs
+++ b/tests/platform/entries.rs
@@ -30,7 +30,7 @@
         service: &service,
         key: None,
         remote: false,
-        homes: bulrushwind::protocol::routes::Homes::default(),
+        homes: bulrushwind::protocol::routes::AllowedRegions::default(),
         idempotent: true,
         low_priority: false,
         tried: &others,
