--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -111,7 +111,7 @@
 
     /// Sends and receives usage reports until the process ends.
     pub async fn share_quotas(self, socket: UdpSocket) {
-        let mut buf = vec![0; usage::LONGEST];
+        let mut buf = vec![0; usage::MAX_DATAGRAM_BYTES];
         let mut next = tokio::time::Instant::now();
         let mut last_reports = LastReports::default();
         loop {
@@ -148,7 +148,7 @@
         let (rows, active, whole) = {
             let mut quotas = self.quotas.borrow_mut();
             let whole = quotas.take_full_report_due() || whole;
-            let rows = quotas.due_reports(now, whole, MAX_DATAGRAMS_PER_REPORT * usage::ROWS);
+            let rows = quotas.due_reports(now, whole, MAX_DATAGRAMS_PER_REPORT * usage::MAX_ROWS);
             (rows, quotas.is_active(), whole)
         };
         let may_report = active || self.expects_customers();
@@ -199,7 +199,7 @@
             asked: count(reported.demand),
         };
         let mut parts: Vec<Vec<usage::Row>> = rows
-            .chunks(usage::ROWS)
+            .chunks(usage::MAX_ROWS)
             .map(|part| part.iter().map(row).collect())
             .collect();
         if parts.is_empty() {
--- a/src/protocol/usage.rs
+++ b/src/protocol/usage.rs
@@ -6,11 +6,11 @@
 use crate::id;
 
 /// Maximum length of a datagram; at this length no link fragments it.
-pub const LONGEST: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 
 /// Maximum number of customers in one datagram. A row takes up to 25 bytes, and the fields before
 /// the rows take up to 100 bytes plus the VM's name.
-pub const ROWS: usize = 40;
+pub const MAX_ROWS: usize = 40;
 
 /// A row encoded without field names, which would take up most of its length.
 type Packed = (u64, u32, u32, u32);
@@ -68,7 +68,7 @@
 
 /// Encodes a report.
 pub fn encode(usage: &Usage) -> Result<Vec<u8>, Error> {
-    let mut buf = Vec::with_capacity(LONGEST);
+    let mut buf = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     ciborium::into_writer(usage, &mut buf).map_err(|err| Error(err.to_string()))?;
     Ok(buf)
 }
@@ -76,7 +76,7 @@
 /// Decodes a report. Fails if it is malformed or has too many rows.
 pub fn decode(bytes: &[u8]) -> Result<Usage, Error> {
     let usage: Usage = ciborium::from_reader(bytes).map_err(|err| Error(err.to_string()))?;
-    match usage.rows.len() <= ROWS {
+    match usage.rows.len() <= MAX_ROWS {
         true => Ok(usage),
         false => Err(Error(format!("it has {} rows", usage.rows.len()))),
     }
