--- a/src/transport/mirror.rs
+++ b/src/transport/mirror.rs
@@ -1,5 +1,5 @@
-//! Links between entry VMs over which one tells others what it reads: WebSockets with one CBOR
-//! message a frame.
+//! Links between entry VMs for the fan-out of the platform's records: WebSockets with one CBOR
+//! message per frame.
 
 use std::cell;
 use std::io;
@@ -19,23 +19,23 @@
 use crate::metrics as known;
 use crate::protocol::mirror;
 
-/// How long opening a link may take: two round trips across the widest link, and a slow peer.
-pub const OPEN: time::Duration = time::Duration::from_millis(600);
+/// The timeout for opening a link: two round trips over the longest network link, and a slow peer.
+pub const OPEN_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 
-/// The same inside an availability zone, where two round trips take two milliseconds. A VM without
-/// power does not refuse, and a start that waits for one is late by all of it.
-pub const OPEN_NEAR: time::Duration = time::Duration::from_millis(250);
+/// The open timeout within an availability zone, where two round trips take 2 ms. A VM that lost
+/// power does not refuse connections, so each attempt on it delays a start by the whole timeout.
+pub const SAME_AZ_OPEN_TIMEOUT: time::Duration = time::Duration::from_millis(250);
 
-/// How long one message may take to arrive once its first bytes are there: the longest list of
-/// routes (1 MB, a third of that packed) over a link of 10 Mbit/s that others use as well.
-const ARRIVE: time::Duration = time::Duration::from_secs(2);
+/// The timeout for receiving a message after its first bytes: enough for the longest list of
+/// routes (1 MB, a third of that compressed) over a shared link of 10 Mbit/s.
+const MESSAGE_RECEIVE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// How long one message may take to leave.
-const WRITE: time::Duration = time::Duration::from_secs(2);
+/// The timeout for sending one message.
+const WRITE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// Read and write buffers of a link, in bytes. The library's 128 KB each would be most of the
-/// memory of a small VM that others follow.
-const BUFFER: usize = 4 << 10;
+/// The read buffer of a link. The library's default of 128 KB per buffer would use most of the
+/// memory of a small VM with many followers.
+const READ_BUFFER_BYTES: usize = 4 << 10;
 
 /// Why a link failed.
 #[derive(Debug, thiserror::Error)]
@@ -43,10 +43,10 @@
     /// The network or the WebSocket failed.
     #[error("the link failed: {0}")]
     Link(String),
-    /// The other side took too long.
+    /// The peer did not answer within the timeout.
     #[error("the other entry VM did not answer in time")]
     Timeout,
-    /// A message cannot be read.
+    /// A message cannot be decoded.
     #[error(transparent)]
     Message(#[from] mirror::Error),
 }
@@ -63,14 +63,14 @@
     }
 }
 
-/// A connection that notes when bytes came.
+/// A stream that records the time at which bytes last arrived.
 #[derive(Debug)]
-struct Noted {
+struct TimestampedStream {
     stream: TcpStream,
-    heard: rc::Rc<cell::Cell<time::Instant>>,
+    last_received: rc::Rc<cell::Cell<time::Instant>>,
 }
 
-impl AsyncRead for Noted {
+impl AsyncRead for TimestampedStream {
     fn poll_read(
         mut self: pin::Pin<&mut Self>,
         cx: &mut task::Context<'_>,
@@ -79,13 +79,13 @@
         let before = buf.filled().len();
         let read = pin::Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.heard.set(time::Instant::now());
+            self.last_received.set(time::Instant::now());
         }
         read
     }
 }
 
-impl AsyncWrite for Noted {
+impl AsyncWrite for TimestampedStream {
     fn poll_write(
         mut self: pin::Pin<&mut Self>,
         cx: &mut task::Context<'_>,
@@ -109,53 +109,61 @@
     }
 }
 
-/// A link.
+/// A link to another entry VM.
 #[derive(Debug)]
 pub struct Link {
-    socket: tokio_tungstenite::WebSocketStream<Noted>,
-    heard: rc::Rc<cell::Cell<time::Instant>>,
+    socket: tokio_tungstenite::WebSocketStream<TimestampedStream>,
+    last_received: rc::Rc<cell::Cell<time::Instant>>,
 }
 
-fn note(stream: TcpStream) -> io::Result<(Noted, rc::Rc<cell::Cell<time::Instant>>)> {
-    socket::guard(&stream)?;
-    let heard = rc::Rc::new(cell::Cell::new(time::Instant::now()));
-    let noted = Noted {
+fn timestamped(
+    stream: TcpStream,
+) -> io::Result<(TimestampedStream, rc::Rc<cell::Cell<time::Instant>>)> {
+    socket::set_failure_detection(&stream)?;
+    let last_received = rc::Rc::new(cell::Cell::new(time::Instant::now()));
+    let stamped = TimestampedStream {
         stream,
-        heard: heard.clone(),
+        last_received: last_received.clone(),
     };
-    Ok((noted, heard))
+    Ok((stamped, last_received))
 }
 
 fn config() -> protocol::WebSocketConfig {
     protocol::WebSocketConfig::default()
-        .read_buffer_size(BUFFER)
+        .read_buffer_size(READ_BUFFER_BYTES)
         .write_buffer_size(0)
 }
 
 impl Link {
-    /// Opens a link to another entry VM within the limit.
-    pub async fn open(addr: net::SocketAddr, limit: time::Duration) -> Result<Self, Error> {
+    /// Opens a link to another entry VM within the timeout.
+    pub async fn open(addr: net::SocketAddr, timeout: time::Duration) -> Result<Self, Error> {
         let open = async {
             let stream = TcpStream::connect(addr).await?;
-            let (noted, heard) = note(stream)?;
+            let (stamped, last_received) = timestamped(stream)?;
             let url = format!("ws://{addr}/mirror");
             let (socket, _) =
-                tokio_tungstenite::client_async_with_config(url, noted, Some(config())).await?;
-            Ok(Self { socket, heard })
+                tokio_tungstenite::client_async_with_config(url, stamped, Some(config())).await?;
+            Ok(Self {
+                socket,
+                last_received,
+            })
         };
-        tokio::time::timeout(limit, open)
+        tokio::time::timeout(timeout, open)
             .await
             .map_err(|_| Error::Timeout)?
     }
 
-    /// Takes a link that another entry VM opens.
+    /// Accepts a link that another entry VM opens.
     pub async fn accept(stream: TcpStream) -> Result<Self, Error> {
-        let (noted, heard) = note(stream)?;
-        let accept = tokio_tungstenite::accept_async_with_config(noted, Some(config()));
-        let socket = tokio::time::timeout(OPEN, accept)
+        let (stamped, last_received) = timestamped(stream)?;
+        let accept = tokio_tungstenite::accept_async_with_config(stamped, Some(config()));
+        let socket = tokio::time::timeout(OPEN_TIMEOUT, accept)
             .await
             .map_err(|_| Error::Timeout)??;
-        Ok(Self { socket, heard })
+        Ok(Self {
+            socket,
+            last_received,
+        })
     }
 
     /// Sends an encoded message.
@@ -163,45 +171,48 @@
         let sent = message.len() as u64;
         metrics::counter!(known::PEER_BYTES, "direction" => "sent").increment(sent);
         let frame = tungstenite::Message::binary(message);
-        tokio::time::timeout(WRITE, self.socket.send(frame))
+        tokio::time::timeout(WRITE_TIMEOUT, self.socket.send(frame))
             .await
             .map_err(|_| Error::Timeout)??;
         Ok(())
     }
 
-    /// The next message. The other side may be silent for so long; bytes of a message that is on
-    /// its way are a sign of life too.
+    /// Receives the next message. Fails if no bytes arrive for `max_silence`; bytes of a partly
+    /// received message also count as activity.
     ///
-    /// A long list takes more than a second over a narrow link. Taken for silence, it made all
-    /// followers of a reader leave it at once and turn to the store, and each was up to three
-    /// seconds late with what had changed.
+    /// A long list takes more than a second over a slow link. If that counted as silence, all
+    /// followers of a reader would switch to the store at once, and changes would reach each of
+    /// them up to three seconds late.
     pub async fn receive<T: serde::de::DeserializeOwned>(
         &mut self,
-        silence: time::Duration,
+        max_silence: time::Duration,
     ) -> Result<T, Error> {
-        let bytes = self.receive_bytes(silence).await?;
+        let bytes = self.receive_bytes(max_silence).await?;
         Ok(mirror::decode(&bytes)?)
     }
 
-    /// The same as it came, for passing it on.
-    pub async fn receive_bytes(&mut self, silence: time::Duration) -> Result<bytes::Bytes, Error> {
-        let begun = time::Instant::now();
-        let latest = begun + silence + ARRIVE;
-        let heard = self.heard.clone();
+    /// Receives the next message without decoding it, for forwarding.
+    pub async fn receive_bytes(
+        &mut self,
+        max_silence: time::Duration,
+    ) -> Result<bytes::Bytes, Error> {
+        let start = time::Instant::now();
+        let latest = start + max_silence + MESSAGE_RECEIVE_TIMEOUT;
+        let last_received = self.last_received.clone();
         let next = self.next();
         tokio::pin!(next);
         loop {
-            let until = (heard.get().max(begun) + silence).min(latest);
-            if let Ok(bytes) = tokio::time::timeout_at(until.into(), &mut next).await {
+            let deadline = (last_received.get().max(start) + max_silence).min(latest);
+            if let Ok(bytes) = tokio::time::timeout_at(deadline.into(), &mut next).await {
                 return bytes;
             }
-            if heard.get() + silence <= time::Instant::now() || until == latest {
+            if last_received.get() + max_silence <= time::Instant::now() || deadline == latest {
                 return Err(Error::Timeout);
             }
         }
     }
 
-    /// The bytes of the next message.
+    /// Reads the bytes of the next binary message.
     async fn next(&mut self) -> Result<bytes::Bytes, Error> {
         loop {
             match self.socket.next().await {
@@ -220,8 +231,8 @@
         }
     }
 
-    /// Waits until the other side closes or fails.
-    pub async fn closed(&mut self) {
+    /// Waits until the peer closes the link or the link fails.
+    pub async fn wait_closed(&mut self) {
         while let Some(Ok(message)) = self.socket.next().await {
             if message.is_close() {
                 return;
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,10 +1,9 @@
-//! The HTTP server for callers: it turns bytes into whole requests and hands them on.
+//! An HTTP server that passes complete requests to a [`Sink`].
 //!
-//! Each connection is a small task on a runtime of a few threads, so that slow senders, idle
-//! connections and requests that wait for a slot hold no thread. A request reaches its [`Sink`]
-//! only when its body is complete; a half-sent one never does. All that a caller can make the
-//! process hold is bounded: connections, header bytes, the time for headers and for a body, the
-//! bytes of one body and of all bodies together.
+//! Each connection is a task on a runtime of a few threads, so slow senders, idle connections and
+//! requests that wait for a slot block no thread. A request reaches the sink only when its body is
+//! complete. The resources that callers can use are bounded: connections, header bytes, the time
+//! for headers and for a body, the bytes of one body and of all bodies together.
 
 use std::convert;
 use std::io;
@@ -24,24 +23,24 @@
 
 use crate::protocol::headers;
 
-/// Bodies are counted against [`Limits::all_bodies`] in units of so many bytes.
-const BODY_UNIT: usize = 1024;
+/// The unit in which bodies count against [`Limits::total_body_bytes`].
+const BODY_UNIT_BYTES: usize = 1024;
 
-/// The bounds on what callers can make a process hold.
+/// The limits on the resources that callers can use.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Connections at a time. More are closed at once.
+    /// The maximum number of open connections. More are closed at once.
     pub connections: usize,
-    /// The bytes of a request's line and headers.
+    /// The maximum bytes of a request's line and headers.
     pub head_bytes: usize,
-    /// How long a request's line and headers may take, and a connection may idle.
+    /// The timeout for a request's line and headers, and for an idle connection.
     pub head_timeout: time::Duration,
-    /// How long a body may take.
+    /// The timeout for a body.
     pub body_timeout: time::Duration,
-    /// The bytes of one body.
+    /// The maximum bytes of one body.
     pub body_bytes: usize,
-    /// The bytes of all bodies held at a time.
-    pub all_bodies: usize,
+    /// The maximum bytes of all bodies in memory.
+    pub total_body_bytes: usize,
 }
 
 impl Default for Limits {
@@ -52,17 +51,17 @@
             head_timeout: time::Duration::from_secs(30),
             body_timeout: time::Duration::from_secs(10),
             body_bytes: 1 << 20,
-            all_bodies: 32 << 20,
+            total_body_bytes: 32 << 20,
         }
     }
 }
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct Request {
-    /// Its number, unique in its server.
+    /// The request's number, unique per server.
     pub id: u64,
-    /// Where it came from.
+    /// The caller's address.
     pub from: net::SocketAddr,
     /// The method.
     pub method: Method,
@@ -72,23 +71,24 @@
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// Where its answer goes.
+    /// The channel for the answer.
     pub reply: Reply,
-    /// Holds the body's share of [`Limits::all_bodies`].
+    /// Holds the body's share of [`Limits::total_body_bytes`].
     pub permit: Option<tokio::sync::OwnedSemaphorePermit>,
 }
 
-/// Where the answer to one request goes. Dropped unused, it closes the connection.
+/// The channel for the answer to one request. If it is dropped unused, the request gets
+/// [`Fault::Dropped`] and the connection is closed.
 #[derive(Debug)]
 pub struct Reply(oneshot::Sender<Answer>);
 
 impl Reply {
-    /// Answers. An answer to a caller that went away is dropped.
+    /// Sends the answer, or drops it if the caller has disconnected.
     pub fn send(self, answer: Answer) {
         let _ = self.0.send(answer);
     }
 
-    /// Whether the caller went away.
+    /// Whether the caller has disconnected.
     pub fn is_closed(&self) -> bool {
         self.0.is_closed()
     }
@@ -105,64 +105,64 @@
     pub body: Bytes,
 }
 
-/// Why a request never became whole.
+/// Why a request could not be passed on or answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Its body is larger than allowed.
+    /// The body exceeds this limit in bytes.
     TooLarge(usize),
-    /// Its body did not arrive in time, or not in full.
+    /// The body did not arrive completely within the timeout.
     Incomplete,
-    /// The process holds as many bodies as it can.
+    /// The process is at its limit of bodies or queued requests.
     Busy,
-    /// It was taken, and its [`Reply`] was dropped unused. It may have run.
+    /// The [`Reply`] was dropped unused. The request may have run.
     Dropped,
 }
 
-/// What takes requests. Calls must not block.
+/// Receives a server's requests. Its methods must not block.
 pub trait Sink: Clone + Send + Sync + 'static {
-    /// A whole request came in.
+    /// Receives a complete request.
     fn request(&self, req: Request);
 
-    /// The caller of a request went away before its answer.
-    fn gone(&self, id: u64);
+    /// Called when a caller disconnects before its request is answered.
+    fn caller_disconnected(&self, id: u64);
 
-    /// The answer to a request that never became whole.
+    /// The answer to a request that failed with `fault`.
     fn fault(&self, id: u64, fault: Fault) -> Answer;
 
-    /// The name under which operators find a request; its answer carries it.
-    fn name(&self, _id: u64) -> Option<header::HeaderValue> {
+    /// The id by which operators find a request, sent in a header of its answer.
+    fn request_id(&self, _id: u64) -> Option<header::HeaderValue> {
         None
     }
 }
 
-/// A running server. It stops when dropped.
+/// A running server, stopped on drop.
 #[derive(Debug)]
 pub struct Server {
     addr: net::SocketAddr,
     open: sync::Arc<atomic::AtomicUsize>,
-    leaving: sync::Arc<atomic::AtomicBool>,
+    closing: sync::Arc<atomic::AtomicBool>,
     stop: watch::Sender<bool>,
 }
 
 impl Server {
-    /// Where it listens.
+    /// The address of the listener.
     pub fn addr(&self) -> net::SocketAddr {
         self.addr
     }
 
-    /// Connections that are open now.
-    pub fn open(&self) -> usize {
+    /// The number of open connections.
+    pub fn open_connections(&self) -> usize {
         self.open.load(atomic::Ordering::Relaxed)
     }
 
-    /// From now on closes each connection with its next answer. A connection that is kept open
-    /// until the very end could be closed just as its caller sends the next request on it, and
-    /// that request would be cut.
-    pub fn leave(&self) {
-        self.leaving.store(true, atomic::Ordering::SeqCst);
+    /// Closes each connection after its next answer from now on. A connection that stays open
+    /// until the process stops could be closed just as its caller sends the next request, and
+    /// that request would be lost.
+    pub fn close_after_answers(&self) {
+        self.closing.store(true, atomic::Ordering::SeqCst);
     }
 
-    /// Takes no more connections, and closes each one when its request in hand is answered.
+    /// Accepts no more connections and closes each one after its current request is answered.
     pub fn stop(&self) {
         let _ = self.stop.send(true);
     }
@@ -174,10 +174,10 @@
     bodies: sync::Arc<tokio::sync::Semaphore>,
     next_id: atomic::AtomicU64,
     open: sync::Arc<atomic::AtomicUsize>,
-    leaving: sync::Arc<atomic::AtomicBool>,
+    closing: sync::Arc<atomic::AtomicBool>,
 }
 
-/// Listens on `addr` and hands what comes to `sink`.
+/// Listens on `addr` and passes requests to `sink`. Fails if the address cannot be bound.
 pub fn start<S: Sink>(
     runtime: &tokio::runtime::Handle,
     addr: net::SocketAddr,
@@ -188,21 +188,23 @@
     listener.set_nonblocking(true)?;
     let bound = listener.local_addr()?;
     let open = sync::Arc::new(atomic::AtomicUsize::new(0));
-    let leaving = sync::Arc::new(atomic::AtomicBool::new(false));
+    let closing = sync::Arc::new(atomic::AtomicBool::new(false));
     let (stop, stopped) = watch::channel(false);
     let shared = sync::Arc::new(Shared {
-        bodies: sync::Arc::new(tokio::sync::Semaphore::new(limits.all_bodies / BODY_UNIT)),
+        bodies: sync::Arc::new(tokio::sync::Semaphore::new(
+            limits.total_body_bytes / BODY_UNIT_BYTES,
+        )),
         sink,
         limits,
         next_id: atomic::AtomicU64::new(1),
         open: open.clone(),
-        leaving: leaving.clone(),
+        closing: closing.clone(),
     });
     runtime.spawn(accept(listener, shared, stopped));
     Ok(Server {
         addr: bound,
         open,
-        leaving,
+        closing,
         stop,
     })
 }
@@ -221,11 +223,11 @@
             accepted = listener.accept() => accepted,
         };
         let Ok((stream, from)) = accepted else {
-            // Out of file handles: accepting at once again would spin.
+            // Accepting fails while no file handles are free; an immediate retry would spin.
             tokio::time::sleep(time::Duration::from_millis(10)).await;
             continue;
         };
-        let open = Open::new(&shared.open);
+        let open = OpenConnection::new(&shared.open);
         if shared.open.load(atomic::Ordering::Relaxed) > shared.limits.connections {
             continue;
         }
@@ -239,16 +241,16 @@
 }
 
 /// Counts one open connection.
-struct Open(sync::Arc<atomic::AtomicUsize>);
+struct OpenConnection(sync::Arc<atomic::AtomicUsize>);
 
-impl Open {
+impl OpenConnection {
     fn new(open: &sync::Arc<atomic::AtomicUsize>) -> Self {
         open.fetch_add(1, atomic::Ordering::Relaxed);
         Self(open.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.fetch_sub(1, atomic::Ordering::Relaxed);
     }
@@ -289,7 +291,7 @@
         Err(fault) => return response(shared, id, shared.sink.fault(id, fault), true),
     };
     let (tx, rx) = oneshot::channel();
-    let mut waiting = Waiting {
+    let mut guard = DisconnectGuard {
         sink: &shared.sink,
         id,
         answered: false,
@@ -305,27 +307,27 @@
         permit,
     });
     let answer = rx.await;
-    waiting.answered = true;
+    guard.answered = true;
     match answer {
         Ok(answer) => {
-            let leaving = shared.leaving.load(atomic::Ordering::Relaxed);
-            response(shared, id, answer, leaving)
+            let closing = shared.closing.load(atomic::Ordering::Relaxed);
+            response(shared, id, answer, closing)
         }
         Err(_) => response(shared, id, shared.sink.fault(id, Fault::Dropped), true),
     }
 }
 
-/// Tells the sink when the connection closes before the answer: the task is dropped then.
-struct Waiting<'a, S: Sink> {
+/// Calls [`Sink::caller_disconnected`] on drop before the answer: the connection was closed.
+struct DisconnectGuard<'a, S: Sink> {
     sink: &'a S,
     id: u64,
     answered: bool,
 }
 
-impl<S: Sink> Drop for Waiting<'_, S> {
+impl<S: Sink> Drop for DisconnectGuard<'_, S> {
     fn drop(&mut self) {
         if !self.answered {
-            self.sink.gone(self.id);
+            self.sink.caller_disconnected(self.id);
         }
     }
 }
@@ -337,12 +339,12 @@
     if body.is_end_stream() {
         return Ok((Bytes::new(), None));
     }
-    let most = body.size_hint().upper().unwrap_or(limits.body_bytes as u64);
-    let most = usize::try_from(most).unwrap_or(usize::MAX);
-    if most > limits.body_bytes {
+    let max_bytes = body.size_hint().upper().unwrap_or(limits.body_bytes as u64);
+    let max_bytes = usize::try_from(max_bytes).unwrap_or(usize::MAX);
+    if max_bytes > limits.body_bytes {
         return Err(Fault::TooLarge(limits.body_bytes));
     }
-    let units = u32::try_from(most.div_ceil(BODY_UNIT)).unwrap_or(u32::MAX);
+    let units = u32::try_from(max_bytes.div_ceil(BODY_UNIT_BYTES)).unwrap_or(u32::MAX);
     let permit = shared
         .bodies
         .clone()
@@ -350,7 +352,7 @@
         .map_err(|_| Fault::Busy)?;
     let read = Limited::new(body, limits.body_bytes).collect();
     match tokio::time::timeout(limits.body_timeout, read).await {
-        Ok(Ok(whole)) => Ok((whole.to_bytes(), Some(permit))),
+        Ok(Ok(collected)) => Ok((collected.to_bytes(), Some(permit))),
         Ok(Err(err)) if err.is::<http_body_util::LengthLimitError>() => {
             Err(Fault::TooLarge(limits.body_bytes))
         }
@@ -367,7 +369,7 @@
     let mut res = hyper::Response::new(Full::new(answer.body));
     *res.status_mut() = answer.status;
     *res.headers_mut() = answer.headers;
-    if let Some(name) = shared.sink.name(id) {
+    if let Some(name) = shared.sink.request_id(id) {
         res.headers_mut().insert(headers::REQUEST_ID, name);
     }
     if close {
