--- a/tests/own_keys.rs
+++ b/tests/own_keys.rs
@@ -294,7 +294,7 @@
 /// the store is out, or the deciding VM is paused. A protocol that loses keys runs a booking twice,
 /// and a bay is billed to two members.
 #[test]
-fn only_keys_under_tickets_never_run_twice_and_need_nothing_agreed() {
+fn only_ticket_keys_never_run_twice_and_need_no_consensus() {
     let faults = [
         Fault::None,
         Fault::VmDies,
