--- a/src/entry/observe.rs
+++ b/src/entry/observe.rs
@@ -1,10 +1,10 @@
-//! What operators see of each request: counts, log lines, and why it was decided so.
+//! Metrics, log lines and decision records of requests, for operators.
 //!
-//! Everything that refuses, spills, ejects or quarantines passes here. The log holds back lines
-//! that come too often; the ring of decisions does not, so that any recent request can be
-//! explained by its id. No body, header or credential of a caller is ever logged.
+//! Every refusal, spill, ejection and quarantine is recorded here. The log is rate-limited per
+//! event; the ring of decisions is not, so that any recent request can be explained by its id. No
+//! body, header or credential of a caller is ever logged.
 //!
-//! The locks here are taken last and held for a few additions.
+//! Lock order: the locks here are taken last, and only for short updates.
 
 use std::collections;
 use std::time;
@@ -14,68 +14,68 @@
 use crate::decisions::{note, policy, quarantine};
 use crate::protocol::{headers, outcome};
 use crate::state::{explain, totals};
-use crate::{id, logging, metrics as names, settings};
+use crate::{id, logging, metrics as metric_names, settings};
 use policy::{AttemptOutcome, Destination, Moment};
 
-/// Characters of a caller's text that go into a log line.
-const MOST_TEXT: usize = 96;
+/// Maximum length of caller-supplied text in a log line, in characters.
+const MAX_LOGGED_TEXT_CHARS: usize = 96;
 
-/// Counts, logs and explains.
+/// Records metrics, log lines, recent decisions and the history of totals.
 pub(super) struct Observer {
     log: slog::Logger,
     limiter: logging::Limiter,
-    services: names::Bounded,
+    service_labels: metric_names::BoundedLabel,
     recent: Mutex<explain::DecisionRing>,
     history: Mutex<totals::History>,
-    sent: Mutex<collections::BTreeMap<id::AzId, Moment>>,
+    last_sent_at: Mutex<collections::BTreeMap<id::AzId, Moment>>,
 }
 
-/// What is known of a request from its arrival on.
+/// Data of a request that is fixed at its arrival.
 #[derive(Clone, Debug)]
-pub(super) struct Seen {
-    /// Its number.
+pub(super) struct RequestInfo {
+    /// The request's number on this VM.
     pub(super) id: u64,
-    /// When it arrived.
-    pub(super) at: Moment,
-    /// Its operation.
+    /// Time of arrival.
+    pub(super) arrived_at: Moment,
+    /// The operation's name.
     pub(super) operation: String,
-    /// What its answer counts.
+    /// The operation's worth.
     pub(super) worth: u32,
-    /// The latency that counts as in time.
-    pub(super) in_time: time::Duration,
-    /// The name that the entry VM gave it which sent it across; `None` for an own caller's.
-    pub(super) sent_as: Option<String>,
+    /// The service's latency objective.
+    pub(super) latency_objective: time::Duration,
+    /// Id from the entry VM of another availability zone that sent it; `None` if a caller sent it.
+    pub(super) origin_request_id: Option<String>,
 }
 
-impl Seen {
+impl RequestInfo {
     pub(super) fn new(
         arrival: &policy::Arrival,
-        at: Moment,
+        arrived_at: Moment,
         service: &settings::Service,
         op: &settings::Operation,
         headers: &hyper::HeaderMap,
     ) -> Self {
-        let across = arrival.origin != policy::Origin::Caller;
+        let from_other_az = arrival.origin != policy::Origin::Caller;
         let name = headers::text(headers, headers::REQUEST_ID).unwrap_or_default();
         Self {
             id: arrival.id.0,
-            at,
+            arrived_at,
             operation: op.name.clone(),
             worth: op.worth,
-            in_time: time::Duration::from_millis(service.objective.latency_ms),
-            sent_as: across.then(|| short(name)),
+            latency_objective: time::Duration::from_millis(service.objective.latency_ms),
+            origin_request_id: from_other_az.then(|| truncated(name)),
         }
     }
 }
 
-/// How a request ended, as a label.
+/// The end of a request, for labels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum End {
     /// A backend server answered.
     Answered,
-    /// A backend server answered that it failed.
+    /// A backend server answered with a server error.
     Failed,
-    /// There is no backend server's answer, for this reason.
+    /// No backend server answered, with the outcome and the reason.
     Problem(outcome::Outcome, &'static str),
 }
 
@@ -96,20 +96,20 @@
 
 impl Observer {
     pub(super) fn new(log: &slog::Logger) -> Self {
-        // Counting starts before the first request.
-        let _ = names::exporter();
+        // Installs the metrics recorder before the first request.
+        let _ = metric_names::exporter();
         Self {
             log: log.clone(),
             limiter: logging::Limiter::default(),
-            services: names::Bounded::default(),
+            service_labels: metric_names::BoundedLabel::default(),
             recent: Mutex::default(),
             history: Mutex::default(),
-            sent: Mutex::default(),
+            last_sent_at: Mutex::default(),
         }
     }
 
-    /// A request was turned away before it came to a service's desk.
-    pub(super) fn turned_away(
+    /// Records a request refused before it reached its service's executor.
+    pub(super) fn record_refusal(
         &self,
         now: Moment,
         request: u64,
@@ -117,13 +117,19 @@
         problem: &outcome::Problem,
     ) {
         let (fate, why) = End::of(problem).labels();
-        metrics::counter!(names::REQUESTS, "service" => "", "operation" => "", "fate" => fate, "why" => why)
+        metrics::counter!(metric_names::REQUESTS, "service" => "", "operation" => "", "fate" => fate, "why" => why)
             .increment(1);
-        self.decided(now, request, "refused", &short(service), why);
+        self.record_decision(now, request, "refused", &truncated(service), why);
     }
 
-    /// A request that came to a service's desk ended.
-    pub(super) fn ended(&self, now: Moment, service: &id::ServiceId, seen: &Seen, end: End) {
+    /// Records the end of a request that reached its service's executor.
+    pub(super) fn record_request_end(
+        &self,
+        now: Moment,
+        service: &id::ServiceId,
+        info: &RequestInfo,
+        end: End,
+    ) {
         let (fate, why) = end.labels();
         if matches!(end, End::Problem(..)) {
             let event = if fate == "not_run" {
@@ -131,65 +137,72 @@
             } else {
                 "unknown"
             };
-            let sent_as = seen.sent_as.iter().map(|name| format!(" (sent as {name})"));
-            let why = format!("{why}{}", sent_as.collect::<String>());
-            self.decided(now, seen.id, event, service.as_str(), &why);
+            let origin_request_id = info
+                .origin_request_id
+                .iter()
+                .map(|name| format!(" (sent as {name})"));
+            let why = format!("{why}{}", origin_request_id.collect::<String>());
+            self.record_decision(now, info.id, event, service.as_str(), &why);
         }
-        // The entry VM that the caller asked counts the request.
-        if seen.sent_as.is_some() {
+        // The entry VM that received the request from its caller counts it.
+        if info.origin_request_id.is_some() {
             return;
         }
-        let label = self.services.label(service.as_str());
+        let label = self.service_labels.label(service.as_str());
         metrics::counter!(
-            names::REQUESTS, "service" => label.clone(), "operation" => seen.operation.clone(),
+            metric_names::REQUESTS, "service" => label.clone(), "operation" => info.operation.clone(),
             "fate" => fate, "why" => why
         )
         .increment(1);
-        metrics::counter!(names::WORTH, "service" => label.clone(), "fate" => fate)
-            .increment(seen.worth.into());
-        let took = now.saturating_sub(seen.at);
+        metrics::counter!(metric_names::WORTH, "service" => label.clone(), "fate" => fate)
+            .increment(info.worth.into());
+        let latency = now.saturating_sub(info.arrived_at);
         if end == End::Answered {
-            metrics::histogram!(names::LATENCY, "service" => label.clone()).record(took);
-            if took <= seen.in_time {
-                metrics::counter!(names::IN_TIME, "service" => label).increment(1);
+            metrics::histogram!(metric_names::LATENCY, "service" => label.clone()).record(latency);
+            if latency <= info.latency_objective {
+                metrics::counter!(metric_names::IN_TIME, "service" => label).increment(1);
             }
         }
         let mut history = self.history.lock();
         if let Some(totals) = history.totals(service) {
-            count(totals, seen, end, took);
+            add_to_totals(totals, info, end, latency);
         }
     }
 
-    /// A request goes to a backend server or another availability zone.
-    pub(super) fn sent(
+    /// Records an attempt sent to a backend server or another availability zone.
+    pub(super) fn record_sent(
         &self,
         now: Moment,
         service: &id::ServiceId,
-        seen: &Seen,
+        info: &RequestInfo,
         to: &Destination,
-        own_az: &id::AzId,
+        local_az: &id::AzId,
         first: bool,
     ) {
-        let label = self.services.label(service.as_str());
+        let label = self.service_labels.label(service.as_str());
         if !first {
-            metrics::counter!(names::RETRIES, "service" => label.clone()).increment(1);
+            metrics::counter!(metric_names::RETRIES, "service" => label.clone()).increment(1);
         }
         let az = match to {
-            Destination::Backend(_) => own_az,
+            Destination::Backend(_) => local_az,
             Destination::Az(az) => {
                 let name = az.to_string();
-                metrics::counter!(names::SPILLS, "service" => label, "az" => name.clone())
+                metrics::counter!(metric_names::SPILLS, "service" => label, "az" => name.clone())
                     .increment(1);
-                self.decided(now, seen.id, "spilled", service.as_str(), &name);
+                self.record_decision(now, info.id, "spilled", service.as_str(), &name);
                 az
             }
         };
-        self.sent.lock().insert(az.clone(), now);
+        self.last_sent_at.lock().insert(az.clone(), now);
     }
 
-    /// An attempt ended.
-    pub(super) fn attempt_ended(&self, service: &id::ServiceId, how: AttemptOutcome) {
-        let how = match how {
+    /// Records the end of an attempt.
+    pub(super) fn record_attempt_end(
+        &self,
+        service: &id::ServiceId,
+        attempt_outcome: AttemptOutcome,
+    ) {
+        let result = match attempt_outcome {
             AttemptOutcome::Answered => "answered",
             AttemptOutcome::Failed => "failed",
             AttemptOutcome::Shed => "shed",
@@ -198,28 +211,29 @@
             AttemptOutcome::TimedOut => "timed_out",
             AttemptOutcome::Cancelled => "cancelled",
         };
-        let label = self.services.label(service.as_str());
-        metrics::counter!(names::ATTEMPTS, "service" => label, "ended" => how).increment(1);
+        let label = self.service_labels.label(service.as_str());
+        metrics::counter!(metric_names::ATTEMPTS, "service" => label, "ended" => result)
+            .increment(1);
     }
 
-    /// A probe was sent.
-    pub(super) fn probed(&self, service: &id::ServiceId) {
-        let label = self.services.label(service.as_str());
-        metrics::counter!(names::PROBES, "service" => label).increment(1);
+    /// Records a sent probe.
+    pub(super) fn record_probe(&self, service: &id::ServiceId) {
+        let label = self.service_labels.label(service.as_str());
+        metrics::counter!(metric_names::PROBES, "service" => label).increment(1);
     }
 
-    /// A look-up was answered.
-    pub(super) fn looked_up(&self, service: &id::ServiceId) {
-        let label = self.services.label(service.as_str());
-        metrics::counter!(names::LOOKUPS, "service" => label).increment(1);
+    /// Records an answered look-up.
+    pub(super) fn record_lookup(&self, service: &id::ServiceId) {
+        let label = self.service_labels.label(service.as_str());
+        metrics::counter!(metric_names::LOOKUPS, "service" => label).increment(1);
     }
 
-    /// The policy decided something beside its actions.
-    pub(super) fn noted(&self, now: Moment, service: &id::ServiceId, note: &note::Note) {
-        let label = self.services.label(service.as_str());
+    /// Records an ejection, restoration, suspicion or quarantine reported by the policy.
+    pub(super) fn record_note(&self, now: Moment, service: &id::ServiceId, note: &note::Note) {
+        let label = self.service_labels.label(service.as_str());
         let (event, vm, detail) = match note {
             note::Note::Ejected { vm, down } => {
-                metrics::counter!(names::EJECTIONS, "service" => label).increment(1);
+                metrics::counter!(metric_names::EJECTIONS, "service" => label).increment(1);
                 (
                     "ejected",
                     vm,
@@ -232,30 +246,30 @@
                 fingerprint,
                 banned,
             } => {
-                let print = format!("{:016x}", fingerprint.0);
+                let fingerprint_hex = format!("{:016x}", fingerprint.0);
                 if *banned {
-                    metrics::counter!(names::QUARANTINES, "service" => label).increment(1);
-                    ("quarantined", vm, print)
+                    metrics::counter!(metric_names::QUARANTINES, "service" => label).increment(1);
+                    ("quarantined", vm, fingerprint_hex)
                 } else {
-                    ("suspected", vm, print)
+                    ("suspected", vm, fingerprint_hex)
                 }
             }
         };
         self.warn(now, event, service, vm, &detail);
     }
 
-    /// Another entry VM told of a request that crashes backend servers.
-    pub(super) fn told_of_ban(
+    /// Records a quarantine received from another entry VM.
+    pub(super) fn record_received_ban(
         &self,
         now: Moment,
         service: &id::ServiceId,
         from: &id::VmId,
         entry: &quarantine::Ban,
     ) {
-        let label = self.services.label(service.as_str());
-        metrics::counter!(names::QUARANTINES, "service" => label).increment(1);
-        let print = format!("{:016x}", entry.fingerprint.0);
-        self.warn(now, "quarantined_by_peer", service, from, &print);
+        let label = self.service_labels.label(service.as_str());
+        metrics::counter!(metric_names::QUARANTINES, "service" => label).increment(1);
+        let fingerprint_hex = format!("{:016x}", entry.fingerprint.0);
+        self.warn(now, "quarantined_by_peer", service, from, &fingerprint_hex);
     }
 
     fn warn(
@@ -266,68 +280,79 @@
         vm: &id::VmId,
         detail: &str,
     ) {
-        let Some(held_back) = self.limiter.admit(event, now) else {
-            return metrics::counter!(names::LOG_SUPPRESSED, "event" => event).increment(1);
+        let Some(suppressed) = self.limiter.admit(event, now) else {
+            return metrics::counter!(metric_names::LOG_SUPPRESSED, "event" => event).increment(1);
         };
         slog::warn!(self.log, "{}", event; "event" => event, "service" => service.as_str(),
-            "vm" => vm.as_str(), "detail" => detail, "held_back" => held_back);
+            "vm" => vm.as_str(), "detail" => detail, "held_back" => suppressed);
     }
 
-    /// A decision about one request: kept for its explanation, and logged unless there are too
-    /// many like it.
-    fn decided(&self, now: Moment, request: u64, event: &'static str, service: &str, why: &str) {
+    /// Stores a decision about one request and logs it within the event's rate limit.
+    fn record_decision(
+        &self,
+        now: Moment,
+        request: u64,
+        event: &'static str,
+        service: &str,
+        why: &str,
+    ) {
         self.recent.lock().record(request, now, event, service, why);
-        let Some(held_back) = self.limiter.admit(event, now) else {
-            return metrics::counter!(names::LOG_SUPPRESSED, "event" => event).increment(1);
+        let Some(suppressed) = self.limiter.admit(event, now) else {
+            return metrics::counter!(metric_names::LOG_SUPPRESSED, "event" => event).increment(1);
         };
         slog::info!(self.log, "{}", event; "event" => event, "request" => request,
-            "service" => service, "why" => why, "held_back" => held_back);
+            "service" => service, "why" => why, "held_back" => suppressed);
     }
 
-    /// What was decided about a request.
-    pub(super) fn about(&self, request: u64) -> Vec<explain::Decision> {
+    /// The recent decisions about a request.
+    pub(super) fn decisions_on(&self, request: u64) -> Vec<explain::Decision> {
         self.recent.lock().about(request)
     }
 
-    /// Notes how many requests of a service are in hand.
-    pub(super) fn in_hand(&self, service: &id::ServiceId, count: u64) {
+    /// Records the number of pending requests of a service.
+    pub(super) fn record_pending(&self, service: &id::ServiceId, count: u64) {
         self.history.lock().record_in_flight(service, count);
     }
 
-    /// Keeps the past.
+    /// Advances the history's time windows.
     pub(super) fn tick(&self, now: Moment) {
         self.history.lock().tick(now);
     }
 
-    /// When a request last went to an availability zone.
+    /// Time of the last request to an availability zone.
     pub(super) fn last_sent(&self, az: &id::AzId) -> Option<Moment> {
-        self.sent.lock().get(az).copied()
+        self.last_sent_at.lock().get(az).copied()
     }
 
-    /// The past of every service.
+    /// Reads the history of all services.
     pub(super) fn with_history<T>(&self, read: impl FnOnce(&totals::History) -> T) -> T {
         read(&self.history.lock())
     }
 
-    /// The label of a service.
+    /// The bounded metric label of a service.
     pub(super) fn label(&self, service: &id::ServiceId) -> std::sync::Arc<str> {
-        self.services.label(service.as_str())
+        self.service_labels.label(service.as_str())
     }
 }
 
-/// Text that came from outside, cut to what a log line should bear.
-fn short(text: &str) -> String {
-    text.chars().take(MOST_TEXT).collect()
+/// Truncates caller-supplied text for a log line.
+fn truncated(text: &str) -> String {
+    text.chars().take(MAX_LOGGED_TEXT_CHARS).collect()
 }
 
-fn count(totals: &mut totals::Totals, seen: &Seen, end: End, took: time::Duration) {
-    let worth = u64::from(seen.worth);
+fn add_to_totals(
+    totals: &mut totals::Totals,
+    info: &RequestInfo,
+    end: End,
+    latency: time::Duration,
+) {
+    let worth = u64::from(info.worth);
     match end {
         End::Answered => {
             totals.answered += 1;
             totals.worth_answered += worth;
-            totals.in_time += u64::from(took <= seen.in_time);
-            totals.count_latency(took);
+            totals.in_time += u64::from(latency <= info.latency_objective);
+            totals.count_latency(latency);
             return;
         }
         End::Failed => totals.failed += 1,
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,7 @@
-//! Structured logs: one JSON object a line, on standard error.
+//! Structured logs, one JSON object per line, and a rate limiter for repeated events.
+//!
+//! A slow log reader never blocks a request: lines that do not fit in a buffer are dropped and
+//! counted.
 
 use std::collections;
 use std::io;
@@ -7,10 +10,10 @@
 
 use slog::Drain;
 
-/// Builds the root logger of a process. Lines that cannot be queued are counted and dropped, so
-/// that a slow reader of the log never holds up a request.
+/// Builds a process's root logger to standard error. Lines that do not fit in the queue are dropped
+/// and counted, so that a slow log reader never blocks a request.
 pub fn root(process: &str) -> slog::Logger {
-    // One write a line: pieces of lines of several processes would mix on a shared terminal.
+    // One write per line; otherwise lines of several processes would interleave on a terminal.
     let json = slog_json::Json::new(io::LineWriter::new(io::stderr()))
         .add_default_keys()
         .build()
@@ -19,34 +22,34 @@
     slog::Logger::root(drain, slog::o!("process" => process.to_owned()))
 }
 
-/// How many bytes of lines wait for a slow reader. What does not fit is dropped and counted: 256
-/// KB are about a thousand lines, more than a process writes in a second.
-const WAITING: usize = 256 << 10;
+/// Buffer size for lines that a slow reader has not taken. Further lines are dropped and counted.
+/// 256 KB are about a thousand lines, more than a process writes in a second.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// How long lines are gathered before they are written. One write for many costs the processor
-/// far less than one write each.
-const GATHER: time::Duration = time::Duration::from_millis(200);
+/// Interval between writes of buffered lines. One write for many lines costs far less processor
+/// time than one write per line.
+const WRITE_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
 #[derive(Debug, Default)]
-struct Lines {
+struct BufferedLines {
     text: Vec<u8>,
     dropped: u64,
 }
 
-/// Takes lines into memory; a thread of its own writes them out.
+/// In-memory buffer of lines, which a dedicated thread writes out.
 #[derive(Clone, Debug, Default)]
-struct Gathered(sync::Arc<(parking_lot::Mutex<Lines>, parking_lot::Condvar)>);
+struct LineBuffer(sync::Arc<(parking_lot::Mutex<BufferedLines>, parking_lot::Condvar)>);
 
-impl io::Write for Gathered {
+impl io::Write for LineBuffer {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        let (lines, filled) = &*self.0;
+        let (lines, has_lines) = &*self.0;
         let mut lines = lines.lock();
-        if lines.text.len() + buf.len() > WAITING {
+        if lines.text.len() + buf.len() > MAX_BUFFERED_BYTES {
             lines.dropped += 1;
             return Ok(buf.len());
         }
         lines.text.extend_from_slice(buf);
-        filled.notify_one();
+        has_lines.notify_one();
         Ok(buf.len())
     }
 
@@ -55,72 +58,70 @@
     }
 }
 
-impl Gathered {
-    /// Writes lines out as they come, for good.
-    fn write_out(&self, mut to: impl io::Write) {
-        let (lines, filled) = &*self.0;
+impl LineBuffer {
+    /// Writes buffered lines to `to` forever.
+    fn write_forever(&self, mut to: impl io::Write) {
+        let (lines, has_lines) = &*self.0;
         loop {
-            let taken = {
+            let batch = {
                 let mut lines = lines.lock();
                 while lines.text.is_empty() {
-                    filled.wait(&mut lines);
+                    has_lines.wait(&mut lines);
                 }
                 std::mem::take(&mut *lines)
             };
-            // With nobody to read them, lines have no use; the process goes on.
-            let _ = to.write_all(&taken.text);
-            if taken.dropped > 0 {
+            // Without a reader the lines are lost; the process continues.
+            let _ = to.write_all(&batch.text);
+            if batch.dropped > 0 {
                 let _ = writeln!(
                     to,
                     "{{\"msg\":\"log lines dropped\",\"lines\":{}}}",
-                    taken.dropped
+                    batch.dropped
                 );
             }
-            std::thread::sleep(GATHER);
+            std::thread::sleep(WRITE_INTERVAL);
         }
     }
 }
 
-/// Builds the root logger of a process whose lines go to standard output. A reader that stops
-/// holds up nothing but the lines.
+/// Builds a process's root logger to standard output. A reader that stalls delays only the lines.
 pub fn buffered(process: &str) -> slog::Logger {
-    let gathered = Gathered::default();
-    let writer = gathered.clone();
-    std::thread::spawn(move || writer.write_out(io::stdout()));
-    // Lines are put together whole before they are taken, so that none is dropped in part.
-    let json = slog_json::Json::new(io::LineWriter::with_capacity(8 << 10, gathered))
+    let buffer = LineBuffer::default();
+    let writer = buffer.clone();
+    std::thread::spawn(move || writer.write_forever(io::stdout()));
+    // Each line reaches the buffer in one write, so that no partial line is dropped.
+    let json = slog_json::Json::new(io::LineWriter::with_capacity(8 << 10, buffer))
         .add_default_keys()
         .build();
     let drain = sync::Mutex::new(json).fuse();
     slog::Logger::root(drain, slog::o!("process" => process.to_owned()))
 }
 
-/// A logger that writes nothing, for tests.
+/// Builds a logger that discards all lines, for tests.
 pub fn silent() -> slog::Logger {
     slog::Logger::root(sync::Arc::new(slog::Discard), slog::o!())
 }
 
-/// How many lines of one event are written.
+/// Rate limit for the lines of one event (token bucket).
 #[derive(Clone, Copy, Debug)]
 pub struct Rate {
-    /// In a row, before the limit counts.
+    /// Bucket size: lines that pass at once.
     pub burst: f64,
-    /// A second, once the burst is used up.
-    pub a_second: f64,
+    /// Refill rate, in lines per second.
+    pub per_s: f64,
 }
 
 impl Default for Rate {
     fn default() -> Self {
         Self {
             burst: 20.0,
-            a_second: 5.0,
+            per_s: 5.0,
         }
     }
 }
 
-/// Holds back lines that come too often. When a region fails, each refused request would write a
-/// line; the log would take the processor that callers need, and the first line, which tells the
-/// cause, would scroll away.
+/// Rate limiter for log lines, per event. When a region fails, a line per refused request would
+/// consume processor time that requests need and bury the first line, which shows the cause.
 #[derive(Debug, Default)]
 pub struct Limiter {
     rate: Rate,
@@ -129,13 +130,13 @@
 
 #[derive(Debug)]
 struct Bucket {
-    left: f64,
-    filled: time::Duration,
-    held_back: u64,
+    tokens: f64,
+    refilled_at: time::Duration,
+    suppressed: u64,
 }
 
 impl Limiter {
-    /// A limiter that lets so many lines of each event pass.
+    /// Creates a limiter with `rate` for each event.
     pub fn new(rate: Rate) -> Self {
         Self {
             rate,
@@ -143,24 +144,24 @@
         }
     }
 
-    /// Whether a line of this event may be written now, and then how many were held back before
-    /// it.
+    /// Returns the number of lines suppressed since the last admitted one, or `None` if this line
+    /// is suppressed too.
     pub fn admit(&self, event: &'static str, now: time::Duration) -> Option<u64> {
         let mut events = self.events.lock();
         let bucket = events.entry(event).or_insert(Bucket {
-            left: self.rate.burst,
-            filled: now,
-            held_back: 0,
+            tokens: self.rate.burst,
+            refilled_at: now,
+            suppressed: 0,
         });
-        let passed = now.saturating_sub(bucket.filled).as_secs_f64();
-        bucket.left = (bucket.left + passed * self.rate.a_second).min(self.rate.burst);
-        bucket.filled = now;
-        if bucket.left < 1.0 {
-            bucket.held_back += 1;
+        let elapsed = now.saturating_sub(bucket.refilled_at).as_secs_f64();
+        bucket.tokens = (bucket.tokens + elapsed * self.rate.per_s).min(self.rate.burst);
+        bucket.refilled_at = now;
+        if bucket.tokens < 1.0 {
+            bucket.suppressed += 1;
             return None;
         }
-        bucket.left -= 1.0;
-        Some(std::mem::take(&mut bucket.held_back))
+        bucket.tokens -= 1.0;
+        Some(std::mem::take(&mut bucket.suppressed))
     }
 }
 
@@ -168,13 +169,13 @@
 mod tests {
     use super::*;
 
-    /// A region fails and each refused request would write a line.
+    /// Guards against a line per refused request when a region fails.
     #[test]
-    fn a_flood_of_alike_lines_is_held_back_and_counted() {
+    fn repeated_lines_are_suppressed_and_counted() {
         let limiter = Limiter::default();
         let at = time::Duration::from_secs;
-        let flood = (0..1000).filter(|_| limiter.admit("refused", at(1)).is_some());
-        assert_eq!(flood.count(), 20);
+        let admitted = (0..1000).filter(|_| limiter.admit("refused", at(1)).is_some());
+        assert_eq!(admitted.count(), 20);
         assert_eq!(limiter.admit("spilled", at(1)), Some(0));
         assert_eq!(limiter.admit("refused", at(2)), Some(980));
         assert_eq!(limiter.admit("refused", at(2)), Some(0));
