--- a/src/state/backends.rs
+++ b/src/state/backends.rs
@@ -1,4 +1,4 @@
-//! Table of the backend servers that the platform lists, with this VM's local_region data on each.
+//! Table of the backend servers that the platform lists, with this VM's own data on each.
 //!
 //! One thread owns the table. Listed properties are replaced with each update. Locally observed
 //! data (requests in flight, load reported in answers, failures) is kept per incarnation.
@@ -25,7 +25,7 @@
     pub slots: u32,
     /// Whether it is shutting down and accepts no new requests.
     pub leaving: bool,
-    /// The end of its cold phase, on this process's clock.
+    /// The end of its cold phase, in which it handles few requests, on this process's clock.
     pub cold_until: policy::Moment,
     /// Its incarnation, which grows with each start; `None` if the list has no incarnation.
     pub incarnation: Option<id::Incarnation>,
--- a/src/state/lookup.rs
+++ b/src/state/lookup.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// There are more targets than the table has numbers for.
-    #[error("{0} targets, and the table numbers 65534; name fewer regions or sites")]
+    #[error("{0} regions or sites, but the look-up table has numbers for 65534; declare fewer")]
     TooManyTargets(usize),
 }
 
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -8,8 +8,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The queue of connections not yet accepted. In a surge of new callers a full queue makes the
-/// system drop SYN packets, and each retransmission delays a caller by a second or more.
+/// The length of the queue of unaccepted connections. In a surge of new callers, a full queue makes
+/// the system drop SYN packets, and each retransmission delays a caller by a second or more.
 const LISTEN_BACKLOG: i32 = 1024;
 
 /// How long sent bytes may stay unacknowledged. Without this limit a connection to a machine that
