--- a/src/state/directory.rs
+++ b/src/state/directory.rs
@@ -130,8 +130,11 @@
             .iter()
             .filter(|row| !query.preferred_azs.contains(&row.az))
             .map(|row| {
-                let other = row.az != *query.az || row.distance != Distance::Near;
-                ((other, caller_hash(query.caller, row.az.as_str())), &row.az)
+                let is_other = row.az != *query.az || row.distance != Distance::Near;
+                (
+                    (is_other, caller_hash(query.caller, row.az.as_str())),
+                    &row.az,
+                )
             })
             .collect();
         azs.sort_unstable_by_key(|(rank, _)| *rank);
--- a/src/state/totals.rs
+++ b/src/state/totals.rs
@@ -157,7 +157,7 @@
 /// The current counts of each service and their past snapshots.
 #[derive(Debug, Default)]
 pub struct History {
-    now: collections::BTreeMap<id::ServiceId, Totals>,
+    current: collections::BTreeMap<id::ServiceId, Totals>,
     peaks: collections::BTreeMap<id::ServiceId, u64>,
     snapshots: collections::VecDeque<Snapshot>,
 }
@@ -165,18 +165,18 @@
 impl History {
     /// The current counts of a service for modification; `None` if there are too many services.
     pub fn totals(&mut self, service: &id::ServiceId) -> Option<&mut Totals> {
-        if !self.now.contains_key(service) {
-            if self.now.len() >= MAX_SERVICES {
+        if !self.current.contains_key(service) {
+            if self.current.len() >= MAX_SERVICES {
                 return None;
             }
-            self.now.insert(service.clone(), Totals::default());
+            self.current.insert(service.clone(), Totals::default());
         }
-        self.now.get_mut(service)
+        self.current.get_mut(service)
     }
 
     /// The services with counts.
     pub fn services(&self) -> impl Iterator<Item = &id::ServiceId> {
-        self.now.keys()
+        self.current.keys()
     }
 
     /// Records the current number of a service's requests in flight and waiting.
@@ -201,7 +201,7 @@
         }
         self.snapshots.push_back(Snapshot {
             at,
-            services: self.now.clone(),
+            services: self.current.clone(),
             peaks: std::mem::take(&mut self.peaks),
         });
     }
@@ -216,7 +216,7 @@
             .rev()
             .find(|snapshot| snapshot.at <= from);
         let start = older.or(self.snapshots.front());
-        let now = self.now.get(service).cloned().unwrap_or_default();
+        let now = self.current.get(service).cloned().unwrap_or_default();
         let Some(start) = start else {
             return Window {
                 asked_s,
@@ -251,7 +251,8 @@
     ) -> Vec<Stretch> {
         let step = self.snapshots.len().div_ceil(max_count.max(1)).max(1);
         let none = Totals::default();
-        let of = |snapshot: &Snapshot| snapshot.services.get(service).unwrap_or(&none).clone();
+        let service_totals =
+            |snapshot: &Snapshot| snapshot.services.get(service).unwrap_or(&none).clone();
         let bounds: Vec<usize> = (0..self.snapshots.len()).step_by(step).collect();
         let mut intervals = Vec::new();
         for pair in bounds.windows(2) {
@@ -260,7 +261,7 @@
             intervals.push(Stretch {
                 ago_s: at.saturating_sub(to.at).as_secs(),
                 lasted_s: (to.at - from.at).as_secs(),
-                totals: of(to).since(&of(from)),
+                totals: service_totals(to).since(&service_totals(from)),
                 peak_in_hand: inside
                     .filter_map(|snapshot| snapshot.peaks.get(service))
                     .max()
--- a/src/transport/callers.rs
+++ b/src/transport/callers.rs
@@ -181,7 +181,7 @@
     /// Whether no further request is read.
     reading_closed: bool,
     stop: watch::Receiver<bool>,
-    active: time::Instant,
+    last_active: time::Instant,
 }
 
 /// Serves one connection until it ends.
@@ -200,7 +200,7 @@
         pending: collections::VecDeque::new(),
         reading_closed: false,
         stop,
-        active: time::Instant::now(),
+        last_active: time::Instant::now(),
     };
     // An error means that the caller has disconnected, so it cannot get an answer.
     if connection.run().await.is_ok() {
@@ -231,7 +231,7 @@
                 Step::Read(Ok(0)) => return Err(io::ErrorKind::UnexpectedEof.into()),
                 Step::Read(n) => {
                     n?;
-                    self.active = time::Instant::now();
+                    self.last_active = time::Instant::now();
                 }
                 Step::PieceReady(has_room) => self.queue_piece(has_room),
                 Step::TimedOut => return self.timed_out().await,
@@ -271,7 +271,7 @@
             true => limits.head_timeout,
             false => limits.idle_timeout,
         };
-        self.active + limit
+        self.last_active + limit
     }
 
     async fn timed_out(&mut self) -> io::Result<()> {
@@ -512,7 +512,7 @@
         self.reading_closed |= answer.close || !done.keep_alive || stopping;
         let close = self.reading_closed && self.pending.is_empty();
         let ends_at_close = self.write_answer(answer, close, done.framing).await?;
-        self.active = time::Instant::now();
+        self.last_active = time::Instant::now();
         Ok(close || ends_at_close)
     }
 
