--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,17 +1,17 @@
-//! The entry process: it assembles the layers and runs until it is told to stop.
+//! The entry process: assembles the layers and runs until SIGTERM or SIGINT.
 //!
-//! Connections live on a small runtime; whole requests and ended attempts come as events over
-//! a channel to a pool of workers, which work on the shared tables and never block on a socket. A
-//! request that waits for a slot is a row in its service's desk and holds no thread.
+//! Connections run on a small Tokio runtime. Complete requests and ended attempts are events on a
+//! channel to a pool of workers, which use the shared tables and never block on a socket. A request
+//! that waits for a slot is an entry in its service's executor and occupies no thread.
 
 mod answers;
 pub mod args;
-mod desk;
+mod executor;
 mod feed;
 mod observe;
-mod operate;
+mod operator_source;
 mod route;
-mod steer;
+mod steering;
 
 use std::collections;
 use std::io::Write;
@@ -33,21 +33,21 @@
 use crate::{config, error, id, metrics, protocol, settings};
 use policy::Policy;
 
-/// How often time passes for the policies.
-const TICK: time::Duration = time::Duration::from_millis(5);
+/// Interval at which policies receive a tick.
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(5);
 
-/// How often dated drains and the words of backend servers are looked at again.
-const REFRESH: time::Duration = time::Duration::from_millis(250);
+/// Interval at which scheduled drains and leave reports of backend servers are re-evaluated.
+const REFRESH_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
-/// Threads that move bytes. They hand everything else to the workers.
-const SOCKET_THREADS: usize = 4;
+/// Threads for socket input and output. All other work runs on the workers.
+const SOCKET_THREAD_COUNT: usize = 4;
 
-/// Builds and updates the policies of services.
+/// Builds the policy of each service.
 pub trait MakePolicy: Send + Sync + 'static {
-    /// What it builds.
+    /// The policy type.
     type Policy: Policy + 'static;
 
-    /// The policy of a service.
+    /// Builds the policy of a service.
     fn make(
         &self,
         cfg: &config::Config,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Builds the decisions of this VM: inside its availability zone, and across.
+/// Builds the production policy, which decides within and across availability zones.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MakeDispatch;
 
@@ -95,40 +95,40 @@
     }
 }
 
-/// What the request path reads and coordination feeds. Both parts are replaced whole.
+/// Tables that coordination updates and the request path reads. Each is replaced atomically.
 #[derive(Debug, Default)]
-pub struct Shared {
+pub struct SharedTables {
     settings: arc_swap::ArcSwap<settings::Settings>,
     regions: arc_swap::ArcSwap<lookup::Regions>,
     /// The platform's list of VMs.
     pub fleet: arc_swap::ArcSwap<fleet::Fleet>,
-    /// How it goes with the platform and the peers, for operators.
-    pub links: arc_swap::ArcSwap<Links>,
+    /// State of the connections to the platform's store and the peers, for operators.
+    pub coordination_status: arc_swap::ArcSwap<CoordinationStatus>,
 }
 
-/// How an entry process stands with the platform and its peers.
+/// State of an entry process's connections to the platform's store and its peers.
 #[derive(Clone, Debug, Default)]
-pub struct Links {
+pub struct CoordinationStatus {
     /// The version of each team's settings in force.
     pub versions: collections::BTreeMap<id::TeamId, u64>,
     /// Whether the last call to the platform's store was answered.
     pub store_up: bool,
-    /// Entry VMs that this one hears from.
+    /// Live peer entry VMs.
     pub peers: u64,
 }
 
-impl Shared {
+impl SharedTables {
     /// The settings in force.
     pub fn settings(&self) -> sync::Arc<settings::Settings> {
         self.settings.load_full()
     }
 
-    /// Puts settings in force, and the table of callers' addresses that goes with them.
+    /// Applies new settings and rebuilds the table from caller addresses to regions.
     ///
     /// # Errors
     ///
-    /// The settings name more regions than the table can number. Those before stay in force.
-    pub fn put_in_force(&self, settings: settings::Settings) -> Result<(), lookup::Error> {
+    /// The settings name more regions than the table can number. The previous settings stay.
+    pub fn apply_settings(&self, settings: settings::Settings) -> Result<(), lookup::Error> {
         let regions = lookup::Regions::build(&settings)?;
         self.regions.store(sync::Arc::new(regions));
         self.settings.store(sync::Arc::new(settings));
@@ -136,46 +136,49 @@
     }
 }
 
-/// What the workers take from their channel.
+/// An event on the workers' channel.
 enum Event<P> {
-    /// A whole request came in.
+    /// A complete request arrived.
     Request(server::Request),
-    /// The caller of a request went away.
-    Gone(policy::RequestId),
+    /// The caller of a request disconnected.
+    CallerGone(policy::RequestId),
     /// An attempt ended.
-    Ended(sync::Arc<desk::Desk<P>>, desk::AttemptEnd),
+    AttemptEnded(sync::Arc<executor::Executor<P>>, executor::AttemptEnd),
     /// A probe ended.
-    Probed(
-        sync::Arc<desk::Desk<P>>,
+    ProbeEnded(
+        sync::Arc<executor::Executor<P>>,
         id::VmId,
         Result<server::Answer, client::Failure>,
     ),
-    /// The home of a key answered, or did not.
-    Home(route::Home, Result<server::Answer, client::Failure>),
+    /// The home VM of a key answered or failed to answer.
+    HomeAnswered(
+        route::ForwardedRequest,
+        Result<server::Answer, client::Failure>,
+    ),
 }
 
-type Desks<P> = collections::HashMap<id::ServiceId, sync::Arc<desk::Desk<P>>>;
+type Executors<P> = collections::HashMap<id::ServiceId, sync::Arc<executor::Executor<P>>>;
 
-/// The entry VMs that look-ups name, and what they were worked out from.
+/// The entry VMs that look-ups return, with the settings and VM list used to compute them.
 #[derive(Default)]
-struct Named {
+struct CachedDirectory {
     settings: sync::Arc<settings::Settings>,
     fleet: sync::Arc<fleet::Fleet>,
     directory: directory::Directory,
 }
 
-/// Everything that the workers share.
+/// State shared by the workers and the listeners.
 struct Core<M: MakePolicy> {
     cfg: config::Config,
     make: M,
     log: slog::Logger,
     observer: observe::Observer,
-    steer: steer::Steer,
+    steering: steering::Steering,
     incarnation: id::Incarnation,
     started: time::Instant,
-    shared: sync::Arc<Shared>,
-    desks: arc_swap::ArcSwap<Desks<M::Policy>>,
-    named: arc_swap::ArcSwap<Named>,
+    shared: sync::Arc<SharedTables>,
+    executors: arc_swap::ArcSwap<Executors<M::Policy>>,
+    cached_directory: arc_swap::ArcSwap<CachedDirectory>,
     keys: Mutex<keys::Keys<server::Reply>>,
     client: client::Client,
     events: channel::Sender<Event<M::Policy>>,
@@ -187,7 +190,7 @@
         self.started.elapsed()
     }
 
-    /// The name of a request, unique in the fleet.
+    /// The request's fleet-wide unique id.
     fn request_id(&self, id: u64) -> Option<hyper::header::HeaderValue> {
         let name = format!("{}-{}-{id}", self.cfg.vm, self.incarnation);
         name.parse().ok()
@@ -196,10 +199,12 @@
     fn handle(self: &sync::Arc<Self>, event: Event<M::Policy>) {
         match event {
             Event::Request(req) => route::request(self, req),
-            Event::Gone(req) => desk::gone(self, req),
-            Event::Ended(desk, end) => desk::ended(self, &desk, end),
-            Event::Probed(desk, vm, result) => desk::probed(self, &desk, &vm, result),
-            Event::Home(home, result) => route::home_answered(self, home, result),
+            Event::CallerGone(req) => executor::handle_caller_gone(self, req),
+            Event::AttemptEnded(executor, end) => executor::attempt_ended(self, &executor, end),
+            Event::ProbeEnded(executor, vm, result) => {
+                executor::probe_ended(self, &executor, &vm, result)
+            }
+            Event::HomeAnswered(forwarded, result) => route::home_answered(self, forwarded, result),
         }
     }
 }
@@ -218,13 +223,13 @@
     }
 
     fn caller_disconnected(&self, id: u64) {
-        let _ = self.0.events.send(Event::Gone(policy::RequestId(id)));
+        let _ = self.0.events.send(Event::CallerGone(policy::RequestId(id)));
     }
 
     fn fault(&self, id: u64, fault: server::Fault) -> server::Answer {
         let problem = answers::fault(fault);
         let core = &self.0;
-        core.observer.turned_away(core.now(), id, "", &problem);
+        core.observer.record_refusal(core.now(), id, "", &problem);
         answers::problem(&problem)
     }
 
@@ -239,37 +244,37 @@
     server: server::Server,
     driver: Option<driver::Driver>,
     operators: pool::Pool,
-    /// Dropped last: every connection lives on it.
+    /// Declared last so that it is dropped last: every connection runs on it.
     _runtime: tokio::runtime::Runtime,
 }
 
 impl<M: MakePolicy> Entry<M> {
-    /// Starts an entry process, which watches settings and VMs in `platform`.
+    /// Starts an entry process that reads settings and VMs from `platform`.
     pub fn start<S: store::Store>(
         cfg: config::Config,
         make: M,
         platform: S,
         log: slog::Logger,
     ) -> Result<Self, error::Error> {
-        let shared = sync::Arc::new(Shared::default());
-        let mut entry = Self::start_with(cfg, make, shared, log)?;
+        let shared = sync::Arc::new(SharedTables::default());
+        let mut entry = Self::start_without_coordination(cfg, make, shared, log)?;
         let platform = sync::Arc::new(platform);
         let driver = feed::start(&entry.core, platform.clone())?;
         let (links, inbox) = (driver.peers().cloned(), driver.inbox().clone());
-        steer::start(&entry.core, links, inbox, platform);
+        steering::start(&entry.core, links, inbox, platform);
         entry.driver = Some(driver);
         Ok(entry)
     }
 
-    /// Starts an entry process that something else feeds.
-    pub fn start_with(
+    /// Starts an entry process without coordination; the caller updates `shared`.
+    pub fn start_without_coordination(
         cfg: config::Config,
         make: M,
-        shared: sync::Arc<Shared>,
+        shared: sync::Arc<SharedTables>,
         log: slog::Logger,
     ) -> Result<Self, error::Error> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
-            .worker_threads(SOCKET_THREADS)
+            .worker_threads(SOCKET_THREAD_COUNT)
             .thread_name("sockets")
             .enable_all()
             .build()
@@ -282,7 +287,7 @@
         };
         let incarnation = new_incarnation();
         let core = sync::Arc::new(Core {
-            steer: steer::Steer::new(&cfg.vm, &cfg.az, incarnation),
+            steering: steering::Steering::new(&cfg.vm, &cfg.az, incarnation),
             cfg,
             make,
             observer: observe::Observer::new(&log),
@@ -290,15 +295,15 @@
             incarnation,
             started: time::Instant::now(),
             shared,
-            desks: arc_swap::ArcSwap::default(),
-            named: arc_swap::ArcSwap::default(),
+            executors: arc_swap::ArcSwap::default(),
+            cached_directory: arc_swap::ArcSwap::default(),
             keys: Mutex::new(keys::Keys::new(key_limits)),
             client: client::Client::new(runtime.handle().clone(), client::Config::default()),
             events,
             stopping: atomic::AtomicBool::new(false),
         });
-        // What is known already counts from the first request on.
-        desk::refresh(&core);
+        // Settings that `shared` already holds apply from the first request.
+        executor::refresh(&core);
         let server = server::start(
             runtime.handle(),
             listen,
@@ -312,12 +317,12 @@
         })?;
         for _ in 0..workers {
             let (core, rx) = (sync::Arc::downgrade(&core), rx.clone());
-            thread::spawn(move || work(&core, &rx));
+            thread::spawn(move || run_worker(&core, &rx));
         }
-        let source = operate::Source(sync::Arc::downgrade(&core));
+        let source = operator_source::Source(sync::Arc::downgrade(&core));
         let operators = operators::serve(core.cfg.operators_listen, source)?;
-        let ticking = sync::Arc::downgrade(&core);
-        thread::spawn(move || tick(&ticking));
+        let weak = sync::Arc::downgrade(&core);
+        thread::spawn(move || run_ticker(&weak));
         Ok(Self {
             core,
             server,
@@ -327,29 +332,30 @@
         })
     }
 
-    /// Where callers connect.
+    /// Address of the listener for callers.
     pub fn addr(&self) -> net::SocketAddr {
         self.server.addr()
     }
 
-    /// Where other entry VMs connect; `None` where there are no links to them.
+    /// Address of the listener for other entry VMs; `None` without peer links.
     pub fn peers_addr(&self) -> Option<net::SocketAddr> {
         let links = self.driver.as_ref()?.peers()?;
         Some(links.addr())
     }
 
-    /// Answers a look-up as a caller at that address gets it. `None`: no such service.
+    /// Answers a look-up for a caller at the given address. `None`: unknown service.
     pub fn look_up(&self, caller: net::IpAddr, service: &str) -> Option<protocol::lookup::Lookup> {
-        route::find(&self.core, caller, service)
+        route::build_lookup(&self.core, caller, service)
     }
 
-    /// Where operators connect.
+    /// Address of the listener for operators.
     pub fn operators_addr(&self) -> net::SocketAddr {
         self.operators.addr()
     }
 
-    /// Stops as planned: look-ups stop naming this VM and new requests are told where to go, while
-    /// what is in flight ends and kept answers stay within reach until the last ticket expired.
+    /// Shuts down gracefully: look-ups no longer return this VM and new requests are refused as
+    /// `stopping`. Waits for in-flight requests, and serves stored answers until the last ticket
+    /// has expired.
     pub fn stop(self) {
         self.core.stopping.store(true, atomic::Ordering::SeqCst);
         self.server.close_after_answers();
@@ -357,67 +363,67 @@
             driver.announce_stop();
         }
         let ttl = self.core.cfg.lookup_ttl_ms.max(self.core.cfg.ticket_ttl_ms);
-        let until = time::Instant::now() + time::Duration::from_millis(ttl);
-        while time::Instant::now() < until || desk::in_hand(&self.core) > 0 {
-            thread::sleep(TICK);
+        let deadline = time::Instant::now() + time::Duration::from_millis(ttl);
+        while time::Instant::now() < deadline || executor::pending_count(&self.core) > 0 {
+            thread::sleep(TICK_INTERVAL);
         }
         self.server.stop();
-        while self.server.open_connections() > 0 && time::Instant::now() < until + LAST_BYTES {
-            thread::sleep(TICK);
+        while self.server.open_connections() > 0 && time::Instant::now() < deadline + FLUSH_TIMEOUT
+        {
+            thread::sleep(TICK_INTERVAL);
         }
     }
 }
 
-/// How long the last answers may take to leave after everything else has ended.
-const LAST_BYTES: time::Duration = time::Duration::from_secs(10);
+/// Maximum time for sending the last answers after all requests have ended.
+const FLUSH_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-fn work<M: MakePolicy>(core: &sync::Weak<Core<M>>, rx: &channel::Receiver<Event<M::Policy>>) {
+fn run_worker<M: MakePolicy>(core: &sync::Weak<Core<M>>, rx: &channel::Receiver<Event<M::Policy>>) {
     while let Ok(event) = rx.recv() {
         let Some(core) = core.upgrade() else {
             return;
         };
-        survive(&core.log, || core.handle(event));
+        catch_panics(&core.log, || core.handle(event));
     }
 }
 
-/// Goes on after a panic. A fault in the handling of one request would otherwise end a worker for
-/// good, and a request that is sent again would end them all; one would notice an entry process
-/// that takes connections and answers nothing. The request at fault ends as unknown, since its
-/// reply is dropped.
-fn survive(log: &slog::Logger, work: impl FnOnce()) {
-    if panic::catch_unwind(panic::AssertUnwindSafe(work)).is_err() {
+/// Catches a panic of `work`, so that the thread goes on. Without this, each panic would end one
+/// worker, and a retried request could end them all: the process would accept connections and
+/// answer nothing. The request that panicked ends as unknown because its reply is dropped.
+fn catch_panics(log: &slog::Logger, handler: impl FnOnce()) {
+    if panic::catch_unwind(panic::AssertUnwindSafe(handler)).is_err() {
         slog::crit!(
             log,
-            "the handling of an event failed; please report the message before this"
+            "handling an event panicked; its request ends as unknown and the process goes on; please report the panic message above"
         );
     }
 }
 
-fn tick<M: MakePolicy>(core: &sync::Weak<Core<M>>) {
-    let mut refreshed = None;
+fn run_ticker<M: MakePolicy>(core: &sync::Weak<Core<M>>) {
+    let mut refreshed_at = None;
     while let Some(core) = core.upgrade() {
-        if refreshed.is_none_or(|at: time::Instant| at.elapsed() >= REFRESH) {
-            survive(&core.log, || {
-                desk::refresh(&core);
-                desk::end_overdue(&core);
-                desk::observe(&core);
+        if refreshed_at.is_none_or(|at: time::Instant| at.elapsed() >= REFRESH_INTERVAL) {
+            catch_panics(&core.log, || {
+                executor::refresh(&core);
+                executor::end_overdue(&core);
+                executor::observe(&core);
                 metrics::exporter().upkeep();
             });
-            refreshed = Some(time::Instant::now());
+            refreshed_at = Some(time::Instant::now());
         }
-        for desk in core.desks.load().values() {
-            survive(&core.log, || desk::tick(&core, desk));
+        for executor in core.executors.load().values() {
+            catch_panics(&core.log, || executor::tick(&core, executor));
         }
-        for req in core.steer.release() {
+        for req in core.steering.take_waiting() {
             let _ = core.events.send(Event::Request(req));
         }
         drop(core);
-        thread::sleep(TICK);
+        thread::sleep(TICK_INTERVAL);
     }
 }
 
-/// A restart gets a larger number as long as the wall clock does not go back; the random part
-/// keeps two starts apart even then.
+/// Returns an incarnation that grows with each restart as long as the wall clock does not go back.
+/// Its random part distinguishes two starts even if the clock does.
 fn new_incarnation() -> id::Incarnation {
     let ms = time::SystemTime::now()
         .duration_since(time::UNIX_EPOCH)
@@ -426,14 +432,14 @@
     id::Incarnation((ms << 16) | u64::from(rand::rng().random::<u16>()))
 }
 
-/// Runs an entry process until it is told to stop by SIGTERM or SIGINT. Prints one line with the
-/// address for callers once it listens.
+/// Runs an entry process until SIGTERM or SIGINT. Once it listens, prints the addresses for callers
+/// and for operators, one line each.
 pub fn run(cfg: config::Config, log: slog::Logger) -> Result<(), error::Error> {
     let mut signals = signal_hook::iterator::Signals::new([
         signal_hook::consts::SIGTERM,
         signal_hook::consts::SIGINT,
     ])
-    .map_err(|err| error::Error::Config(format!("cannot wait for signals: {err}")))?;
+    .map_err(|err| error::Error::Config(format!("cannot install signal handlers: {err}")))?;
     let platform = store_http::Client::new(cfg.store);
     let entry = Entry::start(cfg, MakeDispatch, platform, log)?;
     println!("listening {}", entry.addr());
@@ -441,7 +447,10 @@
     let _ = std::io::stdout().flush();
     slog::info!(entry.core.log, "listening"; "addr" => entry.addr().to_string());
     signals.forever().next();
-    slog::info!(entry.core.log, "stopping; look-ups no longer name this VM");
+    slog::info!(
+        entry.core.log,
+        "shutting down; look-ups no longer return this VM"
+    );
     entry.stop();
     Ok(())
 }
--- a/src/entry/feed.rs
+++ b/src/entry/feed.rs
@@ -1,36 +1,36 @@
-//! Feeds the request path with settings and the list of VMs that coordination finds out.
+//! Copies the settings and VM list that coordination reads into the request path's tables.
 //!
-//! While the store is out of reach, the last settings and the last list stay in force.
+//! While the store is unreachable, the last settings and the last list stay in force.
 
 use std::net;
 use std::sync;
 
-use super::{Core, MakePolicy, Shared};
+use super::{Core, MakePolicy, SharedTables};
 use crate::coordination::{budget, driver, node, reader, store};
 use crate::protocol::hello;
 use crate::state::fleet;
 use crate::{config, error, settings};
 
-/// Hands what comes to the shared tables, as long as somebody reads them.
-struct Feed {
-    shared: sync::Weak<Shared>,
+/// Writes updates to the shared tables until the process's core is dropped.
+struct SharedUpdater {
+    shared: sync::Weak<SharedTables>,
     log: slog::Logger,
 }
 
-impl driver::Observer for Feed {
+impl driver::Observer for SharedUpdater {
     fn settings(&self, settings: sync::Arc<settings::Settings>) {
         let Some(shared) = self.shared.upgrade() else {
             return;
         };
-        if let Err(err) = shared.put_in_force(sync::Arc::unwrap_or_clone(settings)) {
-            slog::error!(self.log, "settings refused"; "error" => err.to_string());
+        if let Err(err) = shared.apply_settings(sync::Arc::unwrap_or_clone(settings)) {
+            slog::error!(self.log, "settings cannot be applied; the previous settings stay in force"; "error" => err.to_string());
         }
     }
 
     fn vms(&self, vms: Vec<store::Vm>) {
         if let Some(shared) = self.shared.upgrade() {
             let fleet = fleet::Fleet::new(vms);
-            // An unchanged list must not cause work that grows with the fleet.
+            // Skips an unchanged list: replacing it would cause work that grows with the fleet.
             if fleet != **shared.fleet.load() {
                 shared.fleet.store(sync::Arc::new(fleet));
             }
@@ -39,11 +39,13 @@
 
     fn status(&self, status: driver::Status) {
         if let Some(shared) = self.shared.upgrade() {
-            shared.links.store(sync::Arc::new(super::Links {
-                versions: status.versions,
-                store_up: status.store_up,
-                peers: status.peers,
-            }));
+            shared
+                .coordination_status
+                .store(sync::Arc::new(super::CoordinationStatus {
+                    versions: status.versions,
+                    store_up: status.store_up,
+                    peers: status.peers,
+                }));
         }
     }
 
@@ -52,23 +54,23 @@
     }
 }
 
-/// Starts agreement with the peers and the platform.
+/// Starts coordination with the peers and the platform's store.
 pub(super) fn start<M: MakePolicy, S: store::Store>(
     core: &Core<M>,
     platform: S,
 ) -> Result<driver::Driver, error::Error> {
     let cfg = &core.cfg;
-    let feed = Feed {
+    let updater = SharedUpdater {
         shared: sync::Arc::downgrade(&core.shared),
         log: core.log.clone(),
     };
     if cfg.root_keys.is_empty() {
         slog::error!(
             core.log,
-            "no settings will be taken: name the root keys' public halves in `root_keys`"
+            "no root keys are configured, so all settings are refused; set `root_keys` to the root keys' public halves"
         );
     }
-    let driven = driver::Config {
+    let driver_config = driver::Config {
         node: node::Config {
             vm: cfg.vm.clone(),
             az: cfg.az.clone(),
@@ -82,7 +84,7 @@
         listen: cfg.peers_listen,
         secrets: secrets(cfg)?,
     };
-    driver::Driver::start(driven, platform, feed, &core.log)
+    driver::Driver::start(driver_config, platform, updater, &core.log)
         .map_err(|err| bind_error(cfg.peers_listen, &err))
 }
 
--- a/tests/path/local.rs
+++ b/tests/path/local.rs
@@ -1,4 +1,4 @@
-//! An entry process inside the test, before backend servers whose every byte the test chooses.
+//! An entry process inside the test, with backend servers whose raw answers the test defines.
 
 use std::collections;
 use std::io;
@@ -15,16 +15,16 @@
 
 use super::testenv;
 
-/// The head and body of a request as it reached a backend server.
+/// A request as a backend server received it.
 #[derive(Clone, Debug)]
-pub(crate) struct Got {
+pub(crate) struct ReceivedRequest {
     pub(crate) path: String,
     pub(crate) headers: collections::BTreeMap<String, String>,
     pub(crate) body: String,
 }
 
-impl Got {
-    /// The bytes of a sound answer that names the request.
+impl ReceivedRequest {
+    /// The bytes of a valid answer to this request.
     pub(crate) fn answer(&self) -> String {
         let attempt = &self.headers["bulrushwind-request"];
         let body = self.path.as_str();
@@ -36,56 +36,59 @@
 }
 
 /// A backend server that answers with raw bytes.
-pub(crate) struct Raw {
+pub(crate) struct RawBackend {
     pub(crate) addr: net::SocketAddr,
-    got: sync::Arc<Mutex<Vec<Got>>>,
+    received: sync::Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
-impl Raw {
-    /// Starts one. `script` gets each request with its number, from 0; the connection is closed
-    /// when it returns an error.
+impl RawBackend {
+    /// Starts a backend server. `script` receives each request with its number, from 0. If it
+    /// returns an error, the connection is closed.
     pub(crate) fn start<F>(script: F) -> Self
     where
-        F: Fn(usize, &Got, &mut net::TcpStream) -> io::Result<()> + Send + Sync + 'static,
+        F: Fn(usize, &ReceivedRequest, &mut net::TcpStream) -> io::Result<()>
+            + Send
+            + Sync
+            + 'static,
     {
         let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let got = sync::Arc::new(Mutex::new(Vec::new()));
-        let (script, seen) = (sync::Arc::new(script), got.clone());
+        let received = sync::Arc::new(Mutex::new(Vec::new()));
+        let (script, requests) = (sync::Arc::new(script), received.clone());
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (script, seen) = (script.clone(), seen.clone());
-                thread::spawn(move || serve(stream.unwrap(), &seen, &*script));
+                let (script, requests) = (script.clone(), requests.clone());
+                thread::spawn(move || serve(stream.unwrap(), &requests, &*script));
             }
         });
-        Self { addr, got }
+        Self { addr, received }
     }
 
-    /// What reached it so far.
-    pub(crate) fn got(&self) -> Vec<Got> {
-        self.got.lock().clone()
+    /// The requests received so far.
+    pub(crate) fn received(&self) -> Vec<ReceivedRequest> {
+        self.received.lock().clone()
     }
 }
 
-fn serve<F>(mut stream: net::TcpStream, seen: &Mutex<Vec<Got>>, script: &F)
+fn serve<F>(mut stream: net::TcpStream, requests: &Mutex<Vec<ReceivedRequest>>, script: &F)
 where
-    F: Fn(usize, &Got, &mut net::TcpStream) -> io::Result<()>,
+    F: Fn(usize, &ReceivedRequest, &mut net::TcpStream) -> io::Result<()>,
 {
     let mut reader = io::BufReader::new(stream.try_clone().unwrap());
-    while let Some(got) = read(&mut reader) {
+    while let Some(request) = read(&mut reader) {
         let number = {
-            let mut seen = seen.lock();
-            seen.push(got.clone());
-            seen.len() - 1
+            let mut requests = requests.lock();
+            requests.push(request.clone());
+            requests.len() - 1
         };
-        if script(number, &got, &mut stream).is_err() {
+        if script(number, &request, &mut stream).is_err() {
             let _ = stream.shutdown(net::Shutdown::Both);
             return;
         }
     }
 }
 
-fn read(reader: &mut io::BufReader<net::TcpStream>) -> Option<Got> {
+fn read(reader: &mut io::BufReader<net::TcpStream>) -> Option<ReceivedRequest> {
     let mut line = String::new();
     reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
     let path = line.split(' ').nth(1)?.to_owned();
@@ -103,27 +106,27 @@
         .map_or(0, |n| n.parse().unwrap());
     let mut body = vec![0; len];
     reader.read_exact(&mut body).ok()?;
-    Some(Got {
+    Some(ReceivedRequest {
         path,
         headers,
         body: String::from_utf8(body).ok()?,
     })
 }
 
-/// An entry process before backend servers of the ledger.
+/// Starts an entry process with the naive policy and backend servers of the ledger.
 pub(crate) fn entry(backends: &[net::SocketAddr]) -> entry::Entry<entry::MakeNaive> {
     entry_with(entry::MakeNaive, backends)
 }
 
-/// An entry process with a policy of the test's own.
+/// Starts an entry process with the test's policy.
 pub(crate) fn entry_with<M: entry::MakePolicy>(
     make: M,
     backends: &[net::SocketAddr],
 ) -> entry::Entry<M> {
     let root = path::Path::new("examples/cooperative");
-    let shared = sync::Arc::new(entry::Shared::default());
+    let shared = sync::Arc::new(entry::SharedTables::default());
     shared
-        .put_in_force(settings::Settings::read(root).unwrap())
+        .apply_settings(settings::Settings::read(root).unwrap())
         .unwrap();
     let cfg = config::Config {
         az: testenv::AZ.into(),
@@ -143,7 +146,7 @@
         .fleet
         .store(sync::Arc::new(fleet::Fleet::new(vms.collect())));
     let log = logging::silent();
-    let entry = entry::Entry::start_with(cfg, make, shared, log).unwrap();
+    let entry = entry::Entry::start_without_coordination(cfg, make, shared, log).unwrap();
     testenv::wait_for("the entry process takes requests", || {
         send(
             entry.addr(),
--- a/tests/steering_path.rs
+++ b/tests/steering_path.rs
@@ -1,5 +1,5 @@
-//! Requests that go to another availability zone, over real HTTP and real links between processes'
-//! parts: two entry VMs, each in an availability zone of its own.
+//! Requests sent to another availability zone, over real HTTP and real peer links between two entry
+//! VMs in different availability zones.
 
 use std::net;
 use std::sync;
@@ -13,8 +13,8 @@
 use bulrushwind::{config, entry, logging};
 use policy::{Action, Policy};
 
-/// How long a condition may take. Far more than any machine needs.
-const LIMIT: time::Duration = time::Duration::from_secs(60);
+/// Timeout of a condition, ample even on a slow machine.
+const WAIT_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
 const SECRET: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
@@ -51,7 +51,7 @@
 typical_ms = 40.0
 "#;
 
-/// Starts an entry VM and puts it on the platform's list.
+/// Starts an entry VM and adds it to the platform's list.
 fn start_entry<M: entry::MakePolicy>(
     platform: &standin::Memory,
     name: &str,
@@ -86,7 +86,8 @@
 }
 
 impl Fleet {
-    /// An entry VM and a backend server in each of `a` and `b`; the one in `a` has `slots` slots.
+    /// Starts an entry VM and a backend server in each of `a` and `b`; the backend server in `a` has
+    /// `slots` slots.
     fn start(slots: usize) -> Self {
         let platform = standin::Memory::default();
         operator::publish(&platform, "places", SETTINGS, 0).unwrap();
@@ -105,8 +106,8 @@
                 ..caller::Ask::default()
             };
             wait_for("a read is answered", || {
-                let told = caller::Caller::default().ask(entry.addr(), &read);
-                told.is_ok_and(|told| told.status == 200)
+                let reply = caller::Caller::default().ask(entry.addr(), &read);
+                reply.is_ok_and(|reply| reply.status == 200)
             });
         }
         fleet
@@ -139,7 +140,7 @@
         self.entries.push(entry);
     }
 
-    /// How often each key ran, on all backend servers.
+    /// Number of runs of each key on all backend servers.
     fn runs(&self) -> std::collections::BTreeMap<String, u32> {
         let mut all = std::collections::BTreeMap::new();
         for backend in &self.backends {
@@ -152,15 +153,17 @@
 }
 
 fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
-    let until = time::Instant::now() + LIMIT;
+    let until = time::Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(time::Instant::now() < until, "never came true: {what}");
+        assert!(
+            time::Instant::now() < until,
+            "timed out while waiting for: {what}"
+        );
         thread::sleep(time::Duration::from_millis(20));
     }
 }
 
-/// Books with a ticket, again and again, until told to stop. Returns each key with what its caller
-/// was told.
+/// Sends bookings with keys of one ticket until `stop` is set. Returns each key with its outcome.
 fn book(entry: net::SocketAddr, thread: usize, stop: &sync::atomic::AtomicBool) -> Vec<Booked> {
     let caller = caller::Caller::default();
     let ticket = caller.look_up(entry, "ledger").unwrap().ticket.unwrap();
@@ -178,11 +181,11 @@
             body: &body,
             ..caller::Ask::default()
         };
-        let Ok(told) = caller.ask(entry, &ask) else {
+        let Ok(reply) = caller.ask(entry, &ask) else {
             continue;
         };
-        if told.outcome == Some(outcome::Outcome::Answered) {
-            let echo: backend::Echo = serde_json::from_str(&told.body).unwrap();
+        if reply.outcome == Some(outcome::Outcome::Answered) {
+            let echo: backend::Echo = serde_json::from_str(&reply.body).unwrap();
             assert_eq!(
                 echo.body, body,
                 "a caller got the answer to another request"
@@ -192,7 +195,7 @@
         }
         booked.push(Booked {
             key,
-            outcome: told.outcome,
+            outcome: reply.outcome,
         });
     }
     booked
@@ -203,11 +206,10 @@
     outcome: Option<outcome::Outcome>,
 }
 
-/// A place has a single slot left and a surge comes in, while the place next to it is idle. Without
-/// spilling, most of its callers would be refused; with careless spilling, a booking would be sent
-/// to both places and bill one bay twice.
+/// A surge hits an availability zone with a single slot while another one is idle. Without spilling,
+/// most callers would be refused; faulty spilling could run a booking in both zones.
 #[test]
-fn a_surge_spills_and_nothing_runs_twice() {
+fn a_surge_spills_and_no_booking_runs_twice() {
     let fleet = Fleet::start(1);
     let stop = sync::atomic::AtomicBool::new(false);
     let entry = fleet.entries[0].addr();
@@ -216,8 +218,8 @@
         let callers: Vec<_> = (0..16)
             .map(|i| scope.spawn(move || book(entry, i, stop)))
             .collect();
-        // The idle place has answered the one read that the start waited for.
-        wait_for("bookings run in the other place", || {
+        // The idle zone has already run the reads of `Fleet::start`.
+        wait_for("bookings run in the other availability zone", || {
             fleet.backends[1].log().started > 20
         });
         stop.store(true, sync::atomic::Ordering::SeqCst);
@@ -228,23 +230,23 @@
     });
     let runs = fleet.runs();
     assert!(runs.values().all(|runs| *runs == 1), "{runs:?}");
-    for one in &booked {
-        let ran = runs.contains_key(&one.key);
-        match one.outcome {
-            Some(outcome::Outcome::Answered) => assert!(ran, "{} was answered", one.key),
-            Some(outcome::Outcome::NotRun) => assert!(!ran, "{} ran", one.key),
+    for booking in &booked {
+        let ran = runs.contains_key(&booking.key);
+        match booking.outcome {
+            Some(outcome::Outcome::Answered) => assert!(ran, "{} was answered", booking.key),
+            Some(outcome::Outcome::NotRun) => assert!(!ran, "{} ran", booking.key),
             _ => {}
         }
     }
 }
 
-/// A sender's grant has run out, or was never given: its requests come after a partition, or from
-/// a process that makes them up. Let in, they would take the place that own callers need.
+/// Requests arrive from another availability zone with an expired, unknown or malformed grant, for
+/// example after a partition. If admitted, they would take capacity that local callers need.
 #[test]
-fn without_a_live_grant_nothing_is_let_in() {
+fn requests_without_a_valid_grant_are_refused() {
     let fleet = Fleet::start(8);
     let url = format!("http://{}/ledger/book", fleet.entries[1].addr());
-    wait_for("the receiver knows the sender", || {
+    wait_for("the receiver has the sender in its list of VMs", || {
         let found = caller::Caller::default().look_up(fleet.entries[1].addr(), "ledger");
         found.is_ok_and(|found| found.entries.len() == 2)
     });
@@ -254,21 +256,21 @@
             req = req.header(headers::GRANT, grant);
         }
         let answer = req.text("bay 7").send().unwrap();
-        let told = answer.headers().get(headers::OUTCOME).unwrap();
-        assert_eq!(told, outcome::Outcome::NotRun.as_str());
+        let reply = answer.headers().get(headers::OUTCOME).unwrap();
+        assert_eq!(reply, outcome::Outcome::NotRun.as_str());
         assert!(answer.headers().contains_key("retry-after"));
     }
     assert!(fleet.runs().is_empty());
 }
 
-/// Bans the first request that it sees, as if it had crashed two backend servers, and tells of it
-/// again and again, as links may not be up the first time.
+/// A policy that bans the first request it receives, as if it had crashed two backend servers. It
+/// reports the ban repeatedly, since the links may not be up at first.
 #[derive(Clone, Default)]
-struct Banning {
+struct BanFirstRequest {
     banned: Option<policy::Fingerprint>,
 }
 
-impl altered::Change for Banning {
+impl altered::Change for BanFirstRequest {
     fn arrive(
         &mut self,
         naive: &mut naive::Naive,
@@ -287,33 +289,33 @@
     }
 }
 
-/// A request crashes backend servers behind one entry VM, and its caller sends it through another.
-/// If that one did not know, the request would crash two more there, and so on through the fleet.
+/// A request crashes backend servers behind one entry VM, and its caller retries through another. If
+/// the ban did not reach that one, the request would crash two more at each entry VM of the fleet.
 #[test]
-fn a_request_that_is_banned_at_one_entry_vm_is_refused_at_another() {
+fn a_request_banned_at_one_entry_vm_is_refused_at_another() {
     let mut fleet = Fleet::start(8);
     let other = fleet.entries.pop().unwrap();
-    let banning = start_entry(
+    let banning_entry = start_entry(
         &fleet.platform,
         "entry-a-2",
         "a",
-        altered::Make(Banning::default()),
+        altered::Make(BanFirstRequest::default()),
     );
     let caller = caller::Caller::default();
-    let killer = caller::Ask {
+    let crashing_request = caller::Ask {
         path: "/ledger/bays?kills",
         ..caller::Ask::default()
     };
-    wait_for("the request was seen where it is banned", || {
-        let told = caller.ask(banning.addr(), &killer);
-        told.is_ok_and(|told| told.status == 200)
+    wait_for("the banning entry VM has received the request", || {
+        let reply = caller.ask(banning_entry.addr(), &crashing_request);
+        reply.is_ok_and(|reply| reply.status == 200)
     });
     wait_for("the other entry VM refuses it as not run", || {
-        let told = caller.ask(other.addr(), &killer).unwrap();
-        let quarantined = told
+        let reply = caller.ask(other.addr(), &crashing_request).unwrap();
+        let quarantined = reply
             .problem()
             .is_some_and(|body| body.reason == "quarantined");
-        quarantined && told.outcome == Some(outcome::Outcome::NotRun)
+        quarantined && reply.outcome == Some(outcome::Outcome::NotRun)
     });
     let others = caller::Ask {
         path: "/ledger/bays?others",
