--- a/src/gateway/facts.rs
+++ b/src/gateway/facts.rs
@@ -96,7 +96,6 @@
         self.route.rank(self.customer())
     }
 
-    /// The customer that sent the request; `None` on routes that need no key.
     pub(super) fn customer(&self) -> Option<&customers::Customer> {
         self.key_holder
             .as_ref()
--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -349,7 +349,6 @@
         quotas.apply_report(self.now(), vm, usage.start, rows, usage.whole);
     }
 
-    /// Refuses a request that exceeds its customer's quota.
     pub(super) fn beyond_quota(
         &self,
         facts: &facts::Facts,
