--- a/src/gateway/cluster_state.rs
+++ b/src/gateway/cluster_state.rs
@@ -36,7 +36,7 @@
         }
         let changed = crashes.add_crash(crash.fingerprint, &crash.run);
         if changed && crashes.is_banned(crash.fingerprint) {
-            slog::warn!(self.log, "request crashes backend servers; refusing equal requests"; "fingerprint" => format!("{:016x}", crash.fingerprint), "backend" => &crash.run);
+            slog::warn!(self.log, "request refused from now on, it crashes backend servers"; "fingerprint" => format!("{:016x}", crash.fingerprint), "backend" => &crash.run);
         }
         changed
     }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -34,9 +34,7 @@
     #[error("no response from the store; check that it is running and reachable from this VM")]
     NoAnswer,
     /// The store refused the call without any effect. Holds the HTTP status.
-    #[error(
-        "the store refused the call with status {0}; it is overloaded or does not accept this VM"
-    )]
+    #[error("the store refused with {0}; it is overloaded or turns this VM away")]
     Refused(u16),
     /// A precondition failed, or the lease does not exist. Holds the HTTP status.
     #[error(
