--- a/src/entry/operator_source.rs
+++ b/src/entry/operator_source.rs
@@ -113,7 +113,7 @@
                 .iter()
                 .map(|s| totals.window(name, now, *s))
                 .collect(),
-            stretches: totals.stretches(name, now, history::STRETCHES),
+            stretches: totals.stretches(name, now, history::PLOT_POINT_COUNT),
         }
     };
     let services = core.observer.with_history(|totals| {
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -147,7 +147,7 @@
         return forward_to_home(core, req, &resolved);
     }
     if key.ticket.incarnation != core.incarnation {
-        return refuse(core, id, service, req.reply, &Problem::TicketVoid);
+        return refuse(core, id, service, req.reply, &Problem::IssuerRestarted);
     }
     let request_fingerprint = fingerprint(&req, path);
     let (now, is_stopping) = (core.now(), core.stopping.load(atomic::Ordering::SeqCst));
@@ -170,7 +170,7 @@
             reply.send(answers::backend(&answer));
         }
         keys::Admission::Ended(keys::End::AnswerGone, reply) => {
-            refuse(core, id, service, reply, &Problem::AnswerGone);
+            refuse(core, id, service, reply, &Problem::AnswerExpired);
         }
         keys::Admission::Ended(keys::End::Unknown(problem), reply)
         | keys::Admission::Refused(problem, reply) => refuse(core, id, service, reply, &problem),
@@ -439,7 +439,7 @@
             req.id,
             resolved.service.name.as_str(),
             req.reply,
-            &Problem::TicketVoid,
+            &Problem::IssuerRestarted,
         );
     };
     let mut outgoing = hyper::Request::new(req.body);
@@ -487,7 +487,7 @@
     result: Result<server::Answer, client::Failure>,
 ) {
     let Ok(answer) = result else {
-        let problem = Problem::HomeSilent;
+        let problem = Problem::IssuerUnreachable;
         return refuse(
             core,
             forwarded.id,
--- a/src/gateway/facts.rs
+++ b/src/gateway/facts.rs
@@ -56,7 +56,7 @@
     if second.is_some() {
         return Err(Unidentified::TwoKeys);
     }
-    if key.is_empty() || key.len() > customers::LONGEST_KEY {
+    if key.is_empty() || key.len() > customers::MAX_KEY_BYTES {
         return Err(Unidentified::InvalidKey);
     }
     Ok(customers::KeyDigest::of(key))
@@ -84,8 +84,8 @@
 }
 
 impl Facts {
-    pub(super) fn homes(&self) -> routes::Homes<'_> {
-        routes::Homes {
+    pub(super) fn homes(&self) -> routes::AllowedRegions<'_> {
+        routes::AllowedRegions {
             route: &self.route.regions,
             customer: self.customer().map_or(&[], |c| &c.regions),
         }
@@ -96,7 +96,6 @@
         self.route.rank(self.customer())
     }
 
-    /// The customer that sent the request; `None` on routes that need no key.
     pub(super) fn customer(&self) -> Option<&customers::Customer> {
         self.key_holder
             .as_ref()
@@ -110,13 +109,13 @@
 
 impl Gateway {
     /// Where a request with these homes may run, relative to this VM's region.
-    pub(super) fn reach(&self, homes: &routes::Homes<'_>) -> regions::Reach {
-        if homes.are_open() {
+    pub(super) fn reach(&self, homes: &routes::AllowedRegions<'_>) -> regions::Reach {
+        if homes.is_unrestricted() {
             return regions::Reach::Anywhere;
         }
         let own = self.region.as_ref();
         let mut others = self.cfg.regions.values().filter(|r| Some(*r) != own);
-        match (homes.allow(own), others.any(|r| homes.allow(Some(r)))) {
+        match (homes.includes(own), others.any(|r| homes.includes(Some(r)))) {
             (true, true) => regions::Reach::Anywhere,
             (true, false) => regions::Reach::Here,
             (false, _) => regions::Reach::Elsewhere,
@@ -190,7 +189,7 @@
         let key = key_of(fields, self.cfg.names.key)?;
         let customer = table
             .customers
-            .holder(key)
+            .find_by_key(key)
             .ok_or(Unidentified::UnknownKey)?;
         Ok(Some(KeyHolder {
             customer: customer.clone(),
@@ -222,7 +221,11 @@
         if table.version == facts.table.version {
             return Ok(Some(key_holder.clone()));
         }
-        let customer = table.customers.holder(key_holder.key).ok_or(())?.clone();
+        let customer = table
+            .customers
+            .find_by_key(key_holder.key)
+            .ok_or(())?
+            .clone();
         Ok(Some(KeyHolder {
             customer,
             ..key_holder.clone()
--- a/src/protocol/backend_http.rs
+++ b/src/protocol/backend_http.rs
@@ -1,8 +1,8 @@
-//! Backend servers over HTTP/1.1, as the stand-ins speak it.
+//! HTTP/1.1 adapter for backend servers, as implemented by the stand-in servers.
 //!
-//! The deadline goes along as [`headers::TIMEOUT`]. A backend server reports its load in
-//! [`headers::LOAD`], as `in_flight=1 queued=0 leaving=0`, and sheds with status 503 and the
-//! outcome header `not-run`, which is its word that the request did not run.
+//! [`headers::TIMEOUT`] carries the remaining time. A backend server reports its load in
+//! [`headers::LOAD`], as `in_flight=1 queued=0 leaving=0`. It sheds load with status 503 and the
+//! outcome header `not-run`, which guarantees that the request did not run.
 
 use std::sync::atomic;
 
@@ -15,13 +15,13 @@
 /// The path of probes.
 pub const PROBE_PATH: &str = "/_load";
 
-/// The wire of one backend server.
+/// HTTP/1.1 adapter for one backend server.
 #[derive(Debug, Default)]
 pub struct Http {
-    echoes: atomic::AtomicBool,
+    echoes_attempts: atomic::AtomicBool,
 }
 
-impl backend::Wire for Http {
+impl backend::Adapter for Http {
     fn encode(&self, forward: backend::Forward) -> hyper::Request<Bytes> {
         let mut req = hyper::Request::new(forward.body);
         *req.method_mut() = forward.method;
@@ -42,32 +42,35 @@
         req
     }
 
-    /// A backend server that once sent an attempt's number back must do so with each answer: an
-    /// answer to an earlier request that comes late on the same connection is then told apart.
-    fn read(&self, attempt: u64, answer: &backend::Answer) -> Option<backend::Reading> {
+    /// Once a backend server has echoed an attempt number, every answer must carry one. This detects
+    /// a late answer to an earlier request on the same connection.
+    fn interpret(&self, attempt: u64, answer: &backend::Answer) -> Option<backend::AttemptResult> {
         match headers::text(&answer.headers, headers::REQUEST) {
             Some(echo) if echo.parse() == Ok(attempt) => {
-                self.echoes.store(true, atomic::Ordering::Relaxed);
+                self.echoes_attempts.store(true, atomic::Ordering::Relaxed);
             }
             Some(_) => return None,
-            None if self.echoes.load(atomic::Ordering::Relaxed) => return None,
+            None if self.echoes_attempts.load(atomic::Ordering::Relaxed) => return None,
             None => {}
         }
         let outcome = headers::text(&answer.headers, headers::OUTCOME);
         let not_run = outcome == Some(outcome::Outcome::NotRun.as_str());
         let unknown = outcome == Some(outcome::Outcome::Unknown.as_str());
-        let how = match answer.status {
+        let attempt_outcome = match answer.status {
             _ if not_run => policy::AttemptOutcome::Shed,
             _ if unknown => policy::AttemptOutcome::Lost,
             status if status.is_server_error() => policy::AttemptOutcome::Failed,
             _ => policy::AttemptOutcome::Answered,
         };
         let report = headers::text(&answer.headers, headers::LOAD).and_then(parse_load);
-        Some(backend::Reading { how, report })
+        Some(backend::AttemptResult {
+            attempt_outcome,
+            report,
+        })
     }
 }
 
-/// The text of a load report.
+/// Formats a load report as the value of [`headers::LOAD`].
 pub fn format_load(report: &policy::Report) -> String {
     let policy::Report {
         in_flight,
@@ -80,7 +83,7 @@
     )
 }
 
-/// Reads a load report; `None` where it is garbled.
+/// Parses a load report; `None` if it is malformed.
 pub fn parse_load(text: &str) -> Option<policy::Report> {
     let mut report = policy::Report {
         in_flight: 0,
@@ -102,10 +105,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use backend::Wire;
+    use backend::Adapter;
 
     #[test]
-    fn a_load_report_is_read_back() {
+    fn a_load_report_round_trips() {
         let report = policy::Report {
             in_flight: 2,
             queued: 5,
@@ -115,16 +118,16 @@
         assert_eq!(parse_load("in_flight=x"), None);
     }
 
-    /// A backend server answers an earlier request a second time, and the answer comes after the
-    /// next request was sent on the connection. Its caller would read another caller's booking.
+    /// A backend server answers a request twice, and the second answer arrives after the next
+    /// request on the connection. Otherwise a caller would receive another caller's answer.
     #[test]
     fn an_answer_to_another_attempt_is_refused() {
         let wire = Http::default();
         let mut answer = backend::Answer::default();
         answer.headers.insert(headers::REQUEST, 7.into());
-        assert!(wire.read(7, &answer).is_some());
-        assert!(wire.read(8, &answer).is_none());
+        assert!(wire.interpret(7, &answer).is_some());
+        assert!(wire.interpret(8, &answer).is_none());
         answer.headers.remove(headers::REQUEST);
-        assert!(wire.read(8, &answer).is_none());
+        assert!(wire.interpret(8, &answer).is_none());
     }
 }
