--- a/src/transport/callers.rs
+++ b/src/transport/callers.rs
@@ -181,7 +181,7 @@
     /// Whether no further request is read.
     reading_closed: bool,
     stop: watch::Receiver<bool>,
-    active: time::Instant,
+    last_active: time::Instant,
 }
 
 /// Serves one connection until it ends.
@@ -200,7 +200,7 @@
         pending: collections::VecDeque::new(),
         reading_closed: false,
         stop,
-        active: time::Instant::now(),
+        last_active: time::Instant::now(),
     };
     // An error means that the caller has disconnected, so it cannot get an answer.
     if connection.run().await.is_ok() {
@@ -231,7 +231,7 @@
                 Step::Read(Ok(0)) => return Err(io::ErrorKind::UnexpectedEof.into()),
                 Step::Read(n) => {
                     n?;
-                    self.active = time::Instant::now();
+                    self.last_active = time::Instant::now();
                 }
                 Step::PieceReady(has_room) => self.queue_piece(has_room),
                 Step::TimedOut => return self.timed_out().await,
@@ -242,7 +242,8 @@
     async fn step(&mut self) -> Step {
         let deadline = self.idle_deadline();
         // The limit on heads may exceed the read-ahead limit; a long head must still fit.
-        let room = self.buf.len() < MAX_READ_AHEAD_BYTES.max(self.handler.limits().head + 1);
+        let room =
+            self.buf.len() < MAX_READ_AHEAD_BYTES.max(self.handler.limits().max_head_bytes + 1);
         if room {
             self.buf.reserve(4 << 10);
         }
@@ -271,7 +272,7 @@
             true => limits.head_timeout,
             false => limits.idle_timeout,
         };
-        self.active + limit
+        self.last_active + limit
     }
 
     async fn timed_out(&mut self) -> io::Result<()> {
@@ -321,7 +322,7 @@
                         }
                         Err(_) => return self.refuse(400),
                     }
-                    if reader.taken() > self.handler.limits().body {
+                    if reader.bytes_read() > self.handler.limits().max_body_bytes {
                         return self.refuse(413);
                     }
                     self.buffer_or_stream(head, reader, body, received);
@@ -340,7 +341,7 @@
     /// Reads a head. Returns whether it was complete and accepted.
     async fn begin_request(&mut self) -> io::Result<bool> {
         let limits = self.handler.limits();
-        let head = match http1::RequestHead::take(&mut self.buf, limits.head) {
+        let head = match http1::RequestHead::take(&mut self.buf, limits.max_head_bytes) {
             Ok(Some(head)) => head,
             Ok(None) => return Ok(false),
             Err(http1::Malformed::TooLong) => return self.refuse(431).map(|()| false),
@@ -348,11 +349,11 @@
         };
         let received = time::Instant::now();
         if let http1::Framing::Length(n) = head.framing
-            && n > limits.body
+            && n > limits.max_body_bytes
         {
             return self.refuse(413).map(|()| false);
         }
-        if head.fields.lists("expect", "100-continue") && self.pending.is_empty() {
+        if head.fields.contains_token("expect", "100-continue") && self.pending.is_empty() {
             self.wr.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
         }
         let reader = http1::BodyReader::new(head.framing);
@@ -400,7 +401,7 @@
 
     /// Reads the next piece of a streamed body. Returns whether reading may continue.
     fn next_piece(&mut self) -> io::Result<bool> {
-        let limit = self.handler.limits().body;
+        let limit = self.handler.limits().max_body_bytes;
         let Reading::Streamed { reader, tx, piece } = &mut self.reading else {
             return Ok(true);
         };
@@ -418,7 +419,7 @@
         }
         match reader.next(&mut self.buf) {
             Ok(Some(data)) => {
-                if reader.taken() > limit {
+                if reader.bytes_read() > limit {
                     return self.refuse(413).map(|()| true);
                 }
                 *piece = Some(upstream::Piece::Data(data));
@@ -457,7 +458,7 @@
         let cancellation = rc::Rc::new(Cancellation::default());
         let keep_alive = head.keeps_alive();
         let framing = AnswerFraming {
-            chunks: head.knows_chunks(),
+            chunks: head.supports_chunked(),
             to_head: head.method() == b"HEAD",
         };
         let answer = self.handler.answer(Request {
@@ -512,7 +513,7 @@
         self.reading_closed |= answer.close || !done.keep_alive || stopping;
         let close = self.reading_closed && self.pending.is_empty();
         let ends_at_close = self.write_answer(answer, close, done.framing).await?;
-        self.active = time::Instant::now();
+        self.last_active = time::Instant::now();
         Ok(close || ends_at_close)
     }
 
