--- a/src/burn/args.rs
+++ b/src/burn/args.rs
@@ -1,20 +1,20 @@
-//! The burn report's command line.
+//! Command-line arguments of the burn report.
 
 use std::path;
 
 use crate::{cli, exit_codes};
 
-/// Reports how fast each service uses up what its objectives allow.
+/// Reports how fast each service uses up its error budget.
 ///
-/// Asks every entry VM for the counts that it keeps in memory and adds them up. Exits with 5 while
-/// a service burns its error budget too fast, so that a timer can raise an alert.
+/// Queries every entry VM for its request counts and aggregates them. Exits with 5 while a service
+/// burns its error budget too fast, so that a scheduled run can raise an alert.
 #[derive(Debug, clap::Parser)]
 #[command(name = "bulrushwind-burn", version, after_help = exit_codes::HELP, max_term_width = 100)]
 pub struct Args {
-    /// Where the deployment is.
+    /// Location of the deployment.
     #[command(flatten)]
     pub place: cli::args::Place,
-    /// What to write
+    /// Output format
     #[arg(long, value_enum, default_value_t, value_name = "FORMAT")]
     pub format: Format,
     /// Write to this file instead of standard output
@@ -25,7 +25,7 @@
     pub color: cli::args::Color,
 }
 
-/// What the report is written as.
+/// Output format of the report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Format {
     /// Tables for a terminal.
@@ -33,6 +33,6 @@
     Text,
     /// One JSON value.
     Json,
-    /// One page with plots that needs nothing else.
+    /// A self-contained page with plots.
     Html,
 }
