--- a/src/burn/html.rs
+++ b/src/burn/html.rs
@@ -1,13 +1,13 @@
-//! The report as one page that needs nothing else: styles and plots stand inside it.
+//! Renders the burn report as one self-contained HTML page, with styles and plots inline.
 
 use super::{report, text};
 use crate::cli::output;
 
-/// The size of a plot, in pixels.
+/// Size of a plot, in pixels.
 const WIDTH: f64 = 380.0;
 const HEIGHT: f64 = 120.0;
 
-/// Room for a plot's axis, in pixels.
+/// Margins for a plot's axes, in pixels.
 const LEFT: f64 = 56.0;
 const BOTTOM: f64 = 18.0;
 const TOP: f64 = 10.0;
@@ -139,13 +139,13 @@
     )
 }
 
-/// One line of a plot.
+/// A plot of one series over time.
 struct Plot<'a> {
     caption: &'a str,
     color: &'a str,
-    /// Seconds before now, and the value; no value leaves a gap.
+    /// Age in seconds, and value; `None` leaves a gap in the line.
     points: Vec<(u64, Option<f64>)>,
-    /// A line across, such as what the objective allows.
+    /// Horizontal reference line, such as the objective's limit.
     limit: Option<f64>,
     unit: fn(f64) -> String,
 }
@@ -234,7 +234,7 @@
     )
 }
 
-/// The line through the points, with gaps where there is no value.
+/// SVG path through the points, with a gap for each missing value.
 fn line(plot: &Plot<'_>, x: &impl Fn(u64) -> f64, y: &impl Fn(f64) -> f64) -> String {
     let mut path = String::new();
     let mut pen_down = false;
@@ -265,8 +265,8 @@
 mod tests {
     use super::*;
 
-    /// A process that is not ours answers on an entry VM's address with markup in its error. The
-    /// page that an operator opens must not run it.
+    /// An unrelated process answers on an entry VM's address, and its error text contains markup.
+    /// The operator's browser must not execute it.
     #[test]
     fn what_others_say_is_escaped() {
         let report = report::Report {
