--- a/src/burn/mod.rs
+++ b/src/burn/mod.rs
@@ -1,13 +1,12 @@
-//! The report on service-level burn: how fast each service uses up what its objectives allow.
+//! The burn report: how fast each service uses up its error budget.
 //!
-//! Every entry VM is asked for the counts that it keeps in memory, and these are added up. VMs
-//! keep nothing else: a window that reaches further back than the memory of some VM says so, and
-//! counts what there is.
+//! Queries every entry VM for the request counts that it keeps in memory and aggregates them. VMs
+//! keep no other history: if a VM's history is shorter than a window, the report shows that.
 //!
-//! Two pairs of windows raise an alert. A burn of 14.4 over both 5 minutes and 1 hour uses up 2%
-//! of a month's budget in that hour; a burn of 6 over both 1 hour and 6 hours uses up 5% of it.
-//! The short window of each pair ends the alert soon after the cause is gone; the long one keeps
-//! a burst of a few seconds from waking anybody.
+//! Two pairs of windows raise an alert. A burn of 14.4 over both 5 minutes and 1 hour uses up 2% of
+//! a month's budget within that hour; a burn of 6 over both 1 hour and 6 hours uses up 5%. The
+//! short window of each pair ends the alert soon after recovery; the long window keeps a burst of a
+//! few seconds from raising an alert.
 
 pub mod args;
 pub mod html;
@@ -21,7 +20,7 @@
 use crate::{error, exit_codes, settings};
 use cli::{directory, entries, output};
 
-/// Makes the report and gives the exit code.
+/// Writes the report and returns the exit code.
 pub fn run(args: &args::Args) -> exit_codes::ExitCode {
     match make(args) {
         Ok(code) => code,
@@ -65,15 +64,15 @@
     Ok(exit_codes::ExitCode::Success)
 }
 
-/// The settings whose objectives count: those in the store, or the directory's while the store is
-/// out of reach. An outage is when the report is wanted most.
+/// Settings that contain the objectives: those in the store, or those in the directory while the
+/// store is unreachable, since the report matters most during an outage.
 fn objectives(cx: &cli::Context) -> Result<settings::Settings, error::Error> {
     match cx.remote() {
         Ok(remote) if !remote.held.is_empty() => Ok(remote.settings()),
         from_store => {
             let dir = directory::Directory::read(&cx.place.dir);
             let Ok(dir) = dir else {
-                // The store's fault says more than a missing directory.
+                // Return the store's error, which is more useful than that of a missing directory.
                 from_store?;
                 return dir.map(|dir| settings::Settings { teams: dir.teams });
             };
