--- a/src/burn/report.rs
+++ b/src/burn/report.rs
@@ -1,4 +1,4 @@
-//! What the report says, worked out from the entry VMs' answers and the settings.
+//! Computes the burn report from the entry VMs' histories and the settings.
 
 use std::collections;
 
@@ -12,135 +12,134 @@
 /// Burn over both 1 hour and 6 hours that raises an alert.
 pub const SLOW_BURN: f64 = 6.0;
 
-/// Requests in the shorter window without which no alert is raised: below it one failed request
-/// is already a fast burn.
+/// Minimum requests in the shorter window for an alert; below it, one failure is a fast burn.
 const FEWEST: u64 = 20;
 
-/// A place that got no request for so long is empty, in seconds.
+/// Time without a request after which a drained target counts as empty.
 const QUIET_S: u64 = 5;
 
 data! {
-    /// The whole report.
+    /// The burn report.
     pub struct Report {
-        /// When it was made, in seconds since 1970.
+        /// Time of the report, in seconds since the Unix epoch.
         pub at_s: u64,
-        /// Entry VMs that answered.
+        /// Number of entry VMs that answered.
         pub entries: usize,
-        /// Those that did not, and why.
+        /// Errors of the entry VMs that did not answer.
         pub silent: Vec<String>,
-        /// Each service.
+        /// Burn by service.
         pub services: Vec<Service>,
-        /// Each drain in force.
+        /// Drains in force.
         pub drains: Vec<Drain>,
     }
 
-    /// One service.
+    /// Burn of one service.
     pub struct Service {
         /// Its name.
         pub name: id::ServiceId,
-        /// What its owners promise.
+        /// Service-level objective.
         pub objective: settings::Objective,
         /// Burn over each window, shortest first.
         pub windows: Vec<Window>,
-        /// What burns too fast, for people.
+        /// Alert messages for objectives that burn too fast.
         pub alerts: Vec<String>,
-        /// Each region's load.
+        /// Load by region.
         pub regions: Vec<Region>,
-        /// The past in equal parts, oldest first.
+        /// History in equal intervals, oldest first.
         pub points: Vec<Point>,
     }
 
     /// Burn over one window.
     pub struct Window {
-        /// How long the window is, in seconds.
+        /// Length of the window, in seconds.
         pub asked_s: u64,
-        /// Entry VMs whose memory reaches as far back.
+        /// Entry VMs whose history covers the entire window.
         pub full: usize,
-        /// Entry VMs that know the service.
+        /// Entry VMs that report the service.
         pub of: usize,
-        /// How far back the shortest memory reaches, in seconds.
+        /// Length of the shortest history, in seconds.
         pub shortest_s: u64,
-        /// All requests.
+        /// Number of requests.
         pub requests: u64,
-        /// The share of requests that were not answered.
+        /// Share of requests that were not answered.
         pub unanswered: f64,
-        /// That share over the share that the objective allows. 1 uses the budget up exactly.
+        /// `unanswered` divided by the share that the objective allows; 1 uses up the budget.
         pub answered_burn: f64,
-        /// The share of answers that came too late.
+        /// Share of answers that exceeded the latency objective.
         pub late: f64,
-        /// That share over the share that the objective allows.
+        /// `late` divided by the share that the objective allows.
         pub in_time_burn: f64,
-        /// Half of the answers came within this, in seconds.
+        /// Median latency of answers, in seconds.
         pub p50_s: Option<f64>,
-        /// 99% of the answers came within this, in seconds.
+        /// 99th percentile of the answers' latency, in seconds.
         pub p99_s: Option<f64>,
-        /// Worth answered.
+        /// Total worth of answered requests.
         pub worth_answered: u64,
-        /// Worth lost: not run, failed, or of unknown fate.
+        /// Total worth of requests that were not run, failed or had an unknown outcome.
         pub worth_lost: u64,
-        /// Requests of unknown fate.
+        /// Requests with an unknown outcome.
         pub unknown: u64,
     }
 
-    /// A region's load by a service.
+    /// Load of one service in one region.
     pub struct Region {
         /// Its name.
         pub name: id::RegionId,
         /// Slots of its backend servers.
         pub slots: u64,
-        /// Requests in flight and waiting.
+        /// Requests in flight and queued.
         pub in_hand: u64,
-        /// The load that no steering decision may exceed.
+        /// Load that no steering decision may exceed.
         pub max_load: f64,
     }
 
-    /// One stretch of the past.
+    /// One interval of the history.
     pub struct Point {
-        /// When it ended, in seconds before the report.
+        /// Age of the interval's end, in seconds before the report.
         pub ago_s: u64,
-        /// All requests.
+        /// Number of requests.
         pub requests: u64,
-        /// The share that was not answered.
+        /// Share of requests that were not answered.
         pub unanswered: f64,
-        /// The share of answers that came too late.
+        /// Share of answers that exceeded the latency objective.
         pub late: f64,
-        /// 99% of the answers came within this, in seconds.
+        /// 99th percentile of the answers' latency, in seconds.
         pub p99_s: Option<f64>,
-        /// The most requests in hand, over the slots.
+        /// Peak of in-flight and queued requests, divided by the slots.
         pub peak_load: f64,
     }
 
-    /// How a drain goes.
+    /// Progress of a drain.
     pub struct Drain {
-        /// The place.
+        /// The drained target.
         pub target: String,
-        /// When it began, in seconds since 1970.
+        /// Start time, in seconds since the Unix epoch.
         pub start_s: u64,
-        /// How long traffic still went there, in seconds since the start.
+        /// Time from the start to the last request to the target, in seconds.
         pub took_s: u64,
-        /// Whether nothing goes there any more.
+        /// Whether the target has neither traffic nor requests in flight.
         pub empty: bool,
-        /// Requests that it still works on.
+        /// Requests in flight on the target.
         pub in_flight: u64,
     }
 }
 
 impl Service {
-    /// Whether any window has requests.
+    /// Whether the service had requests in any window.
     pub fn is_used(&self) -> bool {
         self.windows.iter().any(|window| window.requests > 0)
     }
 }
 
 impl Region {
-    /// In hand over slots.
+    /// In-flight and queued requests divided by the slots.
     pub fn load(&self) -> f64 {
         share(self.in_hand, self.slots)
     }
 }
 
 impl Report {
-    /// Adds up what entry VMs told.
+    /// Aggregates the entry VMs' histories.
     pub fn make(
         settings: &settings::Settings,
         told: &[history::History],
@@ -220,7 +219,7 @@
     }
 }
 
-/// Reads one objective's burn off a window.
+/// Returns one objective's burn in a window.
 type Burn = fn(&Window) -> f64;
 
 fn alerts(windows: &[Window]) -> Vec<String> {
@@ -249,7 +248,7 @@
     found
 }
 
-/// Slots of an availability zone count once, however many entry VMs see them.
+/// Load by region. An availability zone's slots count once, although each of its VMs reports them.
 fn regions(settings: &settings::Settings, found: &Found<'_>) -> Vec<Region> {
     let mut azs = collections::BTreeMap::<&str, (u64, u64)>::new();
     for (az, told) in found {
@@ -278,7 +277,7 @@
         .collect()
 }
 
-/// Adds the VMs' stretches up on one grid, as coarse as the coarsest of them.
+/// Aggregates the VMs' intervals, using the longest interval as the common resolution.
 fn points(found: &Found<'_>, slots: u64) -> Vec<Point> {
     let stretches = || found.iter().flat_map(|(_, told)| &told.stretches);
     let step_s = stretches().map(|s| s.lasted_s).max().unwrap_or(60).max(60);
@@ -317,7 +316,7 @@
     found.into_values().collect()
 }
 
-/// A part of a whole, 0 of nothing.
+/// Divides `part` by `whole`; 0 if `whole` is 0.
 fn share(part: u64, whole: u64) -> f64 {
     if whole == 0 {
         return 0.0;
@@ -325,7 +324,7 @@
     part as f64 / whole as f64
 }
 
-/// A window's length for people.
+/// Formats a window's length in the largest unit that divides it.
 pub fn span(s: u64) -> String {
     match s {
         s if s % 3600 == 0 => format!("{} h", s / 3600),
@@ -376,7 +375,7 @@
         report.services.into_iter().find(ledger).unwrap()
     }
 
-    /// A region's backend servers fail and bookings are turned away on one VM of two.
+    /// Backend servers fail in a region, and one of two VMs refuses bookings.
     #[test]
     fn refusals_burn_the_budget_and_raise_an_alert() {
         let service = ledger(&[vm("ub-a", 21_600, 990, 0), vm("ub-b", 21_600, 990, 20)]);
@@ -388,7 +387,7 @@
         assert!(ledger(&[vm("ub-a", 21_600, 990, 0)]).alerts.is_empty());
     }
 
-    /// One VM was replaced ten minutes ago and has forgotten what was before.
+    /// One VM was replaced ten minutes ago, so its history is shorter than the windows.
     #[test]
     fn a_window_says_how_many_vms_reach_back() {
         let service = ledger(&[vm("ub-a", 21_600, 10, 0), vm("ub-b", 600, 10, 0)]);
