--- a/src/burn/text.rs
+++ b/src/burn/text.rs
@@ -1,4 +1,4 @@
-//! The report as tables for a terminal.
+//! Renders the burn report as tables for a terminal.
 
 use super::report;
 use crate::cli::output;
@@ -70,7 +70,7 @@
     text
 }
 
-/// The cells of a window.
+/// Table row for a window.
 pub(super) fn window_row(window: &report::Window) -> Vec<String> {
     vec![
         report::span(window.asked_s),
@@ -88,7 +88,7 @@
     ]
 }
 
-/// How far back the VMs' memories reach.
+/// Describes how many VMs' histories cover the window.
 pub fn reach(window: &report::Window) -> String {
     if window.of == 0 {
         return "no VM knows it".to_owned();
@@ -104,7 +104,7 @@
     )
 }
 
-/// A latency for people. It is a bucket's upper bound.
+/// Formats a latency, which is the upper bound of a histogram bucket.
 pub fn latency(s: Option<f64>) -> String {
     match s {
         None => "-".to_owned(),
@@ -113,14 +113,14 @@
     }
 }
 
-/// A share with as many digits as objectives need.
+/// Formats a share as a percentage with up to three decimals, as objectives need.
 pub fn percent_exact(share: f64) -> String {
     let text = format!("{:.3}", share * 100.0);
     let text = text.trim_end_matches('0').trim_end_matches('.');
     format!("{text}%")
 }
 
-/// The cells of a region.
+/// Table row for a region.
 pub(super) fn region_row(region: &report::Region) -> Vec<String> {
     vec![
         region.name.to_string(),
@@ -132,7 +132,7 @@
     ]
 }
 
-/// The cells of a drain.
+/// Table row for a drain.
 pub(super) fn drain_row(drain: &report::Drain) -> Vec<String> {
     let state = if drain.empty {
         "empty"
