--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -1,9 +1,10 @@
-//! Writes a plan to the store: all or nothing for each team, and never over another's change.
+//! Writes a plan to the store: each team's change is written completely or not at all, and never
+//! over a concurrent change.
 //!
-//! A write can take effect and lose its reply. Taken for a failure, the operator would tell the
-//! team that nothing changed. So each write carries a change id, and whoever gets no reply reads
-//! back whose change stands there. Writing the same bytes again is harmless, since the revision
-//! that was planned on lets at most one of them in.
+//! A write can take effect although its reply is lost. Reporting it as failed would mislead the
+//! operator, so each write carries a change id, and a writer without a reply reads the store to see
+//! whether its change is there. Retrying the same bytes is safe, because compare-and-swap on the
+//! planned revision lets at most one attempt succeed.
 
 use std::thread;
 use std::time;
@@ -13,48 +14,48 @@
 use crate::settings::{envelope, keys};
 use crate::{error, id, settings};
 
-/// How often a write whose fate is not known is looked into before the operator is told so.
+/// Attempts at one write before its outcome is reported as unresolved.
 const TRIES: u32 = 5;
 
-/// How long the first wait between two looks is; each further one is twice as long.
+/// Delay after the first attempt; it doubles after each further attempt.
 const FIRST_PAUSE: time::Duration = time::Duration::from_millis(50);
 
 data! {
-    /// A team's change that was written.
+    /// A change that was written to the store.
     #[derive(Eq)]
     pub struct Written {
         /// The team.
         pub team: id::TeamId,
-        /// The version that is in force now.
+        /// The version now in force.
         pub version: u64,
-        /// The change's id.
+        /// Id of the change.
         pub change: envelope::ChangeId,
-        /// The store's revision that holds it.
+        /// The store revision of the write.
         pub revision: store::Revision,
     }
 }
 
-/// What an apply did before it ended.
+/// Result of an apply, complete or partial.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// The teams that were written.
+    /// Changes that were written.
     pub written: Vec<Written>,
-    /// The teams that were not reached.
+    /// Teams that were not written.
     pub left: Vec<id::TeamId>,
-    /// What ended it early.
+    /// The error that stopped the apply.
     pub fault: Option<error::Error>,
 }
 
-/// Who signs and when.
+/// Signing key and time of an apply.
 #[derive(Debug)]
 pub struct Signer {
     /// The signing key.
     pub key: keys::SecretKey,
-    /// The time, in milliseconds since 1970.
+    /// Current time, in milliseconds since the Unix epoch.
     pub now_ms: u64,
 }
 
-/// Writes every change of a plan, in its order, until one fails.
+/// Writes the changes of a plan in order and stops at the first failure.
 pub fn write_all<S: store::Store>(
     store: &S,
     plan: &plan::Plan,
@@ -88,8 +89,8 @@
     outcome
 }
 
-/// Signs a change, and checks it as an entry process will. A key that may not sign is found out
-/// here, before anything is written.
+/// Signs a change and verifies it as an entry VM will, so that an unauthorised key is rejected
+/// before anything is written.
 fn sign(
     change: &plan::Change,
     remote: &remote::Remote,
@@ -100,7 +101,7 @@
         .rings
         .get(team)
         .ok_or_else(|| error::Error::NoRing { team: team.clone() })?;
-    // The time of day keeps versions growing when the store was put back to an older backup.
+    // Using the clock keeps versions increasing after the store is restored from a backup.
     let version = change.base_version.saturating_add(1).max(signer.now_ms);
     let id = envelope::ChangeId::draw();
     let text = change.text.clone();
@@ -150,7 +151,7 @@
     })
 }
 
-/// The revision that holds this very change, if it stands in the store.
+/// The revision at which the store holds this change, if it does.
 fn mine<S: store::Store>(
     store: &S,
     key: &str,
@@ -164,7 +165,7 @@
     Ok(same.then_some(entry.revision))
 }
 
-/// Tells who changed the team since the plan, and what.
+/// Builds the error that names who changed the team since the plan, and what changed.
 fn conflict<S: store::Store>(
     store: &S,
     change: &plan::Change,
@@ -199,7 +200,7 @@
     }))
 }
 
-/// What differs between the directory's settings and those that stand in the store now.
+/// Describes the differences between the planned settings and those now in the store.
 fn what_they_did(change: &plan::Change, held: &remote::Held) -> String {
     let (Ok(mine), Some(theirs)) = (settings::Team::parse("the plan", &change.text), &held.team)
     else {
@@ -221,22 +222,22 @@
     )
 }
 
-/// Somebody else's change that an apply found.
+/// A concurrent change that prevented a write.
 #[derive(Debug)]
 pub struct Changed {
     /// The team.
     pub team: id::TeamId,
-    /// Who made it.
+    /// Holder of the key that signed it.
     pub holder: String,
-    /// What it did.
+    /// Description of the change.
     pub what: String,
-    /// The revision that was planned on.
+    /// The store revision that the plan is based on.
     pub planned: store::Revision,
-    /// The revision that stands now.
+    /// The current store revision.
     pub revision: store::Revision,
-    /// The change that was not written, or not for long.
+    /// Id of the operator's own change, which was not written or was replaced.
     pub change: envelope::ChangeId,
-    /// Whether this change may have been in force before the other one.
+    /// Whether the operator's change may have been in force before the concurrent one.
     pub unsure: bool,
 }
 
