--- a/src/cli/args.rs
+++ b/src/cli/args.rs
@@ -1,4 +1,4 @@
-//! What operators type: commands, options and their help texts.
+//! Command-line arguments of `bulrushwind` and their help texts.
 
 use std::net;
 use std::path;
@@ -7,29 +7,29 @@
 use crate::settings::keys;
 use crate::{exit_codes, id};
 
-/// Steers traffic by settings that stand in a directory under version control.
+/// Manages traffic steering from a directory of settings under version control.
 ///
-/// Each team owns the files under `teams/<team>` and signs them with its own key. `check` reads
-/// the directory, `plan` shows what would change and how much traffic moves, `apply` writes it to
-/// the platform's store, from where every entry VM takes it within seconds.
+/// Each team owns the files under `teams/<team>` and signs them with its own key. `check` validates
+/// the directory, `plan` shows what would change and how much traffic moves, `apply` writes the
+/// settings to the platform's store, from which every entry VM reads them within seconds.
 #[derive(Debug, clap::Parser)]
 #[command(name = "bulrushwind", version, after_help = exit_codes::HELP, max_term_width = 100)]
 pub struct Cli {
-    /// Options of every command.
+    /// Options shared by all commands.
     #[command(flatten)]
     pub shared: Shared,
-    /// What to do.
+    /// The command.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// Sets the shared options apart from a command's own.
+/// Help heading of the shared options.
 const OF_EVERY: &str = "Options of every command";
 
-/// Where a deployment is.
+/// Location of a deployment.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Place {
-    /// Directory that holds `teams/` and, beside it, `deployment.toml`
+    /// Directory that contains `teams/` and `deployment.toml`
     #[arg(
         long,
         short = 'C',
@@ -54,8 +54,8 @@
         value_delimiter = ','
     )]
     pub root_keys: Vec<keys::PublicKey>,
-    /// Entry VMs' operators' addresses [default: `entries` in deployment.toml, else the
-    /// platform's list of VMs with `operators_port`]
+    /// Operator listener addresses of the entry VMs [default: `entries` in deployment.toml, else
+    /// the platform's list of VMs with `operators_port`]
     #[arg(
         long = "entry",
         global = true,
@@ -67,13 +67,13 @@
     pub entries: Vec<net::SocketAddr>,
 }
 
-/// Options of every command.
+/// Options shared by all commands.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Shared {
-    /// Where the deployment is.
+    /// Location of the deployment.
     #[command(flatten)]
     pub place: Place,
-    /// How to print results
+    /// Output format
     #[arg(
         long,
         global = true,
@@ -89,20 +89,20 @@
     pub color: Color,
 }
 
-/// How results are printed.
+/// Output format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Format {
-    /// For people.
+    /// Text and tables.
     #[default]
     Table,
-    /// For programs: one JSON value.
+    /// One JSON value.
     Json,
 }
 
 /// When colours are used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Color {
-    /// On a terminal.
+    /// Only on a terminal.
     #[default]
     Auto,
     /// Always.
@@ -111,56 +111,56 @@
     Never,
 }
 
-/// What to do.
+/// The command.
 #[derive(Debug, clap::Subcommand)]
 pub enum Command {
-    /// Read the directory and say whether its settings are sound
+    /// Validate the settings in the directory
     ///
-    /// Reads nothing but the directory, unless `--with-store` is given. Use that where the
-    /// directory holds only some of the teams: the others' settings are then read from the store.
+    /// Reads only the directory, unless `--with-store` is given. Use `--with-store` if the
+    /// directory contains only some of the teams, to read the settings of the others from the
+    /// store.
     Check(Check),
     /// Show what an apply would change, and how much traffic it moves
     ///
-    /// Writes nothing. Refuses (exit code 4) what would exceed a service's shift cap or a
-    /// region's limit, and says by how much. With `--out` the plan is kept, so that `apply
-    /// --plan` writes exactly what was looked at.
+    /// Writes nothing to the store. Refuses (exit code 4) a change that would exceed a service's
+    /// shift cap or a region's limit, and shows by how much. `--out` saves the plan, so that `apply
+    /// --plan` writes exactly the plan that was reviewed.
     Plan(Plan),
     /// Write the directory's settings to the store
     ///
-    /// Each team is written whole or not at all, and only if nobody changed it since the plan.
-    /// A write whose reply was lost is looked up by its change id. Applying the same directory
-    /// again changes nothing.
+    /// Each team is written completely or not at all, and only if nobody changed it since the plan.
+    /// If the reply to a write is lost, its change id shows whether it took effect. Applying the
+    /// same directory again changes nothing.
     Apply(Apply),
-    /// Show what is in force in the store and on every entry VM
+    /// Show the settings in force in the store and on every entry VM
     Status(Status),
-    /// Date a drain of a region, an availability zone or a VM
+    /// Schedule a drain of a region, an availability zone or a VM
     ///
     /// Adds the drain to `teams/places/drains.toml` in the directory and shows how long it takes
-    /// and what share of each service it moves, against the cap. The drain takes effect with the
-    /// next apply, or at once with `--apply`. Commit the changed file.
+    /// and what share of each service it moves, compared with the cap. The drain takes effect with
+    /// the next apply, or at once with `--apply`. Commit the changed file.
     Drain(Drain),
-    /// Take a drain back
+    /// Cancel a drain
     ///
-    /// Takes the target's drains out of `teams/places/drains.toml`. Traffic returns in steps of
-    /// the shift cap, from the next apply on.
+    /// Removes the target's drains from `teams/places/drains.toml`. After the next apply, traffic
+    /// returns in steps within the shift cap.
     Undrain(Undrain),
-    /// Ask which entry VMs a caller should use for a service
+    /// Show which entry VMs a caller should use for a service
     Lookup(Lookup),
-    /// Tell the story of one request from the logs of entry VMs
+    /// Explain one request from the logs of entry VMs
     ///
-    /// Reads the logs as the gateway writes them, from files or from standard input, and prints in
-    /// the order of time what the request's own lines say and what was believed then of the
-    /// backend servers, the routes and the store.
+    /// Reads gateway logs from files or standard input and prints, in order of time, the log lines
+    /// of the request and the last logged state of its backend servers, the routes and the store.
     Explain(Explain),
-    /// Make a signing key
+    /// Generate a signing key
     ///
-    /// Writes the secret half to a file that only this user may read and prints the public half.
-    /// Keep the file out of version control.
+    /// Writes the secret key to a file that only this user may read and prints the public key. Keep
+    /// the file out of version control.
     Keygen(Keygen),
-    /// Show or change who may sign a team's settings
+    /// Show or change the keys that may sign a team's settings
     #[command(subcommand)]
     Keys(Keys),
-    /// Print completions for a shell
+    /// Print shell completions
     Completions {
         /// The shell
         shell: clap_complete::Shell,
@@ -172,7 +172,7 @@
 pub struct Explain {
     /// The request's id
     pub request: String,
-    /// Logs of entry VMs [default: standard input]
+    /// Log files of entry VMs [default: standard input]
     #[arg(value_name = "LOG")]
     pub logs: Vec<path::PathBuf>,
 }
@@ -185,14 +185,14 @@
     pub with_store: bool,
 }
 
-/// What `plan` and `apply` have in common.
+/// Arguments shared by `plan` and `apply`.
 #[derive(Clone, Debug, Default, clap::Args)]
 pub struct Planning {
-    /// Only this team
+    /// Limit to this team
     #[arg(long, value_name = "TEAM", value_parser = name::<id::TeamId>)]
     pub team: Option<id::TeamId>,
-    /// Load of a service now, as a share of its slots, such as ledger=0.6 [default: as the entry
-    /// VMs measure it, where they can be asked]
+    /// Current load of a service, as a share of its slots, such as ledger=0.6 [default: as measured
+    /// by the entry VMs that can be reached]
     #[arg(long = "load", value_name = "SERVICE=SHARE", value_parser = load)]
     pub loads: Vec<(id::ServiceId, f64)>,
 }
@@ -200,10 +200,10 @@
 /// Arguments of `plan`.
 #[derive(Debug, clap::Args)]
 pub struct Plan {
-    /// What to plan.
+    /// Planning arguments.
     #[command(flatten)]
     pub planning: Planning,
-    /// Keep the plan in this file
+    /// Save the plan to this file
     #[arg(long, value_name = "FILE")]
     pub out: Option<path::PathBuf>,
 }
@@ -211,27 +211,27 @@
 /// Arguments of `apply`.
 #[derive(Debug, clap::Args)]
 pub struct Apply {
-    /// What to plan.
+    /// Planning arguments.
     #[command(flatten)]
     pub planning: Planning,
-    /// Write this kept plan instead of planning anew
+    /// Write this saved plan instead of making a new one
     #[arg(long, value_name = "FILE", conflicts_with_all = ["team", "loads"])]
     pub plan: Option<path::PathBuf>,
-    /// How to sign and confirm.
+    /// Signing and confirmation.
     #[command(flatten)]
     pub signing: Signing,
 }
 
-/// How a change is signed and confirmed.
+/// Signing and confirmation of a change.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Signing {
-    /// File of the team's secret signing key
+    /// File with the team's secret signing key
     #[arg(long, env = "BULRUSHWIND_KEY", value_name = "FILE")]
     pub key: Option<path::PathBuf>,
-    /// Do not ask before writing
+    /// Write without asking for confirmation
     #[arg(long, short = 'y')]
     pub yes: bool,
-    /// Let services, regions and links go away that the directory no longer has
+    /// Allow removal of services, regions and links that the directory no longer declares
     #[arg(long)]
     pub remove: bool,
 }
@@ -239,7 +239,7 @@
 /// Arguments of `status`.
 #[derive(Debug, clap::Args)]
 pub struct Status {
-    /// Wait until every entry VM that answers holds what the store holds, at most this long
+    /// Wait up to this long for all entry VMs to answer with the settings in the store
     #[arg(long, value_name = "DURATION", value_parser = humantime::parse_duration)]
     pub wait: Option<time::Duration>,
 }
@@ -247,25 +247,25 @@
 /// Arguments of `drain`.
 #[derive(Debug, clap::Args)]
 pub struct Drain {
-    /// What to empty, as KIND/NAME
+    /// Target to drain, as KIND/NAME
     #[arg(value_name = "region/NAME|az/NAME|vm/NAME")]
     pub target: String,
-    /// When it begins: now, +30m, 2026-12-24T22:00:00Z or seconds since 1970
+    /// Start time: now, +30m, 2026-12-24T22:00:00Z or seconds since 1970
     #[arg(long, default_value = "now", value_name = "TIME")]
     pub start: String,
-    /// How long the traffic takes to leave [default: as long as the shift caps need]
+    /// Time over which traffic moves away [default: as long as the shift caps need]
     #[arg(long, value_name = "DURATION", value_parser = humantime::parse_duration)]
     pub ramp: Option<time::Duration>,
-    /// How long the place stays empty, from the start on [default: until `undrain`]
+    /// Duration of the drain, from its start [default: until `undrain`]
     #[arg(long = "for", value_name = "DURATION", value_parser = humantime::parse_duration)]
     pub lasts: Option<time::Duration>,
-    /// Apply the change at once
+    /// Apply the change immediately
     #[arg(long)]
     pub apply: bool,
-    /// Load of a service now, as a share of its slots, such as ledger=0.6
+    /// Current load of a service, as a share of its slots, such as ledger=0.6
     #[arg(long = "load", value_name = "SERVICE=SHARE", value_parser = load)]
     pub loads: Vec<(id::ServiceId, f64)>,
-    /// How to sign and confirm.
+    /// Signing and confirmation.
     #[command(flatten)]
     pub signing: Signing,
 }
@@ -273,13 +273,13 @@
 /// Arguments of `undrain`.
 #[derive(Debug, clap::Args)]
 pub struct Undrain {
-    /// What takes traffic again, as KIND/NAME
+    /// Target that receives traffic again, as KIND/NAME
     #[arg(value_name = "region/NAME|az/NAME|vm/NAME")]
     pub target: String,
-    /// Apply the change at once
+    /// Apply the change immediately
     #[arg(long)]
     pub apply: bool,
-    /// How to sign and confirm.
+    /// Signing and confirmation.
     #[command(flatten)]
     pub signing: Signing,
 }
@@ -290,8 +290,8 @@
     /// The service
     #[arg(value_parser = name::<id::ServiceId>)]
     pub service: id::ServiceId,
-    /// Callers' address of the entry VM to ask [default: each on the platform's list, until one
-    /// answers]
+    /// Caller listener address of the entry VM to query [default: the first on the platform's list
+    /// that answers]
     #[arg(long, value_name = "IP:PORT")]
     pub at: Option<net::SocketAddr>,
 }
@@ -299,51 +299,51 @@
 /// Arguments of `keygen`.
 #[derive(Debug, clap::Args)]
 pub struct Keygen {
-    /// File for the secret half; it must not exist yet
+    /// File to create for the secret key; it must not exist yet
     #[arg(value_name = "FILE")]
     pub file: path::PathBuf,
 }
 
-/// What to do with a team's keys.
+/// Commands for a team's keys.
 #[derive(Debug, clap::Subcommand)]
 pub enum Keys {
-    /// List the teams' keys
+    /// List keys by team
     List {
-        /// Only this team
+        /// Limit to this team
         #[arg(value_parser = name::<id::TeamId>)]
         team: Option<id::TeamId>,
     },
-    /// Let a key sign a team's settings
+    /// Allow a key to sign a team's settings
     Add {
         /// The team
         #[arg(value_parser = name::<id::TeamId>)]
         team: id::TeamId,
-        /// Who holds the secret half
+        /// Name of the secret key's holder
         #[arg(long, value_name = "NAME")]
         holder: String,
-        /// The public half, as `keygen` printed it
+        /// The public key, as printed by `keygen`
         #[arg(long, value_name = "HEX")]
         public: keys::PublicKey,
-        /// File of the secret root key
+        /// File with the secret root key
         #[arg(long, env = "BULRUSHWIND_ROOT_SECRET", value_name = "FILE")]
         root_secret: path::PathBuf,
     },
-    /// Take a key out of use
+    /// Retire a key
     ///
-    /// What the key signed before stays good. With `--stolen` nothing that it signed counts any
-    /// more: have another key's holder run `apply` first, so that the settings in force are
-    /// signed anew.
+    /// Signatures made before remain valid. With `--stolen` all the key's signatures become
+    /// invalid: first have the holder of another key run `apply`, so that the settings in force are
+    /// signed again.
     Retire {
         /// The team
         #[arg(value_parser = name::<id::TeamId>)]
         team: id::TeamId,
-        /// The key's short name, as `keys list` shows it
+        /// The key's id, as shown by `keys list`
         #[arg(value_parser = name::<keys::KeyId>)]
         key: keys::KeyId,
-        /// Let nothing count that the key ever signed
+        /// Invalidate all signatures ever made with the key
         #[arg(long)]
         stolen: bool,
-        /// File of the secret root key
+        /// File with the secret root key
         #[arg(long, env = "BULRUSHWIND_ROOT_SECRET", value_name = "FILE")]
         root_secret: path::PathBuf,
     },
