--- a/src/cli/difference.rs
+++ b/src/cli/difference.rs
@@ -1,11 +1,11 @@
-//! What a change does to a team's settings, item by item and field by field.
+//! Compares two versions of a team's settings, item by item and field by field.
 
 use std::collections;
 use std::fmt;
 
 use crate::settings;
 
-/// Fields that tell the items of a list apart, the first that an item has.
+/// Fields that identify an item in a list. The first set whose first field the item has applies.
 const IDENTITIES: [&[&str]; 4] = [
     &["name"],
     &["from", "to"],
@@ -14,38 +14,38 @@
 ];
 
 data! {
-    /// What happens to one item or field.
+    /// Difference in one item or field.
     #[derive(Eq)]
     #[serde(rename_all = "snake_case", tag = "do")]
     pub enum Difference {
-        /// It is new.
+        /// The item or field is new.
         Add {
-            /// Where it stands.
+            /// Path of the item or field.
             at: String,
-            /// What it will be.
+            /// New value.
             to: String,
         },
-        /// It goes away.
+        /// The item or field is removed.
         Remove {
-            /// Where it stands.
+            /// Path of the item or field.
             at: String,
-            /// What it was.
+            /// Old value.
             from: String,
         },
-        /// It changes.
+        /// The value changes.
         Change {
-            /// Where it stands.
+            /// Path of the item or field.
             at: String,
-            /// What it was.
+            /// Old value.
             from: String,
-            /// What it will be.
+            /// New value.
             to: String,
         },
     }
 }
 
 impl Difference {
-    /// Where it stands.
+    /// Path of the item or field.
     pub fn at(&self) -> &str {
         match self {
             Self::Add { at, .. } | Self::Remove { at, .. } | Self::Change { at, .. } => at,
@@ -63,7 +63,7 @@
     }
 }
 
-/// What turns `from` into `to`.
+/// Differences that turn `from` into `to`.
 pub fn teams(from: &settings::Team, to: &settings::Team) -> Vec<Difference> {
     let mut found = Vec::new();
     tables("", &table(from), &table(to), &mut found);
@@ -137,7 +137,7 @@
     }
 }
 
-/// Items by what tells them apart; equal ones are counted.
+/// Items by identity; duplicates get a distinguishing suffix.
 fn by_identity(items: &[toml::Value]) -> collections::BTreeMap<String, &toml::Value> {
     let mut found = collections::BTreeMap::new();
     for item in items {
@@ -173,7 +173,7 @@
     }
 }
 
-/// A value on one line. An item shows how much it holds and not all of it.
+/// Formats a value on one line. Nested arrays and tables of an item are omitted.
 fn short(value: &toml::Value) -> String {
     let toml::Value::Table(table) = value else {
         return value.to_string();
