--- a/src/cli/directory.rs
+++ b/src/cli/directory.rs
@@ -1,10 +1,10 @@
-//! The directory under version control that operators' changes come from.
+//! Reads the directory under version control from which operators apply settings.
 //!
-//! It holds `teams/<team>/*.toml`, and beside `teams` a `deployment.toml` that says where the
-//! store is and which root keys count. A directory can be half written: an editor's leftover, a
-//! merge that was not finished, a checkout that was cut short. What was left out would otherwise
-//! be read as taken out. So a file that is neither settings nor a note is an error, and so is a
-//! team without any file.
+//! It contains `teams/<team>/*.toml` and, next to `teams`, a `deployment.toml` with the store's
+//! address and the root keys. A directory can be incomplete: an editor's temporary file, an
+//! unfinished merge, an interrupted checkout. Missing settings would otherwise be treated as
+//! removed. So a file that is neither settings nor a note is an error, and so is a team without a
+//! settings file.
 
 use std::collections;
 use std::fs;
@@ -14,34 +14,34 @@
 use crate::settings::keys;
 use crate::{error, id, nearest, settings};
 
-/// Names of files that may stand beside a team's settings.
+/// Extensions of files that are allowed next to a team's settings and ignored.
 const NOTES: [&str; 4] = ["md", "txt", "gitkeep", "gitignore"];
 
-/// The name of the file that says where a deployment is.
+/// File with the location of the deployment.
 const DEPLOYMENT_FILE: &str = "deployment.toml";
 
 data! {
-    /// Where a deployment is and whom it trusts.
+    /// Location of a deployment, and its root keys.
     #[derive(Default, Eq)]
     #[serde(deny_unknown_fields)]
     pub struct Deployment {
-        /// The platform's store.
+        /// Address of the platform's store.
         #[serde(default)]
         pub store: Option<net::SocketAddr>,
-        /// The public root keys, as in the entry processes' configuration.
+        /// Public root keys, as in the entry VMs' configuration.
         #[serde(default)]
         pub root_keys: Vec<keys::PublicKey>,
-        /// The port of every entry VM's operators' listener.
+        /// Port of the operator listener on every entry VM.
         #[serde(default)]
         pub operators_port: Option<u16>,
-        /// The entry VMs' operators' listeners, where they do not share one port.
+        /// Operator listener addresses of the entry VMs, if they do not share one port.
         #[serde(default)]
         pub entries: Vec<net::SocketAddr>,
     }
 }
 
 impl Deployment {
-    /// Reads `deployment.toml`; a directory without one has none of its values.
+    /// Reads `deployment.toml`. Without the file, all values are unset.
     pub fn read(root: &path::Path) -> Result<Self, error::Error> {
         let path = root.join(DEPLOYMENT_FILE);
         if !path.exists() {
@@ -58,11 +58,11 @@
     }
 }
 
-/// The teams that a directory declares.
+/// The teams declared in a directory.
 #[derive(Clone, Debug)]
 pub struct Directory {
     root: path::PathBuf,
-    /// Each team's part.
+    /// Settings by team.
     pub teams: collections::BTreeMap<id::TeamId, settings::Team>,
 }
 
@@ -85,8 +85,7 @@
         Ok(Self { root, teams })
     }
 
-    /// Checks settings that this directory takes part in. An error names the file and the line
-    /// where the directory has it.
+    /// Validates settings that include this directory's. Errors name the file and line if known.
     pub fn check(&self, all: &settings::Settings) -> Result<(), error::Error> {
         all.check().map_err(|err| match err {
             settings::Error::Value {
@@ -106,7 +105,7 @@
         })
     }
 
-    /// Finds the line that a fault is about, by the names that its text quotes.
+    /// Finds the file and line of an error by the names quoted in its message.
     fn locate(&self, origin: &str, what: &str) -> Option<String> {
         let names: Vec<&str> = what.split('`').skip(1).step_by(2).collect();
         let files = children(&self.root.join(origin)).ok()?;
@@ -121,8 +120,8 @@
     }
 }
 
-/// The line that holds the last of `names` after the ones before it, or the key below it that
-/// `what` speaks of.
+/// Number of the line with the last of `names`, searching for each name from the previous match on,
+/// or of a key below it that the message `what` mentions.
 fn line_of(text: &str, names: &[&str], what: &str) -> Option<usize> {
     let lines: Vec<&str> = text.lines().collect();
     let mut at = 0;
