--- a/src/cli/drain.rs
+++ b/src/cli/drain.rs
@@ -1,9 +1,9 @@
-//! Dates drains ahead, and takes them back.
+//! Schedules and cancels drains.
 //!
-//! A drain is a setting like any other and belongs into version control: written to the store
-//! alone, the next apply of the directory would undo it unseen. So both commands change one file
-//! of the directory, [`FILE`], and an apply carries it on. Nothing is written to the file if the
-//! drain would exceed a cap or a limit.
+//! Drains are settings and belong under version control: if a drain were written to the store only,
+//! the next apply of the directory would silently remove it. So both commands edit one file of the
+//! directory, [`FILE`], and an apply writes it to the store. A drain that would exceed a cap or a
+//! limit is not written to the file.
 
 use std::fs;
 use std::path;
@@ -14,15 +14,15 @@
 use crate::{error, exit_codes, id, nearest, settings};
 use store::Store;
 
-/// The file that holds the drains, under the directory.
+/// File with the drains, relative to the directory.
 pub const FILE: &str = "teams/places/drains.toml";
 
 const HEADER: &str = "# Written by `bulrushwind drain` and `bulrushwind undrain`.\n\n";
 
-/// The ramp of a drain that moves no share of a service, such as a VM's, in seconds.
+/// Shortest default ramp; applies to a drain that moves no share of a service, such as a VM's.
 const SHORT_RAMP_S: u64 = 10;
 
-/// Dates a drain.
+/// Schedules a drain.
 pub fn drain(cx: &Context, args: &args::Drain) -> Result<exit_codes::ExitCode, error::Error> {
     let now = super::now();
     let start_s = start(&args.start, now)?;
@@ -47,7 +47,7 @@
     finish(cx, args.apply, &args.loads, &args.signing)
 }
 
-/// Takes a target's drains back.
+/// Cancels all drains of a target.
 pub fn undrain(cx: &Context, args: &args::Undrain) -> Result<exit_codes::ExitCode, error::Error> {
     let target = target(&args.target)?;
     edit(&cx.place.dir, |drains| {
@@ -64,8 +64,8 @@
     finish(cx, args.apply, &[], &args.signing)
 }
 
-/// Plans with the drain in the directory's settings, and gives it the ramp that the caps need
-/// where the operator gave none.
+/// Plans with the drain added to the settings. Without an explicit ramp, it gets the shortest ramp
+/// that the caps allow.
 fn planned(
     cx: &Context,
     mut drain: settings::Drain,
@@ -152,7 +152,7 @@
     }
 }
 
-/// When a drain begins, in seconds since 1970.
+/// Parses a start time, in seconds since the Unix epoch.
 fn start(text: &str, now: time::Duration) -> Result<u64, error::Error> {
     if text == "now" {
         return Ok(now.as_secs());
@@ -181,7 +181,7 @@
     drain.end_s.is_some_and(|end_s| end_s <= now.as_secs())
 }
 
-/// A VM's name is checked against the platform's list: settings do not know VMs.
+/// Checks a VM target against the platform's list, since settings do not list VMs.
 fn known_vm(cx: &Context, target: &settings::DrainTarget) -> Result<(), error::Error> {
     let settings::DrainTarget::Vm(vm) = target else {
         return Ok(());
@@ -197,8 +197,8 @@
     )))
 }
 
-/// Changes the drains' file. The new text goes to a file beside it first, so that a reader sees
-/// either all of the old or all of the new.
+/// Edits the drains file. Writes to a temporary file first and renames it, so that readers see
+/// either the old or the new content in full.
 fn edit(
     root: &path::Path,
     change: impl FnOnce(&mut Vec<settings::Drain>) -> Result<(), error::Error>,
