--- a/src/cli/entries.rs
+++ b/src/cli/entries.rs
@@ -1,4 +1,4 @@
-//! Asks entry VMs over their operators' listeners.
+//! Queries entry VMs through their operator listeners, with limits on time, size and concurrency.
 
 use std::io::Read;
 use std::net;
@@ -10,25 +10,25 @@
 use crate::protocol::operators;
 use store::Store;
 
-/// How long one entry VM may take to answer.
+/// Timeout for one entry VM's answer.
 const TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
-/// The longest answer that is read, in bytes. A process that is not ours could send without end.
+/// Largest answer to read. An unrelated process on the address could send an endless one.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
 
-/// How many entry VMs are asked at a time.
+/// Maximum number of entry VMs queried concurrently.
 const AT_A_TIME: usize = 32;
 
 /// One entry VM's answer.
 #[derive(Debug)]
 pub struct Answer<T> {
-    /// Its operators' listener.
+    /// The queried address.
     pub addr: net::SocketAddr,
-    /// What it answered.
+    /// The answer, or the error.
     pub got: Result<T, error::Error>,
 }
 
-/// The operators' listeners of all entry VMs.
+/// Operator listener addresses of all entry VMs.
 pub fn addresses(cx: &Context) -> Result<Vec<net::SocketAddr>, error::Error> {
     if !cx.deployment.entries.is_empty() {
         return Ok(cx.deployment.entries.clone());
@@ -48,7 +48,7 @@
         .collect())
 }
 
-/// Asks every address for its status.
+/// Queries the status at every address.
 pub fn statuses(addrs: &[net::SocketAddr]) -> Vec<Answer<operators::Status>> {
     ask(addrs, |addr| {
         let body = get(addr, "/status", "operators'")?;
@@ -60,7 +60,7 @@
     })
 }
 
-/// Asks every address, many at a time, and keeps their order.
+/// Queries every address with limited concurrency; answers are in the order of `addrs`.
 pub fn ask<T: Send>(
     addrs: &[net::SocketAddr],
     one: impl Fn(net::SocketAddr) -> Result<T, error::Error> + Sync,
@@ -81,7 +81,7 @@
     answers
 }
 
-/// Gets a page of an entry VM.
+/// Sends a GET request to an entry VM and returns the body. Only a success status is accepted.
 pub fn get(
     addr: net::SocketAddr,
     path: &str,
