--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -1,8 +1,8 @@
-//! Tells the story of one request from the logs of entry VMs.
+//! Explains one request from the logs of entry VMs.
 //!
-//! The logs are all that is left once a request has failed. Beside the request's own lines the
-//! story holds what was last believed, before each, of what they name: the backend servers, the
-//! routes, the store.
+//! Logs are the only record of a request that failed. The output contains the request's own log
+//! lines and, for each entry VM that handled it, the latest logged state of its backend servers,
+//! the routes and the store.
 
 use std::collections;
 use std::fs;
@@ -15,7 +15,7 @@
 use super::{Context, args};
 use crate::{error, exit_codes};
 
-/// A line of a log.
+/// A parsed log line.
 #[derive(Clone, Debug)]
 struct Line {
     at: String,
@@ -24,7 +24,8 @@
     fields: serde_json::Map<String, Value>,
 }
 
-/// Lines that say what an entry VM believes, and the field that names what about.
+/// Messages of log lines that record an entry VM's state. If a field is given, the line matters
+/// only if that field names one of the request's backend servers.
 const BELIEFS: [(&str, Option<&str>); 12] = [
     ("start", None),
     ("routes", None),
@@ -42,7 +43,7 @@
 
 impl Line {
     fn parse(text: &str) -> Option<Self> {
-        // Whoever gathers logs may put a prefix of its own before each line.
+        // Log collectors may put a prefix before each line.
         let json = &text[text.find('{')?..];
         let Value::Object(mut fields) = serde_json::from_str(json).ok()? else {
             return None;
@@ -73,7 +74,7 @@
         self.text("request") == request
     }
 
-    /// Whether it says what is believed of one of these backend servers, or of all.
+    /// Whether the line records state of one of these backend servers, or state that concerns all.
     fn is_belief(&self, backends: &collections::BTreeSet<String>) -> bool {
         BELIEFS.iter().any(|(what, about)| {
             *what == self.what && about.is_none_or(|field| backends.contains(self.text(field)))
@@ -81,7 +82,7 @@
     }
 }
 
-/// The lines that explain a request, in the order of time.
+/// Log lines that explain a request, in order of time.
 fn story(lines: &[Line], request: &str) -> Vec<Line> {
     let own: Vec<&Line> = lines.iter().filter(|line| line.is_of(request)).collect();
     let backends: collections::BTreeSet<String> = own
@@ -138,7 +139,7 @@
     read(io::BufReader::new(f), into).map_err(failed)
 }
 
-/// Runs `explain`.
+/// Runs `explain`. Fails if no log line mentions the request.
 pub fn run(cx: &Context, args: &args::Explain) -> Result<exit_codes::ExitCode, error::Error> {
     let mut lines = Vec::new();
     for path in &args.logs {
