--- a/src/cli/keys.rs
+++ b/src/cli/keys.rs
@@ -1,4 +1,4 @@
-//! Commands that make keys and change who may sign a team's settings.
+//! Commands that generate signing keys and edit teams' key rings.
 
 use std::fs;
 use std::io;
@@ -12,13 +12,13 @@
 use io::Write;
 use store::Store;
 
-/// Only the file's owner may read it.
+/// Only the owner may read and write a secret key file.
 const SECRET_MODE: u32 = 0o600;
 
-/// What a key's file may hold at most, in bytes.
+/// Largest key file to read, in bytes.
 const MAX_KEY_FILE_BYTES: u64 = 1024;
 
-/// Makes a key.
+/// Generates a key, writes the secret key to a new file and prints the public key.
 pub fn generate(cx: &Context, args: &args::Keygen) -> Result<exit_codes::ExitCode, error::Error> {
     let key = keys::SecretKey::generate();
     let fault = |source| error::Error::Write {
@@ -40,7 +40,7 @@
     Ok(exit_codes::ExitCode::Success)
 }
 
-/// Reads a secret key's file.
+/// Reads a secret key file.
 pub fn read_secret(path: &path::Path) -> Result<keys::SecretKey, error::Error> {
     let read = |source| error::Error::Read {
         path: path.to_owned(),
@@ -54,7 +54,7 @@
     Ok(keys::SecretKey::parse(&text)?)
 }
 
-/// Shows or changes a team's keys.
+/// Runs a `keys` command.
 pub fn run(cx: &Context, args: &args::Keys) -> Result<exit_codes::ExitCode, error::Error> {
     match args {
         args::Keys::List { team } => list(cx, team.as_ref()),
@@ -124,7 +124,7 @@
     Ok(exit_codes::ExitCode::Success)
 }
 
-/// Writes a team's ring anew, by CAS on the one that was read.
+/// Edits, signs and writes a team's key ring, by compare-and-swap on the revision that was read.
 fn change(
     cx: &Context,
     team: &id::TeamId,
