--- a/src/cli/lookup.rs
+++ b/src/cli/lookup.rs
@@ -1,4 +1,4 @@
-//! Asks entry VMs what they tell callers of a service.
+//! Shows the answer that callers get to a look-up of a service.
 
 use std::net;
 
@@ -7,7 +7,7 @@
 use crate::{error, exit_codes};
 use store::Store;
 
-/// Asks one entry VM after the other until one answers.
+/// Queries entry VMs one by one until one answers. Fails with the last error.
 pub fn run(cx: &Context, args: &args::Lookup) -> Result<exit_codes::ExitCode, error::Error> {
     let path = format!("/lookup/{}", args.service);
     let mut last = error::Error::Config(
