--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! The operators' command line: dispatches commands and implements `check`, `plan` and `apply`.
 
 pub mod apply;
 pub mod args;
@@ -25,19 +25,19 @@
 use crate::settings::keys as signing;
 use crate::{error, exit_codes, settings};
 
-/// What every command works with.
+/// Context shared by all commands.
 #[derive(Debug)]
 pub struct Context {
-    /// Where the operator says that it is.
+    /// Location from the command line.
     pub place: args::Place,
-    /// Where the deployment is.
+    /// Location of the deployment, from `deployment.toml` and the command line.
     pub deployment: directory::Deployment,
-    /// Where results go.
+    /// Output for results.
     pub out: output::Output,
 }
 
 impl Context {
-    /// Puts the options over the directory's `deployment.toml`.
+    /// Reads the directory's `deployment.toml`; command-line options override it.
     pub fn new(place: &args::Place, out: output::Output) -> Result<Self, error::Error> {
         let mut deployment = directory::Deployment::read(&place.dir)?;
         deployment.store = place.store.or(deployment.store);
@@ -54,7 +54,7 @@
         })
     }
 
-    /// A client of the store.
+    /// Creates a store client. Fails if no address is configured.
     pub fn store(&self) -> Result<store_http::Client, error::Error> {
         let addr = self.deployment.store.ok_or_else(|| {
             error::Error::Config(
@@ -65,7 +65,7 @@
         Ok(store_http::Client::new(addr))
     }
 
-    /// The public root keys.
+    /// The public root keys. Fails if none is configured.
     pub fn roots(&self) -> Result<&[signing::PublicKey], error::Error> {
         if self.deployment.root_keys.is_empty() {
             return Err(error::Error::Config(
@@ -76,7 +76,7 @@
         Ok(&self.deployment.root_keys)
     }
 
-    /// What the store holds.
+    /// Reads settings and key rings from the store.
     pub fn remote(&self) -> Result<remote::Remote, error::Error> {
         remote::Remote::read(&self.store()?, self.roots()?)
     }
@@ -91,8 +91,8 @@
         Ok((plan, remote))
     }
 
-    /// What a plan depends on. Loads that are not given are asked of the entry VMs; a plan can be
-    /// made without them.
+    /// Options of a plan. Loads not given are queried from the entry VMs; unreachable VMs are
+    /// ignored, since a plan can be made without loads.
     fn planning(&self, planning: &args::Planning) -> plan::Options {
         let addrs = entries::addresses(self).unwrap_or_default();
         let answers = entries::statuses(&addrs).into_iter();
@@ -107,7 +107,7 @@
     }
 }
 
-/// Runs a command line and gives the exit code.
+/// Runs a command and returns the exit code.
 pub fn run(cli: &args::Cli) -> exit_codes::ExitCode {
     match command(cli) {
         Ok(code) => code,
@@ -186,7 +186,7 @@
     write(cx, &plan, &remote, &args.signing)
 }
 
-/// The largest kept plan that is read, in bytes: some teams of the largest size.
+/// Largest saved plan to read, in bytes: enough for several teams of the largest size.
 const MAX_PLAN_BYTES: u64 = 64 << 20;
 
 fn read_plan(path: &path::Path) -> Result<plan::Plan, error::Error> {
@@ -209,7 +209,7 @@
     })
 }
 
-/// Shows a plan, asks, and writes it.
+/// Shows a plan, asks for confirmation and writes it.
 fn write(
     cx: &Context,
     plan: &plan::Plan,
@@ -254,7 +254,7 @@
     )))
 }
 
-/// Everything that a change would exceed, as one error.
+/// Combines all excesses of a change into one error.
 fn refusal(outcome: &str, excesses: &[shift::Excess]) -> error::Error {
     let lines = excesses
         .iter()
@@ -272,7 +272,7 @@
     keys::read_secret(path)
 }
 
-/// The time of day, since 1970.
+/// Current time since the Unix epoch.
 pub fn now() -> time::Duration {
     time::SystemTime::now()
         .duration_since(time::UNIX_EPOCH)
