--- a/src/cli/output.rs
+++ b/src/cli/output.rs
@@ -1,4 +1,4 @@
-//! How results are printed: tables and colours for people, JSON for programs.
+//! Prints results as tables and coloured text, or as JSON.
 
 use std::io;
 
@@ -7,21 +7,21 @@
 use super::{apply, args, plan};
 use crate::{error, exit_codes};
 
-/// For what is added or fine.
+/// Style for additions and good results.
 pub const GOOD: Style = AnsiColor::Green.on_default();
-/// For what is taken out or wrong.
+/// Style for removals and errors.
 pub const BAD: Style = AnsiColor::Red.on_default();
-/// For what changes or needs a look.
+/// Style for changes and warnings.
 pub const WARN: Style = AnsiColor::Yellow.on_default();
 
-/// Where results go.
+/// Output in the selected format.
 #[derive(Clone, Copy, Debug)]
 pub struct Output {
     format: args::Format,
 }
 
 impl Output {
-    /// Sets the process's use of colours and gives the place for results.
+    /// Sets the process-wide colour mode and creates the output.
     pub fn new(format: args::Format, color: args::Color) -> Self {
         match color {
             args::Color::Auto => {}
@@ -31,12 +31,12 @@
         Self { format }
     }
 
-    /// Whether a program reads the results.
+    /// Whether the output format is JSON.
     pub fn is_json(&self) -> bool {
         self.format == args::Format::Json
     }
 
-    /// Prints a value as JSON, if a program reads the results.
+    /// Prints a value, if the output format is JSON.
     pub fn json<T: serde::Serialize>(&self, value: &T) {
         if self.is_json() {
             let text = serde_json::to_string_pretty(value);
@@ -47,14 +47,14 @@
         }
     }
 
-    /// Prints a line, if a person reads the results.
+    /// Prints a line, unless the output format is JSON.
     pub fn line(&self, text: &str) {
         if !self.is_json() {
             anstream::println!("{text}");
         }
     }
 
-    /// Prints rows under headings, if a person reads the results.
+    /// Prints a table, unless the output format is JSON or there are no rows.
     pub fn table(&self, headings: &[&str], rows: &[Vec<String>]) {
         if self.is_json() || rows.is_empty() {
             return;
@@ -63,7 +63,7 @@
     }
 }
 
-/// Rows under headings.
+/// Formats a table.
 pub fn table(headings: &[&str], rows: &[Vec<String>]) -> String {
     let mut table = comfy_table::Table::new();
     table
@@ -79,28 +79,28 @@
     format!("{}\n", table.trim_fmt())
 }
 
-/// Prints an error on standard error and gives its exit code.
+/// Prints an error to standard error and returns its exit code.
 pub fn error(err: &error::Error) -> exit_codes::ExitCode {
     anstream::eprintln!("{BAD}error:{BAD:#} {err}");
     err.exit_code()
 }
 
-/// Puts text in a style.
+/// Formats text in a style.
 pub fn styled(style: Style, text: &str) -> String {
     format!("{style}{text}{style:#}")
 }
 
-/// A share as a percentage.
+/// Formats a share as a percentage.
 pub fn percent(share: f64) -> String {
     format!("{:.1}%", share * 100.0)
 }
 
-/// A duration for people, to the second.
+/// Formats a duration in milliseconds, rounded up to whole seconds.
 pub fn seconds(ms: u64) -> String {
     humantime::format_duration(std::time::Duration::from_secs(ms.div_ceil(1000))).to_string()
 }
 
-/// Asks before something is written. Without a terminal there is nobody to ask.
+/// Asks for confirmation on the terminal. Fails without a terminal.
 pub fn confirm(question: &str) -> Result<bool, error::Error> {
     use io::{BufRead, IsTerminal};
     if !io::stdin().is_terminal() {
@@ -114,7 +114,7 @@
 }
 
 impl Output {
-    /// Shows what a plan does.
+    /// Shows a plan's changes and the traffic that they move.
     pub fn plan(&self, plan: &plan::Plan) {
         self.json(plan);
         for change in &plan.changes {
@@ -162,7 +162,7 @@
         self.table(&headings, &rows);
     }
 
-    /// Shows what an apply did.
+    /// Shows the result of an apply.
     pub fn applied(&self, outcome: &apply::Outcome) {
         self.json(&outcome.written);
         for written in &outcome.written {
