--- a/src/cli/plan.rs
+++ b/src/cli/plan.rs
@@ -1,8 +1,7 @@
-//! What an apply would do, worked out before anything is written.
+//! Computes what an apply would write, before anything is written.
 //!
-//! A plan names for each team the revision of the store that it was worked out from. An apply
-//! writes only where that revision still stands, so that two operators cannot undo each other's
-//! change without seeing it.
+//! For each team, a plan records the store revision that it is based on. An apply writes only if
+//! the store still has that revision, so that operators cannot unknowingly overwrite each other.
 
 use std::collections;
 
@@ -11,51 +10,51 @@
 use crate::{error, id, settings};
 
 data! {
-    /// The change of one team.
+    /// Change of one team's settings.
     pub struct Change {
         /// The team.
         pub team: id::TeamId,
-        /// The revision that the change was planned on; 0 if the team is new.
+        /// The store revision that the change is based on; 0 if the team is new.
         pub base: store::Revision,
-        /// The version in force when it was planned.
+        /// The version in force at planning time.
         pub base_version: u64,
-        /// What it does.
+        /// Differences from the settings in the store.
         pub differences: Vec<difference::Difference>,
-        /// Why the team is written although nothing differs.
+        /// Why the stored settings are rejected; the team is then written even without differences.
         pub rewrite: Option<String>,
-        /// The settings that it writes.
+        /// The settings to write, as TOML.
         pub text: String,
     }
 
-    /// What an apply would do.
+    /// Changes that an apply would write, and their effects.
     #[derive(Default)]
     pub struct Plan {
-        /// The changes, in the order in which they are to be written.
+        /// Changes, in the order of writing.
         pub changes: Vec<Change>,
-        /// Teams of the directory that stay as they are.
+        /// Teams of the directory without changes.
         pub unchanged: Vec<id::TeamId>,
-        /// The traffic that the changes move.
+        /// Traffic that the changes move.
         pub shifts: Vec<shift::Shift>,
-        /// What the changes would exceed. An apply refuses while there is any.
+        /// Limits that the changes would exceed. An apply is refused if there are any.
         pub excesses: Vec<shift::Excess>,
-        /// Services and places that go away.
+        /// Services, regions and links that the changes remove.
         pub removals: Vec<String>,
     }
 }
 
-/// What a plan depends on beside the directory and the store.
+/// Options of a plan.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// Only this team.
+    /// Limits the plan to this team.
     pub team: Option<id::TeamId>,
-    /// The time, in seconds since 1970.
+    /// Current time, in seconds since the Unix epoch.
     pub now_s: u64,
-    /// Loads of services, where they are known.
+    /// Known loads by service.
     pub loads: shift::Loads,
 }
 
 impl Plan {
-    /// Works out what turns the store's settings into the directory's.
+    /// Computes the changes from the store's settings to the directory's.
     pub fn make(
         dir: &directory::Directory,
         remote: &remote::Remote,
@@ -114,8 +113,8 @@
     })
 }
 
-/// Orders changes so that the settings are sound after each write. Entry processes check the
-/// whole, and between two writes they see the first only.
+/// Orders changes so that the settings are valid after each write: entry VMs validate all teams
+/// together, and between two writes they see only the first.
 fn in_order(mut rest: Vec<Change>, from: &settings::Settings) -> Result<Vec<Change>, error::Error> {
     let mut now = from.clone();
     let mut ordered = Vec::new();
