--- a/src/cli/remote.rs
+++ b/src/cli/remote.rs
@@ -1,4 +1,4 @@
-//! What the store holds now: each team's settings, checked as an entry process checks them.
+//! Reads each team's settings and key ring from the store and verifies them as an entry VM does.
 
 use std::collections;
 
@@ -9,33 +9,33 @@
 /// One team's settings in the store.
 #[derive(Clone, Debug)]
 pub struct Held {
-    /// The revision that wrote them.
+    /// The store revision.
     pub revision: store::Revision,
-    /// What stands there, if it can be read.
+    /// The envelope, if it can be decoded.
     pub envelope: Option<envelope::Envelope>,
-    /// The settings, if entry processes take them.
+    /// The settings, if entry VMs accept them.
     pub team: Option<settings::Team>,
-    /// Why entry processes do not take them.
+    /// Why entry VMs reject them.
     pub fault: Option<String>,
-    /// The version that entry processes may hold: that of settings which some key of the team
-    /// signed, be it rotated out since. A stranger's version counts for nothing, so that it
-    /// cannot use the numbers up.
+    /// Version that entry VMs may hold: that of settings signed by a key of the team, even if the
+    /// key has been retired since. Versions signed by unknown keys are ignored, so that an attacker
+    /// cannot exhaust the version numbers.
     pub version: u64,
 }
 
-/// All that the store holds of settings and keys.
+/// Settings and key rings in the store.
 #[derive(Clone, Debug, Default)]
 pub struct Remote {
-    /// Each team's settings.
+    /// Settings by team.
     pub held: collections::BTreeMap<id::TeamId, Held>,
-    /// Each team's keys.
+    /// Verified key rings by team.
     pub rings: collections::BTreeMap<id::TeamId, keys::Trusted>,
-    /// Key rings that are not sound.
+    /// Errors of the key rings that failed verification.
     pub ring_faults: Vec<String>,
 }
 
 impl Remote {
-    /// Reads the store.
+    /// Reads and verifies all key rings and settings.
     pub fn read<S: store::Store>(
         store: &S,
         roots: &[keys::PublicKey],
@@ -61,7 +61,7 @@
         })
     }
 
-    /// The settings in force, without those that entry processes do not take.
+    /// The settings in force, without those that entry VMs reject.
     pub fn settings(&self) -> settings::Settings {
         let teams = self
             .held
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Who holds a key, as far as the team's ring tells.
+    /// The holder of a key according to the team's ring.
     pub fn holder(&self, team: &id::TeamId, key: &keys::KeyId) -> String {
         self.rings
             .get(team)
