--- a/src/cli/shift.rs
+++ b/src/cli/shift.rs
@@ -1,80 +1,79 @@
-//! How much traffic a change moves, against the caps and the regions' limits.
+//! Computes the traffic that a change moves; checks it against shift caps and the regions' limits.
 //!
-//! Two things move traffic. Settings that no longer let an availability zone run a service move
-//! its callers at once, so their share may not exceed the cap: drain the place first. A drain
-//! moves its callers in steps; [`drain`] plays the steps that entry VMs will take, and a drain that
-//! is dated shorter is refused. Shares are those of the region where most callers move, since the
-//! caps are kept for each region's callers.
+//! Settings that remove an availability zone from a service move its callers at once, so their
+//! share must not exceed the cap: the zone has to be drained first. A drain moves callers in steps;
+//! [`drain`] simulates the steps that entry VMs will take, and a drain with a shorter ramp is
+//! refused. Shares refer to the region where most callers move; the caps apply to each region's
+//! callers.
 //!
-//! The cap that counts is the smaller one of before and after. Otherwise a single change could
-//! raise the cap and use the raised one.
+//! The smaller of the old and the new cap applies, so that a change cannot raise a cap and use it.
 
 use std::collections;
 
 use crate::decisions::{caps, drain, plan};
 use crate::{id, settings};
 
-/// Shares that differ by less are equal; sums of floats are not exact.
+/// Tolerance for comparing shares, since sums of floats are inexact.
 const EPSILON: f64 = 1e-9;
 
 data! {
-    /// Why a shift happens.
+    /// Cause of a shift.
     #[derive(Eq)]
     #[serde(rename_all = "snake_case", tag = "cause")]
     pub enum Cause {
-        /// Settings no longer let places run the service.
+        /// Availability zones are removed from the service.
         Settings,
-        /// A drain that begins at this time, in seconds since 1970.
+        /// A drain starts.
         Drain {
-            /// When.
+            /// Time, in seconds since the Unix epoch.
             start_s: u64,
         },
-        /// A drain that ends at this time, in seconds since 1970.
+        /// A drain is removed and its traffic returns.
         Return {
-            /// When.
+            /// Time, in seconds since the Unix epoch.
             at_s: u64,
         },
     }
 
-    /// Traffic of one service that a change moves.
+    /// Traffic of one service that moves because of a change.
     pub struct Shift {
         /// The service.
         pub service: id::ServiceId,
-        /// Why.
+        /// The cause.
         pub cause: Cause,
-        /// The places that traffic leaves.
+        /// Availability zones that traffic leaves.
         pub leaves: Vec<id::AzId>,
-        /// The share of a region's callers that moves, in the region where most do.
+        /// Share of a region's callers that moves, in the region where most do.
         pub share: f64,
-        /// The largest share that may move at once.
+        /// Largest share that may move at once.
         pub cap: f64,
-        /// The part of it that one step of the plan may move.
+        /// Part of the cap that one step may move.
         pub a_step: f64,
-        /// How many steps it takes.
+        /// Number of steps.
         pub steps: u64,
-        /// How long it takes, in milliseconds.
+        /// Total duration, in milliseconds.
         pub takes_ms: u64,
-        /// The load of the service now, as a share of its slots, where it is known.
+        /// Current load of the service as a share of its slots, if known.
         pub load: Option<f64>,
-        /// The load on the places that stay, as a share of their slots, where the load is known.
+        /// Load on the remaining availability zones as a share of their slots, if known.
         pub load_after: Option<f64>,
-        /// The highest load of the service now at which the places that stay can bear it.
+        /// Highest current load that the remaining availability zones can take over.
         pub fits_below: f64,
     }
 
-    /// Something that a change would exceed.
+    /// A limit that a change would exceed.
     pub struct Excess {
         /// The service.
         pub service: id::ServiceId,
-        /// What, by how much, and what to do.
+        /// The limit, the excess and the remedy.
         pub what: String,
     }
 }
 
-/// Loads of services, as a share of their slots, where they are known.
+/// Known loads by service, as shares of their slots.
 pub type Loads = collections::BTreeMap<id::ServiceId, f64>;
 
-/// Every shift that turning `from` into `to` causes from `now_s` on, and what it would exceed.
+/// All shifts caused by changing `from` to `to` at `now_s`, and the limits that they exceed.
 pub fn of_change(
     from: &settings::Settings,
     to: &settings::Settings,
@@ -112,7 +111,7 @@
         found.extend(shift(&capped, cause, old, new, load));
     };
     if let Some(before) = before {
-        // Places that the settings drain already hold nothing that could move at once.
+        // Availability zones that are already drained have no traffic that could move at once.
         let kept = with_azs_of(before, after);
         let old = Place::new(before, from, now_s);
         let new = Place::new(&kept, from, now_s);
@@ -156,7 +155,7 @@
     all
 }
 
-/// Where a service runs at a time, and where each region's callers belong then.
+/// Availability zones open to a service at one time, and the weights of each region's callers.
 struct Place<'a> {
     open: Vec<id::AzId>,
     weights: plan::WeightsByRegion,
@@ -183,7 +182,7 @@
         }
     }
 
-    /// How many availability zones' worth of slots the open places may fill.
+    /// Usable capacity of the open availability zones, in units of one zone's slots.
     fn bears(&self) -> f64 {
         let limit = |az: &id::AzId| self.all.region_of(az).map_or(0.0, |region| region.max_load);
         self.open.iter().map(limit).sum()
@@ -336,7 +335,7 @@
         all
     }
 
-    /// What a step may move of the ledger's callers in a region.
+    /// Share of a region's ledger callers that one step may move.
     fn a_step() -> f64 {
         caps::Config::of(cooperative().service("ledger").unwrap()).version_share()
     }
@@ -352,15 +351,14 @@
         let to = drained(target, 200);
         let (shifts, excesses) = of_change(&cooperative(), &to, NOW_S, &Loads::new());
         let shift = ledger(&shifts);
-        // Half of Ulaanbaatar's callers move, a part of the cap in each step.
+        // Half of Ulaanbaatar's callers move, part of the cap in each step.
         assert!((shift.share - 0.5).abs() < EPSILON);
         let steps = (0.5 / a_step() - EPSILON).ceil() as u64;
         assert_eq!((shift.steps, shift.takes_ms), (steps, steps * 10_000));
         assert_eq!(excesses, []);
     }
 
-    /// An operator dates a region's drain shorter than the caps allow. Cold caches elsewhere
-    /// would get the whole region at once.
+    /// A drain shorter than the caps allow would send a region's traffic to cold caches at once.
     #[test]
     fn too_short_a_ramp_is_refused_with_the_one_it_needs() {
         let to = drained(settings::DrainTarget::Region("khovd".into()), 10);
@@ -380,8 +378,7 @@
         assert!(what.contains(&format!("ramp_s = {ramp_s} ")), "{what}");
     }
 
-    /// Somebody takes an availability zone out of a service without a drain, and raises the cap
-    /// in the same change so that it fits.
+    /// A change removes an availability zone without a drain and raises the cap to make that fit.
     #[test]
     fn a_raised_cap_does_not_count_for_the_change_that_raises_it() {
         let mut to = cooperative();
@@ -397,7 +394,7 @@
         );
     }
 
-    /// The estimate that entry VMs' steps are tested against, and ours, must agree.
+    /// The plan must agree with the estimate that the tests of the entry VMs' steps use.
     #[test]
     fn the_steps_are_those_of_the_estimate() {
         let from = cooperative();
@@ -423,7 +420,7 @@
         assert_eq!(excesses, []);
     }
 
-    /// A region is drained on a busy day, and the other two cannot bear its traffic.
+    /// A region is drained under high load, and the other two lack the capacity for its traffic.
     #[test]
     fn a_drain_that_the_others_cannot_bear_is_refused() {
         let to = drained(settings::DrainTarget::Region("khovd".into()), 400);
