--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! Shows what is in force: the store's settings, and what every entry VM holds of them.
+//! Shows the settings in the store, and the state and settings versions of every entry VM.
 
 use std::collections;
 use std::net;
@@ -9,19 +9,19 @@
 use crate::protocol::operators;
 use crate::{error, exit_codes, id};
 
-/// How often `--wait` looks.
+/// Polling interval of `--wait`.
 const POLL: time::Duration = time::Duration::from_millis(250);
 
 data! {
-    /// The whole status.
+    /// Status of a deployment.
     pub struct Report {
-        /// Each team in the store.
+        /// Teams in the store.
         pub teams: Vec<Team>,
-        /// Each entry VM that answered.
+        /// Status of the entry VMs that answered.
         pub entries: Vec<operators::Status>,
-        /// Those that did not, and why.
+        /// Errors of the entry VMs that did not answer.
         pub silent: Vec<String>,
-        /// What stands in the store and is not taken.
+        /// Errors of settings and key rings in the store that entry VMs reject.
         pub faults: Vec<String>,
     }
 
@@ -32,20 +32,21 @@
         pub team: id::TeamId,
         /// The version in the store.
         pub version: u64,
-        /// The store's revision that holds it.
+        /// The store revision.
         pub revision: u64,
-        /// The change that wrote it.
+        /// Id of the change that wrote it.
         pub change: String,
-        /// Who signed it.
+        /// Holder of the signing key.
         pub holder: String,
-        /// Entry VMs that hold it, of those that answered.
+        /// Number of answering entry VMs that hold this version or a newer one.
         pub held_by: usize,
-        /// Entry VMs that hold another version.
+        /// Answering entry VMs that hold an older version or none.
         pub behind: Vec<String>,
     }
 }
 
-/// Shows the status. Fails while an entry VM is silent or behind.
+/// Shows the status. Fails while a VM does not answer or is behind, or stored settings are
+/// rejected.
 pub fn run(cx: &Context, args: &args::Status) -> Result<exit_codes::ExitCode, error::Error> {
     let addrs = entries::addresses(cx)?;
     let until = time::Instant::now() + args.wait.unwrap_or_default();
@@ -182,10 +183,10 @@
     ]
 }
 
-/// Loads of services as entry VMs measure them, as shares of their slots.
+/// Loads of services as measured by entry VMs, as shares of their slots.
 ///
-/// The slots of an availability zone are the same backend servers for each of its entry VMs, so
-/// its slots count once and its requests in flight are added up.
+/// All entry VMs of an availability zone report the same backend servers, so the zone's slots count
+/// once, while the requests in flight and queued are summed.
 pub fn loads(statuses: &[operators::Status]) -> collections::BTreeMap<id::ServiceId, f64> {
     let mut slots: collections::BTreeMap<(&id::ServiceId, &str), u64> = Default::default();
     let mut in_flight: collections::BTreeMap<&id::ServiceId, u64> = Default::default();
