--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,11 +1,12 @@
-//! What must hold of settings before they are accepted.
+//! Validates settings before they are accepted: value ranges, references to regions and
+//! availability zones, and names that must be unique across teams.
 
 use std::collections;
 
 use super::{DrainTarget, Error, MAX_TEAM_BYTES, PLACES_TEAM, Service, Settings, Team};
 use crate::id;
 
-/// Checks each team's part and what they say of one another.
+/// Checks each team's settings and the references between teams.
 pub(super) fn settings(settings: &Settings) -> Result<(), Error> {
     let azs: collections::BTreeSet<_> = settings.regions().flat_map(|r| &r.azs).collect();
     let mut services = collections::BTreeMap::new();
