--- a/src/settings/envelope.rs
+++ b/src/settings/envelope.rs
@@ -1,61 +1,61 @@
-//! A team's settings as they stand in the store: the text, its version and a signature.
+//! A team's settings as stored: the text, its version and a signature.
 //!
-//! An entry process takes settings from a store that others can write to and from peers that may
-//! hold older ones. The envelope makes that safe: it names the team, so that it cannot be moved
-//! under another; it carries a version, so that an older one cannot come back; and a key of the
-//! team's ring signs all of it. What goes wrong without it is that whoever can write to the store
-//! steers every caller, and that a restored backup reverts what operators were told is in force.
+//! Entry VMs read settings from a store that others can write to, and from peers that may hold an
+//! older version. The envelope names the team, so that it cannot be copied under another team; it
+//! carries a version, so that an older one is not accepted; and a key from the team's ring signs
+//! all of it. Without it, anyone with write access to the store could steer every caller, and a
+//! restored backup would silently revert settings that operators saw take effect.
 //!
-//! The signature is over length-prefixed fields and not over the JSON, so that no two envelopes
-//! share signed bytes and another JSON printer changes nothing.
+//! The signature covers length-prefixed fields rather than the JSON, so that no two envelopes share
+//! signed bytes and the JSON formatting does not matter.
 
 use super::keys;
 use crate::id;
 
-/// Where the envelopes stand in the store.
+/// Prefix of the envelopes' store keys.
 pub const STORE_PREFIX: &str = "settings/";
 
-/// The largest value that the store holds, and so the largest envelope.
+/// Largest encoded envelope: the store's limit for a value.
 pub const MAX_ENVELOPE_BYTES: usize = 1 << 20;
 
-/// Sets an envelope's signature apart from those over other things.
+/// Domain separator: keeps an envelope's signature from being valid for another kind of data.
 const DOMAIN: &str = "bulrushwind settings 1";
 
 name! {
-    /// One change, drawn at random by whoever makes it. Reading it back tells whether a write
-    /// whose reply was lost took effect.
+    /// Random id of a change. A writer without a reply finds it in the store if the write
+    /// succeeded.
     ChangeId;
 }
 
-/// An envelope that is not taken.
+/// Why an envelope is rejected.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum Error {
-    /// The bytes are not an envelope.
+    /// The bytes do not decode to an envelope.
     #[error(
         "the settings in the store cannot be read: {0}; write them again with `bulrushwind apply`"
     )]
     Garbled(String),
-    /// The envelope is larger than the store holds.
+    /// The envelope exceeds the store's value limit.
     #[error(
         "team `{team}`'s settings take {bytes} bytes in the store, which holds {MAX_ENVELOPE_BYTES}; split the team's subtree in two teams"
     )]
     TooLarge {
         /// The team.
         team: id::TeamId,
-        /// What it takes.
+        /// Size of the encoded envelope.
         bytes: usize,
     },
-    /// The envelope is for another team than the one it stands under.
+    /// The envelope names a different team than its store key.
     #[error(
         "the settings are team `{of}`'s but stand under `{at}`; each team writes only under its own name"
     )]
     WrongPlace {
         /// The team in the envelope.
         of: id::TeamId,
-        /// The team it stands under.
+        /// The team in the store key.
         at: id::TeamId,
     },
-    /// The key that signed it is not on the team's ring.
+    /// The signing key is not in the team's key ring.
     #[error(
         "key {key} may not sign for team `{team}`; have a root key's holder add it with `bulrushwind keys add`"
     )]
@@ -65,7 +65,7 @@
         /// The key.
         key: keys::KeyId,
     },
-    /// The key was rotated out or revoked.
+    /// The signing key was retired or revoked before this version.
     #[error(
         "{holder}'s key {key} may not sign version {version} of team `{team}`'s settings, only those before {until}; sign with a key that is in force"
     )]
@@ -74,14 +74,14 @@
         team: id::TeamId,
         /// The key.
         key: keys::KeyId,
-        /// Who holds it.
+        /// Name of the key's holder.
         holder: String,
         /// The envelope's version.
         version: u64,
-        /// The first version that the key may not sign.
+        /// First version that the key may no longer sign.
         until: u64,
     },
-    /// The signature does not fit the envelope.
+    /// The signature does not match the envelope.
     #[error(
         "team `{team}`'s settings were changed after they were signed; write them again with `bulrushwind apply`"
     )]
@@ -89,7 +89,7 @@
         /// The team.
         team: id::TeamId,
     },
-    /// Newer settings are in force already.
+    /// A newer version is already in force.
     #[error(
         "team `{team}`'s settings are version {offered} and version {held} is in force; apply them again to give them a higher version"
     )]
@@ -98,40 +98,40 @@
         team: id::TeamId,
         /// The version in force.
         held: u64,
-        /// The version that came.
+        /// The rejected version.
         offered: u64,
     },
 }
 
 data! {
-    /// A team's settings, signed.
+    /// A team's signed settings.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct Envelope {
         /// The team.
         pub team: id::TeamId,
-        /// Grows with each change of the team's settings.
+        /// Version of the team's settings; each change increases it.
         pub version: u64,
-        /// The change that wrote this.
+        /// Id of the change that wrote this envelope.
         pub change: ChangeId,
-        /// The TOML of all of the team's settings.
+        /// All of the team's settings as TOML.
         pub text: String,
-        /// The key that signed this.
+        /// Id of the signing key.
         pub key: keys::KeyId,
-        /// That key's signature over all of the above.
+        /// Signature over the fields above.
         pub signature: keys::Signature,
     }
 }
 
 impl ChangeId {
-    /// A new one, drawn at random.
+    /// Generates a random id.
     pub fn draw() -> Self {
         format!("{:032x}", rand::random::<u128>()).as_str().into()
     }
 }
 
 impl Envelope {
-    /// Signs a team's settings.
+    /// Builds and signs an envelope for a team's settings.
     pub fn sign(
         team: id::TeamId,
         version: u64,
@@ -151,7 +151,8 @@
         }
     }
 
-    /// Reads an envelope from the store's or a peer's bytes. It is not to be trusted yet.
+    /// Decodes an envelope from the store or a peer. Its signature is not checked; see
+    /// [`Envelope::verify`].
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         if bytes.len() > MAX_ENVELOPE_BYTES {
             return Err(Error::Garbled(format!("{} bytes", bytes.len())));
@@ -159,7 +160,7 @@
         serde_json::from_slice(bytes).map_err(|err| Error::Garbled(err.to_string()))
     }
 
-    /// The bytes for the store.
+    /// Encodes the envelope for the store. Fails if it exceeds [`MAX_ENVELOPE_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, Error> {
         let bytes =
             serde_json::to_vec(self).expect("an envelope has only values that JSON can hold");
@@ -172,8 +173,7 @@
         Ok(bytes)
     }
 
-    /// Checks that the envelope stands where it should and that a key that may sign this version
-    /// signed it.
+    /// Checks that the envelope belongs to team `at` and that its key may sign this version.
     pub fn verify(&self, at: &id::TeamId, ring: &keys::Trusted) -> Result<(), Error> {
         let team = self.team.clone();
         if team != *at || team != ring.ring().team {
@@ -206,8 +206,8 @@
         Ok(())
     }
 
-    /// Checks that the envelope is not older than the version `held`. The version that is held
-    /// comes again with every re-read and is no fault.
+    /// Checks that the envelope is not older than version `held`. An equal version is accepted,
+    /// because each re-read delivers the version in force again.
     pub fn supersedes(&self, held: Option<u64>) -> Result<(), Error> {
         match held {
             Some(held) if self.version < held => Err(Error::Stale {
@@ -220,7 +220,7 @@
     }
 }
 
-/// Where a team's envelope stands in the store.
+/// Store key of a team's envelope.
 pub fn store_key(team: &id::TeamId) -> String {
     format!("{STORE_PREFIX}{team}")
 }
@@ -285,8 +285,7 @@
         read.verify(&"bays".into(), &team.ring(None)).unwrap();
     }
 
-    /// Somebody writes settings to the store without the team's key, or changes signed ones.
-    /// Callers would be steered by a stranger.
+    /// Settings that are unsigned or changed after signing would let an outsider steer callers.
     #[test]
     fn forged_envelopes_are_refused() {
         let team = Team::new();
@@ -316,8 +315,7 @@
         }
     }
 
-    /// A team's envelope is copied under another team's key in the store. The other team would
-    /// find its services gone.
+    /// An envelope copied to another team's store key would replace that team's services.
     #[test]
     fn a_moved_envelope_is_refused() {
         let team = Team::new();
@@ -328,8 +326,7 @@
         assert!(matches!(err, Error::WrongPlace { .. }), "{err}");
     }
 
-    /// The store is put back to a backup, or a peer that was cut off offers what it holds.
-    /// Operators would see an accepted change undone.
+    /// An old envelope from a restored backup or a partitioned peer would undo an accepted change.
     #[test]
     fn an_older_version_is_refused() {
         let envelope = Team::new().envelope(7);
@@ -339,8 +336,8 @@
         assert!(envelope.supersedes(None).is_ok());
     }
 
-    /// A key is rotated out, and a VM that starts later reads settings that it signed before. If
-    /// they were refused, the VM would serve nothing until somebody applied them again.
+    /// A VM that starts after a key rotation reads settings signed by the retired key. If it
+    /// refused them, it would serve nothing until the settings were applied again.
     #[test]
     fn a_retired_key_keeps_what_it_signed_before() {
         let team = Team::new();
