--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -1,17 +1,17 @@
-//! Who may change a team's settings: signing keys, and the ring of keys that a team has.
+//! Signing keys and the ring of keys that may sign a team's settings.
 //!
-//! A team's [`KeyRing`] stands in the store under `keys/<team>` and is signed by a root key. The
-//! root's public keys stand in each entry process's own configuration, so that neither the store
-//! nor a peer can put a key of its own in their place. A ring counts only as [`Trusted`], which
-//! no code can make without the check.
+//! A team's [`KeyRing`] is stored under `keys/<team>` and signed by a root key. The public root
+//! keys are in each entry VM's own configuration, so neither the store nor a peer can substitute
+//! its own keys. Only a verified ring is used: the type [`Trusted`] can be created only by the
+//! check.
 //!
-//! Rotation and revocation are one field, [`TeamKey::until`]: the first version of the team's
-//! settings that the key may no longer sign. A key that was rotated out keeps what it signed
-//! before, so that a new VM can still check settings that nobody changed since. A key that was
-//! stolen gets `until = 0` and counts for nothing: the team signs its settings again first, with
-//! `bulrushwind apply`. Versions grow with the time of day, so that an `until` of now needs no
-//! list of what was signed. A process that accepted settings keeps them whatever happens to the
-//! key that signed them, because accepted settings never revert.
+//! [`TeamKey::until`] expresses both rotation and revocation: it is the first version of the team's
+//! settings that the key may no longer sign. Versions signed before remain valid, so that a new VM
+//! can verify settings that have not changed since the rotation. A stolen key gets `until = 0`,
+//! which invalidates all its signatures; the team first signs its settings again with `bulrushwind
+//! apply`. Versions follow the clock, so a rotation needs no list of signed versions: the current
+//! time serves as `until`. An entry VM keeps settings that it has accepted even if their key is
+//! later revoked, because accepted settings never revert.
 
 use std::collections;
 use std::fmt;
@@ -23,47 +23,47 @@
 
 use crate::id;
 
-/// Where the rings stand in the store.
+/// Prefix of the key rings' store keys.
 pub const STORE_PREFIX: &str = "keys/";
 
-/// The most keys that one team can have. A ring has to be read whole by every VM.
+/// Largest number of keys per team. Every VM reads the entire ring.
 pub const MAX_KEYS: usize = 64;
 
-/// The longest text of a ring.
+/// Largest encoded ring.
 const MAX_RING_BYTES: usize = 32 * 1024;
 
-/// Sets a ring's signature apart from those over other things.
+/// Domain separator: keeps a ring's signature from being valid for another kind of data.
 const RING_DOMAIN: &str = "bulrushwind key ring 1";
 
-/// The first word of a secret key's file, which tells it from a public key.
+/// First word of a secret key file; distinguishes it from a public key.
 const SECRET_WORD: &str = "bulrushwind-secret-key";
 
 name! {
-    /// A key's short name: the start of its public key's hash, in hex.
+    /// A key's id: the first 8 bytes of the public key's SHA-256 hash, in hex.
     KeyId;
 }
 
-/// A key, a ring or a signature that is not taken.
+/// Why a key, ring or signature is rejected.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum Error {
-    /// The text is not a key.
+    /// The text does not parse as a key.
     #[error("not a {what} key; give 64 hex digits as `bulrushwind keygen` prints them")]
     Malformed {
-        /// Public or secret.
+        /// Kind of key: public or secret.
         what: &'static str,
     },
-    /// The bytes are not a ring.
+    /// The bytes do not decode to a key ring.
     #[error("the key ring cannot be read: {0}; write it again with `bulrushwind keys`")]
     Garbled(String),
-    /// The ring is for another team than the one it stands under.
+    /// The ring names a different team than its store key.
     #[error("the key ring is team `{of}`'s but stands under `{at}`; write it under its own team")]
     WrongPlace {
         /// The team in the ring.
         of: id::TeamId,
-        /// The team it stands under.
+        /// The team in the store key.
         at: id::TeamId,
     },
-    /// No root key that this process knows signed it.
+    /// The ring is not signed by a configured root key.
     #[error(
         "team `{team}`'s key ring is not signed by a known root key; sign it with a root key whose public half is in `root_keys`"
     )]
@@ -71,7 +71,7 @@
         /// The team.
         team: id::TeamId,
     },
-    /// The signature does not fit the ring.
+    /// The signature does not match the ring.
     #[error(
         "team `{team}`'s key ring was changed after it was signed; write it again with `bulrushwind keys`"
     )]
@@ -79,7 +79,7 @@
         /// The team.
         team: id::TeamId,
     },
-    /// A newer ring is held already.
+    /// A newer ring is already in force.
     #[error(
         "team `{team}`'s key ring is version {offered} and version {held} is in force; write one with a higher version"
     )]
@@ -88,88 +88,88 @@
         team: id::TeamId,
         /// The version in force.
         held: u64,
-        /// The version that came.
+        /// The rejected version.
         offered: u64,
     },
-    /// The ring holds too many keys.
+    /// The ring has more than [`MAX_KEYS`] keys.
     #[error("a team has at most {MAX_KEYS} keys; take out those that were revoked")]
     TooMany,
 }
 
 data! {
-    /// The public half of a key.
+    /// An Ed25519 public key.
     #[derive(Copy, Eq)]
     #[serde(try_from = "String", into = "String")]
     pub struct PublicKey([u8; 32]);
 
-    /// A signature.
+    /// An Ed25519 signature.
     #[derive(Copy, Eq)]
     #[serde(try_from = "String", into = "String")]
     pub struct Signature([u8; 64]);
 
-    /// One key of a team.
+    /// A key that may sign a team's settings.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct TeamKey {
-        /// Who holds the secret half, for logs and conflicts.
+        /// Name of the secret key's holder, shown in logs and conflict messages.
         pub holder: String,
-        /// The public half.
+        /// The public key.
         pub public: PublicKey,
-        /// The first version of the team's settings that it may no longer sign. Absent: none.
-        /// 0: it counts for nothing, not even for what it signed before.
+        /// First version of the team's settings that the key may no longer sign. Absent: no limit.
+        /// 0: all its signatures are invalid, also those made before.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub until: Option<u64>,
     }
 
-    /// The keys that may sign a team's settings, as they stand in the store.
+    /// The keys that may sign a team's settings, as stored.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct KeyRing {
         /// The team.
         pub team: id::TeamId,
-        /// Grows with each ring.
+        /// Version of the ring; each change increases it.
         pub version: u64,
         /// The keys.
         pub keys: Vec<TeamKey>,
-        /// The root key that signed this.
+        /// Id of the root key that signed the ring.
         pub root: KeyId,
-        /// The root key's signature over all of the above.
+        /// Root key's signature over the fields above.
         pub signature: Signature,
     }
 }
 
-/// A ring whose signature was checked.
+/// A key ring whose signature has been verified.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trusted(KeyRing);
 
-/// The secret half of a key. It prints as its name only.
+/// An Ed25519 secret key. `Debug` prints only its id.
 #[derive(Clone)]
 pub struct SecretKey(ed25519_dalek::SigningKey);
 
 impl SecretKey {
-    /// A new key, drawn at random.
+    /// Generates a random key.
     pub fn generate() -> Self {
         Self(ed25519_dalek::SigningKey::from_bytes(&rand::random()))
     }
 
-    /// Reads the text of a secret key's file.
+    /// Parses the text of a secret key file.
     pub fn parse(text: &str) -> Result<Self, Error> {
         let hex = text.trim().strip_prefix(SECRET_WORD).unwrap_or_default();
         let seed = bytes(hex.trim()).ok_or(Error::Malformed { what: "secret" })?;
         Ok(Self(ed25519_dalek::SigningKey::from_bytes(&seed)))
     }
 
-    /// The text of a secret key's file.
+    /// Formats the key as the text of a secret key file.
     pub fn to_text(&self) -> String {
         format!("{SECRET_WORD} {}\n", HEXLOWER.encode(self.0.as_bytes()))
     }
 
-    /// The public half.
+    /// The public key.
     pub fn public(&self) -> PublicKey {
         PublicKey(self.0.verifying_key().to_bytes())
     }
 
-    /// Signs bytes.
+    /// Signs `bytes`.
     pub fn sign(&self, bytes: &[u8]) -> Signature {
         Signature(self.0.sign(bytes).to_bytes())
     }
@@ -182,13 +182,13 @@
 }
 
 impl PublicKey {
-    /// The key's short name.
+    /// The key's id.
     pub fn id(&self) -> KeyId {
         let hash = sha2::Sha256::digest(self.0);
         HEXLOWER.encode(&hash[..8]).as_str().into()
     }
 
-    /// Whether this key made `signature` over `bytes`.
+    /// Whether `signature` is this key's signature over `bytes`.
     pub fn verifies(&self, bytes: &[u8], signature: &Signature) -> bool {
         let signature = ed25519_dalek::Signature::from_bytes(&signature.0);
         ed25519_dalek::VerifyingKey::from_bytes(&self.0)
@@ -241,7 +241,7 @@
 }
 
 impl KeyRing {
-    /// A ring signed by a root key.
+    /// Builds a ring and signs it with a root key. Fails if it has more than [`MAX_KEYS`] keys.
     pub fn sign(
         team: id::TeamId,
         version: u64,
@@ -262,7 +262,7 @@
         })
     }
 
-    /// Reads a ring from the store's bytes. It is not to be trusted yet.
+    /// Decodes a stored ring. Its signature is not checked; see [`KeyRing::verify`].
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         if bytes.len() > MAX_RING_BYTES {
             return Err(Error::TooMany);
@@ -270,13 +270,13 @@
         serde_json::from_slice(bytes).map_err(|err| Error::Garbled(err.to_string()))
     }
 
-    /// The bytes for the store.
+    /// Encodes the ring for the store.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("a key ring has only values that JSON can hold")
     }
 
-    /// Checks that the ring stands where it should, that a root key signed it and that it is not
-    /// older than the version `held`.
+    /// Checks that the ring belongs to team `at`, that a root key signed it and that it is not
+    /// older than version `held`.
     pub fn verify(
         self,
         at: &id::TeamId,
@@ -306,18 +306,17 @@
 }
 
 impl Trusted {
-    /// The ring.
+    /// The verified ring.
     pub fn ring(&self) -> &KeyRing {
         &self.0
     }
 
-    /// The key of this name, whether or not it may still sign.
+    /// The key with this id, including retired keys.
     pub fn key(&self, id: &KeyId) -> Option<&TeamKey> {
         self.0.keys.iter().find(|key| key.public.id() == *id)
     }
 
-    /// Every trusted ring of a snapshot, by team. Those that are not sound are left out and
-    /// returned beside.
+    /// Verifies all rings in a snapshot. Returns the valid rings by team, and the errors.
     pub fn all<'a>(
         entries: impl Iterator<Item = (&'a str, &'a [u8])>,
         roots: &[PublicKey],
@@ -337,12 +336,12 @@
     }
 }
 
-/// Where a team's ring stands in the store.
+/// Store key of a team's ring.
 pub fn store_key(team: &id::TeamId) -> String {
     format!("{STORE_PREFIX}{team}")
 }
 
-/// Appends a field so that no two lists of fields give the same bytes: its length goes before it.
+/// Appends a length-prefixed field, so that different lists of fields never give the same bytes.
 pub(super) fn push_field(buf: &mut Vec<u8>, field: &[u8]) {
     buf.extend((field.len() as u64).to_be_bytes());
     buf.extend(field);
@@ -389,8 +388,8 @@
         assert_eq!(*trusted.ring(), ring);
     }
 
-    /// Somebody who can write to the store, but holds no root key, puts a ring with a key of
-    /// their own there. The team would find its settings changed by a stranger.
+    /// An attacker with write access to the store, but without a root key, stores a ring with their
+    /// own key and could then change the team's settings.
     #[test]
     fn rings_of_strangers_are_refused() {
         let (root, stranger) = (SecretKey::generate(), SecretKey::generate());
@@ -407,7 +406,7 @@
         assert!(matches!(err, Err(Error::WrongPlace { .. })), "{err:?}");
     }
 
-    /// A ring from before a revocation is written again. The revoked key would sign once more.
+    /// An old ring, written again after a revocation, would let the revoked key sign settings.
     #[test]
     fn an_older_ring_is_refused() {
         let root = SecretKey::generate();
