--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,8 +1,8 @@
-//! Operators' settings: what they declare, how it is read and how it is checked.
+//! Operators' settings: their types, parsing and validation.
 //!
-//! Settings are TOML files under `teams/<team>/`. A team's files are read as one [`Team`]; all
-//! teams together give the [`Settings`] that are in force. Regions, links and drains of whole
-//! places belong to the team [`PLACES_TEAM`]; services belong to the team that declares them.
+//! Settings are TOML files under `teams/<team>/`. All files of a team are read as one [`Team`]; all
+//! teams together form the [`Settings`] in force. Regions, links and client blocks belong to the
+//! team [`PLACES_TEAM`]; a service belongs to the team that declares it.
 
 mod check;
 pub mod envelope;
@@ -19,31 +19,31 @@
 pub use places::{ClientBlock, Drain, DrainTarget, Link, Prefer, Region};
 pub use service::{Objective, Operation, Service};
 
-/// The team whose subtree declares regions, links and client blocks.
+/// The only team that may declare regions, links and client blocks.
 pub const PLACES_TEAM: &str = "places";
 
-/// The largest text of one team, which leaves room for its envelope in a store value of 1 MB.
+/// Largest TOML text of one team. Leaves room for the envelope in a store value of 1 MiB.
 pub const MAX_TEAM_BYTES: usize = 900_000;
 
-/// A fault in the settings.
+/// Why settings cannot be read or are invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The text is not TOML, or holds a key that is not known.
+    /// The text is not valid TOML or contains an unknown key.
     #[error("{origin}: {reason}")]
     Parse {
         /// The file, or the team where there is no file.
         origin: String,
-        /// What the parser said, with the line.
+        /// The parser's message, with the line.
         reason: String,
     },
-    /// The text is TOML but a value is not allowed.
+    /// A value is not allowed.
     #[error("{origin}: {what}; {remedy}")]
     Value {
         /// The file, or the team where there is no file.
         origin: String,
-        /// What is wrong.
+        /// The invalid value.
         what: String,
-        /// What to write instead.
+        /// How to correct it.
         remedy: String,
     },
     /// A file could not be read.
@@ -51,13 +51,13 @@
     Read {
         /// The file or directory.
         path: String,
-        /// What the system said.
+        /// The operating system's error.
         reason: String,
     },
 }
 
 data! {
-    /// What one team declares.
+    /// One team's settings.
     #[derive(Default)]
     #[serde(deny_unknown_fields)]
     pub struct Team {
@@ -67,30 +67,30 @@
         /// Links between regions.
         #[serde(default, rename = "link")]
         pub links: Vec<places::Link>,
-        /// Which callers' addresses lie in which region.
+        /// Address blocks of callers, and the region nearest to each.
         #[serde(default, rename = "client_block")]
         pub client_blocks: Vec<places::ClientBlock>,
-        /// Drains, dated ahead.
+        /// Scheduled drains.
         #[serde(default, rename = "drain")]
         pub drains: Vec<places::Drain>,
         /// Services.
         #[serde(default, rename = "service")]
         pub services: Vec<service::Service>,
-        /// What this deployment weighs most.
+        /// Which goal takes precedence when latency and headroom conflict.
         #[serde(default)]
         pub prefer: Option<places::Prefer>,
     }
 
-    /// The settings in force: every team's part, checked on its own and against the others.
+    /// All teams' settings.
     #[derive(Default)]
     pub struct Settings {
-        /// Each team's part.
+        /// Settings by team.
         pub teams: collections::BTreeMap<id::TeamId, Team>,
     }
 }
 
 impl Team {
-    /// Reads a team's part from TOML text. `origin` names the file or the team in errors.
+    /// Parses a team's settings from TOML. Errors name `origin`, the file or the team.
     pub fn parse(origin: &str, text: &str) -> Result<Self, Error> {
         toml::from_str(text).map_err(|err| {
             let mut reason = err.to_string().trim_end().replace('\n', "\n  ");
@@ -102,7 +102,7 @@
         })
     }
 
-    /// Reads all `*.toml` files of a team's directory, in the order of their names.
+    /// Reads all `*.toml` files in a team's directory, in alphabetical order.
     pub fn read(dir: &path::Path) -> Result<Self, Error> {
         let mut team = Self::default();
         for path in toml_files(dir)? {
@@ -112,7 +112,7 @@
         Ok(team)
     }
 
-    /// The TOML text that parses back to this part.
+    /// Formats the settings as TOML, so that parsing the text yields the same settings.
     pub fn to_toml(&self) -> String {
         toml::to_string_pretty(self).expect("a team's part has only values that TOML can hold")
     }
@@ -128,7 +128,7 @@
 }
 
 impl Settings {
-    /// Reads every team under `root/teams` and checks the whole.
+    /// Reads all teams under `root/teams` and validates them together.
     pub fn read(root: &path::Path) -> Result<Self, Error> {
         let teams_dir = root.join("teams");
         let entries = fs::read_dir(&teams_dir).map_err(|err| read_error(&teams_dir, &err))?;
@@ -146,7 +146,7 @@
         Ok(settings)
     }
 
-    /// Checks each team's part and what they say of one another.
+    /// Validates each team's settings and the references between teams.
     pub fn check(&self) -> Result<(), Error> {
         check::settings(self)
     }
@@ -156,7 +156,7 @@
         self.teams.values().flat_map(|team| &team.regions)
     }
 
-    /// The region that holds an availability zone.
+    /// The region that contains an availability zone.
     pub fn region_of(&self, az: &id::AzId) -> Option<&places::Region> {
         self.regions().find(|region| region.azs.contains(az))
     }
@@ -171,7 +171,7 @@
         self.teams.values().flat_map(|team| &team.client_blocks)
     }
 
-    /// All drains, past and to come.
+    /// All drains: past, current and future.
     pub fn drains(&self) -> impl Iterator<Item = &places::Drain> {
         self.teams.values().flat_map(|team| &team.drains)
     }
@@ -181,13 +181,13 @@
         self.teams.values().flat_map(|team| &team.services)
     }
 
-    /// One service by its name.
+    /// The service with this name.
     pub fn service(&self, name: &str) -> Option<&service::Service> {
         self.services()
             .find(|service| service.name.as_str() == name)
     }
 
-    /// What this deployment weighs most.
+    /// Which goal takes precedence when latency and headroom conflict.
     pub fn prefer(&self) -> places::Prefer {
         self.teams
             .values()
