--- a/src/settings/places.rs
+++ b/src/settings/places.rs
@@ -1,17 +1,16 @@
-//! Regions, availability zones, links and planned drains.
+//! Settings for regions, availability zones, links and scheduled drains.
 
 use crate::id;
 
 data! {
-    /// A region and what it can bear.
+    /// A region, with its load limit.
     #[serde(deny_unknown_fields)]
     pub struct Region {
         /// Its name.
         pub name: id::RegionId,
         /// Its availability zones.
         pub azs: Vec<id::AzId>,
-        /// The load that no steering decision may exceed, as a share of the region's slots, above
-        /// 0 and at most 1.
+        /// Load limit for steering decisions: a share of the region's slots, above 0 and at most 1.
         #[serde(default = "default_max_load")]
         pub max_load: f64,
     }
@@ -19,42 +18,42 @@
     /// The link from one region to another, in one direction.
     #[serde(deny_unknown_fields)]
     pub struct Link {
-        /// Where it starts.
+        /// Source region.
         pub from: id::RegionId,
-        /// Where it ends.
+        /// Destination region.
         pub to: id::RegionId,
         /// One-way delay, in milliseconds.
         pub one_way_ms: f64,
-        /// What it carries, in bytes a second.
+        /// Capacity, in bytes per second.
         pub bytes_per_s: u64,
     }
 
-    /// Callers' addresses that lie in one region.
+    /// A block of caller addresses, assigned to a region.
     #[serde(deny_unknown_fields)]
     pub struct ClientBlock {
-        /// The block of addresses.
+        /// The address block.
         pub block: ipnet::IpNet,
-        /// The region that is nearest to them.
+        /// The region nearest to these callers.
         pub region: id::RegionId,
     }
 
-    /// A drain that was planned ahead.
+    /// A scheduled drain.
     #[serde(deny_unknown_fields)]
     pub struct Drain {
-        /// What is drained.
+        /// The region, availability zone or VM to drain.
         pub target: DrainTarget,
-        /// When it begins, in seconds since 1970.
+        /// Start time, in seconds since the Unix epoch.
         pub start_s: u64,
-        /// How long the traffic takes to leave, in seconds. The shift caps may make it longer.
+        /// Time over which traffic moves away, in seconds. The shift caps may extend it.
         #[serde(default = "default_ramp_s")]
         pub ramp_s: u64,
-        /// When the target takes traffic again, in seconds since 1970. Absent: until the drain is
-        /// taken out of the settings.
+        /// End time, in seconds since the Unix epoch, when traffic may return. Absent: the drain
+        /// lasts until it is removed from the settings.
         #[serde(default)]
         pub end_s: Option<u64>,
     }
 
-    /// What a drain empties.
+    /// Target of a drain.
     #[derive(Eq)]
     #[serde(rename_all = "snake_case")]
     pub enum DrainTarget {
@@ -62,18 +61,18 @@
         Region(id::RegionId),
         /// One availability zone.
         Az(id::AzId),
-        /// One VM, entry VM or backend server.
+        /// One VM: an entry VM or a backend server.
         Vm(id::VmId),
     }
 
-    /// What a deployment weighs most where two aims pull apart.
+    /// Which goal takes precedence when latency and headroom conflict.
     #[derive(Copy, Eq, Default)]
     #[serde(rename_all = "snake_case")]
     pub enum Prefer {
-        /// A late answer is the worst.
+        /// Prefer low latency to headroom.
         #[default]
         Latency,
-        /// An overfull region is the worst.
+        /// Prefer headroom in each region to low latency.
         Headroom,
     }
 }
