--- a/src/settings/service.rs
+++ b/src/settings/service.rs
@@ -1,4 +1,4 @@
-//! Services, their operations and their objectives.
+//! Settings for services, their operations and their objectives.
 
 use crate::id;
 
@@ -6,59 +6,59 @@
     /// A service that backend servers run.
     #[serde(deny_unknown_fields)]
     pub struct Service {
-        /// Its name, the first part of callers' paths.
+        /// Name; the first segment of the path in callers' requests.
         pub name: id::ServiceId,
-        /// The availability zones that run it.
+        /// Availability zones with backend servers of this service.
         pub azs: Vec<id::AzId>,
-        /// Requests that one backend server works on at a time.
+        /// Requests that one backend server processes concurrently.
         pub slots: u32,
-        /// Connections that one backend server bears.
+        /// Connections that one backend server supports.
         pub connections: u32,
-        /// The largest share of the service's traffic that may move between places in one step,
-        /// above 0 and at most 1.
+        /// Largest share of the service's traffic that may move between availability zones in one
+        /// step, above 0 and at most 1.
         #[serde(default = "default_shift_cap")]
         pub shift_cap: f64,
-        /// How long one step lasts, in milliseconds.
+        /// Duration of one step, in milliseconds.
         #[serde(default = "default_shift_step_ms")]
         pub shift_step_ms: u64,
-        /// The longest body of a request or an answer, in bytes.
+        /// Largest request or answer body, in bytes.
         #[serde(default = "default_max_body_bytes")]
         pub max_body_bytes: usize,
-        /// What callers can ask of it. The first that matches counts.
+        /// Operations, in matching order: the first match applies.
         #[serde(rename = "operation")]
         pub operations: Vec<Operation>,
-        /// What its owners promise.
+        /// Service-level objective.
         #[serde(default)]
         pub objective: Objective,
     }
 
-    /// One kind of request.
+    /// One type of request to a service.
     #[serde(deny_unknown_fields)]
     pub struct Operation {
-        /// Its name in metrics and logs.
+        /// Name in metrics and logs.
         pub name: String,
         /// The HTTP method.
         pub method: String,
-        /// The path under the service, matched as a prefix.
+        /// Path prefix after the service name.
         pub path: String,
-        /// Whether running it twice equals running it once.
+        /// Whether the operation is idempotent, so that it may run more than once.
         pub idempotent: bool,
-        /// What one answer counts.
+        /// Value of one answer; under overload, higher value per second of work is served first.
         pub worth: u32,
-        /// How long a caller waits for it where the caller does not say, in milliseconds.
+        /// Default timeout when the caller specifies none, in milliseconds.
         pub patience_ms: u64,
-        /// How long a backend server usually works on it, in milliseconds.
+        /// Typical processing time on a backend server, in milliseconds.
         pub typical_ms: f64,
     }
 
-    /// What the owners of a service promise.
+    /// A service-level objective.
     #[serde(deny_unknown_fields)]
     pub struct Objective {
-        /// The share of requests that are answered, below 1.
+        /// Share of requests to be answered, below 1.
         pub answered: f64,
-        /// The share of answers that come within `latency_ms`, below 1.
+        /// Share of answers to arrive within `latency_ms`, below 1.
         pub in_time: f64,
-        /// The latency that counts as in time, in milliseconds.
+        /// Latency objective, in milliseconds.
         pub latency_ms: u64,
     }
 }
@@ -74,7 +74,7 @@
 }
 
 impl Service {
-    /// The operation that a request asks for. `path` starts behind the service's name.
+    /// Index and settings of the operation that matches. `path` excludes the service name.
     pub fn operation(&self, method: &str, path: &str) -> Option<(usize, &Operation)> {
         self.operations
             .iter()
