--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The operators' command line, end to end: the real program against the stand-in store.
+//! End-to-end tests of the operators' command line against the stand-in store.
 
 use std::fs;
 use std::path;
@@ -77,7 +77,7 @@
         ran
     }
 
-    /// Makes a key and returns its public half.
+    /// Generates a key and returns its public key.
     fn keygen(&self, holder: &str) -> String {
         let file = self.path(&format!("{holder}.key"));
         let ran = self.good(&["keygen", file.to_str().unwrap(), "--format", "json"]);
@@ -85,7 +85,7 @@
         json["public"].as_str().unwrap().to_owned()
     }
 
-    /// Makes a key for `holder` and puts it on the rings of `teams`.
+    /// Generates a key for `holder` and adds it to the rings of `teams`.
     fn allow(&self, holder: &str, teams: &[&str]) {
         let public = self.keygen(holder);
         for team in teams {
@@ -143,8 +143,8 @@
     assert_eq!(deployment.memory.calls().writes, before);
 }
 
-/// Two operators change the same team at once. Without the planned revision the second write
-/// would undo the first, and its owner would find out from a caller.
+/// Two operators change the same team concurrently. Without the planned revision, the second write
+/// would silently undo the first.
 #[test]
 fn a_conflict_names_who_and_what() {
     let deployment = Deployment::new();
@@ -169,7 +169,7 @@
     assert!(deployment.envelope("bays").unwrap().text.contains("0.05"));
 }
 
-/// Two applies on the same revision arrive at the store together.
+/// Two applies based on the same revision reach the store concurrently.
 #[test]
 fn of_two_racing_applies_one_wins() {
     let deployment = Deployment::new();
@@ -209,8 +209,8 @@
     );
 }
 
-/// A key that is not on the team's ring signs. If the store took it, every entry VM would refuse
-/// it, and the operator would wonder why nothing happens.
+/// A key that is not in the team's ring signs. If the settings were stored, every entry VM would
+/// reject them without the operator's notice.
 #[test]
 fn an_unauthorised_key_writes_nothing() {
     let deployment = Deployment::new();
@@ -235,8 +235,8 @@
     assert!(TEAMS.iter().all(|team| deployment.envelope(team).is_none()));
 }
 
-/// The store takes a write and its reply gets lost. The operator is told that it was written, and
-/// it was written once.
+/// The store accepts a write but the reply is lost. The operator must see that it was written,
+/// exactly once.
 #[test]
 fn a_lost_reply_is_resolved_by_reading_back() {
     let deployment = Deployment::new();
@@ -252,8 +252,8 @@
     assert!(ran.out.contains(envelope.change.as_str()), "{}", ran.out);
 }
 
-/// An editor leaves a file behind, a merge is left unfinished, or a checkout is cut short. Taken
-/// at its word, the directory would take a service away from its callers.
+/// Leftover editor files, unfinished merges and interrupted checkouts would otherwise be applied as
+/// removals of services.
 #[test]
 fn a_half_written_directory_is_refused() {
     let deployment = Deployment::new();
@@ -310,8 +310,8 @@
     assert!(ran.err.contains("did you mean `shift_cap`?"), "{}", ran.err);
 }
 
-/// An availability zone is taken out of a service without a drain: its share would land on the
-/// others' cold caches at once.
+/// An availability zone is removed from a service without a drain, which would move its share to
+/// cold caches at once.
 #[test]
 fn what_exceeds_a_cap_is_refused_with_by_how_much() {
     let deployment = Deployment::new();
@@ -372,8 +372,8 @@
     assert_eq!(deployment.run(&["undrain", "az/ub-a"]).code, 2);
 }
 
-/// A key is stolen. After its retirement neither a new change nor what stands in the store counts
-/// under it, and the team's apply signs its settings anew.
+/// A stolen key is retired: neither new changes nor stored settings signed by it are valid, and the
+/// team's apply signs the settings again.
 #[test]
 fn a_stolen_key_is_replaced() {
     let deployment = Deployment::new();
@@ -393,8 +393,8 @@
     assert_eq!(new.text, old.text);
 }
 
-/// The store is put back to a backup. Entry VMs keep what they accepted, so the next apply has to
-/// come with a higher version than any they hold, though the store no longer knows it.
+/// After the store is restored from a backup, entry VMs keep newer versions than it holds, so the
+/// next apply must use a version higher than theirs.
 #[test]
 fn after_a_restore_an_apply_still_goes_forward() {
     let deployment = Deployment::new();
