--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -1,4 +1,4 @@
-//! Every example in the documents is what the programs take.
+//! Checks that the programs accept every example in the documentation.
 
 use std::fs;
 use std::path;
@@ -6,7 +6,7 @@
 use bulrushwind::{burn, cli, config, entry, settings};
 use clap::Parser;
 
-/// A fenced block of a document.
+/// A fenced code block of a page.
 struct Fence {
     at: String,
     kind: String,
