--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,5 +1,5 @@
-//! What operators see of a running entry process: status, readiness, metrics, the past, and why a
-//! request was refused.
+//! The operator listener of a running entry process: status, readiness, metrics, history and
+//! explanations of refused requests.
 
 #[path = "path/testenv.rs"]
 #[expect(dead_code, reason = "the tests of the path use more of it")]
@@ -19,7 +19,7 @@
 use bulrushwind::state::explain;
 use io::BufRead;
 
-/// A process that does not outlive its test.
+/// A child process that is killed when the test ends.
 struct Killed(process::Child);
 
 impl Drop for Killed {
@@ -29,7 +29,7 @@
     }
 }
 
-/// An address that no other test listens on: loopback has more than one.
+/// A loopback address that no other test uses.
 fn own_addr() -> net::SocketAddr {
     static NEXT: atomic::AtomicU8 = atomic::AtomicU8::new(1);
     let [_, _, high, low] = process::id().to_be_bytes();
@@ -54,7 +54,7 @@
     (entry, addr)
 }
 
-/// The status once something holds.
+/// Polls the status until a condition holds.
 fn status_when(
     addr: net::SocketAddr,
     holds: impl Fn(&operators::Status) -> bool,
@@ -80,7 +80,7 @@
     let (entry, addr) = entry(&env, "e1");
     testenv::wait_answered(entry.addr(), "/availability/bays");
     assert_eq!(get(addr, "/ready"), (200, "ready\n".to_owned()));
-    // What is shown is worked out once a second, and the first answer may come before.
+    // The status is recomputed once a second, so the first answer may be older.
     let status = status_when(addr, |status| status.store_up);
     assert!(status.vm == "e1", "{status:?}");
     assert!(status.settings.contains_key("bays"), "{status:?}");
@@ -102,8 +102,8 @@
     );
 }
 
-/// A caller asks why its booking was refused, and has only the id from its answer. The log may
-/// have held the line back.
+/// A caller knows only the request id of its refused booking, and the log line may have been
+/// suppressed.
 #[test]
 fn a_refusal_is_explained_by_its_request_id() {
     let env = testenv::TestEnv::new();
@@ -126,7 +126,7 @@
     assert!(last.detail.starts_with("no-backend"), "{last:?}");
 }
 
-/// The callers' listener must not answer what is for operators only.
+/// The caller listener must not serve operator paths.
 #[test]
 fn callers_cannot_read_what_is_for_operators() {
     let env = testenv::TestEnv::new();
@@ -158,7 +158,7 @@
     assert!(shown.contains("e4") && shown.contains("ub-a"), "{shown}");
 }
 
-/// Bookings are refused because no backend server is left, and a timer asks for the report.
+/// Bookings are refused because no backend server is left, while a scheduled job runs the report.
 #[test]
 fn the_burn_report_exits_with_5_while_a_budget_burns() {
     let env = testenv::TestEnv::new();
@@ -202,8 +202,7 @@
     assert_eq!(run("text", own_addr()).0, 1);
 }
 
-/// An operator sends a log to somebody else. It must not carry what opens a door, or what a caller
-/// told in confidence.
+/// Operators may pass logs on, so logs must contain neither secrets nor callers' confidential data.
 #[test]
 fn the_log_holds_no_secret() {
     let (peer_secret, password, body) = (
