--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Settings survive being printed: what is parsed, printed and parsed again is the same.
+//! Settings that are printed and parsed again are unchanged, and malformed input is an error.
 
 use bulrushwind::settings::{self, envelope, keys};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner;
 
-/// The same cases on each run.
+/// A fixed seed, so that each run generates the same cases.
 const SEED: [u8; 32] = [7; 32];
 
 fn runner(cases: u32) -> test_runner::TestRunner {
@@ -19,7 +19,7 @@
 }
 
 fn name() -> impl Strategy<Value = String> {
-    // Quotes, backslashes, control and other characters are what printers get wrong.
+    // Includes quotes, backslashes and control characters, which printers often escape wrongly.
     prop_oneof!["[a-z][a-z0-9-]{0,12}", ".{1,12}"]
 }
 
@@ -142,7 +142,7 @@
     runner(64).run(&team(), check).unwrap();
 }
 
-/// Whatever stands in the store or comes from a peer, reading it gives an error at worst.
+/// Arbitrary bytes from the store or a peer give an error and never a panic.
 #[test]
 fn no_bytes_make_the_readers_panic() {
     let check = |bytes: Vec<u8>| {
