--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -12,10 +12,10 @@
     let mut services = collections::BTreeMap::new();
     for (name, team) in &settings.teams {
         let origin = format!("teams/{name}");
-        team_places(&origin, name, team, settings)?;
+        check_team(&origin, name, team, settings)?;
         for service in &team.services {
             if let Some(other) = services.insert(&service.name, name) {
-                return Err(value(
+                return Err(value_error(
                     &origin,
                     format!(
                         "service `{}` is declared by team `{other}` too",
@@ -30,33 +30,38 @@
     Ok(())
 }
 
-fn team_places(origin: &str, name: &id::TeamId, team: &Team, all: &Settings) -> Result<(), Error> {
+fn check_team(
+    origin: &str,
+    name: &id::TeamId,
+    team: &Team,
+    settings: &Settings,
+) -> Result<(), Error> {
     let places = team.regions.len() + team.links.len() + team.client_blocks.len();
     if places > 0 && name.as_str() != PLACES_TEAM {
-        return Err(value(
+        return Err(value_error(
             origin,
             "regions, links and client blocks are declared here".to_owned(),
             "move them to teams/places, whose team owns them",
         ));
     }
     if team.to_toml().len() > MAX_TEAM_BYTES {
-        return Err(value(
+        return Err(value_error(
             origin,
             format!("the team's settings are over {MAX_TEAM_BYTES} bytes"),
             "split the team's subtree in two teams",
         ));
     }
     for region in &team.regions {
-        share(
+        check_share(
             origin,
             &format!("region `{}`: max_load", region.name),
             region.max_load,
         )?;
-        let mut seen = all
+        let mut matching = settings
             .regions()
             .filter(|r| r.azs.iter().any(|az| region.azs.contains(az)));
-        if seen.nth(1).is_some() {
-            return Err(value(
+        if matching.nth(1).is_some() {
+            return Err(value_error(
                 origin,
                 format!(
                     "an availability zone of region `{}` is listed twice",
@@ -67,10 +72,10 @@
         }
     }
     for link in &team.links {
-        known_region(origin, all, &link.from)?;
-        known_region(origin, all, &link.to)?;
+        check_region(origin, settings, &link.from)?;
+        check_region(origin, settings, &link.to)?;
         if link.bytes_per_s == 0 || !(0.0..10_000.0).contains(&link.one_way_ms) {
-            return Err(value(
+            return Err(value_error(
                 origin,
                 format!(
                     "link `{}` to `{}` has no capacity or no sound delay",
@@ -81,12 +86,12 @@
         }
     }
     for block in &team.client_blocks {
-        known_region(origin, all, &block.region)?;
+        check_region(origin, settings, &block.region)?;
     }
     for drain in &team.drains {
-        drain_target(origin, all, &drain.target)?;
+        check_drain_target(origin, settings, &drain.target)?;
         if drain.end_s.is_some_and(|end| end <= drain.start_s) {
-            return Err(value(
+            return Err(value_error(
                 origin,
                 "a drain ends before it starts".to_owned(),
                 "give an end_s after its start_s, or none",
@@ -96,10 +101,14 @@
     Ok(())
 }
 
-fn drain_target(origin: &str, all: &Settings, target: &DrainTarget) -> Result<(), Error> {
+fn check_drain_target(
+    origin: &str,
+    settings: &Settings,
+    target: &DrainTarget,
+) -> Result<(), Error> {
     match target {
-        DrainTarget::Region(region) => known_region(origin, all, region),
-        DrainTarget::Az(az) if all.region_of(az).is_none() => Err(value(
+        DrainTarget::Region(region) => check_region(origin, settings, region),
+        DrainTarget::Az(az) if settings.region_of(az).is_none() => Err(value_error(
             origin,
             format!("a drain names the unknown availability zone `{az}`"),
             "name one that a region lists",
@@ -115,36 +124,36 @@
 ) -> Result<(), Error> {
     let at = |what: &str| format!("service `{}`: {what}", service.name);
     if service.name.as_str().is_empty() || service.name.as_str().contains(['/', '?', ' ']) {
-        return Err(value(
+        return Err(value_error(
             origin,
             at("the name cannot stand in a path"),
             "use letters, digits and -",
         ));
     }
     if let Some(az) = service.azs.iter().find(|az| !azs.contains(az)) {
-        return Err(value(
+        return Err(value_error(
             origin,
             at(&format!("unknown availability zone `{az}`")),
             "name one that a region lists",
         ));
     }
     if !(1..=10_000).contains(&service.slots) || !(1..=100_000).contains(&service.connections) {
-        return Err(value(
+        return Err(value_error(
             origin,
             at("slots or connections out of range"),
             "give slots from 1 to 10000 and connections from 1 to 100000",
         ));
     }
-    share(origin, &at("shift_cap"), service.shift_cap)?;
+    check_share(origin, &at("shift_cap"), service.shift_cap)?;
     if !(100..=3_600_000).contains(&service.shift_step_ms) {
-        return Err(value(
+        return Err(value_error(
             origin,
             at("shift_step_ms out of range"),
             "give 100 to 3600000",
         ));
     }
     if service.operations.is_empty() {
-        return Err(value(
+        return Err(value_error(
             origin,
             at("no operation"),
             "add at least one [[service.operation]]",
@@ -152,7 +161,7 @@
     }
     for op in &service.operations {
         if !op.path.starts_with('/') || op.method.is_empty() {
-            return Err(value(
+            return Err(value_error(
                 origin,
                 at(&format!("operation `{}` has no method or no path", op.name)),
                 "give a method such as GET and a path that starts with /",
@@ -160,7 +169,7 @@
         }
         if !(1..=600_000).contains(&op.patience_ms) || !(0.01..=600_000.0).contains(&op.typical_ms)
         {
-            return Err(value(
+            return Err(value_error(
                 origin,
                 at(&format!(
                     "operation `{}`: patience_ms or typical_ms out of range",
@@ -171,14 +180,14 @@
         }
     }
     let objective = &service.objective;
-    for (name, part) in [
+    for (name, ratio) in [
         ("answered", objective.answered),
         ("in_time", objective.in_time),
     ] {
-        if !(part > 0.0 && part < 1.0) {
-            return Err(value(
+        if !(ratio > 0.0 && ratio < 1.0) {
+            return Err(value_error(
                 origin,
-                at(&format!("objective.{name} is {part}")),
+                at(&format!("objective.{name} is {ratio}")),
                 "give a share above 0 and below 1, such as 0.999",
             ));
         }
@@ -186,29 +195,29 @@
     Ok(())
 }
 
-fn known_region(origin: &str, all: &Settings, region: &id::RegionId) -> Result<(), Error> {
-    if all.regions().any(|r| r.name == *region) {
+fn check_region(origin: &str, settings: &Settings, region: &id::RegionId) -> Result<(), Error> {
+    if settings.regions().any(|r| r.name == *region) {
         return Ok(());
     }
-    Err(value(
+    Err(value_error(
         origin,
         format!("unknown region `{region}`"),
         "name one that teams/places declares",
     ))
 }
 
-fn share(origin: &str, name: &str, part: f64) -> Result<(), Error> {
-    if part > 0.0 && part <= 1.0 {
+fn check_share(origin: &str, name: &str, ratio: f64) -> Result<(), Error> {
+    if ratio > 0.0 && ratio <= 1.0 {
         return Ok(());
     }
-    Err(value(
+    Err(value_error(
         origin,
-        format!("{name} is {part}"),
+        format!("{name} is {ratio}"),
         "give a share above 0 and at most 1",
     ))
 }
 
-fn value(origin: &str, what: String, remedy: &str) -> Error {
+fn value_error(origin: &str, what: String, remedy: &str) -> Error {
     Error::Value {
         origin: origin.to_owned(),
         what,
--- a/src/settings/envelope.rs
+++ b/src/settings/envelope.rs
@@ -19,7 +19,7 @@
 pub const MAX_ENVELOPE_BYTES: usize = 1 << 20;
 
 /// Domain separator: keeps an envelope's signature from being valid for another kind of data.
-const DOMAIN: &str = "bulrushwind settings 1";
+const SIGNATURE_DOMAIN: &str = "bulrushwind settings 1";
 
 name! {
     /// Random id of a change. A writer without a reply finds it in the store if the write
@@ -34,7 +34,7 @@
     #[error(
         "the settings in the store cannot be read: {0}; write them again with `bulrushwind apply`"
     )]
-    Garbled(String),
+    Undecodable(String),
     /// The envelope exceeds the store's value limit.
     #[error(
         "team `{team}`'s settings take {bytes} bytes in the store, which holds {MAX_ENVELOPE_BYTES}; split the team's subtree in two teams"
@@ -49,7 +49,7 @@
     #[error(
         "the settings are team `{of}`'s but stand under `{at}`; each team writes only under its own name"
     )]
-    WrongPlace {
+    WrongTeam {
         /// The team in the envelope.
         of: id::TeamId,
         /// The team in the store key.
@@ -85,7 +85,7 @@
     #[error(
         "team `{team}`'s settings were changed after they were signed; write them again with `bulrushwind apply`"
     )]
-    Forged {
+    BadSignature {
         /// The team.
         team: id::TeamId,
     },
@@ -155,9 +155,9 @@
     /// [`Envelope::verify`].
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         if bytes.len() > MAX_ENVELOPE_BYTES {
-            return Err(Error::Garbled(format!("{} bytes", bytes.len())));
+            return Err(Error::Undecodable(format!("{} bytes", bytes.len())));
         }
-        serde_json::from_slice(bytes).map_err(|err| Error::Garbled(err.to_string()))
+        serde_json::from_slice(bytes).map_err(|err| Error::Undecodable(err.to_string()))
     }
 
     /// Encodes the envelope for the store. Fails if it exceeds [`MAX_ENVELOPE_BYTES`].
@@ -178,7 +178,7 @@
         let team = self.team.clone();
         if team != *at || team != ring.ring().team {
             let at = at.clone();
-            return Err(Error::WrongPlace { of: team, at });
+            return Err(Error::WrongTeam { of: team, at });
         }
         let key = self.key.clone();
         let Some(known) = ring.key(&self.key) else {
@@ -201,14 +201,14 @@
             &self.key,
         );
         if !known.public.verifies(&bytes, &self.signature) {
-            return Err(Error::Forged { team });
+            return Err(Error::BadSignature { team });
         }
         Ok(())
     }
 
     /// Checks that the envelope is not older than version `held`. An equal version is accepted,
     /// because each re-read delivers the version in force again.
-    pub fn supersedes(&self, held: Option<u64>) -> Result<(), Error> {
+    pub fn check_version(&self, held: Option<u64>) -> Result<(), Error> {
         match held {
             Some(held) if self.version < held => Err(Error::Stale {
                 team: self.team.clone(),
@@ -233,7 +233,7 @@
     key: &keys::KeyId,
 ) -> Vec<u8> {
     let mut buf = Vec::with_capacity(text.len() + 256);
-    keys::push_field(&mut buf, DOMAIN.as_bytes());
+    keys::push_field(&mut buf, SIGNATURE_DOMAIN.as_bytes());
     keys::push_field(&mut buf, team.as_str().as_bytes());
     keys::push_field(&mut buf, &version.to_be_bytes());
     keys::push_field(&mut buf, change.as_str().as_bytes());
@@ -277,7 +277,7 @@
     }
 
     #[test]
-    fn a_signed_envelope_survives_the_store() {
+    fn a_signed_envelope_round_trips() {
         let team = Team::new();
         let envelope = team.envelope(7);
         let read = Envelope::decode(&envelope.encode().unwrap()).unwrap();
@@ -311,7 +311,7 @@
         ];
         for envelope in changed {
             let err = envelope.verify(&at, &ring).unwrap_err();
-            assert!(matches!(err, Error::Forged { .. }), "{err}");
+            assert!(matches!(err, Error::BadSignature { .. }), "{err}");
         }
     }
 
@@ -323,23 +323,23 @@
             .envelope(7)
             .verify(&"records".into(), &team.ring(None))
             .unwrap_err();
-        assert!(matches!(err, Error::WrongPlace { .. }), "{err}");
+        assert!(matches!(err, Error::WrongTeam { .. }), "{err}");
     }
 
     /// An old envelope from a restored backup or a partitioned peer would undo an accepted change.
     #[test]
     fn an_older_version_is_refused() {
         let envelope = Team::new().envelope(7);
-        let err = envelope.supersedes(Some(8)).unwrap_err();
+        let err = envelope.check_version(Some(8)).unwrap_err();
         assert!(matches!(err, Error::Stale { held: 8, .. }), "{err}");
-        assert!(envelope.supersedes(Some(7)).is_ok());
-        assert!(envelope.supersedes(None).is_ok());
+        assert!(envelope.check_version(Some(7)).is_ok());
+        assert!(envelope.check_version(None).is_ok());
     }
 
     /// A VM that starts after a key rotation reads settings signed by the retired key. If it
     /// refused them, it would serve nothing until the settings were applied again.
     #[test]
-    fn a_retired_key_keeps_what_it_signed_before() {
+    fn versions_signed_before_a_key_retired_stay_valid() {
         let team = Team::new();
         let (at, ring) = (id::TeamId::from("bays"), team.ring(Some(7)));
         team.envelope(6).verify(&at, &ring).unwrap();
@@ -353,7 +353,7 @@
     }
 
     #[test]
-    fn too_large_an_envelope_is_refused_before_the_store_sees_it() {
+    fn a_too_large_envelope_is_refused_before_it_is_written() {
         let team = Team::new();
         let text = "\"".repeat(MAX_ENVELOPE_BYTES / 2 + 1);
         let envelope = Envelope::sign("bays".into(), 1, ChangeId::draw(), text, &team.key);
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -33,10 +33,10 @@
 const MAX_RING_BYTES: usize = 32 * 1024;
 
 /// Domain separator: keeps a ring's signature from being valid for another kind of data.
-const RING_DOMAIN: &str = "bulrushwind key ring 1";
+const RING_SIGNATURE_DOMAIN: &str = "bulrushwind key ring 1";
 
 /// First word of a secret key file; distinguishes it from a public key.
-const SECRET_WORD: &str = "bulrushwind-secret-key";
+const SECRET_KEY_PREFIX: &str = "bulrushwind-secret-key";
 
 name! {
     /// A key's id: the first 8 bytes of the public key's SHA-256 hash, in hex.
@@ -54,10 +54,10 @@
     },
     /// The bytes do not decode to a key ring.
     #[error("the key ring cannot be read: {0}; write it again with `bulrushwind keys`")]
-    Garbled(String),
+    Undecodable(String),
     /// The ring names a different team than its store key.
     #[error("the key ring is team `{of}`'s but stands under `{at}`; write it under its own team")]
-    WrongPlace {
+    WrongTeam {
         /// The team in the ring.
         of: id::TeamId,
         /// The team in the store key.
@@ -67,7 +67,7 @@
     #[error(
         "team `{team}`'s key ring is not signed by a known root key; sign it with a root key whose public half is in `root_keys`"
     )]
-    NotRoot {
+    UnknownRoot {
         /// The team.
         team: id::TeamId,
     },
@@ -75,7 +75,7 @@
     #[error(
         "team `{team}`'s key ring was changed after it was signed; write it again with `bulrushwind keys`"
     )]
-    Forged {
+    BadSignature {
         /// The team.
         team: id::TeamId,
     },
@@ -93,7 +93,7 @@
     },
     /// The ring has more than [`MAX_KEYS`] keys.
     #[error("a team has at most {MAX_KEYS} keys; take out those that were revoked")]
-    TooMany,
+    TooManyKeys,
 }
 
 data! {
@@ -154,14 +154,20 @@
 
     /// Parses the text of a secret key file.
     pub fn parse(text: &str) -> Result<Self, Error> {
-        let hex = text.trim().strip_prefix(SECRET_WORD).unwrap_or_default();
-        let seed = bytes(hex.trim()).ok_or(Error::Malformed { what: "secret" })?;
+        let hex = text
+            .trim()
+            .strip_prefix(SECRET_KEY_PREFIX)
+            .unwrap_or_default();
+        let seed = decode_hex(hex.trim()).ok_or(Error::Malformed { what: "secret" })?;
         Ok(Self(ed25519_dalek::SigningKey::from_bytes(&seed)))
     }
 
     /// Formats the key as the text of a secret key file.
     pub fn to_text(&self) -> String {
-        format!("{SECRET_WORD} {}\n", HEXLOWER.encode(self.0.as_bytes()))
+        format!(
+            "{SECRET_KEY_PREFIX} {}\n",
+            HEXLOWER.encode(self.0.as_bytes())
+        )
     }
 
     /// The public key.
@@ -200,7 +206,7 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        let bytes = bytes(text).ok_or(Error::Malformed { what: "public" })?;
+        let bytes = decode_hex(text).ok_or(Error::Malformed { what: "public" })?;
         Ok(Self(bytes))
     }
 }
@@ -229,7 +235,7 @@
     type Error = Error;
 
     fn try_from(text: String) -> Result<Self, Error> {
-        let bytes = bytes(&text).ok_or(Error::Garbled("not a signature".to_owned()))?;
+        let bytes = decode_hex(&text).ok_or(Error::Undecodable("not a signature".to_owned()))?;
         Ok(Self(bytes))
     }
 }
@@ -249,7 +255,7 @@
         root: &SecretKey,
     ) -> Result<Self, Error> {
         if keys.len() > MAX_KEYS {
-            return Err(Error::TooMany);
+            return Err(Error::TooManyKeys);
         }
         let root_id = root.public().id();
         let signature = root.sign(&signed_bytes(&team, version, &keys, &root_id));
@@ -265,9 +271,9 @@
     /// Decodes a stored ring. Its signature is not checked; see [`KeyRing::verify`].
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         if bytes.len() > MAX_RING_BYTES {
-            return Err(Error::TooMany);
+            return Err(Error::TooManyKeys);
         }
-        serde_json::from_slice(bytes).map_err(|err| Error::Garbled(err.to_string()))
+        serde_json::from_slice(bytes).map_err(|err| Error::Undecodable(err.to_string()))
     }
 
     /// Encodes the ring for the store.
@@ -285,14 +291,14 @@
     ) -> Result<Trusted, Error> {
         if self.team != *at {
             let (of, at) = (self.team, at.clone());
-            return Err(Error::WrongPlace { of, at });
+            return Err(Error::WrongTeam { of, at });
         }
         let Some(root) = roots.iter().find(|root| root.id() == self.root) else {
-            return Err(Error::NotRoot { team: self.team });
+            return Err(Error::UnknownRoot { team: self.team });
         };
         let bytes = signed_bytes(&self.team, self.version, &self.keys, &self.root);
         if !root.verifies(&bytes, &self.signature) {
-            return Err(Error::Forged { team: self.team });
+            return Err(Error::BadSignature { team: self.team });
         }
         if let Some(held) = held.filter(|held| *held > self.version) {
             return Err(Error::Stale {
@@ -349,7 +355,7 @@
 
 fn signed_bytes(team: &id::TeamId, version: u64, keys: &[TeamKey], root: &KeyId) -> Vec<u8> {
     let mut buf = Vec::new();
-    push_field(&mut buf, RING_DOMAIN.as_bytes());
+    push_field(&mut buf, RING_SIGNATURE_DOMAIN.as_bytes());
     push_field(&mut buf, team.as_str().as_bytes());
     push_field(&mut buf, &version.to_be_bytes());
     push_field(&mut buf, root.as_str().as_bytes());
@@ -362,7 +368,7 @@
     buf
 }
 
-fn bytes<const N: usize>(hex: &str) -> Option<[u8; N]> {
+fn decode_hex<const N: usize>(hex: &str) -> Option<[u8; N]> {
     HEXLOWER.decode(hex.as_bytes()).ok()?.try_into().ok()
 }
 
@@ -380,7 +386,7 @@
     }
 
     #[test]
-    fn a_ring_survives_the_store_and_is_trusted_in_its_place() {
+    fn a_ring_round_trips_and_verifies_for_its_team() {
         let root = SecretKey::generate();
         let ring = ring(&root, 1);
         let read = KeyRing::decode(&ring.encode()).unwrap();
@@ -391,19 +397,19 @@
     /// An attacker with write access to the store, but without a root key, stores a ring with their
     /// own key and could then change the team's settings.
     #[test]
-    fn rings_of_strangers_are_refused() {
+    fn rings_without_a_valid_root_signature_are_refused() {
         let (root, stranger) = (SecretKey::generate(), SecretKey::generate());
         let at = id::TeamId::from("bays");
         let err = ring(&stranger, 1).verify(&at, &[root.public()], None);
-        assert!(matches!(err, Err(Error::NotRoot { .. })), "{err:?}");
+        assert!(matches!(err, Err(Error::UnknownRoot { .. })), "{err:?}");
 
         let mut forged = ring(&root, 1);
         forged.keys[0].public = stranger.public();
         let err = forged.verify(&at, &[root.public()], None);
-        assert!(matches!(err, Err(Error::Forged { .. })), "{err:?}");
+        assert!(matches!(err, Err(Error::BadSignature { .. })), "{err:?}");
 
         let err = ring(&root, 1).verify(&"records".into(), &[root.public()], None);
-        assert!(matches!(err, Err(Error::WrongPlace { .. })), "{err:?}");
+        assert!(matches!(err, Err(Error::WrongTeam { .. })), "{err:?}");
     }
 
     /// An old ring, written again after a revocation, would let the revoked key sign settings.
@@ -421,7 +427,7 @@
     }
 
     #[test]
-    fn a_secret_key_survives_its_file_and_does_not_print() {
+    fn a_secret_key_round_trips_and_is_not_printed() {
         let key = SecretKey::generate();
         let read = SecretKey::parse(&key.to_text()).unwrap();
         assert_eq!(read.public(), key.public());
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -107,7 +107,7 @@
         let mut team = Self::default();
         for path in toml_files(dir)? {
             let text = fs::read_to_string(&path).map_err(|err| read_error(&path, &err))?;
-            team.join(Self::parse(&path.display().to_string(), &text)?);
+            team.merge(Self::parse(&path.display().to_string(), &text)?);
         }
         Ok(team)
     }
@@ -117,7 +117,7 @@
         toml::to_string_pretty(self).expect("a team's part has only values that TOML can hold")
     }
 
-    fn join(&mut self, other: Self) {
+    fn merge(&mut self, other: Self) {
         self.regions.extend(other.regions);
         self.links.extend(other.links);
         self.client_blocks.extend(other.client_blocks);
@@ -221,7 +221,7 @@
     use super::*;
 
     #[test]
-    fn both_deployments_are_sound() {
+    fn example_settings_are_valid() {
         for deployment in ["cooperative", "claims"] {
             let root = path::Path::new("examples").join(deployment);
             let settings = Settings::read(&root).unwrap();
@@ -231,7 +231,7 @@
     }
 
     #[test]
-    fn a_printed_part_parses_back() {
+    fn printed_settings_parse_back() {
         let team = Team::read(path::Path::new("examples/cooperative/teams/places")).unwrap();
         assert_eq!(Team::parse("printed", &team.to_toml()).unwrap(), team);
     }
