--- a/src/burn/html.rs
+++ b/src/burn/html.rs
@@ -4,13 +4,13 @@
 use crate::cli::output;
 
 /// Size of a plot, in pixels.
-const WIDTH: f64 = 380.0;
-const HEIGHT: f64 = 120.0;
+const PLOT_WIDTH_PX: f64 = 380.0;
+const PLOT_HEIGHT_PX: f64 = 120.0;
 
 /// Margins for a plot's axes, in pixels.
-const LEFT: f64 = 56.0;
-const BOTTOM: f64 = 18.0;
-const TOP: f64 = 10.0;
+const LEFT_MARGIN_PX: f64 = 56.0;
+const BOTTOM_MARGIN_PX: f64 = 18.0;
+const TOP_MARGIN_PX: f64 = 10.0;
 
 const STYLE: &str = "
 body { font: 15px/1.45 system-ui, sans-serif; color: #1d2430; background: #f6f7f9; margin: 2rem auto; max-width: 82rem; padding: 0 1.5rem; }
@@ -48,14 +48,14 @@
         ));
     }
     for service in &report.services {
-        page.push_str(&of_service(service));
+        page.push_str(&render_service(service));
     }
     page.push_str(&drains(report));
     page.push_str("</body></html>\n");
     page
 }
 
-fn of_service(service: &report::Service) -> String {
+fn render_service(service: &report::Service) -> String {
     let objective = &service.objective;
     let mut html = format!(
         "<section><h2>{}</h2><p class=\"note\">{} answered, {} of them within {} ms</p>\n",
@@ -147,7 +147,7 @@
     points: Vec<(u64, Option<f64>)>,
     /// Horizontal reference line, such as the objective's limit.
     limit: Option<f64>,
-    unit: fn(f64) -> String,
+    format_value: fn(f64) -> String,
 }
 
 fn plots(service: &report::Service) -> String {
@@ -155,7 +155,7 @@
         return "<p class=\"note\">No plots yet: the entry VMs remember less than two minutes.</p>\n"
             .to_owned();
     }
-    let of = |value: fn(&report::Point) -> Option<f64>| {
+    let series = |value: fn(&report::Point) -> Option<f64>| {
         let points = service
             .points
             .iter()
@@ -163,28 +163,28 @@
         points.collect::<Vec<_>>()
     };
     let objective = &service.objective;
-    let load = service.regions.iter().map(|region| region.max_load);
+    let max_loads = service.regions.iter().map(|region| region.max_load);
     let all = [
         Plot {
             caption: "Unanswered, and the share that the objective allows",
             color: "#b3261e",
-            points: of(|point| (point.requests > 0).then_some(point.unanswered)),
+            points: series(|point| (point.requests > 0).then_some(point.unanswered)),
             limit: Some(1.0 - objective.answered),
-            unit: text::percent_exact,
+            format_value: text::percent_exact,
         },
         Plot {
             caption: "p99 latency, and the objective's",
             color: "#2456a6",
-            points: of(|point| point.p99_s.filter(|s| s.is_finite())),
+            points: series(|point| point.p99_s.filter(|s| s.is_finite())),
             limit: Some(objective.latency_ms as f64 / 1000.0),
-            unit: |s| format!("{:.0} ms", s * 1000.0),
+            format_value: |s| format!("{:.0} ms", s * 1000.0),
         },
         Plot {
             caption: "Peak load of the slots, and the lowest limit",
             color: "#1a7f43",
-            points: of(|point| Some(point.peak_load)),
-            limit: load.reduce(f64::min),
-            unit: output::percent,
+            points: series(|point| Some(point.peak_load)),
+            limit: max_loads.reduce(f64::min),
+            format_value: output::percent,
         },
     ];
     let figures = all.iter().map(figure).collect::<String>();
@@ -193,7 +193,7 @@
 
 fn figure(plot: &Plot<'_>) -> String {
     let values = plot.points.iter().filter_map(|(_, value)| *value);
-    let top = values.chain(plot.limit).fold(0.0, f64::max).max(1e-6) * 1.1;
+    let y_max = values.chain(plot.limit).fold(0.0, f64::max).max(1e-6) * 1.1;
     let oldest = plot
         .points
         .iter()
@@ -201,32 +201,36 @@
         .max()
         .unwrap_or(1)
         .max(1);
-    let x = |ago: u64| LEFT + (WIDTH - LEFT) * (1.0 - ago as f64 / oldest as f64);
-    let y = |value: f64| TOP + (HEIGHT - TOP - BOTTOM) * (1.0 - value / top);
+    let x = |ago: u64| {
+        LEFT_MARGIN_PX + (PLOT_WIDTH_PX - LEFT_MARGIN_PX) * (1.0 - ago as f64 / oldest as f64)
+    };
+    let y = |value: f64| {
+        TOP_MARGIN_PX + (PLOT_HEIGHT_PX - TOP_MARGIN_PX - BOTTOM_MARGIN_PX) * (1.0 - value / y_max)
+    };
     let mut svg = format!(
-        "<svg width=\"{WIDTH}\" height=\"{HEIGHT}\" viewBox=\"0 0 {WIDTH} {HEIGHT}\" role=\"img\" aria-label=\"{}\">",
+        "<svg width=\"{PLOT_WIDTH_PX}\" height=\"{PLOT_HEIGHT_PX}\" viewBox=\"0 0 {PLOT_WIDTH_PX} {PLOT_HEIGHT_PX}\" role=\"img\" aria-label=\"{}\">",
         escape(plot.caption)
     );
-    for value in [0.0, top / 1.1] {
+    for value in [0.0, y_max / 1.1] {
         let at = y(value);
         svg.push_str(&format!(
-            "<line x1=\"{LEFT}\" y1=\"{at:.1}\" x2=\"{WIDTH}\" y2=\"{at:.1}\" stroke=\"#e3e6eb\"/><text x=\"{:.0}\" y=\"{:.1}\" text-anchor=\"end\">{}</text>",
-            LEFT - 6.0,
+            "<line x1=\"{LEFT_MARGIN_PX}\" y1=\"{at:.1}\" x2=\"{PLOT_WIDTH_PX}\" y2=\"{at:.1}\" stroke=\"#e3e6eb\"/><text x=\"{:.0}\" y=\"{:.1}\" text-anchor=\"end\">{}</text>",
+            LEFT_MARGIN_PX - 6.0,
             at + 4.0,
-            (plot.unit)(value)
+            (plot.format_value)(value)
         ));
     }
     if let Some(limit) = plot.limit {
         let at = y(limit);
         svg.push_str(&format!(
-            "<line x1=\"{LEFT}\" y1=\"{at:.1}\" x2=\"{WIDTH}\" y2=\"{at:.1}\" stroke=\"#8a94a3\" stroke-dasharray=\"4 3\"/>"
+            "<line x1=\"{LEFT_MARGIN_PX}\" y1=\"{at:.1}\" x2=\"{PLOT_WIDTH_PX}\" y2=\"{at:.1}\" stroke=\"#8a94a3\" stroke-dasharray=\"4 3\"/>"
         ));
     }
     svg.push_str(&line(plot, &x, &y));
     svg.push_str(&format!(
-        "<text x=\"{LEFT}\" y=\"{:.0}\">{} ago</text><text x=\"{WIDTH}\" y=\"{0:.0}\" text-anchor=\"end\">now</text></svg>",
-        HEIGHT - 3.0,
-        output::seconds(oldest * 1000)
+        "<text x=\"{LEFT_MARGIN_PX}\" y=\"{:.0}\">{} ago</text><text x=\"{PLOT_WIDTH_PX}\" y=\"{0:.0}\" text-anchor=\"end\">now</text></svg>",
+        PLOT_HEIGHT_PX - 3.0,
+        output::format_duration(oldest * 1000)
     ));
     format!(
         "<figure><figcaption>{}</figcaption>{svg}</figure>",
@@ -268,7 +272,7 @@
     /// An unrelated process answers on an entry VM's address, and its error text contains markup.
     /// The operator's browser must not execute it.
     #[test]
-    fn what_others_say_is_escaped() {
+    fn error_texts_are_escaped() {
         let report = report::Report {
             at_s: 0,
             entries: 0,
--- a/src/burn/mod.rs
+++ b/src/burn/mod.rs
@@ -22,18 +22,18 @@
 
 /// Writes the report and returns the exit code.
 pub fn run(args: &args::Args) -> exit_codes::ExitCode {
-    match make(args) {
+    match run_report(args) {
         Ok(code) => code,
         Err(err) => output::error(&err),
     }
 }
 
-fn make(args: &args::Args) -> Result<exit_codes::ExitCode, error::Error> {
+fn run_report(args: &args::Args) -> Result<exit_codes::ExitCode, error::Error> {
     let out = output::Output::new(cli::args::Format::Table, args.color);
     let cx = cli::Context::new(&args.place, out)?;
     let addrs = entries::addresses(&cx)?;
     let windows = history::WINDOWS_S.map(|s| s.to_string()).join(",");
-    let answers = entries::ask(&addrs, |addr| {
+    let answers = entries::query_all(&addrs, |addr| {
         let body = entries::get(addr, &format!("/history?windows={windows}"), "operators'")?;
         serde_json::from_slice(&body).map_err(|err| error::Error::Entry {
             addr: addr.to_string(),
@@ -41,15 +41,15 @@
             listener: "operators'",
         })
     });
-    let (mut told, mut silent) = (Vec::new(), Vec::new());
+    let (mut histories, mut silent) = (Vec::new(), Vec::new());
     for answer in answers {
-        match answer.got {
-            Ok(history) => told.push(history),
+        match answer.result {
+            Ok(history) => histories.push(history),
             Err(err) => silent.push(err.to_string()),
         }
     }
     let settings = objectives(&cx)?;
-    let report = report::Report::make(&settings, &told, silent, cli::now().as_secs());
+    let report = report::Report::build(&settings, &histories, silent, cli::now().as_secs());
     write(args, &report)?;
     if report.entries == 0 {
         return Ok(exit_codes::ExitCode::Failure);
@@ -68,7 +68,7 @@
 /// store is unreachable, since the report matters most during an outage.
 fn objectives(cx: &cli::Context) -> Result<settings::Settings, error::Error> {
     match cx.remote() {
-        Ok(remote) if !remote.held.is_empty() => Ok(remote.settings()),
+        Ok(remote) if !remote.stored.is_empty() => Ok(remote.settings()),
         from_store => {
             let dir = directory::Directory::read(&cx.place.dir);
             let Ok(dir) = dir else {
--- a/src/burn/report.rs
+++ b/src/burn/report.rs
@@ -13,10 +13,10 @@
 pub const SLOW_BURN: f64 = 6.0;
 
 /// Minimum requests in the shorter window for an alert; below it, one failure is a fast burn.
-const FEWEST: u64 = 20;
+const MIN_ALERT_REQUESTS: u64 = 20;
 
 /// Time without a request after which a drained target counts as empty.
-const QUIET_S: u64 = 5;
+const MIN_IDLE_S: u64 = 5;
 
 data! {
     /// The burn report.
@@ -134,63 +134,63 @@
 impl Region {
     /// In-flight and queued requests divided by the slots.
     pub fn load(&self) -> f64 {
-        share(self.in_hand, self.slots)
+        ratio(self.in_hand, self.slots)
     }
 }
 
 impl Report {
     /// Aggregates the entry VMs' histories.
-    pub fn make(
+    pub fn build(
         settings: &settings::Settings,
-        told: &[history::History],
+        histories: &[history::History],
         silent: Vec<String>,
         at_s: u64,
     ) -> Self {
         let services = settings.services().map(|service| {
-            let found: Vec<_> = told
+            let vm_services: Vec<_> = histories
                 .iter()
                 .filter_map(|vm| Some((vm.az.as_str(), vm.services.get(&service.name)?)))
                 .collect();
-            of_service(settings, service, &found)
+            service_report(settings, service, &vm_services)
         });
         Self {
             at_s,
-            entries: told.len(),
+            entries: histories.len(),
             silent,
             services: services.collect(),
-            drains: drains(told),
+            drains: drains(histories),
         }
     }
 }
 
-type Found<'a> = [(&'a str, &'a history::Service)];
+type VmServices<'a> = [(&'a str, &'a history::Service)];
 
-fn of_service(
+fn service_report(
     settings: &settings::Settings,
     service: &settings::Service,
-    found: &Found<'_>,
+    vm_services: &VmServices<'_>,
 ) -> Service {
     let windows: Vec<Window> = history::WINDOWS_S
         .iter()
-        .map(|asked_s| window(service, found, *asked_s))
+        .map(|asked_s| window(service, vm_services, *asked_s))
         .collect();
-    let regions = regions(settings, found);
+    let regions = regions(settings, vm_services);
     let slots = regions.iter().map(|region| region.slots).sum();
     Service {
         name: service.name.clone(),
         objective: service.objective.clone(),
         alerts: alerts(&windows),
         windows,
-        points: points(found, slots),
+        points: points(vm_services, slots),
         regions,
     }
 }
 
-fn window(service: &settings::Service, found: &Found<'_>, asked_s: u64) -> Window {
+fn window(service: &settings::Service, vm_services: &VmServices<'_>, asked_s: u64) -> Window {
     let mut all = totals::Totals::default();
     let (mut full, mut of, mut shortest_s) = (0, 0, asked_s);
-    for (_, told) in found {
-        let Some(window) = told.windows.iter().find(|w| w.asked_s == asked_s) else {
+    for (_, vm_service) in vm_services {
+        let Some(window) = vm_service.windows.iter().find(|w| w.asked_s == asked_s) else {
             continue;
         };
         all.add(&window.totals);
@@ -199,8 +199,8 @@
         shortest_s = shortest_s.min(window.covers_s);
     }
     let bad = all.requests() - all.answered;
-    let unanswered = share(bad, all.requests());
-    let late = share(all.answered - all.in_time.min(all.answered), all.answered);
+    let unanswered = ratio(bad, all.requests());
+    let late = ratio(all.answered - all.in_time.min(all.answered), all.answered);
     Window {
         asked_s,
         full,
@@ -234,13 +234,13 @@
             let (Some(short), Some(long)) = (windows.get(short), windows.get(long)) else {
                 continue;
             };
-            if short.requests >= FEWEST && burn(short) > limit && burn(long) > limit {
+            if short.requests >= MIN_ALERT_REQUESTS && burn(short) > limit && burn(long) > limit {
                 found.push(format!(
                     "objective `{name}` burns {:.1} times too fast over {} and {:.1} times over {}; {limit} is the most",
                     burn(short),
-                    span(short.asked_s),
+                    format_window(short.asked_s),
                     burn(long),
-                    span(long.asked_s),
+                    format_window(long.asked_s),
                 ));
             }
         }
@@ -249,12 +249,12 @@
 }
 
 /// Load by region. An availability zone's slots count once, although each of its VMs reports them.
-fn regions(settings: &settings::Settings, found: &Found<'_>) -> Vec<Region> {
+fn regions(settings: &settings::Settings, vm_services: &VmServices<'_>) -> Vec<Region> {
     let mut azs = collections::BTreeMap::<&str, (u64, u64)>::new();
-    for (az, told) in found {
+    for (az, vm_service) in vm_services {
         let sum = azs.entry(az).or_default();
-        sum.0 = sum.0.max(told.slots);
-        sum.1 += told.in_hand;
+        sum.0 = sum.0.max(vm_service.slots);
+        sum.1 += vm_service.in_hand;
     }
     let of_region = |region: &settings::Region| {
         let mut sum = Region {
@@ -278,8 +278,12 @@
 }
 
 /// Aggregates the VMs' intervals, using the longest interval as the common resolution.
-fn points(found: &Found<'_>, slots: u64) -> Vec<Point> {
-    let stretches = || found.iter().flat_map(|(_, told)| &told.stretches);
+fn points(vm_services: &VmServices<'_>, slots: u64) -> Vec<Point> {
+    let stretches = || {
+        vm_services
+            .iter()
+            .flat_map(|(_, vm_service)| &vm_service.stretches)
+    };
     let step_s = stretches().map(|s| s.lasted_s).max().unwrap_or(60).max(60);
     let mut grid = collections::BTreeMap::<u64, (totals::Totals, u64)>::new();
     for stretch in stretches() {
@@ -290,19 +294,19 @@
     let point = |(cell, (all, peak)): (u64, (totals::Totals, u64))| Point {
         ago_s: cell * step_s,
         requests: all.requests(),
-        unanswered: share(all.requests() - all.answered, all.requests()),
-        late: share(all.answered - all.in_time.min(all.answered), all.answered),
+        unanswered: ratio(all.requests() - all.answered, all.requests()),
+        late: ratio(all.answered - all.in_time.min(all.answered), all.answered),
         p99_s: all.quantile(0.99),
-        peak_load: share(peak, slots),
+        peak_load: ratio(peak, slots),
     };
     grid.into_iter().rev().map(point).collect()
 }
 
-fn drains(told: &[history::History]) -> Vec<Drain> {
-    let mut found = collections::BTreeMap::<(&str, u64), Drain>::new();
-    for drain in told.iter().flat_map(|vm| &vm.drains) {
+fn drains(histories: &[history::History]) -> Vec<Drain> {
+    let mut drains = collections::BTreeMap::<(&str, u64), Drain>::new();
+    for drain in histories.iter().flat_map(|vm| &vm.drains) {
         let key = (drain.target.as_str(), drain.start_s);
-        let sum = found.entry(key).or_insert_with(|| Drain {
+        let sum = drains.entry(key).or_insert_with(|| Drain {
             target: drain.target.clone(),
             start_s: drain.start_s,
             took_s: 0,
@@ -310,14 +314,14 @@
             in_flight: 0,
         });
         sum.took_s = sum.took_s.max(drain.last_sent_s.unwrap_or(0));
-        sum.empty &= drain.quiet_s >= QUIET_S && drain.in_flight == 0;
+        sum.empty &= drain.quiet_s >= MIN_IDLE_S && drain.in_flight == 0;
         sum.in_flight += drain.in_flight;
     }
-    found.into_values().collect()
+    drains.into_values().collect()
 }
 
 /// Divides `part` by `whole`; 0 if `whole` is 0.
-fn share(part: u64, whole: u64) -> f64 {
+fn ratio(part: u64, whole: u64) -> f64 {
     if whole == 0 {
         return 0.0;
     }
@@ -325,7 +329,7 @@
 }
 
 /// Formats a window's length in the largest unit that divides it.
-pub fn span(s: u64) -> String {
+pub fn format_window(s: u64) -> String {
     match s {
         s if s % 3600 == 0 => format!("{} h", s / 3600),
         s if s % 60 == 0 => format!("{} min", s / 60),
@@ -369,8 +373,8 @@
         }
     }
 
-    fn ledger(told: &[history::History]) -> Service {
-        let report = Report::make(&settings(), told, Vec::new(), 0);
+    fn ledger(histories: &[history::History]) -> Service {
+        let report = Report::build(&settings(), histories, Vec::new(), 0);
         let ledger = |service: &Service| service.name.as_str() == "ledger";
         report.services.into_iter().find(ledger).unwrap()
     }
@@ -389,7 +393,7 @@
 
     /// One VM was replaced ten minutes ago, so its history is shorter than the windows.
     #[test]
-    fn a_window_says_how_many_vms_reach_back() {
+    fn a_window_counts_the_vms_that_cover_it() {
         let service = ledger(&[vm("ub-a", 21_600, 10, 0), vm("ub-b", 600, 10, 0)]);
         let reach: Vec<_> = service
             .windows
--- a/src/burn/text.rs
+++ b/src/burn/text.rs
@@ -11,7 +11,7 @@
         text.push_str(&format!("{}\n", styled(WARN, &format!("silent: {silent}"))));
     }
     for service in &report.services {
-        text.push_str(&of_service(service));
+        text.push_str(&render_service(service));
     }
     if !report.drains.is_empty() {
         let rows: Vec<_> = report.drains.iter().map(drain_row).collect();
@@ -24,7 +24,7 @@
     text
 }
 
-fn of_service(service: &report::Service) -> String {
+fn render_service(service: &report::Service) -> String {
     let objective = &service.objective;
     let mut text = format!(
         "\nservice {}: {} answered, {} of them within {} ms\n",
@@ -73,8 +73,8 @@
 /// Table row for a window.
 pub(super) fn window_row(window: &report::Window) -> Vec<String> {
     vec![
-        report::span(window.asked_s),
-        reach(window),
+        report::format_window(window.asked_s),
+        coverage(window),
         window.requests.to_string(),
         percent_exact(window.unanswered),
         format!("{:.1}", window.answered_burn),
@@ -89,7 +89,7 @@
 }
 
 /// Describes how many VMs' histories cover the window.
-pub fn reach(window: &report::Window) -> String {
+pub fn coverage(window: &report::Window) -> String {
     if window.of == 0 {
         return "no VM knows it".to_owned();
     }
@@ -100,7 +100,7 @@
         "{} of {} VMs; shortest {}",
         window.full,
         window.of,
-        output::seconds(window.shortest_s * 1000)
+        output::format_duration(window.shortest_s * 1000)
     )
 }
 
@@ -142,7 +142,7 @@
     vec![
         drain.target.clone(),
         state.to_owned(),
-        output::seconds(drain.took_s * 1000),
+        output::format_duration(drain.took_s * 1000),
         drain.in_flight.to_string(),
     ]
 }
