--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -15,10 +15,10 @@
 use crate::{error, id, settings};
 
 /// Attempts at one write before its outcome is reported as unresolved.
-const TRIES: u32 = 5;
+const MAX_WRITE_ATTEMPTS: u32 = 5;
 
 /// Delay after the first attempt; it doubles after each further attempt.
-const FIRST_PAUSE: time::Duration = time::Duration::from_millis(50);
+const INITIAL_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
 
 data! {
     /// A change that was written to the store.
@@ -41,9 +41,9 @@
     /// Changes that were written.
     pub written: Vec<Written>,
     /// Teams that were not written.
-    pub left: Vec<id::TeamId>,
+    pub not_written: Vec<id::TeamId>,
     /// The error that stopped the apply.
-    pub fault: Option<error::Error>,
+    pub error: Option<error::Error>,
 }
 
 /// Signing key and time of an apply.
@@ -68,21 +68,21 @@
     let signed = match signed.collect::<Result<Vec<_>, _>>() {
         Ok(signed) => signed,
         Err(err) => {
-            outcome.left = plan.changes.iter().map(|c| c.team.clone()).collect();
-            outcome.fault = Some(err);
+            outcome.not_written = plan.changes.iter().map(|c| c.team.clone()).collect();
+            outcome.error = Some(err);
             return outcome;
         }
     };
     for (change, envelope) in plan.changes.iter().zip(signed) {
-        if outcome.fault.is_some() {
-            outcome.left.push(change.team.clone());
+        if outcome.error.is_some() {
+            outcome.not_written.push(change.team.clone());
             continue;
         }
         match write(store, change, &envelope, roots) {
             Ok(written) => outcome.written.push(written),
             Err(err) => {
-                outcome.left.push(change.team.clone());
-                outcome.fault = Some(err);
+                outcome.not_written.push(change.team.clone());
+                outcome.error = Some(err);
             }
         }
     }
@@ -125,25 +125,29 @@
         change: envelope.change.clone(),
         revision,
     };
-    let mut unsure = false;
-    let mut pause = FIRST_PAUSE;
-    for _ in 0..TRIES {
+    let mut outcome_unknown = false;
+    let mut delay = INITIAL_RETRY_DELAY;
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         match store.compare_and_swap(&key, change.base, &value, None) {
             Ok(revision) => return Ok(written(revision)),
-            Err(store::Error::Conflict { .. }) => match mine(store, &key, envelope) {
-                Ok(Some(revision)) => return Ok(written(revision)),
-                Ok(None) => return Err(conflict(store, change, envelope, unsure, roots)),
-                Err(_) => {}
-            },
-            Err(store::Error::Unknown(_)) => unsure = true,
-            Err(store::Error::Unavailable(_)) if unsure => {}
+            Err(store::Error::Conflict { .. }) => {
+                match own_change_revision(store, &key, envelope) {
+                    Ok(Some(revision)) => return Ok(written(revision)),
+                    Ok(None) => {
+                        return Err(conflict(store, change, envelope, outcome_unknown, roots));
+                    }
+                    Err(_) => {}
+                }
+            }
+            Err(store::Error::Unknown(_)) => outcome_unknown = true,
+            Err(store::Error::Unavailable(_)) if outcome_unknown => {}
             Err(err) => return Err(err.into()),
         }
-        if let Ok(Some(revision)) = mine(store, &key, envelope) {
+        if let Ok(Some(revision)) = own_change_revision(store, &key, envelope) {
             return Ok(written(revision));
         }
-        thread::sleep(pause);
-        pause *= 2;
+        thread::sleep(delay);
+        delay *= 2;
     }
     Err(error::Error::Unresolved {
         team: change.team.clone(),
@@ -152,7 +156,7 @@
 }
 
 /// The revision at which the store holds this change, if it does.
-fn mine<S: store::Store>(
+fn own_change_revision<S: store::Store>(
     store: &S,
     key: &str,
     envelope: &envelope::Envelope,
@@ -170,7 +174,7 @@
     store: &S,
     change: &plan::Change,
     envelope: &envelope::Envelope,
-    unsure: bool,
+    outcome_unknown: bool,
     roots: &[keys::PublicKey],
 ) -> error::Error {
     let team = change.team.clone();
@@ -178,35 +182,35 @@
         Ok(remote) => remote,
         Err(err) => return err,
     };
-    let Some(held) = remote.held.get(&team) else {
-        return error::Error::Changed(Box::new(Changed {
+    let Some(held) = remote.stored.get(&team) else {
+        return error::Error::Changed(Box::new(ConcurrentChange {
             team,
             holder: "somebody".to_owned(),
             what: "took all of the team's settings out".to_owned(),
-            ..Changed::default_of(change, envelope, unsure)
+            ..ConcurrentChange::from_plan(change, envelope, outcome_unknown)
         }));
     };
-    let theirs = held.envelope.as_ref();
-    let holder = theirs.map_or_else(
+    let stored = held.envelope.as_ref();
+    let holder = stored.map_or_else(
         || "somebody".to_owned(),
-        |theirs| format!("{} (key {})", remote.holder(&team, &theirs.key), theirs.key),
+        |stored| format!("{} (key {})", remote.holder(&team, &stored.key), stored.key),
     );
-    error::Error::Changed(Box::new(Changed {
+    error::Error::Changed(Box::new(ConcurrentChange {
         team,
         holder,
-        what: what_they_did(change, held),
+        what: describe_stored(change, held),
         revision: held.revision,
-        ..Changed::default_of(change, envelope, unsure)
+        ..ConcurrentChange::from_plan(change, envelope, outcome_unknown)
     }))
 }
 
 /// Describes the differences between the planned settings and those now in the store.
-fn what_they_did(change: &plan::Change, held: &remote::Held) -> String {
-    let (Ok(mine), Some(theirs)) = (settings::Team::parse("the plan", &change.text), &held.team)
+fn describe_stored(change: &plan::Change, held: &remote::StoredTeam) -> String {
+    let (Ok(planned), Some(stored)) = (settings::Team::parse("the plan", &change.text), &held.team)
     else {
         return "wrote settings that are not sound".to_owned();
     };
-    let mut differences = difference::teams(&mine, theirs)
+    let mut differences = difference::between(&planned, stored)
         .iter()
         .map(|difference| format!("\n  {difference}"))
         .collect::<Vec<_>>();
@@ -224,7 +228,7 @@
 
 /// A concurrent change that prevented a write.
 #[derive(Debug)]
-pub struct Changed {
+pub struct ConcurrentChange {
     /// The team.
     pub team: id::TeamId,
     /// Holder of the key that signed it.
@@ -238,11 +242,15 @@
     /// Id of the operator's own change, which was not written or was replaced.
     pub change: envelope::ChangeId,
     /// Whether the operator's change may have been in force before the concurrent one.
-    pub unsure: bool,
+    pub outcome_unknown: bool,
 }
 
-impl Changed {
-    fn default_of(change: &plan::Change, envelope: &envelope::Envelope, unsure: bool) -> Self {
+impl ConcurrentChange {
+    fn from_plan(
+        change: &plan::Change,
+        envelope: &envelope::Envelope,
+        outcome_unknown: bool,
+    ) -> Self {
         Self {
             team: change.team.clone(),
             holder: String::new(),
@@ -250,19 +258,19 @@
             planned: change.base,
             revision: change.base,
             change: envelope.change.clone(),
-            unsure,
+            outcome_unknown,
         }
     }
 }
 
-impl std::fmt::Display for Changed {
+impl std::fmt::Display for ConcurrentChange {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         writeln!(
             f,
             "team `{}` was changed by {} after you planned (revision {}, planned on {}); {}",
             self.team, self.holder, self.revision.0, self.planned.0, self.what
         )?;
-        if self.unsure {
+        if self.outcome_unknown {
             write!(
                 f,
                 "a reply was lost, so your change {} may have been in force before theirs; ",
--- a/src/cli/args.rs
+++ b/src/cli/args.rs
@@ -24,7 +24,7 @@
 }
 
 /// Help heading of the shared options.
-const OF_EVERY: &str = "Options of every command";
+const SHARED_OPTIONS_HEADING: &str = "Options of every command";
 
 /// Location of a deployment.
 #[derive(Clone, Debug, clap::Args)]
@@ -34,7 +34,7 @@
         long,
         short = 'C',
         global = true,
-        help_heading = OF_EVERY,
+        help_heading = SHARED_OPTIONS_HEADING,
         default_value = ".",
         env = "BULRUSHWIND_DIR",
         value_name = "DIR"
@@ -42,13 +42,13 @@
     pub dir: path::PathBuf,
     /// Address of the platform's store [default: `store` in deployment.toml]
     #[arg(long, global = true,
-        help_heading = OF_EVERY, env = "BULRUSHWIND_STORE", value_name = "IP:PORT")]
+        help_heading = SHARED_OPTIONS_HEADING, env = "BULRUSHWIND_STORE", value_name = "IP:PORT")]
     pub store: Option<net::SocketAddr>,
     /// Public root key that signs the teams' key rings [default: `root_keys` in deployment.toml]
     #[arg(
         long = "root-key",
         global = true,
-        help_heading = OF_EVERY,
+        help_heading = SHARED_OPTIONS_HEADING,
         env = "BULRUSHWIND_ROOT_KEYS",
         value_name = "HEX",
         value_delimiter = ','
@@ -59,7 +59,7 @@
     #[arg(
         long = "entry",
         global = true,
-        help_heading = OF_EVERY,
+        help_heading = SHARED_OPTIONS_HEADING,
         env = "BULRUSHWIND_ENTRIES",
         value_name = "IP:PORT",
         value_delimiter = ','
@@ -77,7 +77,7 @@
     #[arg(
         long,
         global = true,
-        help_heading = OF_EVERY,
+        help_heading = SHARED_OPTIONS_HEADING,
         value_enum,
         default_value_t,
         value_name = "FORMAT"
@@ -85,7 +85,7 @@
     pub format: Format,
     /// When to use colours; NO_COLOR turns them off too
     #[arg(long, global = true,
-        help_heading = OF_EVERY, value_enum, default_value_t, value_name = "WHEN")]
+        help_heading = SHARED_OPTIONS_HEADING, value_enum, default_value_t, value_name = "WHEN")]
     pub color: Color,
 }
 
@@ -189,11 +189,11 @@
 #[derive(Clone, Debug, Default, clap::Args)]
 pub struct Planning {
     /// Limit to this team
-    #[arg(long, value_name = "TEAM", value_parser = name::<id::TeamId>)]
+    #[arg(long, value_name = "TEAM", value_parser = parse_name::<id::TeamId>)]
     pub team: Option<id::TeamId>,
     /// Current load of a service, as a share of its slots, such as ledger=0.6 [default: as measured
     /// by the entry VMs that can be reached]
-    #[arg(long = "load", value_name = "SERVICE=SHARE", value_parser = load)]
+    #[arg(long = "load", value_name = "SERVICE=SHARE", value_parser = parse_load)]
     pub loads: Vec<(id::ServiceId, f64)>,
 }
 
@@ -263,7 +263,7 @@
     #[arg(long)]
     pub apply: bool,
     /// Current load of a service, as a share of its slots, such as ledger=0.6
-    #[arg(long = "load", value_name = "SERVICE=SHARE", value_parser = load)]
+    #[arg(long = "load", value_name = "SERVICE=SHARE", value_parser = parse_load)]
     pub loads: Vec<(id::ServiceId, f64)>,
     /// Signing and confirmation.
     #[command(flatten)]
@@ -288,7 +288,7 @@
 #[derive(Debug, clap::Args)]
 pub struct Lookup {
     /// The service
-    #[arg(value_parser = name::<id::ServiceId>)]
+    #[arg(value_parser = parse_name::<id::ServiceId>)]
     pub service: id::ServiceId,
     /// Caller listener address of the entry VM to query [default: the first on the platform's list
     /// that answers]
@@ -310,13 +310,13 @@
     /// List keys by team
     List {
         /// Limit to this team
-        #[arg(value_parser = name::<id::TeamId>)]
+        #[arg(value_parser = parse_name::<id::TeamId>)]
         team: Option<id::TeamId>,
     },
     /// Allow a key to sign a team's settings
     Add {
         /// The team
-        #[arg(value_parser = name::<id::TeamId>)]
+        #[arg(value_parser = parse_name::<id::TeamId>)]
         team: id::TeamId,
         /// Name of the secret key's holder
         #[arg(long, value_name = "NAME")]
@@ -335,10 +335,10 @@
     /// signed again.
     Retire {
         /// The team
-        #[arg(value_parser = name::<id::TeamId>)]
+        #[arg(value_parser = parse_name::<id::TeamId>)]
         team: id::TeamId,
         /// The key's id, as shown by `keys list`
-        #[arg(value_parser = name::<keys::KeyId>)]
+        #[arg(value_parser = parse_name::<keys::KeyId>)]
         key: keys::KeyId,
         /// Invalidate all signatures ever made with the key
         #[arg(long)]
@@ -349,15 +349,15 @@
     },
 }
 
-fn name<N: for<'a> From<&'a str>>(text: &str) -> Result<N, String> {
-    let sound = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    if text.is_empty() || !text.chars().all(sound) {
+fn parse_name<N: for<'a> From<&'a str>>(text: &str) -> Result<N, String> {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+    if text.is_empty() || !text.chars().all(is_allowed) {
         return Err("a name has letters, digits, - and _ only".to_owned());
     }
     Ok(text.into())
 }
 
-fn load(text: &str) -> Result<(id::ServiceId, f64), String> {
+fn parse_load(text: &str) -> Result<(id::ServiceId, f64), String> {
     let (service, share) = text
         .split_once('=')
         .ok_or("give it as SERVICE=SHARE, such as ledger=0.6")?;
@@ -365,7 +365,7 @@
     if !(0.0..=10.0).contains(&share) {
         return Err("give a share of the slots from 0 to 10, such as 0.6".to_owned());
     }
-    Ok((name(service)?, share))
+    Ok((parse_name(service)?, share))
 }
 
 #[cfg(test)]
@@ -375,7 +375,7 @@
     use super::*;
 
     #[test]
-    fn the_command_line_is_sound() {
+    fn the_command_line_definition_is_valid() {
         Cli::command().debug_assert();
     }
 }
--- a/src/cli/difference.rs
+++ b/src/cli/difference.rs
@@ -6,7 +6,7 @@
 use crate::settings;
 
 /// Fields that identify an item in a list. The first set whose first field the item has applies.
-const IDENTITIES: [&[&str]; 4] = [
+const IDENTITY_FIELDS: [&[&str]; 4] = [
     &["name"],
     &["from", "to"],
     &["block"],
@@ -64,48 +64,51 @@
 }
 
 /// Differences that turn `from` into `to`.
-pub fn teams(from: &settings::Team, to: &settings::Team) -> Vec<Difference> {
+pub fn between(from: &settings::Team, to: &settings::Team) -> Vec<Difference> {
     let mut found = Vec::new();
-    tables("", &table(from), &table(to), &mut found);
+    compare_tables("", &to_table(from), &to_table(to), &mut found);
     found
 }
 
-fn table(team: &settings::Team) -> toml::Table {
+fn to_table(team: &settings::Team) -> toml::Table {
     toml::Table::try_from(team).expect("a team's part has only values that TOML can hold")
 }
 
-fn tables(at: &str, from: &toml::Table, to: &toml::Table, found: &mut Vec<Difference>) {
+fn compare_tables(at: &str, from: &toml::Table, to: &toml::Table, found: &mut Vec<Difference>) {
     let keys: collections::BTreeSet<&String> = from.keys().chain(to.keys()).collect();
     for key in keys {
-        let at = join(at, key);
+        let at = join_path(at, key);
         match (from.get(key), to.get(key)) {
-            (Some(from), Some(to)) => values(&at, from, to, found),
-            (None, Some(toml::Value::Array(items))) => arrays(&at, &[], items, found),
-            (Some(toml::Value::Array(items)), None) => arrays(&at, items, &[], found),
-            (None, Some(to)) => found.push(Difference::Add { at, to: short(to) }),
+            (Some(from), Some(to)) => compare_values(&at, from, to, found),
+            (None, Some(toml::Value::Array(items))) => compare_arrays(&at, &[], items, found),
+            (Some(toml::Value::Array(items)), None) => compare_arrays(&at, items, &[], found),
+            (None, Some(to)) => found.push(Difference::Add {
+                at,
+                to: format_short(to),
+            }),
             (Some(from), None) => found.push(Difference::Remove {
                 at,
-                from: short(from),
+                from: format_short(from),
             }),
             (None, None) => {}
         }
     }
 }
 
-fn values(at: &str, from: &toml::Value, to: &toml::Value, found: &mut Vec<Difference>) {
+fn compare_values(at: &str, from: &toml::Value, to: &toml::Value, found: &mut Vec<Difference>) {
     match (from, to) {
-        (toml::Value::Table(from), toml::Value::Table(to)) => tables(at, from, to, found),
-        (toml::Value::Array(from), toml::Value::Array(to)) => arrays(at, from, to, found),
+        (toml::Value::Table(from), toml::Value::Table(to)) => compare_tables(at, from, to, found),
+        (toml::Value::Array(from), toml::Value::Array(to)) => compare_arrays(at, from, to, found),
         _ if from == to => {}
         _ => found.push(Difference::Change {
             at: at.to_owned(),
-            from: short(from),
-            to: short(to),
+            from: format_short(from),
+            to: format_short(to),
         }),
     }
 }
 
-fn arrays(at: &str, from: &[toml::Value], to: &[toml::Value], found: &mut Vec<Difference>) {
+fn compare_arrays(at: &str, from: &[toml::Value], to: &[toml::Value], found: &mut Vec<Difference>) {
     let of_tables = |items: &[toml::Value]| items.iter().all(toml::Value::is_table);
     if !of_tables(from) || !of_tables(to) {
         let (from, to) = (
@@ -115,8 +118,8 @@
         if from != to {
             found.push(Difference::Change {
                 at: at.to_owned(),
-                from: short(&from),
-                to: short(&to),
+                from: format_short(&from),
+                to: format_short(&to),
             });
         }
         return;
@@ -126,11 +129,14 @@
     for identity in identities {
         let at = format!("{at} {identity}");
         match (from.get(identity), to.get(identity)) {
-            (Some(from), Some(to)) => values(&at, from, to, found),
-            (None, Some(to)) => found.push(Difference::Add { at, to: short(to) }),
+            (Some(from), Some(to)) => compare_values(&at, from, to, found),
+            (None, Some(to)) => found.push(Difference::Add {
+                at,
+                to: format_short(to),
+            }),
             (Some(from), None) => found.push(Difference::Remove {
                 at,
-                from: short(from),
+                from: format_short(from),
             }),
             (None, None) => {}
         }
@@ -151,22 +157,22 @@
 }
 
 fn identity(item: &toml::Value) -> String {
-    let fields = IDENTITIES
+    let fields = IDENTITY_FIELDS
         .iter()
         .find(|fields| item.get(fields[0]).is_some())
         .copied()
         .unwrap_or_default();
     let values = fields.iter().filter_map(|field| item.get(*field));
-    values.map(bare).collect::<Vec<_>>().join(" ")
+    values.map(format_plain).collect::<Vec<_>>().join(" ")
 }
 
-fn bare(value: &toml::Value) -> String {
+fn format_plain(value: &toml::Value) -> String {
     match value {
         toml::Value::String(text) => text.clone(),
         toml::Value::Table(table) => {
             let pairs = table
                 .iter()
-                .map(|(key, value)| format!("{key} {}", bare(value)));
+                .map(|(key, value)| format!("{key} {}", format_plain(value)));
             pairs.collect::<Vec<_>>().join(" ")
         }
         other => other.to_string(),
@@ -174,7 +180,7 @@
 }
 
 /// Formats a value on one line. Nested arrays and tables of an item are omitted.
-fn short(value: &toml::Value) -> String {
+fn format_short(value: &toml::Value) -> String {
     let toml::Value::Table(table) = value else {
         return value.to_string();
     };
@@ -185,7 +191,7 @@
     fields.collect::<Vec<_>>().join(", ")
 }
 
-fn join(at: &str, key: &str) -> String {
+fn join_path(at: &str, key: &str) -> String {
     if at.is_empty() {
         return key.to_owned();
     }
@@ -207,7 +213,10 @@
         let (from, mut to) = (bays(), bays());
         to.services[1].shift_cap = 0.2;
         to.services[1].operations[0].worth = 30;
-        let found: Vec<String> = teams(&from, &to).iter().map(ToString::to_string).collect();
+        let found: Vec<String> = between(&from, &to)
+            .iter()
+            .map(ToString::to_string)
+            .collect();
         let expected = [
             "~ service ledger: operation book: worth: 20 -> 30",
             "~ service ledger: shift_cap: 0.1 -> 0.2",
@@ -219,18 +228,18 @@
     fn order_in_the_files_makes_no_difference() {
         let (from, mut to) = (bays(), bays());
         to.services.reverse();
-        assert_eq!(teams(&from, &to), []);
+        assert_eq!(between(&from, &to), []);
     }
 
     #[test]
-    fn a_service_comes_and_goes_as_one_item() {
+    fn an_added_or_removed_service_is_one_difference() {
         let (from, mut to) = (bays(), bays());
         to.services.pop();
         assert!(
-            matches!(&teams(&from, &to)[..], [Difference::Remove { at, .. }] if at == "service ledger")
+            matches!(&between(&from, &to)[..], [Difference::Remove { at, .. }] if at == "service ledger")
         );
         assert!(
-            matches!(&teams(&to, &from)[..], [Difference::Add { at, .. }] if at == "service ledger")
+            matches!(&between(&to, &from)[..], [Difference::Add { at, .. }] if at == "service ledger")
         );
     }
 }
--- a/src/cli/directory.rs
+++ b/src/cli/directory.rs
@@ -15,7 +15,7 @@
 use crate::{error, id, nearest, settings};
 
 /// Extensions of files that are allowed next to a team's settings and ignored.
-const NOTES: [&str; 4] = ["md", "txt", "gitkeep", "gitignore"];
+const NOTE_EXTENSIONS: [&str; 4] = ["md", "txt", "gitkeep", "gitignore"];
 
 /// File with the location of the deployment.
 const DEPLOYMENT_FILE: &str = "deployment.toml";
@@ -70,13 +70,13 @@
     /// Reads every team under `root/teams`.
     pub fn read(root: &path::Path) -> Result<Self, error::Error> {
         let mut teams = collections::BTreeMap::new();
-        for path in children(&root.join("teams"))? {
+        for path in sorted_children(&root.join("teams"))? {
             let name = file_name(&path);
             if !path.is_dir() {
                 if is_note(&path) {
                     continue;
                 }
-                return Err(stray(&path, "move it into its team's directory"));
+                return Err(unexpected_file(&path, "move it into its team's directory"));
             }
             check_files(&path)?;
             teams.insert(name.as_str().into(), settings::Team::read(&path)?);
@@ -108,7 +108,7 @@
     /// Finds the file and line of an error by the names quoted in its message.
     fn locate(&self, origin: &str, what: &str) -> Option<String> {
         let names: Vec<&str> = what.split('`').skip(1).step_by(2).collect();
-        let files = children(&self.root.join(origin)).ok()?;
+        let files = sorted_children(&self.root.join(origin)).ok()?;
         files
             .iter()
             .filter(|path| path.extension().is_some_and(|ext| ext == "toml"))
@@ -143,17 +143,20 @@
 }
 
 fn check_files(dir: &path::Path) -> Result<(), error::Error> {
-    let mut any = false;
-    for path in children(dir)? {
+    let mut has_settings = false;
+    for path in sorted_children(dir)? {
         if path.is_dir() {
-            return Err(stray(&path, "move its files into the team's directory"));
+            return Err(unexpected_file(
+                &path,
+                "move its files into the team's directory",
+            ));
         }
         let toml = path.extension().is_some_and(|ext| ext == "toml");
         let hidden = file_name(&path).starts_with(['.', '#']);
         if !is_note(&path) && (!toml || hidden) {
-            return Err(stray(&path, "finish writing it, or remove it"));
+            return Err(unexpected_file(&path, "finish writing it, or remove it"));
         }
-        any |= toml;
+        has_settings |= toml;
         let len = fs::metadata(&path).map_or(0, |meta| meta.len());
         if toml && len > settings::MAX_TEAM_BYTES as u64 {
             let what = format!("the file has {len} bytes");
@@ -161,14 +164,14 @@
                 "keep all of a team's files under {} bytes",
                 settings::MAX_TEAM_BYTES
             );
-            return Err(half_written(&path, &what, &remedy));
+            return Err(incomplete_error(&path, &what, &remedy));
         }
     }
-    if any {
+    if has_settings {
         return Ok(());
     }
     let what = "the team has no .toml file";
-    Err(half_written(
+    Err(incomplete_error(
         dir,
         what,
         "finish the checkout, or put an empty `none.toml` there to take all of the team's settings out",
@@ -178,14 +181,14 @@
 fn is_note(path: &path::Path) -> bool {
     let name = file_name(path);
     let ext = name.rsplit('.').next().unwrap_or_default();
-    NOTES.contains(&ext)
+    NOTE_EXTENSIONS.contains(&ext)
 }
 
-fn stray(path: &path::Path, remedy: &str) -> error::Error {
-    half_written(path, "this is not a settings file", remedy)
+fn unexpected_file(path: &path::Path, remedy: &str) -> error::Error {
+    incomplete_error(path, "this is not a settings file", remedy)
 }
 
-fn half_written(path: &path::Path, what: &str, remedy: &str) -> error::Error {
+fn incomplete_error(path: &path::Path, what: &str, remedy: &str) -> error::Error {
     settings::Error::Value {
         origin: path.display().to_string(),
         what: what.to_owned(),
@@ -201,7 +204,7 @@
         .into_owned()
 }
 
-fn children(dir: &path::Path) -> Result<Vec<path::PathBuf>, error::Error> {
+fn sorted_children(dir: &path::Path) -> Result<Vec<path::PathBuf>, error::Error> {
     let read = |source| error::Error::Read {
         path: dir.to_owned(),
         source,
@@ -219,7 +222,7 @@
     use super::*;
 
     #[test]
-    fn a_fault_is_found_by_the_names_it_quotes() {
+    fn an_error_is_located_by_the_names_it_quotes() {
         let text = "[[service]]\nname = \"a\"\nslots = 0\n\n[[service]]\nname = \"b\"\nslots = 0\n";
         let what = "service `b`: slots or connections out of range";
         assert_eq!(line_of(text, &["b"], what), Some(7));
--- a/src/cli/drain.rs
+++ b/src/cli/drain.rs
@@ -2,7 +2,7 @@
 //!
 //! Drains are settings and belong under version control: if a drain were written to the store only,
 //! the next apply of the directory would silently remove it. So both commands edit one file of the
-//! directory, [`FILE`], and an apply writes it to the store. A drain that would exceed a cap or a
+//! directory, [`DRAINS_FILE`], and an apply writes it to the store. A drain that would exceed a cap or a
 //! limit is not written to the file.
 
 use std::fs;
@@ -15,32 +15,35 @@
 use store::Store;
 
 /// File with the drains, relative to the directory.
-pub const FILE: &str = "teams/places/drains.toml";
+pub const DRAINS_FILE: &str = "teams/places/drains.toml";
 
-const HEADER: &str = "# Written by `bulrushwind drain` and `bulrushwind undrain`.\n\n";
+const FILE_HEADER: &str = "# Written by `bulrushwind drain` and `bulrushwind undrain`.\n\n";
 
 /// Shortest default ramp; applies to a drain that moves no share of a service, such as a VM's.
-const SHORT_RAMP_S: u64 = 10;
+const MIN_RAMP_S: u64 = 10;
 
 /// Schedules a drain.
 pub fn drain(cx: &Context, args: &args::Drain) -> Result<exit_codes::ExitCode, error::Error> {
     let now = super::now();
-    let start_s = start(&args.start, now)?;
+    let start_s = parse_start(&args.start, now)?;
     let ramp = args.ramp.map(|ramp| ramp.as_secs().max(1));
     let drain = settings::Drain {
-        target: target(&args.target)?,
+        target: parse_target(&args.target)?,
         start_s,
         ramp_s: ramp.unwrap_or(u64::MAX / 1000),
         end_s: args.lasts.map(|lasts| start_s + lasts.as_secs()),
     };
-    known_vm(cx, &drain.target)?;
-    let (plan, drain) = planned(cx, drain, ramp, &args.loads)?;
+    check_vm_known(cx, &drain.target)?;
+    let (plan, drain) = plan_with_drain(cx, drain, ramp, &args.loads)?;
     cx.out.line(&describe(&drain));
     if !plan.excesses.is_empty() {
-        return Err(super::refusal("the drain was not written", &plan.excesses));
+        return Err(super::refusal_error(
+            "the drain was not written",
+            &plan.excesses,
+        ));
     }
-    edit(&cx.place.dir, |drains| {
-        drains.retain(|other| other.target != drain.target || over(other, now));
+    edit_drains(&cx.place.dir, |drains| {
+        drains.retain(|other| other.target != drain.target || has_ended(other, now));
         drains.push(drain.clone());
         Ok(())
     })?;
@@ -49,15 +52,15 @@
 
 /// Cancels all drains of a target.
 pub fn undrain(cx: &Context, args: &args::Undrain) -> Result<exit_codes::ExitCode, error::Error> {
-    let target = target(&args.target)?;
-    edit(&cx.place.dir, |drains| {
+    let target = parse_target(&args.target)?;
+    edit_drains(&cx.place.dir, |drains| {
         let before = drains.len();
         drains.retain(|drain| drain.target != target);
         if drains.len() < before {
             return Ok(());
         }
         Err(error::Error::Config(format!(
-            "{FILE} has no drain of {}; if another file of teams/places has it, take it out there",
+            "{DRAINS_FILE} has no drain of {}; if another file of teams/places has it, take it out there",
             args.target
         )))
     })?;
@@ -66,7 +69,7 @@
 
 /// Plans with the drain added to the settings. Without an explicit ramp, it gets the shortest ramp
 /// that the caps allow.
-fn planned(
+fn plan_with_drain(
     cx: &Context,
     mut drain: settings::Drain,
     ramp: Option<u64>,
@@ -74,23 +77,23 @@
 ) -> Result<(plan::Plan, settings::Drain), error::Error> {
     let dir = directory::Directory::read(&cx.place.dir)?;
     let remote = cx.remote()?;
-    let options = cx.planning(&planning(loads));
-    let make = |drain: &settings::Drain| {
+    let options = cx.planning(&planning_args(loads));
+    let plan_for = |drain: &settings::Drain| {
         let mut dir = dir.clone();
         let places = dir.teams.entry(settings::PLACES_TEAM.into()).or_default();
         places.drains.push(drain.clone());
-        plan::Plan::make(&dir, &remote, &options)
+        plan::Plan::build(&dir, &remote, &options)
     };
-    let mut made = make(&drain)?;
+    let mut plan = plan_for(&drain)?;
     if ramp.is_none() {
-        let takes_ms = made.shifts.iter().map(|shift| shift.takes_ms).max();
-        drain.ramp_s = takes_ms.unwrap_or(0).div_ceil(1000).max(SHORT_RAMP_S);
-        made = make(&drain)?;
+        let takes_ms = plan.shifts.iter().map(|shift| shift.takes_ms).max();
+        drain.ramp_s = takes_ms.unwrap_or(0).div_ceil(1000).max(MIN_RAMP_S);
+        plan = plan_for(&drain)?;
     }
-    Ok((made, drain))
+    Ok((plan, drain))
 }
 
-fn planning(loads: &[(id::ServiceId, f64)]) -> args::Planning {
+fn planning_args(loads: &[(id::ServiceId, f64)]) -> args::Planning {
     args::Planning {
         team: Some(settings::PLACES_TEAM.into()),
         loads: loads.to_vec(),
@@ -103,13 +106,13 @@
     loads: &[(id::ServiceId, f64)],
     signing: &args::Signing,
 ) -> Result<exit_codes::ExitCode, error::Error> {
-    let (plan, remote) = cx.plan(&planning(loads))?;
+    let (plan, remote) = cx.plan(&planning_args(loads))?;
     if apply {
-        return super::write(cx, &plan, &remote, signing);
+        return super::confirm_and_write(cx, &plan, &remote, signing);
     }
     cx.out.plan(&plan);
     cx.out.line(&format!(
-        "\n{FILE} was changed; run `bulrushwind apply --team places` and commit it."
+        "\n{DRAINS_FILE} was changed; run `bulrushwind apply --team places` and commit it."
     ));
     Ok(exit_codes::ExitCode::Success)
 }
@@ -125,13 +128,13 @@
     );
     format!(
         "Drains {} from {}, empty after {}, {end}.",
-        name(&drain.target),
+        format_target(&drain.target),
         at(drain.start_s),
-        output::seconds(drain.ramp_s * 1000),
+        output::format_duration(drain.ramp_s * 1000),
     )
 }
 
-fn name(target: &settings::DrainTarget) -> String {
+fn format_target(target: &settings::DrainTarget) -> String {
     match target {
         settings::DrainTarget::Region(name) => format!("region/{name}"),
         settings::DrainTarget::Az(name) => format!("az/{name}"),
@@ -139,7 +142,7 @@
     }
 }
 
-fn target(text: &str) -> Result<settings::DrainTarget, error::Error> {
+fn parse_target(text: &str) -> Result<settings::DrainTarget, error::Error> {
     match text.split_once('/') {
         Some(("region", name)) if !name.is_empty() => {
             Ok(settings::DrainTarget::Region(name.into()))
@@ -153,7 +156,7 @@
 }
 
 /// Parses a start time, in seconds since the Unix epoch.
-fn start(text: &str, now: time::Duration) -> Result<u64, error::Error> {
+fn parse_start(text: &str, now: time::Duration) -> Result<u64, error::Error> {
     if text == "now" {
         return Ok(now.as_secs());
     }
@@ -161,28 +164,28 @@
         let ahead = humantime::parse_duration(ahead).ok();
         return ahead
             .map(|ahead| (now + ahead).as_secs())
-            .ok_or_else(|| bad_time(text));
+            .ok_or_else(|| invalid_time(text));
     }
     if let Ok(s) = text.parse() {
         return Ok(s);
     }
-    let at = humantime::parse_rfc3339_weak(text).map_err(|_| bad_time(text))?;
+    let at = humantime::parse_rfc3339_weak(text).map_err(|_| invalid_time(text))?;
     let since = at.duration_since(time::UNIX_EPOCH);
-    Ok(since.map_err(|_| bad_time(text))?.as_secs())
+    Ok(since.map_err(|_| invalid_time(text))?.as_secs())
 }
 
-fn bad_time(text: &str) -> error::Error {
+fn invalid_time(text: &str) -> error::Error {
     error::Error::Config(format!(
         "`{text}` is not a time; give now, +30m, 2026-12-24T22:00:00Z or seconds since 1970"
     ))
 }
 
-fn over(drain: &settings::Drain, now: time::Duration) -> bool {
+fn has_ended(drain: &settings::Drain, now: time::Duration) -> bool {
     drain.end_s.is_some_and(|end_s| end_s <= now.as_secs())
 }
 
 /// Checks a VM target against the platform's list, since settings do not list VMs.
-fn known_vm(cx: &Context, target: &settings::DrainTarget) -> Result<(), error::Error> {
+fn check_vm_known(cx: &Context, target: &settings::DrainTarget) -> Result<(), error::Error> {
     let settings::DrainTarget::Vm(vm) = target else {
         return Ok(());
     };
@@ -190,20 +193,22 @@
     if vms.iter().any(|known| known.id == *vm) {
         return Ok(());
     }
-    let near = nearest::name(vm.as_str(), vms.iter().map(|vm| vm.id.as_str()));
-    let near = near.map_or_else(String::new, |near| format!(" (did you mean `{near}`?)"));
+    let suggestion = nearest::name(vm.as_str(), vms.iter().map(|vm| vm.id.as_str()));
+    let suggestion = suggestion.map_or_else(String::new, |suggestion| {
+        format!(" (did you mean `{suggestion}`?)")
+    });
     Err(error::Error::Config(format!(
-        "the platform's list has no VM `{vm}`{near}; `bulrushwind status` shows the entry VMs"
+        "the platform's list has no VM `{vm}`{suggestion}; `bulrushwind status` shows the entry VMs"
     )))
 }
 
 /// Edits the drains file. Writes to a temporary file first and renames it, so that readers see
 /// either the old or the new content in full.
-fn edit(
+fn edit_drains(
     root: &path::Path,
     change: impl FnOnce(&mut Vec<settings::Drain>) -> Result<(), error::Error>,
 ) -> Result<(), error::Error> {
-    let path = root.join(FILE);
+    let path = root.join(DRAINS_FILE);
     let mut team = settings::Team::default();
     if path.exists() {
         let text = fs::read_to_string(&path).map_err(|source| error::Error::Read {
@@ -217,9 +222,9 @@
         path: path.display().to_string(),
         source,
     };
-    let beside = path.with_extension("toml.new");
-    fs::write(&beside, format!("{HEADER}{}", team.to_toml())).map_err(fault)?;
-    fs::rename(&beside, &path).map_err(fault)
+    let temp_path = path.with_extension("toml.new");
+    fs::write(&temp_path, format!("{FILE_HEADER}{}", team.to_toml())).map_err(fault)?;
+    fs::rename(&temp_path, &path).map_err(fault)
 }
 
 #[cfg(test)]
@@ -227,14 +232,17 @@
     use super::*;
 
     #[test]
-    fn times_are_read_as_operators_write_them() {
+    fn start_times_are_parsed() {
         let now = time::Duration::from_secs(1000);
-        assert_eq!(start("now", now).unwrap(), 1000);
-        assert_eq!(start("+30m", now).unwrap(), 2800);
-        assert_eq!(start("1796162400", now).unwrap(), 1_796_162_400);
-        assert_eq!(start("2026-12-01T22:00:00Z", now).unwrap(), 1_796_162_400);
+        assert_eq!(parse_start("now", now).unwrap(), 1000);
+        assert_eq!(parse_start("+30m", now).unwrap(), 2800);
+        assert_eq!(parse_start("1796162400", now).unwrap(), 1_796_162_400);
+        assert_eq!(
+            parse_start("2026-12-01T22:00:00Z", now).unwrap(),
+            1_796_162_400
+        );
         assert!(
-            start("tomorrow", now)
+            parse_start("tomorrow", now)
                 .unwrap_err()
                 .to_string()
                 .contains("+30m")
@@ -242,11 +250,16 @@
     }
 
     #[test]
-    fn a_target_names_its_kind() {
+    fn targets_are_parsed_by_kind() {
         assert_eq!(
-            target("az/ub-a").unwrap(),
+            parse_target("az/ub-a").unwrap(),
             settings::DrainTarget::Az("ub-a".into())
         );
-        assert!(target("ub-a").unwrap_err().to_string().contains("az/ub-a"));
+        assert!(
+            parse_target("ub-a")
+                .unwrap_err()
+                .to_string()
+                .contains("az/ub-a")
+        );
     }
 }
--- a/src/cli/entries.rs
+++ b/src/cli/entries.rs
@@ -11,13 +11,13 @@
 use store::Store;
 
 /// Timeout for one entry VM's answer.
-const TIMEOUT: time::Duration = time::Duration::from_secs(3);
+const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
 /// Largest answer to read. An unrelated process on the address could send an endless one.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
 
 /// Maximum number of entry VMs queried concurrently.
-const AT_A_TIME: usize = 32;
+const MAX_CONCURRENT_REQUESTS: usize = 32;
 
 /// One entry VM's answer.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
     /// The queried address.
     pub addr: net::SocketAddr,
     /// The answer, or the error.
-    pub got: Result<T, error::Error>,
+    pub result: Result<T, error::Error>,
 }
 
 /// Operator listener addresses of all entry VMs.
@@ -50,7 +50,7 @@
 
 /// Queries the status at every address.
 pub fn statuses(addrs: &[net::SocketAddr]) -> Vec<Answer<operators::Status>> {
-    ask(addrs, |addr| {
+    query_all(addrs, |addr| {
         let body = get(addr, "/status", "operators'")?;
         serde_json::from_slice(&body).map_err(|err| error::Error::Entry {
             addr: addr.to_string(),
@@ -61,20 +61,20 @@
 }
 
 /// Queries every address with limited concurrency; answers are in the order of `addrs`.
-pub fn ask<T: Send>(
+pub fn query_all<T: Send>(
     addrs: &[net::SocketAddr],
-    one: impl Fn(net::SocketAddr) -> Result<T, error::Error> + Sync,
+    query: impl Fn(net::SocketAddr) -> Result<T, error::Error> + Sync,
 ) -> Vec<Answer<T>> {
     let mut answers = Vec::new();
-    for chunk in addrs.chunks(AT_A_TIME) {
+    for chunk in addrs.chunks(MAX_CONCURRENT_REQUESTS) {
         std::thread::scope(|scope| {
-            let asked: Vec<_> = chunk
+            let threads: Vec<_> = chunk
                 .iter()
-                .map(|addr| (*addr, scope.spawn(|| one(*addr))))
+                .map(|addr| (*addr, scope.spawn(|| query(*addr))))
                 .collect();
-            for (addr, thread) in asked {
-                let got = thread.join().expect("asking does not panic");
-                answers.push(Answer { addr, got });
+            for (addr, thread) in threads {
+                let result = thread.join().expect("asking does not panic");
+                answers.push(Answer { addr, result });
             }
         });
     }
@@ -93,8 +93,8 @@
         listener,
     };
     let res = attohttpc::get(format!("http://{addr}{path}"))
-        .timeout(TIMEOUT)
-        .connect_timeout(TIMEOUT)
+        .timeout(REQUEST_TIMEOUT)
+        .connect_timeout(REQUEST_TIMEOUT)
         .follow_redirects(false)
         .send()
         .map_err(|err| fault(err.to_string()))?;
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -18,15 +18,15 @@
 /// A parsed log line.
 #[derive(Clone, Debug)]
 struct Line {
-    at: String,
-    on: String,
-    what: String,
+    time: String,
+    vm: String,
+    message: String,
     fields: serde_json::Map<String, Value>,
 }
 
 /// Messages of log lines that record an entry VM's state. If a field is given, the line matters
 /// only if that field names one of the request's backend servers.
-const BELIEFS: [(&str, Option<&str>); 12] = [
+const STATE_MESSAGES: [(&str, Option<&str>); 12] = [
     ("start", None),
     ("routes", None),
     ("routes not taken", None),
@@ -53,9 +53,9 @@
             _ => String::new(),
         };
         let line = Self {
-            at: take("ts"),
-            on: take("on"),
-            what: take("msg"),
+            time: take("ts"),
+            vm: take("on"),
+            message: take("msg"),
             fields: serde_json::Map::new(),
         };
         fields.remove("process");
@@ -70,22 +70,26 @@
             .unwrap_or_default()
     }
 
-    fn is_of(&self, request: &str) -> bool {
+    fn belongs_to(&self, request: &str) -> bool {
         self.text("request") == request
     }
 
     /// Whether the line records state of one of these backend servers, or state that concerns all.
-    fn is_belief(&self, backends: &collections::BTreeSet<String>) -> bool {
-        BELIEFS.iter().any(|(what, about)| {
-            *what == self.what && about.is_none_or(|field| backends.contains(self.text(field)))
+    fn is_state_of(&self, backends: &collections::BTreeSet<String>) -> bool {
+        STATE_MESSAGES.iter().any(|(message, subject)| {
+            *message == self.message
+                && subject.is_none_or(|field| backends.contains(self.text(field)))
         })
     }
 }
 
 /// Log lines that explain a request, in order of time.
-fn story(lines: &[Line], request: &str) -> Vec<Line> {
-    let own: Vec<&Line> = lines.iter().filter(|line| line.is_of(request)).collect();
-    let backends: collections::BTreeSet<String> = own
+fn timeline(lines: &[Line], request: &str) -> Vec<Line> {
+    let request_lines: Vec<&Line> = lines
+        .iter()
+        .filter(|line| line.belongs_to(request))
+        .collect();
+    let backends: collections::BTreeSet<String> = request_lines
         .iter()
         .flat_map(|line| [line.text("backend"), line.text("backends")])
         .flat_map(|text| text.split(','))
@@ -93,33 +97,34 @@
         .map(str::to_owned)
         .collect();
     let mut found: Vec<Line> = Vec::new();
-    for vm in own
+    for vm in request_lines
         .iter()
-        .map(|line| &line.on)
+        .map(|line| &line.vm)
         .collect::<collections::BTreeSet<_>>()
     {
-        let last = own
+        let last = request_lines
             .iter()
-            .filter(|line| line.on == *vm)
-            .map(|line| &line.at)
+            .filter(|line| line.vm == *vm)
+            .map(|line| &line.time)
             .max();
-        let mut beliefs: collections::BTreeMap<(&str, &str), &Line> = collections::BTreeMap::new();
+        let mut latest_state: collections::BTreeMap<(&str, &str), &Line> =
+            collections::BTreeMap::new();
         for line in lines
             .iter()
-            .filter(|line| line.on == *vm && Some(&line.at) <= last)
+            .filter(|line| line.vm == *vm && Some(&line.time) <= last)
         {
-            if line.is_belief(&backends) {
-                let about = match line.text("backend") {
+            if line.is_state_of(&backends) {
+                let subject = match line.text("backend") {
                     "" => line.text("az"),
                     backend => backend,
                 };
-                beliefs.insert((line.what.as_str(), about), line);
+                latest_state.insert((line.message.as_str(), subject), line);
             }
         }
-        found.extend(beliefs.into_values().cloned());
+        found.extend(latest_state.into_values().cloned());
     }
-    found.extend(own.into_iter().cloned());
-    found.sort_by(|a, b| a.at.cmp(&b.at));
+    found.extend(request_lines.into_iter().cloned());
+    found.sort_by(|a, b| a.time.cmp(&b.time));
     found
 }
 
@@ -151,30 +156,34 @@
             source,
         })?;
     }
-    let story = story(&lines, &args.request);
-    if story.is_empty() {
+    let timeline = timeline(&lines, &args.request);
+    if timeline.is_empty() {
         return Err(error::Error::Config(format!(
             "no line tells of request `{}`; give the logs of all entry VMs of that time, and note that of the requests that were answered in time only one in 64 leaves a line",
             args.request
         )));
     }
-    print(cx, &story);
+    print(cx, &timeline);
     Ok(exit_codes::ExitCode::Success)
 }
 
-fn print(cx: &Context, story: &[Line]) {
-    let json: Vec<Value> = story
+fn print(cx: &Context, timeline: &[Line]) {
+    let json: Vec<Value> = timeline
         .iter()
         .map(|line| {
             let mut fields = line.fields.clone();
-            for (name, value) in [("at", &line.at), ("on", &line.on), ("what", &line.what)] {
+            for (name, value) in [
+                ("at", &line.time),
+                ("on", &line.vm),
+                ("what", &line.message),
+            ] {
                 fields.insert(name.to_owned(), Value::String(value.clone()));
             }
             Value::Object(fields)
         })
         .collect();
     cx.out.json(&json);
-    for line in story {
+    for line in timeline {
         let fields: Vec<String> = line
             .fields
             .iter()
@@ -185,9 +194,9 @@
             .collect();
         cx.out.line(&format!(
             "{} {} {}: {}",
-            line.at,
-            line.on,
-            line.what,
+            line.time,
+            line.vm,
+            line.message,
             fields.join(" ")
         ));
     }
--- a/src/cli/keys.rs
+++ b/src/cli/keys.rs
@@ -13,7 +13,7 @@
 use store::Store;
 
 /// Only the owner may read and write a secret key file.
-const SECRET_MODE: u32 = 0o600;
+const SECRET_FILE_MODE: u32 = 0o600;
 
 /// Largest key file to read, in bytes.
 const MAX_KEY_FILE_BYTES: u64 = 1024;
@@ -28,7 +28,7 @@
     let mut f = fs::OpenOptions::new()
         .write(true)
         .create_new(true)
-        .mode(SECRET_MODE)
+        .mode(SECRET_FILE_MODE)
         .open(&args.file)
         .map_err(fault)?;
     f.write_all(key.to_text().as_bytes()).map_err(fault)?;
@@ -63,7 +63,7 @@
             holder,
             public,
             root_secret,
-        } => change(cx, team, root_secret, |keys, _| {
+        } => edit_ring(cx, team, root_secret, |keys, _| {
             keys.retain(|key| key.public != *public);
             keys.push(keys::TeamKey {
                 holder: holder.clone(),
@@ -77,7 +77,7 @@
             key,
             stolen,
             root_secret,
-        } => change(cx, team, root_secret, |keys, next_version| {
+        } => edit_ring(cx, team, root_secret, |keys, next_version| {
             let Some(found) = keys.iter_mut().find(|found| found.public.id() == *key) else {
                 return Err(error::Error::Config(format!(
                     "team `{team}` has no key {key}; `bulrushwind keys list {team}` shows those it has"
@@ -104,7 +104,7 @@
     let mut rows = Vec::new();
     for (name, ring) in rings {
         for key in &ring.ring().keys {
-            let signs = match key.until {
+            let may_sign = match key.until {
                 None => "yes".to_owned(),
                 Some(0) => "no, nor what it signed before".to_owned(),
                 Some(until) => format!("no longer, from version {until} on"),
@@ -113,7 +113,7 @@
                 name.to_string(),
                 key.public.id().to_string(),
                 key.holder.clone(),
-                signs,
+                may_sign,
             ]);
         }
     }
@@ -125,7 +125,7 @@
 }
 
 /// Edits, signs and writes a team's key ring, by compare-and-swap on the revision that was read.
-fn change(
+fn edit_ring(
     cx: &Context,
     team: &id::TeamId,
     root_secret: &path::Path,
@@ -133,16 +133,16 @@
 ) -> Result<exit_codes::ExitCode, error::Error> {
     let root = read_secret(root_secret)?;
     if !cx.roots()?.contains(&root.public()) {
-        return Err(keys::Error::NotRoot { team: team.clone() }.into());
+        return Err(keys::Error::UnknownRoot { team: team.clone() }.into());
     }
     let store = cx.store()?;
     let remote = cx.remote()?;
-    let at = keys::store_key(team);
+    let ring_key = keys::store_key(team);
     let base = store
-        .get(&at)?
+        .get(&ring_key)?
         .map_or(store::Revision(0), |entry| entry.revision);
     let now_ms = u64::try_from(super::now().as_millis()).unwrap_or(u64::MAX);
-    let settings_version = remote.held.get(team).map_or(0, |held| held.version);
+    let settings_version = remote.stored.get(team).map_or(0, |held| held.version);
     let old = remote.rings.get(team).map(keys::Trusted::ring);
     let mut keys = old.map_or_else(Vec::new, |ring| ring.keys.clone());
     edit(&mut keys, settings_version.saturating_add(1).max(now_ms))?;
@@ -151,7 +151,7 @@
         .saturating_add(1)
         .max(now_ms);
     let ring = keys::KeyRing::sign(team.clone(), version, keys, &root)?;
-    store.compare_and_swap(&at, base, &ring.encode(), None)?;
+    store.compare_and_swap(&ring_key, base, &ring.encode(), None)?;
     cx.out.json(&ring);
     cx.out
         .line(&format!("team {team}'s key ring is at version {version}"));
--- a/src/cli/lookup.rs
+++ b/src/cli/lookup.rs
@@ -10,16 +10,16 @@
 /// Queries entry VMs one by one until one answers. Fails with the last error.
 pub fn run(cx: &Context, args: &args::Lookup) -> Result<exit_codes::ExitCode, error::Error> {
     let path = format!("/lookup/{}", args.service);
-    let mut last = error::Error::Config(
+    let mut last_error = error::Error::Config(
         "the platform lists no entry VM; give the callers' address of one with --at".to_owned(),
     );
     for addr in addresses(cx, args)? {
         match entries::get(addr, &path, "callers'") {
             Ok(body) => return print(cx, addr, &body),
-            Err(err) => last = err,
+            Err(err) => last_error = err,
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
 fn addresses(cx: &Context, args: &args::Lookup) -> Result<Vec<net::SocketAddr>, error::Error> {
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -87,7 +87,7 @@
     ) -> Result<(plan::Plan, remote::Remote), error::Error> {
         let dir = directory::Directory::read(&self.place.dir)?;
         let remote = self.remote()?;
-        let plan = plan::Plan::make(&dir, &remote, &self.planning(planning))?;
+        let plan = plan::Plan::build(&dir, &remote, &self.planning(planning))?;
         Ok((plan, remote))
     }
 
@@ -96,7 +96,7 @@
     fn planning(&self, planning: &args::Planning) -> plan::Options {
         let addrs = entries::addresses(self).unwrap_or_default();
         let answers = entries::statuses(&addrs).into_iter();
-        let statuses: Vec<_> = answers.filter_map(|answer| answer.got.ok()).collect();
+        let statuses: Vec<_> = answers.filter_map(|answer| answer.result.ok()).collect();
         let mut loads = status::loads(&statuses);
         loads.extend(planning.loads.iter().cloned());
         plan::Options {
@@ -109,13 +109,13 @@
 
 /// Runs a command and returns the exit code.
 pub fn run(cli: &args::Cli) -> exit_codes::ExitCode {
-    match command(cli) {
+    match dispatch(cli) {
         Ok(code) => code,
         Err(err) => output::error(&err),
     }
 }
 
-fn command(cli: &args::Cli) -> Result<exit_codes::ExitCode, error::Error> {
+fn dispatch(cli: &args::Cli) -> Result<exit_codes::ExitCode, error::Error> {
     let out = output::Output::new(cli.shared.format, cli.shared.color);
     let cx = Context::new(&cli.shared.place, out)?;
     match &cli.command {
@@ -175,7 +175,7 @@
     if plan.excesses.is_empty() {
         return Ok(exit_codes::ExitCode::Success);
     }
-    Err(refusal("an apply would be refused", &plan.excesses))
+    Err(refusal_error("an apply would be refused", &plan.excesses))
 }
 
 fn apply(cx: &Context, args: &args::Apply) -> Result<exit_codes::ExitCode, error::Error> {
@@ -183,7 +183,7 @@
         Some(path) => (read_plan(path)?, cx.remote()?),
         None => cx.plan(&args.planning)?,
     };
-    write(cx, &plan, &remote, &args.signing)
+    confirm_and_write(cx, &plan, &remote, &args.signing)
 }
 
 /// Largest saved plan to read, in bytes: enough for several teams of the largest size.
@@ -210,7 +210,7 @@
 }
 
 /// Shows a plan, asks for confirmation and writes it.
-fn write(
+fn confirm_and_write(
     cx: &Context,
     plan: &plan::Plan,
     remote: &remote::Remote,
@@ -223,7 +223,7 @@
         cx.out.applied(&apply::Outcome::default());
         return Ok(exit_codes::ExitCode::Success);
     }
-    refuse(plan, signing)?;
+    check_allowed(plan, signing)?;
     let key = signing_key(signing)?;
     if !signing.yes && !output::confirm("Write this to the store?")? {
         cx.out.line("Nothing was written.");
@@ -235,15 +235,15 @@
     };
     let outcome = apply::write_all(&cx.store()?, plan, remote, cx.roots()?, &signer);
     cx.out.applied(&outcome);
-    match outcome.fault {
-        Some(fault) => Err(fault),
+    match outcome.error {
+        Some(error) => Err(error),
         None => Ok(exit_codes::ExitCode::Success),
     }
 }
 
-fn refuse(plan: &plan::Plan, signing: &args::Signing) -> Result<(), error::Error> {
+fn check_allowed(plan: &plan::Plan, signing: &args::Signing) -> Result<(), error::Error> {
     if !plan.excesses.is_empty() {
-        return Err(refusal("nothing was written", &plan.excesses));
+        return Err(refusal_error("nothing was written", &plan.excesses));
     }
     if plan.removals.is_empty() || signing.remove {
         return Ok(());
@@ -255,7 +255,7 @@
 }
 
 /// Combines all excesses of a change into one error.
-fn refusal(outcome: &str, excesses: &[shift::Excess]) -> error::Error {
+fn refusal_error(outcome: &str, excesses: &[shift::Excess]) -> error::Error {
     let lines = excesses
         .iter()
         .map(|excess| format!("\n  service {}: {}", excess.service, excess.what));
--- a/src/cli/output.rs
+++ b/src/cli/output.rs
@@ -96,7 +96,7 @@
 }
 
 /// Formats a duration in milliseconds, rounded up to whole seconds.
-pub fn seconds(ms: u64) -> String {
+pub fn format_duration(ms: u64) -> String {
     humantime::format_duration(std::time::Duration::from_secs(ms.div_ceil(1000))).to_string()
 }
 
@@ -172,7 +172,7 @@
             );
             self.line(&styled(GOOD, &text));
         }
-        for team in &outcome.left {
+        for team in &outcome.not_written {
             self.line(&styled(WARN, &format!("team {team} was not written")));
         }
     }
@@ -199,7 +199,7 @@
         percent(shift.cap),
         percent(shift.a_step),
         shift.steps.to_string(),
-        seconds(shift.takes_ms),
+        format_duration(shift.takes_ms),
         shift.load.map_or_else(|| "not known".to_owned(), load),
         percent(shift.fits_below),
     ]
--- a/src/cli/plan.rs
+++ b/src/cli/plan.rs
@@ -55,7 +55,7 @@
 
 impl Plan {
     /// Computes the changes from the store's settings to the directory's.
-    pub fn make(
+    pub fn build(
         dir: &directory::Directory,
         remote: &remote::Remote,
         options: &Options,
@@ -63,22 +63,23 @@
         let from = remote.settings();
         let mut to = from.clone();
         let mut plan = Self::default();
-        for (name, team) in chosen(dir, options)? {
+        for (name, team) in selected_teams(dir, options)? {
             to.teams.insert(name.clone(), team.clone());
-            match change(name, team, remote.held.get(name)) {
+            match change(name, team, remote.stored.get(name)) {
                 Some(change) => plan.changes.push(change),
                 None => plan.unchanged.push(name.clone()),
             }
         }
         dir.check(&to)?;
-        plan.changes = in_order(plan.changes, &from)?;
+        plan.changes = order_for_writing(plan.changes, &from)?;
         plan.removals = removals(&plan.changes);
-        (plan.shifts, plan.excesses) = shift::of_change(&from, &to, options.now_s, &options.loads);
+        (plan.shifts, plan.excesses) =
+            shift::shifts_between(&from, &to, options.now_s, &options.loads);
         Ok(plan)
     }
 }
 
-fn chosen<'a>(
+fn selected_teams<'a>(
     dir: &'a directory::Directory,
     options: &Options,
 ) -> Result<Vec<(&'a id::TeamId, &'a settings::Team)>, error::Error> {
@@ -95,10 +96,14 @@
     })
 }
 
-fn change(name: &id::TeamId, team: &settings::Team, held: Option<&remote::Held>) -> Option<Change> {
-    let none = settings::Team::default();
-    let before = held.and_then(|held| held.team.as_ref()).unwrap_or(&none);
-    let differences = difference::teams(before, team);
+fn change(
+    name: &id::TeamId,
+    team: &settings::Team,
+    held: Option<&remote::StoredTeam>,
+) -> Option<Change> {
+    let empty = settings::Team::default();
+    let before = held.and_then(|held| held.team.as_ref()).unwrap_or(&empty);
+    let differences = difference::between(before, team);
     let rewrite = held.and_then(|held| held.fault.clone());
     if differences.is_empty() && rewrite.is_none() && held.is_some() {
         return None;
@@ -115,43 +120,51 @@
 
 /// Orders changes so that the settings are valid after each write: entry VMs validate all teams
 /// together, and between two writes they see only the first.
-fn in_order(mut rest: Vec<Change>, from: &settings::Settings) -> Result<Vec<Change>, error::Error> {
-    let mut now = from.clone();
+fn order_for_writing(
+    mut remaining: Vec<Change>,
+    from: &settings::Settings,
+) -> Result<Vec<Change>, error::Error> {
+    let mut current = from.clone();
     let mut ordered = Vec::new();
-    while !rest.is_empty() {
-        let next = rest.iter().position(|change| {
-            let mut after = now.clone();
-            after.teams.insert(change.team.clone(), parsed(change));
+    while !remaining.is_empty() {
+        let next = remaining.iter().position(|change| {
+            let mut after = current.clone();
+            after
+                .teams
+                .insert(change.team.clone(), parse_change(change));
             after.check().is_ok()
         });
         let Some(next) = next else {
-            let teams = rest.iter().map(|change| format!("`{}`", change.team));
+            let teams = remaining.iter().map(|change| format!("`{}`", change.team));
             return Err(error::Error::Entangled {
                 teams: teams.collect::<Vec<_>>().join(" and "),
             });
         };
-        let change = rest.remove(next);
-        now.teams.insert(change.team.clone(), parsed(&change));
+        let change = remaining.remove(next);
+        current
+            .teams
+            .insert(change.team.clone(), parse_change(&change));
         ordered.push(change);
     }
     Ok(ordered)
 }
 
-fn parsed(change: &Change) -> settings::Team {
+fn parse_change(change: &Change) -> settings::Team {
     settings::Team::parse("the plan", &change.text).expect("a printed part parses back")
 }
 
 fn removals(changes: &[Change]) -> Vec<String> {
-    let whole = |at: &str| {
+    let is_whole_item = |at: &str| {
         let item = at.split_once(' ').map(|(kind, _)| kind);
         matches!(item, Some("service" | "region" | "link")) && !at.contains(": ")
     };
     let differences = changes.iter().flat_map(|change| &change.differences);
-    let gone = differences.filter_map(|difference| match difference {
-        difference::Difference::Remove { at, .. } if whole(at) => Some(at.clone()),
+    let removed = differences.filter_map(|difference| match difference {
+        difference::Difference::Remove { at, .. } if is_whole_item(at) => Some(at.clone()),
         _ => None,
     });
-    gone.collect::<collections::BTreeSet<_>>()
+    removed
+        .collect::<collections::BTreeSet<_>>()
         .into_iter()
         .collect()
 }
--- a/src/cli/remote.rs
+++ b/src/cli/remote.rs
@@ -8,7 +8,7 @@
 
 /// One team's settings in the store.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct StoredTeam {
     /// The store revision.
     pub revision: store::Revision,
     /// The envelope, if it can be decoded.
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Remote {
     /// Settings by team.
-    pub held: collections::BTreeMap<id::TeamId, Held>,
+    pub stored: collections::BTreeMap<id::TeamId, StoredTeam>,
     /// Verified key rings by team.
     pub rings: collections::BTreeMap<id::TeamId, keys::Trusted>,
     /// Errors of the key rings that failed verification.
@@ -44,18 +44,18 @@
         let entries = snapshot.entries.iter();
         let (rings, faults) =
             keys::Trusted::all(entries.map(|e| (e.key.as_str(), e.value.as_slice())), roots);
-        let mut held = collections::BTreeMap::new();
+        let mut stored = collections::BTreeMap::new();
         for entry in store.list(envelope::STORE_PREFIX)?.entries {
             let Some(team) = entry.key.strip_prefix(envelope::STORE_PREFIX) else {
                 continue;
             };
             let team = id::TeamId::from(team);
-            let row = Held::read(&team, &entry, rings.get(&team));
-            held.insert(team, row);
+            let row = StoredTeam::read(&team, &entry, rings.get(&team));
+            stored.insert(team, row);
         }
         let ring_faults = faults.iter().map(ToString::to_string).collect();
         Ok(Self {
-            held,
+            stored,
             rings,
             ring_faults,
         })
@@ -64,9 +64,9 @@
     /// The settings in force, without those that entry VMs reject.
     pub fn settings(&self) -> settings::Settings {
         let teams = self
-            .held
+            .stored
             .iter()
-            .filter_map(|(name, held)| Some((name.clone(), held.team.clone()?)));
+            .filter_map(|(name, stored)| Some((name.clone(), stored.team.clone()?)));
         settings::Settings {
             teams: teams.collect(),
         }
@@ -81,9 +81,9 @@
     }
 }
 
-impl Held {
+impl StoredTeam {
     fn read(team: &id::TeamId, entry: &store::Entry, ring: Option<&keys::Trusted>) -> Self {
-        let mut held = Self {
+        let mut stored = Self {
             revision: entry.revision,
             envelope: None,
             team: None,
@@ -91,25 +91,25 @@
             version: 0,
         };
         match envelope::Envelope::decode(&entry.value) {
-            Ok(envelope) => held.take(team, envelope, ring),
-            Err(err) => held.fault = Some(err.to_string()),
+            Ok(envelope) => stored.accept(team, envelope, ring),
+            Err(err) => stored.fault = Some(err.to_string()),
         }
-        held
+        stored
     }
 
-    fn take(
+    fn accept(
         &mut self,
         team: &id::TeamId,
         envelope: envelope::Envelope,
         ring: Option<&keys::Trusted>,
     ) {
-        let verdict = ring.map(|ring| envelope.verify(team, ring));
-        if let Some(Ok(()) | Err(envelope::Error::RetiredKey { .. })) = verdict {
+        let verification = ring.map(|ring| envelope.verify(team, ring));
+        if let Some(Ok(()) | Err(envelope::Error::RetiredKey { .. })) = verification {
             self.version = envelope.version;
         }
-        let fault = match verdict {
+        let fault = match verification {
             None => Some(format!("team `{team}` has no sound key ring")),
-            Some(verdict) => verdict.err().map(|err| err.to_string()),
+            Some(verification) => verification.err().map(|err| err.to_string()),
         };
         match settings::Team::parse(&envelope::store_key(team), &envelope.text) {
             Ok(parsed) if fault.is_none() => self.team = Some(parsed),
--- a/src/cli/shift.rs
+++ b/src/cli/shift.rs
@@ -74,7 +74,7 @@
 pub type Loads = collections::BTreeMap<id::ServiceId, f64>;
 
 /// All shifts caused by changing `from` to `to` at `now_s`, and the limits that they exceed.
-pub fn of_change(
+pub fn shifts_between(
     from: &settings::Settings,
     to: &settings::Settings,
     now_s: u64,
@@ -84,16 +84,16 @@
     for service in to.services() {
         let before = from.service(service.name.as_str());
         let load = loads.get(&service.name).copied();
-        let found = of_service(before, service, from, to, now_s, load);
+        let found = service_shifts(before, service, from, to, now_s, load);
         for shift in found {
-            excesses.extend(exceeds(&shift, to));
+            excesses.extend(find_excesses(&shift, to));
             shifts.push(shift);
         }
     }
     (shifts, excesses)
 }
 
-fn of_service(
+fn service_shifts(
     before: Option<&settings::Service>,
     after: &settings::Service,
     from: &settings::Settings,
@@ -107,32 +107,32 @@
         ..after.clone()
     };
     let mut found = Vec::new();
-    let mut add = |cause, old: &Place<'_>, new: &Place<'_>| {
+    let mut add = |cause, old: &Placement<'_>, new: &Placement<'_>| {
         found.extend(shift(&capped, cause, old, new, load));
     };
     if let Some(before) = before {
         // Availability zones that are already drained have no traffic that could move at once.
         let kept = with_azs_of(before, after);
-        let old = Place::new(before, from, now_s);
-        let new = Place::new(&kept, from, now_s);
+        let old = Placement::new(before, from, now_s);
+        let new = Placement::new(&kept, from, now_s);
         add(Cause::Settings, &old, &new);
     }
-    let known = |drain: &&settings::Drain| !from.drains().any(|old| old == *drain);
-    for drain in to.drains().filter(known) {
+    let is_new = |drain: &&settings::Drain| !from.drains().any(|old| old == *drain);
+    for drain in to.drains().filter(is_new) {
         let start_s = drain.start_s.max(now_s);
         if drain.end_s.is_some_and(|end_s| end_s <= now_s) {
             continue;
         }
         let without = without_drain(to, drain);
-        let old = Place::new(&capped, &without, start_s);
-        let new = Place::new(&capped, to, start_s);
+        let old = Placement::new(&capped, &without, start_s);
+        let new = Placement::new(&capped, to, start_s);
         add(Cause::Drain { start_s }, &old, &new);
     }
-    for gone in from.drains() {
-        let in_force = is_on(gone, now_s);
-        if in_force && !to.drains().any(|drain| drain == gone) {
-            let old = Place::new(&capped, from, now_s);
-            let new = Place::new(&capped, to, now_s);
+    for removed in from.drains() {
+        let in_force = is_in_force(removed, now_s);
+        if in_force && !to.drains().any(|drain| drain == removed) {
+            let old = Placement::new(&capped, from, now_s);
+            let new = Placement::new(&capped, to, now_s);
             add(Cause::Return { at_s: now_s }, &old, &new);
         }
     }
@@ -156,15 +156,18 @@
 }
 
 /// Availability zones open to a service at one time, and the weights of each region's callers.
-struct Place<'a> {
+struct Placement<'a> {
     open: Vec<id::AzId>,
     weights: plan::WeightsByRegion,
     all: &'a settings::Settings,
 }
 
-impl<'a> Place<'a> {
+impl<'a> Placement<'a> {
     fn new(service: &settings::Service, all: &'a settings::Settings, at_s: u64) -> Self {
-        let closed = |az: &id::AzId| all.drains().any(|d| is_on(d, at_s) && empties(d, az, all));
+        let closed = |az: &id::AzId| {
+            all.drains()
+                .any(|d| is_in_force(d, at_s) && covers(d, az, all))
+        };
         let open: Vec<id::AzId> = service
             .azs
             .iter()
@@ -183,17 +186,17 @@
     }
 
     /// Usable capacity of the open availability zones, in units of one zone's slots.
-    fn bears(&self) -> f64 {
+    fn capacity(&self) -> f64 {
         let limit = |az: &id::AzId| self.all.region_of(az).map_or(0.0, |region| region.max_load);
         self.open.iter().map(limit).sum()
     }
 }
 
-fn is_on(drain: &settings::Drain, at_s: u64) -> bool {
+fn is_in_force(drain: &settings::Drain, at_s: u64) -> bool {
     drain.start_s <= at_s && drain.end_s.is_none_or(|end_s| at_s < end_s)
 }
 
-fn empties(drain: &settings::Drain, az: &id::AzId, all: &settings::Settings) -> bool {
+fn covers(drain: &settings::Drain, az: &id::AzId, all: &settings::Settings) -> bool {
     match &drain.target {
         settings::DrainTarget::Az(target) => target == az,
         settings::DrainTarget::Region(region) => {
@@ -206,8 +209,8 @@
 fn shift(
     service: &settings::Service,
     cause: Cause,
-    old: &Place<'_>,
-    new: &Place<'_>,
+    old: &Placement<'_>,
+    new: &Placement<'_>,
     load: Option<f64>,
 ) -> Option<Shift> {
     let moved = |(region, from): (&id::RegionId, &plan::Weights)| {
@@ -229,7 +232,7 @@
         )),
     };
     let leaves = old.open.iter().filter(|az| !new.open.contains(az));
-    let stays = new.open.len() as f64 / old.open.len().max(1) as f64;
+    let remaining_share = new.open.len() as f64 / old.open.len().max(1) as f64;
     Some(Shift {
         service: service.name.clone(),
         cause,
@@ -240,12 +243,12 @@
         steps,
         takes_ms: steps * service.shift_step_ms,
         load,
-        load_after: load.map(|load| load / stays.max(EPSILON)),
-        fits_below: new.bears() / service.azs.len().max(1) as f64,
+        load_after: load.map(|load| load / remaining_share.max(EPSILON)),
+        fits_below: new.capacity() / service.azs.len().max(1) as f64,
     })
 }
 
-fn exceeds(shift: &Shift, all: &settings::Settings) -> Vec<Excess> {
+fn find_excesses(shift: &Shift, all: &settings::Settings) -> Vec<Excess> {
     let mut found = Vec::new();
     let mut add = |what: String| {
         found.push(Excess {
@@ -261,7 +264,7 @@
     if shift.cause == Cause::Settings && shift.share > shift.cap + EPSILON {
         add(format!(
             "taking {} out moves {} of a region's callers at once, {} more than the cap of {}; drain first with `bulrushwind drain`",
-            names(&shift.leaves),
+            format_names(&shift.leaves),
             percent(shift.share),
             percent(shift.share - shift.cap),
             percent(shift.cap),
@@ -269,10 +272,10 @@
     }
     if let Cause::Drain { start_s } = shift.cause {
         for drain in all.drains().filter(|d| d.start_s.max(start_s) == start_s) {
-            let has_ms = drain.ramp_s * 1000;
-            if shift.takes_ms > has_ms && drain_leaves(drain, shift, all) {
+            let ramp_ms = drain.ramp_s * 1000;
+            if shift.takes_ms > ramp_ms && drain_covers_shift(drain, shift, all) {
                 let step_ms = shift.takes_ms / shift.steps.max(1);
-                let steps = (has_ms / step_ms.max(1)).max(1);
+                let steps = (ramp_ms / step_ms.max(1)).max(1);
                 let needed = shift.share / steps as f64;
                 add(format!(
                     "a ramp of {} s moves {} of a region's callers in each step, {} more than the {} that the cap leaves to one; give ramp_s = {} or more",
@@ -285,25 +288,25 @@
             }
         }
     }
-    if let Some(now) = shift.load
-        && now > shift.fits_below + EPSILON
+    if let Some(load) = shift.load
+        && load > shift.fits_below + EPSILON
     {
         add(format!(
             "a load of {} leaves no room: without {} the regions' limits hold {}, {} less; wait for a quieter hour or add backend servers",
-            percent(now),
-            names(&shift.leaves),
+            percent(load),
+            format_names(&shift.leaves),
             percent(shift.fits_below),
-            percent(now - shift.fits_below),
+            percent(load - shift.fits_below),
         ));
     }
     found
 }
 
-fn drain_leaves(drain: &settings::Drain, shift: &Shift, all: &settings::Settings) -> bool {
-    shift.leaves.iter().any(|az| empties(drain, az, all))
+fn drain_covers_shift(drain: &settings::Drain, shift: &Shift, all: &settings::Settings) -> bool {
+    shift.leaves.iter().any(|az| covers(drain, az, all))
 }
 
-fn names(azs: &[id::AzId]) -> String {
+fn format_names(azs: &[id::AzId]) -> String {
     let names = azs.iter().map(|az| format!("`{az}`"));
     names.collect::<Vec<_>>().join(", ")
 }
@@ -346,10 +349,10 @@
     }
 
     #[test]
-    fn a_drain_takes_the_steps_that_the_plan_will_take() {
+    fn a_drain_takes_the_steps_of_the_plan() {
         let target = settings::DrainTarget::Az("ub-a".into());
         let to = drained(target, 200);
-        let (shifts, excesses) = of_change(&cooperative(), &to, NOW_S, &Loads::new());
+        let (shifts, excesses) = shifts_between(&cooperative(), &to, NOW_S, &Loads::new());
         let shift = ledger(&shifts);
         // Half of Ulaanbaatar's callers move, part of the cap in each step.
         assert!((shift.share - 0.5).abs() < EPSILON);
@@ -360,9 +363,9 @@
 
     /// A drain shorter than the caps allow would send a region's traffic to cold caches at once.
     #[test]
-    fn too_short_a_ramp_is_refused_with_the_one_it_needs() {
+    fn a_too_short_ramp_is_refused_with_the_required_one() {
         let to = drained(settings::DrainTarget::Region("khovd".into()), 10);
-        let (_, excesses) = of_change(&cooperative(), &to, NOW_S, &Loads::new());
+        let (_, excesses) = shifts_between(&cooperative(), &to, NOW_S, &Loads::new());
         let what = &excesses
             .iter()
             .find(|e| e.service.as_str() == "ledger")
@@ -380,12 +383,12 @@
 
     /// A change removes an availability zone without a drain and raises the cap to make that fit.
     #[test]
-    fn a_raised_cap_does_not_count_for_the_change_that_raises_it() {
+    fn a_change_cannot_use_the_cap_that_it_raises() {
         let mut to = cooperative();
         let ledger = &mut to.teams.get_mut("bays").unwrap().services[1];
         ledger.azs.pop();
         ledger.shift_cap = 1.0;
-        let (_, excesses) = of_change(&cooperative(), &to, NOW_S, &Loads::new());
+        let (_, excesses) = shifts_between(&cooperative(), &to, NOW_S, &Loads::new());
         assert!(
             excesses[0]
                 .what
@@ -399,9 +402,9 @@
     fn the_steps_are_those_of_the_estimate() {
         let from = cooperative();
         let to = drained(settings::DrainTarget::Az("ub-a".into()), 1000);
-        let (shifts, _) = of_change(&from, &to, NOW_S, &Loads::new());
-        let dated = to.drains().next().unwrap();
-        let estimates = drain::estimate(&from, dated, &collections::BTreeMap::new());
+        let (shifts, _) = shifts_between(&from, &to, NOW_S, &Loads::new());
+        let scheduled = to.drains().next().unwrap();
+        let estimates = drain::estimate(&from, scheduled, &collections::BTreeMap::new());
         assert_eq!(estimates.len(), shifts.len());
         for estimate in estimates {
             let same = |shift: &&Shift| shift.service == estimate.service;
@@ -412,26 +415,26 @@
     }
 
     #[test]
-    fn a_place_that_is_drained_can_be_taken_out() {
+    fn a_drained_az_can_be_removed() {
         let from = drained(settings::DrainTarget::Az("dornod-b".into()), 60);
         let mut to = from.clone();
         to.teams.get_mut("bays").unwrap().services[1].azs.pop();
-        let (_, excesses) = of_change(&from, &to, NOW_S + 600, &Loads::new());
+        let (_, excesses) = shifts_between(&from, &to, NOW_S + 600, &Loads::new());
         assert_eq!(excesses, []);
     }
 
     /// A region is drained under high load, and the other two lack the capacity for its traffic.
     #[test]
-    fn a_drain_that_the_others_cannot_bear_is_refused() {
+    fn a_drain_beyond_the_remaining_capacity_is_refused() {
         let to = drained(settings::DrainTarget::Region("khovd".into()), 400);
         let loads = Loads::from([("ledger".into(), 0.7)]);
-        let (shifts, excesses) = of_change(&cooperative(), &to, NOW_S, &loads);
+        let (shifts, excesses) = shifts_between(&cooperative(), &to, NOW_S, &loads);
         assert!((ledger(&shifts).fits_below - 0.6).abs() < EPSILON);
         assert!(
             excesses[0].what.contains("hold 60.0%, 10.0% less"),
             "{excesses:?}"
         );
         let loads = Loads::from([("ledger".into(), 0.5)]);
-        assert_eq!(of_change(&cooperative(), &to, NOW_S, &loads).1, []);
+        assert_eq!(shifts_between(&cooperative(), &to, NOW_S, &loads).1, []);
     }
 }
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -10,7 +10,7 @@
 use crate::{error, exit_codes, id};
 
 /// Polling interval of `--wait`.
-const POLL: time::Duration = time::Duration::from_millis(250);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
 data! {
     /// Status of a deployment.
@@ -49,23 +49,23 @@
 /// rejected.
 pub fn run(cx: &Context, args: &args::Status) -> Result<exit_codes::ExitCode, error::Error> {
     let addrs = entries::addresses(cx)?;
-    let until = time::Instant::now() + args.wait.unwrap_or_default();
+    let deadline = time::Instant::now() + args.wait.unwrap_or_default();
     let report = loop {
         let report = report(&cx.remote()?, &addrs);
-        if settled(&report) || time::Instant::now() >= until {
+        if is_up_to_date(&report) || time::Instant::now() >= deadline {
             break report;
         }
-        thread::sleep(POLL);
+        thread::sleep(POLL_INTERVAL);
     };
     cx.out.json(&report);
     print(cx, &report);
-    if settled(&report) {
+    if is_up_to_date(&report) {
         return Ok(exit_codes::ExitCode::Success);
     }
     Ok(exit_codes::ExitCode::Failure)
 }
 
-fn settled(report: &Report) -> bool {
+fn is_up_to_date(report: &Report) -> bool {
     let current = report.teams.iter().all(|team| team.behind.is_empty());
     current && report.silent.is_empty() && report.faults.is_empty()
 }
@@ -73,25 +73,25 @@
 fn report(remote: &remote::Remote, addrs: &[net::SocketAddr]) -> Report {
     let (mut answered, mut silent) = (Vec::new(), Vec::new());
     for answer in entries::statuses(addrs) {
-        match answer.got {
+        match answer.result {
             Ok(status) => answered.push(status),
             Err(err) => silent.push(err.to_string()),
         }
     }
     let mut faults = remote.ring_faults.clone();
     let mut teams = Vec::new();
-    for (name, held) in &remote.held {
+    for (name, held) in &remote.stored {
         faults.extend(held.fault.clone());
         let Some(envelope) = &held.envelope else {
             continue;
         };
-        let holds = |status: &&operators::Status| {
+        let is_current = |status: &&operators::Status| {
             status
                 .settings
                 .get(name)
                 .is_some_and(|version| *version >= held.version)
         };
-        let behind = answered.iter().filter(|status| !holds(status));
+        let behind = answered.iter().filter(|status| !is_current(status));
         let behind: Vec<String> = behind.map(|status| status.vm.clone()).collect();
         teams.push(Team {
             team: name.clone(),
@@ -173,7 +173,7 @@
         status.vm.clone(),
         status.az.clone(),
         ready,
-        output::seconds(status.uptime_s * 1000),
+        output::format_duration(status.uptime_s * 1000),
         if status.store_up { "up" } else { "down" }.to_owned(),
         status.peers.to_string(),
         sum(|service| service.in_flight),
--- a/src/error.rs
+++ b/src/error.rs
@@ -58,7 +58,7 @@
     },
     /// Somebody else changed the same team.
     #[error("{0}")]
-    Changed(Box<apply::Changed>),
+    Changed(Box<apply::ConcurrentChange>),
     /// A write whose fate could not be found out.
     #[error(
         "the store did not say whether team `{team}`'s change {change} was written; when the store is back, run `bulrushwind status`, or apply again: a change that is in force is not written twice"
