--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -21,7 +21,7 @@
     dir: tempfile::TempDir,
 }
 
-struct Ran {
+struct CommandOutput {
     code: i32,
     out: String,
     err: String,
@@ -42,7 +42,7 @@
         let root = new.keygen("root");
         let text = format!("store = \"{store}\"\nroot_keys = [\"{root}\"]\n");
         fs::write(new.path("deployment.toml"), text).unwrap();
-        new.allow("otgon", &TEAMS);
+        new.add_key("otgon", &TEAMS);
         new
     }
 
@@ -55,7 +55,7 @@
     }
 
     /// Runs the program.
-    fn run(&self, args: &[&str]) -> Ran {
+    fn run(&self, args: &[&str]) -> CommandOutput {
         let out = process::Command::new(env!("CARGO_BIN_EXE_bulrushwind"))
             .args(args)
             .env_clear()
@@ -64,36 +64,36 @@
             .stdin(process::Stdio::null())
             .output()
             .unwrap();
-        Ran {
+        CommandOutput {
             code: out.status.code().unwrap(),
             out: String::from_utf8(out.stdout).unwrap(),
             err: String::from_utf8(out.stderr).unwrap(),
         }
     }
 
-    fn good(&self, args: &[&str]) -> Ran {
-        let ran = self.run(args);
-        assert_eq!(ran.code, 0, "{args:?}: {}{}", ran.out, ran.err);
-        ran
+    fn run_ok(&self, args: &[&str]) -> CommandOutput {
+        let output = self.run(args);
+        assert_eq!(output.code, 0, "{args:?}: {}{}", output.out, output.err);
+        output
     }
 
     /// Generates a key and returns its public key.
     fn keygen(&self, holder: &str) -> String {
         let file = self.path(&format!("{holder}.key"));
-        let ran = self.good(&["keygen", file.to_str().unwrap(), "--format", "json"]);
-        let json: serde_json::Value = serde_json::from_str(&ran.out).unwrap();
+        let output = self.run_ok(&["keygen", file.to_str().unwrap(), "--format", "json"]);
+        let json: serde_json::Value = serde_json::from_str(&output.out).unwrap();
         json["public"].as_str().unwrap().to_owned()
     }
 
     /// Generates a key for `holder` and adds it to the rings of `teams`.
-    fn allow(&self, holder: &str, teams: &[&str]) {
+    fn add_key(&self, holder: &str, teams: &[&str]) {
         let public = self.keygen(holder);
         for team in teams {
-            self.good(&["keys", "add", team, "--holder", holder, "--public", &public]);
+            self.run_ok(&["keys", "add", team, "--holder", holder, "--public", &public]);
         }
     }
 
-    fn apply(&self, holder: &str, more: &[&str]) -> Ran {
+    fn apply(&self, holder: &str, more: &[&str]) -> CommandOutput {
         let key = self.path(&format!("{holder}.key"));
         let mut args = vec!["apply", "--yes", "--key", key.to_str().unwrap()];
         args.extend(more);
@@ -129,11 +129,11 @@
 #[test]
 fn an_apply_writes_each_team_once() {
     let deployment = Deployment::new();
-    deployment.good(&["check"]);
-    let planned = deployment.good(&["plan"]);
+    deployment.run_ok(&["check"]);
+    let planned = deployment.run_ok(&["plan"]);
     assert!(planned.out.contains("+ service ledger"), "{}", planned.out);
-    let ran = deployment.apply("otgon", &[]);
-    assert_eq!(ran.code, 0, "{}", ran.err);
+    let output = deployment.apply("otgon", &[]);
+    assert_eq!(output.code, 0, "{}", output.err);
     for team in TEAMS {
         assert!(deployment.envelope(team).is_some(), "{team}");
     }
@@ -148,23 +148,23 @@
 #[test]
 fn a_conflict_names_who_and_what() {
     let deployment = Deployment::new();
-    deployment.allow("sarnai", &["bays"]);
+    deployment.add_key("sarnai", &["bays"]);
     assert_eq!(deployment.apply("otgon", &[]).code, 0);
     let plan = deployment.path("kept.json");
     deployment.replace("bays/ledger.toml", "shift_cap = 0.1", "shift_cap = 0.15");
-    deployment.good(&["plan", "--out", plan.to_str().unwrap()]);
+    deployment.run_ok(&["plan", "--out", plan.to_str().unwrap()]);
     deployment.replace("bays/ledger.toml", "shift_cap = 0.15", "shift_cap = 0.05");
     assert_eq!(deployment.apply("sarnai", &[]).code, 0);
 
-    let ran = deployment.apply("otgon", &["--plan", plan.to_str().unwrap()]);
-    assert_eq!(ran.code, 3, "{}", ran.err);
+    let output = deployment.apply("otgon", &["--plan", plan.to_str().unwrap()]);
+    assert_eq!(output.code, 3, "{}", output.err);
     for part in [
         "sarnai",
         "shift_cap: 0.15 -> 0.05",
         "nothing of yours",
         "bulrushwind plan",
     ] {
-        assert!(ran.err.contains(part), "no {part}: {}", ran.err);
+        assert!(output.err.contains(part), "no {part}: {}", output.err);
     }
     assert!(deployment.envelope("bays").unwrap().text.contains("0.05"));
 }
@@ -182,7 +182,7 @@
             &format!("{text}\n"),
         );
         let plan = deployment.path(&format!("{cap}.json"));
-        deployment.good(&["plan", "--out", plan.to_str().unwrap()]);
+        deployment.run_ok(&["plan", "--out", plan.to_str().unwrap()]);
         deployment.replace("bays/ledger.toml", &text, "shift_cap = 0.1");
         plan
     });
@@ -214,23 +214,27 @@
 #[test]
 fn an_unauthorised_key_writes_nothing() {
     let deployment = Deployment::new();
-    deployment.allow("stranger", &["records"]);
-    let ran = deployment.apply("stranger", &[]);
-    assert_eq!(ran.code, 6, "{}", ran.err);
-    assert!(ran.err.contains("keys add"), "{}", ran.err);
+    deployment.add_key("stranger", &["records"]);
+    let output = deployment.apply("stranger", &[]);
+    assert_eq!(output.code, 6, "{}", output.err);
+    assert!(output.err.contains("keys add"), "{}", output.err);
     assert!(TEAMS.iter().all(|team| deployment.envelope(team).is_none()));
 }
 
 #[test]
-fn with_the_store_down_nothing_is_said_to_be_written() {
+fn nothing_is_reported_as_written_while_the_store_is_down() {
     let deployment = Deployment::new();
     deployment.memory.set_faults(Faults {
         down: true,
         ..Faults::default()
     });
-    let ran = deployment.apply("otgon", &[]);
-    assert_eq!(ran.code, 1, "{}", ran.err);
-    assert!(ran.err.contains("try again when it is back"), "{}", ran.err);
+    let output = deployment.apply("otgon", &[]);
+    assert_eq!(output.code, 1, "{}", output.err);
+    assert!(
+        output.err.contains("try again when it is back"),
+        "{}",
+        output.err
+    );
     deployment.memory.set_faults(Faults::default());
     assert!(TEAMS.iter().all(|team| deployment.envelope(team).is_none()));
 }
@@ -245,25 +249,29 @@
         ..Faults::default()
     });
     let before = deployment.memory.calls().writes;
-    let ran = deployment.apply("otgon", &[]);
-    assert_eq!(ran.code, 0, "{}", ran.err);
+    let output = deployment.apply("otgon", &[]);
+    assert_eq!(output.code, 0, "{}", output.err);
     assert_eq!(deployment.memory.calls().writes, before + 3);
     let envelope = deployment.envelope("bays").unwrap();
-    assert!(ran.out.contains(envelope.change.as_str()), "{}", ran.out);
+    assert!(
+        output.out.contains(envelope.change.as_str()),
+        "{}",
+        output.out
+    );
 }
 
 /// Leftover editor files, unfinished merges and interrupted checkouts would otherwise be applied as
 /// removals of services.
 #[test]
-fn a_half_written_directory_is_refused() {
+fn an_incomplete_directory_is_refused() {
     let deployment = Deployment::new();
     assert_eq!(deployment.apply("otgon", &[]).code, 0);
 
     let left = deployment.file("bays/ledger.toml.tmp");
     fs::write(&left, "").unwrap();
-    let ran = deployment.run(&["check"]);
-    assert_eq!(ran.code, 2);
-    assert!(ran.err.contains("ledger.toml.tmp"), "{}", ran.err);
+    let output = deployment.run(&["check"]);
+    assert_eq!(output.code, 2);
+    assert!(output.err.contains("ledger.toml.tmp"), "{}", output.err);
     fs::remove_file(left).unwrap();
 
     let whole = fs::read_to_string(deployment.file("bays/ledger.toml")).unwrap();
@@ -272,54 +280,58 @@
         format!("{whole}<<<<<<< HEAD\n"),
     )
     .unwrap();
-    let ran = deployment.run(&["check"]);
-    assert_eq!(ran.code, 2);
+    let output = deployment.run(&["check"]);
+    assert_eq!(output.code, 2);
     let line = format!("line {}", whole.lines().count() + 1);
     assert!(
-        ran.err.contains("ledger.toml") && ran.err.contains(&line),
+        output.err.contains("ledger.toml") && output.err.contains(&line),
         "{}",
-        ran.err
+        output.err
     );
 
     fs::remove_file(deployment.file("bays/ledger.toml")).unwrap();
-    let ran = deployment.apply("otgon", &[]);
-    assert_eq!(ran.code, 4, "{}", ran.err);
+    let output = deployment.apply("otgon", &[]);
+    assert_eq!(output.code, 4, "{}", output.err);
     assert!(
-        ran.err.contains("service ledger") && ran.err.contains("--remove"),
+        output.err.contains("service ledger") && output.err.contains("--remove"),
         "{}",
-        ran.err
+        output.err
     );
 
     fs::remove_file(deployment.file("bays/availability.toml")).unwrap();
-    let ran = deployment.run(&["check"]);
-    assert_eq!(ran.code, 2);
-    assert!(ran.err.contains("no .toml file"), "{}", ran.err);
+    let output = deployment.run(&["check"]);
+    assert_eq!(output.code, 2);
+    assert!(output.err.contains("no .toml file"), "{}", output.err);
     assert!(deployment.envelope("bays").unwrap().text.contains("ledger"));
 }
 
 #[test]
-fn a_fault_names_file_line_and_remedy() {
+fn an_error_names_file_line_and_remedy() {
     let deployment = Deployment::new();
     deployment.replace("bays/ledger.toml", "shift_cap = 0.1", "shift_cap = 1.5");
-    let ran = deployment.run(&["check"]);
-    assert_eq!(ran.code, 2);
-    assert!(ran.err.contains("ledger.toml:6:"), "{}", ran.err);
-    assert!(ran.err.contains("at most 1"), "{}", ran.err);
+    let output = deployment.run(&["check"]);
+    assert_eq!(output.code, 2);
+    assert!(output.err.contains("ledger.toml:6:"), "{}", output.err);
+    assert!(output.err.contains("at most 1"), "{}", output.err);
     deployment.replace("bays/ledger.toml", "shift_cap", "shiftcap");
-    let ran = deployment.run(&["check"]);
-    assert!(ran.err.contains("did you mean `shift_cap`?"), "{}", ran.err);
+    let output = deployment.run(&["check"]);
+    assert!(
+        output.err.contains("did you mean `shift_cap`?"),
+        "{}",
+        output.err
+    );
 }
 
 /// An availability zone is removed from a service without a drain, which would move its share to
 /// cold caches at once.
 #[test]
-fn what_exceeds_a_cap_is_refused_with_by_how_much() {
+fn exceeding_a_cap_is_refused_with_the_amount() {
     let deployment = Deployment::new();
     assert_eq!(deployment.apply("otgon", &[]).code, 0);
     deployment.replace("bays/ledger.toml", ", \"dornod-b\"", "");
-    for ran in [deployment.run(&["plan"]), deployment.apply("otgon", &[])] {
-        assert_eq!(ran.code, 4, "{}", ran.err);
-        let text = ran.out + &ran.err;
+    for output in [deployment.run(&["plan"]), deployment.apply("otgon", &[])] {
+        assert_eq!(output.code, 4, "{}", output.err);
+        let text = output.out + &output.err;
         assert!(text.contains("40.0% more than the cap of 10.0%"), "{text}");
     }
     assert!(
@@ -332,7 +344,7 @@
 }
 
 #[test]
-fn a_drain_is_dated_shown_applied_and_taken_back() {
+fn a_drain_is_scheduled_shown_applied_and_cancelled() {
     let deployment = Deployment::new();
     assert_eq!(deployment.apply("otgon", &[]).code, 0);
     let key = deployment.path("otgon.key");
@@ -351,17 +363,17 @@
         "drain", "az/ub-a", "--start", "+1h", "--for", "2h", "--apply",
     ];
     args.extend(signing);
-    let ran = deployment.good(&args);
+    let output = deployment.run_ok(&args);
     assert!(
-        ran.out.contains("50.0%") && ran.out.contains("empty after"),
+        output.out.contains("50.0%") && output.out.contains("empty after"),
         "{}",
-        ran.out
+        output.out
     );
     assert!(deployment.envelope("places").unwrap().text.contains("ub-a"));
 
     let mut args = vec!["undrain", "az/ub-a", "--apply"];
     args.extend(signing);
-    deployment.good(&args);
+    deployment.run_ok(&args);
     assert!(
         !deployment
             .envelope("places")
@@ -378,16 +390,16 @@
 fn a_stolen_key_is_replaced() {
     let deployment = Deployment::new();
     assert_eq!(deployment.apply("otgon", &[]).code, 0);
-    deployment.allow("sarnai", &["bays"]);
-    let listed = deployment.good(&["keys", "list", "bays", "--format", "json"]);
+    deployment.add_key("sarnai", &["bays"]);
+    let listed = deployment.run_ok(&["keys", "list", "bays", "--format", "json"]);
     let rings: serde_json::Value = serde_json::from_str(&listed.out).unwrap();
     assert_eq!(rings[0]["keys"][0]["holder"], "otgon");
     let old = deployment.envelope("bays").unwrap();
-    deployment.good(&["keys", "retire", "bays", old.key.as_str(), "--stolen"]);
+    deployment.run_ok(&["keys", "retire", "bays", old.key.as_str(), "--stolen"]);
 
     assert_eq!(deployment.apply("otgon", &["--team", "bays"]).code, 6);
-    let ran = deployment.apply("sarnai", &["--team", "bays"]);
-    assert_eq!(ran.code, 0, "{}", ran.err);
+    let output = deployment.apply("sarnai", &["--team", "bays"]);
+    assert_eq!(output.code, 0, "{}", output.err);
     let new = deployment.envelope("bays").unwrap();
     assert!(new.version > old.version && new.key != old.key);
     assert_eq!(new.text, old.text);
@@ -396,7 +408,7 @@
 /// After the store is restored from a backup, entry VMs keep newer versions than it holds, so the
 /// next apply must use a version higher than theirs.
 #[test]
-fn after_a_restore_an_apply_still_goes_forward() {
+fn after_a_restore_an_apply_uses_a_higher_version() {
     let deployment = Deployment::new();
     assert_eq!(deployment.apply("otgon", &[]).code, 0);
     let backup = deployment.memory.backup();
@@ -418,8 +430,8 @@
         deployment.run(&["keys", "list"]),
         deployment.run(&["plan", "--format", "json"]),
     ];
-    for ran in shown {
-        assert!(!ran.out.contains(&hex) && !ran.err.contains(&hex));
+    for output in shown {
+        assert!(!output.out.contains(&hex) && !output.err.contains(&hex));
     }
     let again = deployment.run(&["keygen", deployment.path("otgon.key").to_str().unwrap()]);
     assert_eq!(again.code, 1, "an existing key was written over");
@@ -431,7 +443,7 @@
     for shell in ["bash", "zsh", "fish"] {
         assert!(
             deployment
-                .good(&["completions", shell])
+                .run_ok(&["completions", shell])
                 .out
                 .contains("undrain")
         );
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_page_of_the_configuration_has_every_key_and_default() {
+fn the_configuration_page_lists_every_key_and_default() {
     let page = fs::read_to_string("docs/operators/configuration.md").unwrap();
     let known = toml::Table::try_from(config::Config::default()).unwrap();
     for (key, value) in &known {
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn links_between_pages_lead_somewhere() {
+fn links_between_pages_resolve() {
     for page in pages() {
         let text = fs::read_to_string(&page).unwrap();
         for link in text.split("](").skip(1) {
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -20,9 +20,9 @@
 use io::BufRead;
 
 /// A child process that is killed when the test ends.
-struct Killed(process::Child);
+struct KillOnDrop(process::Child);
 
-impl Drop for Killed {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -30,7 +30,7 @@
 }
 
 /// A loopback address that no other test uses.
-fn own_addr() -> net::SocketAddr {
+fn unused_addr() -> net::SocketAddr {
     static NEXT: atomic::AtomicU8 = atomic::AtomicU8::new(1);
     let [_, _, high, low] = process::id().to_be_bytes();
     let next = NEXT.fetch_add(1, atomic::Ordering::Relaxed);
@@ -49,7 +49,7 @@
 }
 
 fn entry(env: &testenv::TestEnv, name: &str) -> (processes::Process, net::SocketAddr) {
-    let addr = own_addr();
+    let addr = unused_addr();
     let entry = env.entry_with(name, |cfg| cfg.operators_listen = addr);
     (entry, addr)
 }
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn answers_are_counted_and_remembered() {
+fn answers_appear_in_status_metrics_and_history() {
     let env = testenv::TestEnv::new();
     let _backend = env.backend("b1", "availability", &[]);
     let (entry, addr) = entry(&env, "e1");
@@ -112,8 +112,8 @@
         path: "/availability/bays",
         ..caller::Ask::default()
     };
-    let told = caller::Caller::default().ask(entry.addr(), &ask).unwrap();
-    assert_eq!(told.status, 503);
+    let answer = caller::Caller::default().ask(entry.addr(), &ask).unwrap();
+    assert_eq!(answer.status, 503);
     let url = format!("http://{}/availability/bays", entry.addr());
     let res = attohttpc::get(url).send().unwrap();
     let id = res.headers()["bulrushwind-request-id"].to_str().unwrap();
@@ -199,7 +199,7 @@
         page.starts_with("<!doctype html>") && !page.contains("http"),
         "{page}"
     );
-    assert_eq!(run("text", own_addr()).0, 1);
+    assert_eq!(run("text", unused_addr()).0, 1);
 }
 
 /// Operators may pass logs on, so logs must contain neither secrets nor callers' confidential data.
@@ -213,7 +213,7 @@
     let dir = tempfile::tempdir().unwrap();
     let log = dir.path().join("log");
     let store = testenv::TestEnv::new();
-    let addr = own_addr();
+    let addr = unused_addr();
     let child = process::Command::new(env!("CARGO_BIN_EXE_bulrushwind-entry"))
         .args([
             "--set",
@@ -235,7 +235,7 @@
         .stderr(fs::File::create(&log).unwrap())
         .spawn()
         .unwrap();
-    let mut child = Killed(child);
+    let mut child = KillOnDrop(child);
     let mut lines = io::BufReader::new(child.0.stdout.take().unwrap()).lines();
     let line = lines.next().unwrap().unwrap();
     let entry = line.strip_prefix("listening ").unwrap().to_owned();
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_signed_team_survives_the_store() {
+fn a_signed_team_round_trips() {
     let key = keys::SecretKey::generate();
     let check = |team: settings::Team| {
         let change = envelope::ChangeId::draw();
@@ -144,7 +144,7 @@
 
 /// Arbitrary bytes from the store or a peer give an error and never a panic.
 #[test]
-fn no_bytes_make_the_readers_panic() {
+fn malformed_bytes_never_panic() {
     let check = |bytes: Vec<u8>| {
         let _ = envelope::Envelope::decode(&bytes);
         let _ = keys::KeyRing::decode(&bytes);
