--- a/src/burn/html.rs
+++ b/src/burn/html.rs
@@ -108,7 +108,7 @@
     let rows = service.regions.iter().map(text::region_row);
     let rows: Vec<_> = rows.collect();
     if rows.is_empty() {
-        return "<p class=\"note\">No backend server takes work.</p>\n".to_owned();
+        return "<p class=\"note\">No backend server accepts requests.</p>\n".to_owned();
     }
     table(
         &["region", "slots", "in hand", "load", "limit", "headroom"],
@@ -152,7 +152,7 @@
 
 fn plots(service: &report::Service) -> String {
     if service.points.len() < 2 {
-        return "<p class=\"note\">No plots yet: the entry VMs remember less than two minutes.</p>\n"
+        return "<p class=\"note\">No plots yet: the entry VMs' history covers less than two minutes.</p>\n"
             .to_owned();
     }
     let series = |value: fn(&report::Point) -> Option<f64>| {
--- a/src/burn/mod.rs
+++ b/src/burn/mod.rs
@@ -77,7 +77,7 @@
                 return dir.map(|dir| settings::Settings { teams: dir.teams });
             };
             anstream::eprintln!(
-                "warning: the store has no settings for this report; the objectives are those of {}",
+                "warning: no settings are available from the store; using the objectives in {}",
                 cx.place.dir.display()
             );
             Ok(settings::Settings { teams: dir.teams })
--- a/src/burn/report.rs
+++ b/src/burn/report.rs
@@ -303,10 +303,10 @@
 }
 
 fn drains(histories: &[history::History]) -> Vec<Drain> {
-    let mut drains = collections::BTreeMap::<(&str, u64), Drain>::new();
+    let mut by_target = collections::BTreeMap::<(&str, u64), Drain>::new();
     for drain in histories.iter().flat_map(|vm| &vm.drains) {
         let key = (drain.target.as_str(), drain.start_s);
-        let sum = drains.entry(key).or_insert_with(|| Drain {
+        let sum = by_target.entry(key).or_insert_with(|| Drain {
             target: drain.target.clone(),
             start_s: drain.start_s,
             took_s: 0,
@@ -317,7 +317,7 @@
         sum.empty &= drain.quiet_s >= MIN_IDLE_S && drain.in_flight == 0;
         sum.in_flight += drain.in_flight;
     }
-    drains.into_values().collect()
+    by_target.into_values().collect()
 }
 
 /// Divides `part` by `whole`; 0 if `whole` is 0.
--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -125,25 +125,23 @@
         change: envelope.change.clone(),
         revision,
     };
-    let mut outcome_unknown = false;
+    let mut maybe_written = false;
     let mut delay = INITIAL_RETRY_DELAY;
     for _ in 0..MAX_WRITE_ATTEMPTS {
         match store.compare_and_swap(&key, change.base, &value, None) {
             Ok(revision) => return Ok(written(revision)),
-            Err(store::Error::Conflict { .. }) => {
-                match own_change_revision(store, &key, envelope) {
-                    Ok(Some(revision)) => return Ok(written(revision)),
-                    Ok(None) => {
-                        return Err(conflict(store, change, envelope, outcome_unknown, roots));
-                    }
-                    Err(_) => {}
+            Err(store::Error::Conflict { .. }) => match find_change(store, &key, envelope) {
+                Ok(Some(revision)) => return Ok(written(revision)),
+                Ok(None) => {
+                    return Err(conflict(store, change, envelope, maybe_written, roots));
                 }
-            }
-            Err(store::Error::Unknown(_)) => outcome_unknown = true,
-            Err(store::Error::Unavailable(_)) if outcome_unknown => {}
+                Err(_) => {}
+            },
+            Err(store::Error::Unknown(_)) => maybe_written = true,
+            Err(store::Error::Unavailable(_)) if maybe_written => {}
             Err(err) => return Err(err.into()),
         }
-        if let Ok(Some(revision)) = own_change_revision(store, &key, envelope) {
+        if let Ok(Some(revision)) = find_change(store, &key, envelope) {
             return Ok(written(revision));
         }
         thread::sleep(delay);
@@ -156,7 +154,7 @@
 }
 
 /// The revision at which the store holds this change, if it does.
-fn own_change_revision<S: store::Store>(
+fn find_change<S: store::Store>(
     store: &S,
     key: &str,
     envelope: &envelope::Envelope,
@@ -164,8 +162,8 @@
     let Some(entry) = store.get(key)? else {
         return Ok(None);
     };
-    let held = envelope::Envelope::decode(&entry.value);
-    let same = held.is_ok_and(|held| held.change == envelope.change);
+    let stored = envelope::Envelope::decode(&entry.value);
+    let same = stored.is_ok_and(|stored| stored.change == envelope.change);
     Ok(same.then_some(entry.revision))
 }
 
@@ -174,7 +172,7 @@
     store: &S,
     change: &plan::Change,
     envelope: &envelope::Envelope,
-    outcome_unknown: bool,
+    maybe_written: bool,
     roots: &[keys::PublicKey],
 ) -> error::Error {
     let team = change.team.clone();
@@ -182,35 +180,43 @@
         Ok(remote) => remote,
         Err(err) => return err,
     };
-    let Some(held) = remote.stored.get(&team) else {
+    let Some(stored) = remote.stored.get(&team) else {
         return error::Error::Changed(Box::new(ConcurrentChange {
             team,
             holder: "somebody".to_owned(),
-            what: "took all of the team's settings out".to_owned(),
-            ..ConcurrentChange::from_plan(change, envelope, outcome_unknown)
+            what: "removed all of the team's settings".to_owned(),
+            ..ConcurrentChange::from_plan(change, envelope, maybe_written)
         }));
     };
-    let stored = held.envelope.as_ref();
-    let holder = stored.map_or_else(
+    let current = stored.envelope.as_ref();
+    let holder = current.map_or_else(
         || "somebody".to_owned(),
-        |stored| format!("{} (key {})", remote.holder(&team, &stored.key), stored.key),
+        |current| {
+            format!(
+                "{} (key {})",
+                remote.holder(&team, &current.key),
+                current.key
+            )
+        },
     );
     error::Error::Changed(Box::new(ConcurrentChange {
         team,
         holder,
-        what: describe_stored(change, held),
-        revision: held.revision,
-        ..ConcurrentChange::from_plan(change, envelope, outcome_unknown)
+        what: describe_difference(change, stored),
+        revision: stored.revision,
+        ..ConcurrentChange::from_plan(change, envelope, maybe_written)
     }))
 }
 
 /// Describes the differences between the planned settings and those now in the store.
-fn describe_stored(change: &plan::Change, held: &remote::StoredTeam) -> String {
-    let (Ok(planned), Some(stored)) = (settings::Team::parse("the plan", &change.text), &held.team)
-    else {
-        return "wrote settings that are not sound".to_owned();
+fn describe_difference(change: &plan::Change, stored: &remote::StoredTeam) -> String {
+    let (Ok(planned), Some(current)) = (
+        settings::Team::parse("the plan", &change.text),
+        &stored.team,
+    ) else {
+        return "wrote invalid settings".to_owned();
     };
-    let mut differences = difference::between(&planned, stored)
+    let mut differences = difference::between(&planned, current)
         .iter()
         .map(|difference| format!("\n  {difference}"))
         .collect::<Vec<_>>();
@@ -242,14 +248,14 @@
     /// Id of the operator's own change, which was not written or was replaced.
     pub change: envelope::ChangeId,
     /// Whether the operator's change may have been in force before the concurrent one.
-    pub outcome_unknown: bool,
+    pub maybe_written: bool,
 }
 
 impl ConcurrentChange {
     fn from_plan(
         change: &plan::Change,
         envelope: &envelope::Envelope,
-        outcome_unknown: bool,
+        maybe_written: bool,
     ) -> Self {
         Self {
             team: change.team.clone(),
@@ -258,7 +264,7 @@
             planned: change.base,
             revision: change.base,
             change: envelope.change.clone(),
-            outcome_unknown,
+            maybe_written,
         }
     }
 }
@@ -270,7 +276,7 @@
             "team `{}` was changed by {} after you planned (revision {}, planned on {}); {}",
             self.team, self.holder, self.revision.0, self.planned.0, self.what
         )?;
-        if self.outcome_unknown {
+        if self.maybe_written {
             write!(
                 f,
                 "a reply was lost, so your change {} may have been in force before theirs; ",
--- a/src/cli/args.rs
+++ b/src/cli/args.rs
@@ -352,7 +352,7 @@
 fn parse_name<N: for<'a> From<&'a str>>(text: &str) -> Result<N, String> {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
     if text.is_empty() || !text.chars().all(is_allowed) {
-        return Err("a name has letters, digits, - and _ only".to_owned());
+        return Err("use only letters, digits, - and _".to_owned());
     }
     Ok(text.into())
 }
--- a/src/cli/difference.rs
+++ b/src/cli/difference.rs
@@ -71,7 +71,7 @@
 }
 
 fn to_table(team: &settings::Team) -> toml::Table {
-    toml::Table::try_from(team).expect("a team's part has only values that TOML can hold")
+    toml::Table::try_from(team).expect("a team's settings have only values that TOML can hold")
 }
 
 fn compare_tables(at: &str, from: &toml::Table, to: &toml::Table, found: &mut Vec<Difference>) {
--- a/src/cli/directory.rs
+++ b/src/cli/directory.rs
@@ -174,7 +174,7 @@
     Err(incomplete_error(
         dir,
         what,
-        "finish the checkout, or put an empty `none.toml` there to take all of the team's settings out",
+        "complete the checkout, or add an empty `none.toml` to remove all of the team's settings",
     ))
 }
 
--- a/src/cli/drain.rs
+++ b/src/cli/drain.rs
@@ -2,8 +2,8 @@
 //!
 //! Drains are settings and belong under version control: if a drain were written to the store only,
 //! the next apply of the directory would silently remove it. So both commands edit one file of the
-//! directory, [`DRAINS_FILE`], and an apply writes it to the store. A drain that would exceed a cap or a
-//! limit is not written to the file.
+//! directory, [`DRAINS_FILE`], and an apply writes it to the store. A drain that would exceed a cap
+//! or a limit is not written to the file.
 
 use std::fs;
 use std::path;
@@ -60,7 +60,7 @@
             return Ok(());
         }
         Err(error::Error::Config(format!(
-            "{DRAINS_FILE} has no drain of {}; if another file of teams/places has it, take it out there",
+            "{DRAINS_FILE} has no drain of {}; if another file of teams/places has it, remove it there",
             args.target
         )))
     })?;
--- a/src/cli/entries.rs
+++ b/src/cli/entries.rs
@@ -35,7 +35,7 @@
     }
     let port = cx.deployment.operators_port.ok_or_else(|| {
         error::Error::Config(
-            "it is not known where entry VMs answer operators; set `operators_port` or `entries` in deployment.toml, BULRUSHWIND_ENTRIES or --entry"
+            "no operator listener address is configured; set `operators_port` or `entries` in deployment.toml, BULRUSHWIND_ENTRIES or --entry"
                 .to_owned(),
         )
     })?;
@@ -73,7 +73,7 @@
                 .map(|addr| (*addr, scope.spawn(|| query(*addr))))
                 .collect();
             for (addr, thread) in threads {
-                let result = thread.join().expect("asking does not panic");
+                let result = thread.join().expect("a query does not panic");
                 answers.push(Answer { addr, result });
             }
         });
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -159,7 +159,7 @@
     let timeline = timeline(&lines, &args.request);
     if timeline.is_empty() {
         return Err(error::Error::Config(format!(
-            "no line tells of request `{}`; give the logs of all entry VMs of that time, and note that of the requests that were answered in time only one in 64 leaves a line",
+            "no log line mentions request `{}`; give the logs of all entry VMs for that time, and note that only one in 64 requests answered in time is logged",
             args.request
         )));
     }
--- a/src/cli/lookup.rs
+++ b/src/cli/lookup.rs
@@ -11,7 +11,8 @@
 pub fn run(cx: &Context, args: &args::Lookup) -> Result<exit_codes::ExitCode, error::Error> {
     let path = format!("/lookup/{}", args.service);
     let mut last_error = error::Error::Config(
-        "the platform lists no entry VM; give the callers' address of one with --at".to_owned(),
+        "the platform lists no entry VM; give the address of a caller listener with --at"
+            .to_owned(),
     );
     for addr in addresses(cx, args)? {
         match entries::get(addr, &path, "callers'") {
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -168,7 +168,7 @@
             source,
         })?;
         cx.out.line(&format!(
-            "Kept in {}; `bulrushwind apply --plan {0}` writes it.",
+            "Saved to {}; run `bulrushwind apply --plan {0}` to write it.",
             path.display()
         ));
     }
@@ -196,7 +196,7 @@
     };
     if fs::metadata(path).map_err(read)?.len() > MAX_PLAN_BYTES {
         return Err(error::Error::Config(format!(
-            "{}: over {MAX_PLAN_BYTES} bytes; this is not a plan that `bulrushwind plan --out` kept",
+            "{}: over {MAX_PLAN_BYTES} bytes; this is not a plan saved by `bulrushwind plan --out`",
             path.display()
         )));
     }
@@ -249,7 +249,7 @@
         return Ok(());
     }
     Err(error::Error::Refused(format!(
-        "nothing was written: the directory no longer has {}; complete the checkout, or give --remove if they are to go",
+        "nothing was written: the directory no longer has {}; complete the checkout, or give --remove to remove them",
         plan.removals.join(", ")
     )))
 }
--- a/src/cli/output.rs
+++ b/src/cli/output.rs
@@ -104,7 +104,8 @@
 pub fn confirm(question: &str) -> Result<bool, error::Error> {
     use io::{BufRead, IsTerminal};
     if !io::stdin().is_terminal() {
-        let what = "there is no terminal to ask on; give --yes to write without asking";
+        let what =
+            "cannot ask for confirmation without a terminal; give --yes to write without asking";
         return Err(error::Error::Config(what.to_owned()));
     }
     anstream::eprint!("{question} [y/N] ");
@@ -124,7 +125,7 @@
             };
             self.line(&format!("team {} ({base})", change.team));
             if let Some(why) = &change.rewrite {
-                self.line(&styled(WARN, &format!("  ! written anew: {why}")));
+                self.line(&styled(WARN, &format!("  ! rewritten: {why}")));
             }
             for difference in &change.differences {
                 let text = difference.to_string();
@@ -137,7 +138,7 @@
             }
         }
         if plan.changes.is_empty() {
-            self.line("Nothing to change: the store holds what the directory says.");
+            self.line("Nothing to change: the store matches the directory.");
         }
         self.shifts(plan);
     }
--- a/src/cli/plan.rs
+++ b/src/cli/plan.rs
@@ -99,19 +99,21 @@
 fn change(
     name: &id::TeamId,
     team: &settings::Team,
-    held: Option<&remote::StoredTeam>,
+    stored: Option<&remote::StoredTeam>,
 ) -> Option<Change> {
     let empty = settings::Team::default();
-    let before = held.and_then(|held| held.team.as_ref()).unwrap_or(&empty);
+    let before = stored
+        .and_then(|stored| stored.team.as_ref())
+        .unwrap_or(&empty);
     let differences = difference::between(before, team);
-    let rewrite = held.and_then(|held| held.fault.clone());
-    if differences.is_empty() && rewrite.is_none() && held.is_some() {
+    let rewrite = stored.and_then(|stored| stored.fault.clone());
+    if differences.is_empty() && rewrite.is_none() && stored.is_some() {
         return None;
     }
     Some(Change {
         team: name.clone(),
-        base: held.map_or(store::Revision(0), |held| held.revision),
-        base_version: held.map_or(0, |held| held.version),
+        base: stored.map_or(store::Revision(0), |stored| stored.revision),
+        base_version: stored.map_or(0, |stored| stored.version),
         differences,
         rewrite,
         text: team.to_toml(),
@@ -150,7 +152,7 @@
 }
 
 fn parse_change(change: &Change) -> settings::Team {
-    settings::Team::parse("the plan", &change.text).expect("a printed part parses back")
+    settings::Team::parse("the plan", &change.text).expect("printed settings parse back")
 }
 
 fn removals(changes: &[Change]) -> Vec<String> {
--- a/src/cli/remote.rs
+++ b/src/cli/remote.rs
@@ -91,13 +91,13 @@
             version: 0,
         };
         match envelope::Envelope::decode(&entry.value) {
-            Ok(envelope) => stored.accept(team, envelope, ring),
+            Ok(envelope) => stored.set_envelope(team, envelope, ring),
             Err(err) => stored.fault = Some(err.to_string()),
         }
         stored
     }
 
-    fn accept(
+    fn set_envelope(
         &mut self,
         team: &id::TeamId,
         envelope: envelope::Envelope,
--- a/src/cli/shift.rs
+++ b/src/cli/shift.rs
@@ -258,7 +258,7 @@
     };
     let percent = |share: f64| format!("{:.1}%", share * 100.0);
     if shift.fits_below <= EPSILON {
-        add("no place is left to run it; keep at least one availability zone open".to_owned());
+        add("no availability zone is left to run it; keep at least one open".to_owned());
         return found;
     }
     if shift.cause == Cause::Settings && shift.share > shift.cap + EPSILON {
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -80,23 +80,23 @@
     }
     let mut faults = remote.ring_faults.clone();
     let mut teams = Vec::new();
-    for (name, held) in &remote.stored {
-        faults.extend(held.fault.clone());
-        let Some(envelope) = &held.envelope else {
+    for (name, stored) in &remote.stored {
+        faults.extend(stored.fault.clone());
+        let Some(envelope) = &stored.envelope else {
             continue;
         };
         let is_current = |status: &&operators::Status| {
             status
                 .settings
                 .get(name)
-                .is_some_and(|version| *version >= held.version)
+                .is_some_and(|version| *version >= stored.version)
         };
         let behind = answered.iter().filter(|status| !is_current(status));
         let behind: Vec<String> = behind.map(|status| status.vm.clone()).collect();
         teams.push(Team {
             team: name.clone(),
             version: envelope.version,
-            revision: held.revision.0,
+            revision: stored.revision.0,
             change: envelope.change.to_string(),
             holder: remote.holder(name, &envelope.key),
             held_by: answered.len() - behind.len(),
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -126,7 +126,7 @@
     if service.name.as_str().is_empty() || service.name.as_str().contains(['/', '?', ' ']) {
         return Err(value_error(
             origin,
-            at("the name cannot stand in a path"),
+            at("the name is not valid in a path"),
             "use letters, digits and -",
         ));
     }
--- a/src/settings/envelope.rs
+++ b/src/settings/envelope.rs
@@ -47,7 +47,7 @@
     },
     /// The envelope names a different team than its store key.
     #[error(
-        "the settings are team `{of}`'s but stand under `{at}`; each team writes only under its own name"
+        "the settings of team `{of}` are stored under team `{at}`; store each team's settings under its own name"
     )]
     WrongTeam {
         /// The team in the envelope.
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -56,7 +56,7 @@
     #[error("the key ring cannot be read: {0}; write it again with `bulrushwind keys`")]
     Undecodable(String),
     /// The ring names a different team than its store key.
-    #[error("the key ring is team `{of}`'s but stands under `{at}`; write it under its own team")]
+    #[error("the key ring of team `{of}` is stored under team `{at}`; write it under its own team")]
     WrongTeam {
         /// The team in the ring.
         of: id::TeamId,
@@ -92,7 +92,7 @@
         offered: u64,
     },
     /// The ring has more than [`MAX_KEYS`] keys.
-    #[error("a team has at most {MAX_KEYS} keys; take out those that were revoked")]
+    #[error("a team has at most {MAX_KEYS} keys; remove revoked keys")]
     TooManyKeys,
 }
 
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -114,7 +114,7 @@
 
     /// Formats the settings as TOML, so that parsing the text yields the same settings.
     pub fn to_toml(&self) -> String {
-        toml::to_string_pretty(self).expect("a team's part has only values that TOML can hold")
+        toml::to_string_pretty(self).expect("a team's settings have only values that TOML can hold")
     }
 
     fn merge(&mut self, other: Self) {
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -116,7 +116,7 @@
         );
     }
     let rows = page.lines().filter(|line| line.starts_with("| `")).count();
-    assert_eq!(rows, known.len(), "the page has rows for gone keys");
+    assert_eq!(rows, known.len(), "the page has rows for removed keys");
 }
 
 #[test]
