--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -132,9 +132,7 @@
             Ok(revision) => return Ok(written(revision)),
             Err(store::Error::Conflict { .. }) => match find_change(store, &key, envelope) {
                 Ok(Some(revision)) => return Ok(written(revision)),
-                Ok(None) => {
-                    return Err(conflict(store, change, envelope, maybe_written, roots));
-                }
+                Ok(None) => return Err(conflict(store, change, envelope, maybe_written, roots)),
                 Err(_) => {}
             },
             Err(store::Error::Unknown(_)) => maybe_written = true,
--- a/src/cli/difference.rs
+++ b/src/cli/difference.rs
@@ -1,4 +1,5 @@
-//! Compares two versions of a team's settings, item by item and field by field.
+//! Compares two versions of a team's settings, item by item and field by field. Items are matched
+//! by identity rather than position, so reordering the files shows no difference.
 
 use std::collections;
 use std::fmt;
--- a/src/cli/keys.rs
+++ b/src/cli/keys.rs
@@ -1,4 +1,5 @@
-//! Commands that generate signing keys and edit teams' key rings.
+//! Commands that generate signing keys and edit teams' key rings. A ring is signed with a root key;
+//! a concurrent edit makes the write fail instead of being overwritten.
 
 use std::fs;
 use std::io;
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -91,8 +91,8 @@
         Ok((plan, remote))
     }
 
-    /// Options of a plan. Loads not given are queried from the entry VMs; unreachable VMs are
-    /// ignored, since a plan can be made without loads.
+    /// Options of a plan. Loads that are not given are queried from the entry VMs. Unreachable VMs
+    /// are ignored, since a plan does not require loads.
     fn planning(&self, planning: &args::Planning) -> plan::Options {
         let addrs = entries::addresses(self).unwrap_or_default();
         let answers = entries::statuses(&addrs).into_iter();
--- a/src/cli/output.rs
+++ b/src/cli/output.rs
@@ -1,4 +1,4 @@
-//! Prints results as tables and coloured text, or as JSON.
+//! Prints results as tables and coloured text or as JSON, and asks for confirmation.
 
 use std::io;
 
--- a/src/cli/remote.rs
+++ b/src/cli/remote.rs
@@ -1,4 +1,5 @@
-//! Reads each team's settings and key ring from the store and verifies them as an entry VM does.
+//! Reads each team's settings and key ring from the store and verifies them as an entry VM does, so
+//! that plans start from the settings that entry VMs accept.
 
 use std::collections;
 
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -1,4 +1,5 @@
-//! Shows the settings in the store, and the state and settings versions of every entry VM.
+//! Shows the settings in the store, and the state and settings versions of every entry VM, so that
+//! operators can see whether an apply took effect everywhere.
 
 use std::collections;
 use std::net;
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -2,16 +2,14 @@
 //!
 //! A team's [`KeyRing`] is stored under `keys/<team>` and signed by a root key. The public root
 //! keys are in each entry VM's own configuration, so neither the store nor a peer can substitute
-//! its own keys. Only a verified ring is used: the type [`Trusted`] can be created only by the
-//! check.
+//! its own. Only a [`Trusted`] ring is used, which can be created only by verification.
 //!
-//! [`TeamKey::until`] expresses both rotation and revocation: it is the first version of the team's
-//! settings that the key may no longer sign. Versions signed before remain valid, so that a new VM
-//! can verify settings that have not changed since the rotation. A stolen key gets `until = 0`,
-//! which invalidates all its signatures; the team first signs its settings again with `bulrushwind
-//! apply`. Versions follow the clock, so a rotation needs no list of signed versions: the current
-//! time serves as `until`. An entry VM keeps settings that it has accepted even if their key is
-//! later revoked, because accepted settings never revert.
+//! [`TeamKey::until`], the first settings version that a key may no longer sign, expresses rotation
+//! and revocation. Earlier versions stay valid, so that a new VM can verify settings that have not
+//! changed since a rotation. A stolen key gets `until = 0`, which invalidates all its signatures;
+//! the team first signs its settings again with `bulrushwind apply`. Versions follow the clock, so
+//! the current time serves as `until` and no list of signed versions is needed. An entry VM never
+//! reverts settings that it accepted, even if their key is revoked later.
 
 use std::collections;
 use std::fmt;
