--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -100,7 +100,7 @@
     let ring = remote
         .rings
         .get(team)
-        .ok_or_else(|| error::Error::NoRing { team: team.clone() })?;
+        .ok_or_else(|| error::Error::NoKeyRing { team: team.clone() })?;
     // Using the clock keeps versions increasing after the store is restored from a backup.
     let version = change.base_version.saturating_add(1).max(signer.now_ms);
     let id = envelope::ChangeId::draw();
--- a/src/cli/drain.rs
+++ b/src/cli/drain.rs
@@ -193,7 +193,7 @@
     if vms.iter().any(|known| known.id == *vm) {
         return Ok(());
     }
-    let suggestion = nearest::name(vm.as_str(), vms.iter().map(|vm| vm.id.as_str()));
+    let suggestion = nearest::closest_name(vm.as_str(), vms.iter().map(|vm| vm.id.as_str()));
     let suggestion = suggestion.map_or_else(String::new, |suggestion| {
         format!(" (did you mean `{suggestion}`?)")
     });
--- a/src/cli/plan.rs
+++ b/src/cli/plan.rs
@@ -138,7 +138,7 @@
         });
         let Some(next) = next else {
             let teams = remaining.iter().map(|change| format!("`{}`", change.team));
-            return Err(error::Error::Entangled {
+            return Err(error::Error::InterdependentTeams {
                 teams: teams.collect::<Vec<_>>().join(" and "),
             });
         };
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -15,8 +15,8 @@
 /// Timeout for connecting.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// Timeout for the response head and for each piece of the body. The store responds within a few
-/// milliseconds, or 0.12 s from the farthest region; a response fifty times slower is still useful.
+/// Timeout for the response head and for each piece of the body. The store responds in a few
+/// milliseconds, and in 0.12 s from the farthest region; a response fifty times slower is still useful.
 const RESPONSE_TIMEOUT: time::Duration = time::Duration::from_millis(1000);
 
 /// Timeout for a response body, from the end of the head. The longest value is 1.4 MB as text, which
@@ -34,9 +34,7 @@
     #[error("no response from the store; check that it is running and reachable from this VM")]
     NoAnswer,
     /// The store refused the call without any effect. Holds the HTTP status.
-    #[error(
-        "the store refused the call with status {0}; it is overloaded or does not accept this VM"
-    )]
+    #[error("the store refused with {0}; it is overloaded or turns this VM away")]
     Refused(u16),
     /// A precondition failed, or the lease does not exist. Holds the HTTP status.
     #[error(
@@ -157,8 +155,8 @@
         self.wire = None;
     }
 
-    /// Reads all items under a prefix and returns them with the revision to watch from. A `stale` read
-    /// may be some seconds old and costs a tenth of another; a watch from its revision returns the rest.
+    /// Reads all items under a prefix and returns them with the revision to watch from. With
+    /// `stale` they may be some seconds old, at a tenth of the cost; a watch returns later changes.
     pub async fn range(
         &mut self,
         prefix: &str,
--- a/src/transport/upstream.rs
+++ b/src/transport/upstream.rs
@@ -233,7 +233,7 @@
         }
         match wire.fill().await {
             // Only an orderly close ends a body without a stated length; a reset truncates it.
-            Ok(0) if body.closed() => return Ok(None),
+            Ok(0) if body.handle_close() => return Ok(None),
             Ok(0) | Err(_) => return Err(Failure::Lost),
             Ok(_) => {}
         }
