--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -283,7 +283,7 @@
     let mut cpu = Fit::default();
     for len in [1_000, 10_000, 100_000, 900_000] {
         let text = "x".repeat(len);
-        let change = envelope::ChangeId::draw();
+        let change = envelope::ChangeId::random();
         let sign = || envelope::Envelope::sign(team.clone(), 1, change.clone(), text.clone(), &key);
         let sign_s = best_of(10, sign);
         let signed = sign();
--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -103,7 +103,7 @@
         .ok_or_else(|| error::Error::NoKeyRing { team: team.clone() })?;
     // Using the clock keeps versions increasing after the store is restored from a backup.
     let version = change.base_version.saturating_add(1).max(signer.now_ms);
-    let id = envelope::ChangeId::draw();
+    let id = envelope::ChangeId::random();
     let text = change.text.clone();
     let envelope = envelope::Envelope::sign(team.clone(), version, id, text, &signer.key);
     envelope.verify(team, ring)?;
--- a/src/cli/keys.rs
+++ b/src/cli/keys.rs
@@ -144,7 +144,7 @@
         .map_or(store::Revision(0), |entry| entry.revision);
     let now_ms = u64::try_from(super::now().as_millis()).unwrap_or(u64::MAX);
     let settings_version = remote.stored.get(team).map_or(0, |stored| stored.version);
-    let old = remote.rings.get(team).map(keys::Trusted::ring);
+    let old = remote.rings.get(team).map(keys::VerifiedRing::ring);
     let mut keys = old.map_or_else(Vec::new, |ring| ring.keys.clone());
     edit(&mut keys, settings_version.saturating_add(1).max(now_ms))?;
     let version = old
--- a/src/cli/remote.rs
+++ b/src/cli/remote.rs
@@ -30,7 +30,7 @@
     /// Settings by team.
     pub stored: collections::BTreeMap<id::TeamId, StoredTeam>,
     /// Verified key rings by team.
-    pub rings: collections::BTreeMap<id::TeamId, keys::Trusted>,
+    pub rings: collections::BTreeMap<id::TeamId, keys::VerifiedRing>,
     /// Errors of the key rings that failed verification.
     pub ring_faults: Vec<String>,
 }
@@ -41,13 +41,15 @@
         store: &S,
         roots: &[keys::PublicKey],
     ) -> Result<Self, error::Error> {
-        let snapshot = store.list(keys::STORE_PREFIX)?;
+        let snapshot = store.list(keys::STORE_KEY_PREFIX)?;
         let entries = snapshot.entries.iter();
-        let (rings, faults) =
-            keys::Trusted::all(entries.map(|e| (e.key.as_str(), e.value.as_slice())), roots);
+        let (rings, faults) = keys::VerifiedRing::verify_all(
+            entries.map(|e| (e.key.as_str(), e.value.as_slice())),
+            roots,
+        );
         let mut stored = collections::BTreeMap::new();
-        for entry in store.list(envelope::STORE_PREFIX)?.entries {
-            let Some(team) = entry.key.strip_prefix(envelope::STORE_PREFIX) else {
+        for entry in store.list(envelope::STORE_KEY_PREFIX)?.entries {
+            let Some(team) = entry.key.strip_prefix(envelope::STORE_KEY_PREFIX) else {
                 continue;
             };
             let team = id::TeamId::from(team);
@@ -83,7 +85,7 @@
 }
 
 impl StoredTeam {
-    fn read(team: &id::TeamId, entry: &store::Entry, ring: Option<&keys::Trusted>) -> Self {
+    fn read(team: &id::TeamId, entry: &store::Entry, ring: Option<&keys::VerifiedRing>) -> Self {
         let mut stored = Self {
             revision: entry.revision,
             envelope: None,
@@ -102,7 +104,7 @@
         &mut self,
         team: &id::TeamId,
         envelope: envelope::Envelope,
-        ring: Option<&keys::Trusted>,
+        ring: Option<&keys::VerifiedRing>,
     ) {
         let verification = ring.map(|ring| envelope.verify(team, ring));
         if let Some(Ok(()) | Err(envelope::Error::RetiredKey { .. })) = verification {
--- a/src/coordination/action.rs
+++ b/src/coordination/action.rs
@@ -23,8 +23,8 @@
     /// The prefix as text.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Keys => settings::keys::STORE_PREFIX,
-            Self::Settings => settings::envelope::STORE_PREFIX,
+            Self::Keys => settings::keys::STORE_KEY_PREFIX,
+            Self::Settings => settings::envelope::STORE_KEY_PREFIX,
         }
     }
 
--- a/src/coordination/signed_values.rs
+++ b/src/coordination/signed_values.rs
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub struct SignedValues {
     roots: Vec<keys::PublicKey>,
-    rings: collections::BTreeMap<id::TeamId, Value<keys::Trusted>>,
+    rings: collections::BTreeMap<id::TeamId, Value<keys::VerifiedRing>>,
     team_settings: collections::BTreeMap<id::TeamId, Value<Result<settings::Team, String>>>,
     awaiting_ring: collections::BTreeMap<id::TeamId, sync::Arc<str>>,
     digest: peer::Digest,
@@ -97,10 +97,10 @@
 
     /// Stores a value if it is valid and of a higher rank than the held one.
     pub fn offer(&mut self, key: &str, text: &sync::Arc<str>) -> OfferOutcome {
-        if let Some(team) = key.strip_prefix(envelope::STORE_PREFIX) {
+        if let Some(team) = key.strip_prefix(envelope::STORE_KEY_PREFIX) {
             return self.offer_settings(key, &team.into(), text);
         }
-        if let Some(team) = key.strip_prefix(keys::STORE_PREFIX) {
+        if let Some(team) = key.strip_prefix(keys::STORE_KEY_PREFIX) {
             return self.offer_ring(key, &team.into(), text);
         }
         OfferOutcome::Refused("the key is neither under settings/ nor under keys/".to_owned())
@@ -172,10 +172,10 @@
     }
 
     fn value(&self, key: &str) -> Option<(Rank, &sync::Arc<str>)> {
-        if let Some(team) = key.strip_prefix(envelope::STORE_PREFIX) {
+        if let Some(team) = key.strip_prefix(envelope::STORE_KEY_PREFIX) {
             return self.team_settings.get(team).map(|v| (v.rank, &v.text));
         }
-        let team = key.strip_prefix(keys::STORE_PREFIX)?;
+        let team = key.strip_prefix(keys::STORE_KEY_PREFIX)?;
         self.rings.get(team).map(|v| (v.rank, &v.text))
     }
 
--- a/src/settings/envelope.rs
+++ b/src/settings/envelope.rs
@@ -13,7 +13,7 @@
 use crate::id;
 
 /// Prefix of the envelopes' store keys.
-pub const STORE_PREFIX: &str = "settings/";
+pub const STORE_KEY_PREFIX: &str = "settings/";
 
 /// Largest encoded envelope: the store's limit for a value.
 pub const MAX_ENVELOPE_BYTES: usize = 1 << 20;
@@ -125,7 +125,7 @@
 
 impl ChangeId {
     /// Generates a random id.
-    pub fn draw() -> Self {
+    pub fn random() -> Self {
         format!("{:032x}", rand::random::<u128>()).as_str().into()
     }
 }
@@ -174,7 +174,7 @@
     }
 
     /// Checks that the envelope belongs to team `at` and that its key may sign this version.
-    pub fn verify(&self, at: &id::TeamId, ring: &keys::Trusted) -> Result<(), Error> {
+    pub fn verify(&self, at: &id::TeamId, ring: &keys::VerifiedRing) -> Result<(), Error> {
         let team = self.team.clone();
         if team != *at || team != ring.ring().team {
             let at = at.clone();
@@ -222,7 +222,7 @@
 
 /// Store key of a team's envelope.
 pub fn store_key(team: &id::TeamId) -> String {
-    format!("{STORE_PREFIX}{team}")
+    format!("{STORE_KEY_PREFIX}{team}")
 }
 
 fn signed_bytes(
@@ -259,7 +259,7 @@
             }
         }
 
-        fn ring(&self, until: Option<u64>) -> keys::Trusted {
+        fn ring(&self, until: Option<u64>) -> keys::VerifiedRing {
             let key = keys::TeamKey {
                 holder: "otgon".to_owned(),
                 public: self.key.public(),
@@ -272,7 +272,7 @@
 
         fn envelope(&self, version: u64) -> Envelope {
             let text = "prefer = \"latency\"\n".to_owned();
-            Envelope::sign("bays".into(), version, ChangeId::draw(), text, &self.key)
+            Envelope::sign("bays".into(), version, ChangeId::random(), text, &self.key)
         }
     }
 
@@ -305,7 +305,7 @@
                 ..signed.clone()
             },
             Envelope {
-                change: ChangeId::draw(),
+                change: ChangeId::random(),
                 ..signed.clone()
             },
         ];
@@ -356,7 +356,7 @@
     fn a_too_large_envelope_is_refused_before_it_is_written() {
         let team = Team::new();
         let text = "\"".repeat(MAX_ENVELOPE_BYTES / 2 + 1);
-        let envelope = Envelope::sign("bays".into(), 1, ChangeId::draw(), text, &team.key);
+        let envelope = Envelope::sign("bays".into(), 1, ChangeId::random(), text, &team.key);
         assert!(matches!(envelope.encode(), Err(Error::TooLarge { .. })));
         assert!(Envelope::decode(&vec![b' '; MAX_ENVELOPE_BYTES + 1]).is_err());
     }
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -2,7 +2,7 @@
 //!
 //! A team's [`KeyRing`] is stored under `keys/<team>` and signed by a root key. The public root
 //! keys are in each entry VM's own configuration, so neither the store nor a peer can substitute
-//! its own. Only a [`Trusted`] ring is used, which can be created only by verification.
+//! its own. Only a [`VerifiedRing`] ring is used, which can be created only by verification.
 //!
 //! [`TeamKey::until`], the first settings version that a key may no longer sign, expresses rotation
 //! and revocation. Earlier versions stay valid, so that a new VM can verify settings that have not
@@ -22,7 +22,7 @@
 use crate::id;
 
 /// Prefix of the key rings' store keys.
-pub const STORE_PREFIX: &str = "keys/";
+pub const STORE_KEY_PREFIX: &str = "keys/";
 
 /// Largest number of keys per team. Every VM reads the entire ring.
 pub const MAX_KEYS: usize = 64;
@@ -138,7 +138,7 @@
 
 /// A key ring whose signature has been verified.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Trusted(KeyRing);
+pub struct VerifiedRing(KeyRing);
 
 /// An Ed25519 secret key. `Debug` prints only its id.
 #[derive(Clone)]
@@ -286,7 +286,7 @@
         at: &id::TeamId,
         roots: &[PublicKey],
         held: Option<u64>,
-    ) -> Result<Trusted, Error> {
+    ) -> Result<VerifiedRing, Error> {
         if self.team != *at {
             let (of, at) = (self.team, at.clone());
             return Err(Error::WrongTeam { of, at });
@@ -305,11 +305,11 @@
                 offered: self.version,
             });
         }
-        Ok(Trusted(self))
+        Ok(VerifiedRing(self))
     }
 }
 
-impl Trusted {
+impl VerifiedRing {
     /// The verified ring.
     pub fn ring(&self) -> &KeyRing {
         &self.0
@@ -321,13 +321,13 @@
     }
 
     /// Verifies all rings in a snapshot. Returns the valid rings by team, and the errors.
-    pub fn all<'a>(
+    pub fn verify_all<'a>(
         entries: impl Iterator<Item = (&'a str, &'a [u8])>,
         roots: &[PublicKey],
     ) -> (collections::BTreeMap<id::TeamId, Self>, Vec<Error>) {
         let (mut rings, mut errors) = (collections::BTreeMap::new(), Vec::new());
         for (key, value) in entries {
-            let Some(team) = key.strip_prefix(STORE_PREFIX) else {
+            let Some(team) = key.strip_prefix(STORE_KEY_PREFIX) else {
                 continue;
             };
             let team = id::TeamId::from(team);
@@ -342,7 +342,7 @@
 
 /// Store key of a team's ring.
 pub fn store_key(team: &id::TeamId) -> String {
-    format!("{STORE_PREFIX}{team}")
+    format!("{STORE_KEY_PREFIX}{team}")
 }
 
 /// Appends a length-prefixed field, so that different lists of fields never give the same bytes.
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -131,7 +131,7 @@
 fn a_signed_team_round_trips() {
     let key = keys::SecretKey::generate();
     let check = |team: settings::Team| {
-        let change = envelope::ChangeId::draw();
+        let change = envelope::ChangeId::random();
         let signed = envelope::Envelope::sign("t".into(), 1, change, team.to_toml(), &key);
         let read = envelope::Envelope::decode(&signed.encode().unwrap()).unwrap();
         prop_assert_eq!(&read, &signed);
