--- a/src/standin/model/best.rs
+++ b/src/standin/model/best.rs
@@ -1,19 +1,20 @@
-//! The most worth that the slots could have answered, had every call been known in advance.
+//! Offline upper bound on the worth that a deployment's slots can answer, with all calls known in
+//! advance.
 //!
-//! Work is taken as a fluid that any slot anywhere can do in any portions between a call's start
-//! and its deadline. That is more than any real policy can do, so the figure is an upper bound.
-//! Calls are let in by worth per time of work, as much of each as fits. What fits is known
-//! exactly: for every stretch of time, the work that must be done inside it may not exceed what
-//! the slots can do in it. Such a greedy choice gives the best total.
+//! Work is modelled as a fluid: any slot can process any portion of a call between its start and
+//! its deadline. No real policy can do that, so the result is an upper bound. Calls are admitted
+//! greedily in order of worth per second of work, each as far as it fits. A call fits if, for every
+//! interval of bins, the work that must be done inside the interval does not exceed the slots'
+//! capacity in it. Under these constraints the greedy order gives the maximum total.
 
 use std::time;
 
 use super::{Deployment, load};
 
-/// The length of one bin of time.
+/// Length of one time bin.
 const BIN: time::Duration = time::Duration::from_millis(250);
 
-/// The most worth that could be answered with `slots` slots at each moment.
+/// Upper bound on the worth answered, given the number of slots in service at each moment.
 pub fn worth(dep: &Deployment, calls: &[load::Call], slots: impl Fn(time::Duration) -> f64) -> f64 {
     let bin = |at: time::Duration| (at.as_secs_f64() / BIN.as_secs_f64()) as usize;
     let bins = calls.iter().map(|c| bin(c.deadline) + 1).max().unwrap_or(0);
@@ -47,7 +48,7 @@
     f64::from(op.worth) / op.typical.as_secs_f64()
 }
 
-/// How much more work fits between each pair of bins.
+/// Remaining capacity, in seconds of work, of each interval of bins.
 struct Slack {
     bins: usize,
     left: Vec<f64>,
@@ -66,7 +67,7 @@
         Self { bins, left }
     }
 
-    /// Takes as much of `asked` as fits between two bins, and returns it.
+    /// Reserves as much of `asked` as fits between two bins and returns the reserved amount.
     fn take(&mut self, start: usize, end: usize, asked: f64) -> f64 {
         let mut fits = asked;
         for first in 0..=start {
--- a/src/standin/model/load.rs
+++ b/src/standin/model/load.rs
@@ -1,4 +1,4 @@
-//! What callers ask and when, and what fails: the same for every policy that is compared.
+//! Load patterns: seeded arrivals of calls, and faults. All compared policies get the same ones.
 
 use std::time;
 
@@ -7,58 +7,58 @@
 use super::Deployment;
 use crate::decisions::policy::Moment;
 
-/// A stretch of time with a steady rate of calls.
+/// A period with a constant call rate.
 #[derive(Clone, Debug)]
 pub struct Phase {
-    /// How long it lasts.
+    /// Length of the phase.
     pub lasts: time::Duration,
-    /// The rate in each region, as a share of what that region's slots can bear.
+    /// Call rate in each region, as a share of the capacity of the region's slots.
     pub load: Vec<f64>,
 }
 
-/// Something that goes wrong, or is planned.
+/// A failure or a planned event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// A backend server takes this many times as long.
+    /// A backend server's processing time is multiplied by this factor.
     Slow(usize, f64),
-    /// A backend server answers each request at once with a failure.
+    /// A backend server immediately answers each request with a failure.
     FailFast(usize),
-    /// A backend server is as it was before [`Fault::Slow`] or [`Fault::FailFast`].
+    /// A backend server recovers from [`Fault::Slow`] or [`Fault::FailFast`].
     Mend(usize),
-    /// Every backend server starts cold.
+    /// Every backend server has cold caches.
     ColdFleet,
-    /// Reports stay as they are now.
+    /// Load reports are no longer refreshed.
     FreezeReports,
-    /// A backend server reports that it is idle, whatever it does.
+    /// A backend server always reports that it is idle.
     Lie(usize),
-    /// A backend server is about to go; it says so, and the list of VMs says so a little later.
+    /// A backend server announces a planned stop in its reports. The VM list follows after a delay.
     Leave(usize),
-    /// A region's VMs and backend servers die.
+    /// All entry VMs and backend servers of a region fail.
     RegionDown(usize),
-    /// They are back, with empty memories.
+    /// All entry VMs and backend servers of a region restart without their previous state.
     RegionUp(usize),
 }
 
-/// How callers behave.
+/// Behavior of the callers.
 #[derive(Clone, Copy, Debug)]
 pub struct Callers {
-    /// How many there are.
+    /// Number of callers.
     pub count: u64,
-    /// The share of calls that come from [`Callers::HOT`] of them.
+    /// Share of calls that come from the [`Callers::HOT`] most active callers.
     pub hot_share: f64,
-    /// They ask again once this share of their patience has passed without an answer. 1 is
-    /// never.
+    /// Share of its timeout after which a caller without an answer resends the request. At 1 it
+    /// never resends for lack of an answer.
     pub impatience: f64,
-    /// The share of calls that crash the backend server that runs them.
+    /// Share of calls that crash the backend server that runs them.
     pub killers: f64,
-    /// How often a caller asks again.
+    /// Maximum number of resends of one call.
     pub resends: u32,
-    /// Bytes of one request and its answer.
+    /// Size of one request and its answer, in bytes.
     pub bytes: u64,
 }
 
 impl Callers {
-    /// How many callers the hot share comes from.
+    /// Number of callers that send the hot share.
     pub const HOT: u64 = 5;
 }
 
@@ -75,23 +75,23 @@
     }
 }
 
-/// One load pattern.
+/// A load pattern.
 #[derive(Clone, Debug)]
 pub struct Pattern {
-    /// Its name in tables.
+    /// Name in result tables.
     pub name: &'static str,
-    /// The seed of its calls.
+    /// Seed from which the calls are drawn.
     pub seed: u64,
-    /// The rates, one after the other.
+    /// Consecutive phases of the load.
     pub phases: Vec<Phase>,
-    /// What goes wrong, in the order of time.
+    /// Faults, ordered by time.
     pub faults: Vec<(Moment, Fault)>,
-    /// How callers behave.
+    /// Behavior of the callers.
     pub callers: Callers,
 }
 
 impl Pattern {
-    /// A steady load in all regions for `lasts`.
+    /// A pattern with the same constant load in all regions for `lasts`.
     pub fn steady(name: &'static str, regions: usize, load: f64, lasts: time::Duration) -> Self {
         Self {
             name,
@@ -105,34 +105,34 @@
         }
     }
 
-    /// How long calls come in.
+    /// Total length of the phases, during which calls arrive.
     pub fn lasts(&self) -> time::Duration {
         self.phases.iter().map(|phase| phase.lasts).sum()
     }
 }
 
-/// One thing that one caller wants.
+/// One call: an operation that a caller requests, including its resends.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// When the caller first asks.
+    /// When the caller sends the first request.
     pub at: Moment,
-    /// When the caller stops waiting for good.
+    /// When the caller abandons the call.
     pub deadline: Moment,
-    /// The index of what it asks for.
+    /// Index of the operation.
     pub op: usize,
-    /// The region that is nearest to the caller.
+    /// Index of the region nearest to the caller.
     pub region: usize,
-    /// Who asks.
+    /// Number of the caller.
     pub caller: u64,
-    /// The time that a warm, sound backend server works on it.
+    /// Processing time on a warm, healthy backend server.
     pub work: time::Duration,
-    /// It crashes the backend server that runs it.
+    /// Whether it crashes the backend server that runs it.
     pub killer: bool,
-    /// Picks one of the entry VMs.
+    /// Random number that selects one of the entry VMs.
     pub pick: usize,
 }
 
-/// All calls of a pattern, in the order of time.
+/// Draws all calls of a pattern, ordered by arrival time.
 pub fn calls(dep: &Deployment, pattern: &Pattern) -> Vec<Call> {
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(pattern.seed);
     let mut calls = Vec::new();
@@ -164,7 +164,7 @@
     -(1.0 - rng.random::<f64>()).ln()
 }
 
-/// The part of the work that every request needs; the rest is drawn.
+/// Constant share of the mean work of a request. The rest is drawn from an exponential distribution.
 const FIXED_WORK: f64 = 0.7;
 
 fn call(
--- a/src/standin/model/mod.rs
+++ b/src/standin/model/mod.rs
@@ -1,10 +1,10 @@
-//! A queue model of one service of one deployment, in virtual time.
+//! A queueing model of one service of one deployment, in virtual time.
 //!
-//! It drives real [`crate::decisions::policy::Policy`] values with fixed arrivals and counts what
-//! callers get, so that two policies can be compared on the same load and the same faults. It is
-//! no simulator of a cluster: there is one queue of events, backend servers are slots with a
-//! first-in-first-out queue before them, and messages take a fixed time. Nothing in it reads a
-//! clock, and all randomness comes from a seed, so each run gives the same figures.
+//! The model drives real [`crate::decisions::policy::Policy`] values with fixed arrivals and counts
+//! the results for callers, so that two policies can be compared under the same load and faults. It
+//! does not simulate a cluster in detail: there is one event queue, a backend server is a set of
+//! slots behind a FIFO queue, and messages have fixed delays. The model reads no clock and seeds all
+//! randomness, so every run gives the same results.
 
 pub mod best;
 pub mod load;
@@ -20,48 +20,48 @@
 use crate::id;
 use crate::settings;
 
-/// One kind of request and its share of all.
+/// An operation of the service and its share of all requests.
 #[derive(Clone, Debug)]
 pub struct Op {
-    /// Whether it may run twice.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// What its answer counts.
+    /// Worth of one answer.
     pub worth: u32,
-    /// The mean time that a backend server works on it.
+    /// Mean processing time on a backend server.
     pub typical: time::Duration,
-    /// How long its caller waits.
+    /// Timeout of the caller.
     pub patience: time::Duration,
-    /// Its share of all requests; the shares add up to 1.
+    /// Share of all requests; the shares add up to 1.
     pub share: f64,
 }
 
 /// An availability zone.
 #[derive(Clone, Debug)]
 pub struct Az {
-    /// Its name.
+    /// Identifier of the availability zone.
     pub id: id::AzId,
-    /// The index of its region.
+    /// Index of the region.
     pub region: usize,
-    /// How many backend servers it has.
+    /// Number of backend servers.
     pub backends: usize,
 }
 
 /// One service of a deployment.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Its name in tables.
+    /// Name in result tables.
     pub name: &'static str,
-    /// Availability zones, those of a region side by side.
+    /// Availability zones, grouped by region.
     pub azs: Vec<Az>,
-    /// How many regions there are.
+    /// Number of regions.
     pub regions: usize,
-    /// Entry VMs in each availability zone.
+    /// Number of entry VMs in each availability zone.
     pub vms_per_az: usize,
-    /// Slots of each backend server.
+    /// Number of slots of each backend server.
     pub slots: u32,
-    /// Requests that one backend server lets wait before it sheds.
+    /// Number of queued requests from which a backend server sheds load.
     pub backlog: usize,
-    /// What callers ask for.
+    /// Operations of the service.
     pub ops: Vec<Op>,
     /// One-way delay between an entry VM and a backend server.
     pub local_delay: time::Duration,
@@ -71,26 +71,26 @@
     pub region_delay: time::Duration,
     /// One-way delay between callers and entry VMs.
     pub client_delay: time::Duration,
-    /// The share of a region's slots that steering may fill.
+    /// Maximum share of a region's slots that steering may use.
     pub max_load: f64,
-    /// The largest share of the traffic that may shift in one step.
+    /// Maximum share of the traffic that may shift in one step.
     pub shift_cap: f64,
-    /// How long one step lasts.
+    /// Length of one step.
     pub shift_step: time::Duration,
-    /// What the link between two regions carries, in bytes a second.
+    /// Capacity of the link between two regions, in bytes per second.
     pub link_bytes_per_s: u64,
 }
 
-/// Which service of which example is modelled, and what the settings do not say of it.
+/// The example service to model, with the figures that its settings do not contain.
 #[derive(Clone, Copy, Debug)]
 pub struct Source {
     /// The directory under `examples/`.
     pub deployment: &'static str,
-    /// The service.
+    /// Name of the service.
     pub service: &'static str,
-    /// Backend servers in all.
+    /// Total number of backend servers.
     pub backends: usize,
-    /// The share of each operation, in the order of the settings.
+    /// Share of the requests of each operation, in the order of the settings.
     pub shares: &'static [f64],
     /// One-way delay between availability zones of a region, in microseconds.
     pub az_delay_us: u64,
@@ -98,7 +98,7 @@
     pub client_delay_us: u64,
 }
 
-/// The booking ledger of the cooperative.
+/// The booking ledger of the `cooperative` example.
 pub const LEDGER: Source = Source {
     deployment: "cooperative",
     service: "ledger",
@@ -108,7 +108,7 @@
     client_delay_us: 8_000,
 };
 
-/// The payout approvals of the claims platform.
+/// The payout approvals of the `claims` example.
 pub const PAYOUT: Source = Source {
     deployment: "claims",
     service: "payout",
@@ -118,14 +118,15 @@
     client_delay_us: 1_000,
 };
 
-/// One-way delay between an entry VM and a backend server of its availability zone.
+/// One-way delay between an entry VM and a backend server in the same availability zone.
 const LOCAL_DELAY: time::Duration = time::Duration::from_micros(100);
 
-/// Entry VMs in each availability zone: 12 in all, the most that users have today.
+/// Entry VMs in each availability zone: 12 in total, the size of the largest deployment in use.
 const VMS_PER_AZ: usize = 2;
 
 impl Deployment {
-    /// Reads a deployment from the example settings. `root` is the directory of the package.
+    /// Reads a deployment from the example settings. `root` is the package directory. Fails if the
+    /// settings cannot be read.
     pub fn read(root: &path::Path, src: &Source) -> Result<Self, settings::Error> {
         let all = settings::Settings::read(&root.join("examples").join(src.deployment))?;
         let service = all
@@ -168,13 +169,13 @@
         })
     }
 
-    /// Slots of all backend servers.
+    /// Total number of slots of all backend servers.
     pub fn total_slots(&self) -> f64 {
         let backends: usize = self.azs.iter().map(|az| az.backends).sum();
         backends as f64 * f64::from(self.slots)
     }
 
-    /// Requests a second that fill every slot.
+    /// Requests per second that occupy every slot.
     pub fn capacity(&self) -> f64 {
         let mean: f64 = self
             .ops
--- a/src/standin/model/patterns.rs
+++ b/src/standin/model/patterns.rs
@@ -1,20 +1,20 @@
-//! The load patterns that policies are compared on.
+//! The load patterns under which policies are compared.
 //!
-//! Each is a few seconds long: long enough for queues to fill and for outliers to be seen, short
-//! enough to be played in a test.
+//! Each lasts a few seconds: long enough for queues to fill and for outliers to be detected, short
+//! enough to run in a test.
 
 use std::time;
 
 use super::load::{Callers, Fault, Pattern, Phase};
 use super::{Deployment, Op};
 
-/// The load of a calm day.
+/// Load of normal operation, as a share of capacity.
 const CALM: f64 = 0.6;
 
-/// A load that an availability zone bears with one of its two backend servers.
+/// Load that an availability zone can serve with one of its two backend servers.
 const LIGHT: f64 = 0.4;
 
-/// The steady load of the patterns that measure how evenly it is spread.
+/// Constant load for patterns that measure how evenly requests are distributed.
 const STEADY: f64 = 0.5;
 
 const fn s(secs: u64) -> time::Duration {
@@ -25,18 +25,18 @@
     time::Duration::from_millis(millis)
 }
 
-/// A pattern and the deployment as it is in it.
+/// A load pattern and the deployment that it applies to.
 #[derive(Clone, Debug)]
 pub struct Case {
-    /// The deployment, with the operations of the pattern.
+    /// Deployment, with the operations of the pattern.
     pub dep: Deployment,
-    /// The load and the faults.
+    /// Load and faults.
     pub pattern: Pattern,
-    /// Whether it measures how evenly a steady load is spread.
+    /// Whether the case measures how evenly a constant load is distributed.
     pub steady: bool,
-    /// Whether it has the load of twice the capacity.
+    /// Whether the load is twice the capacity.
     pub saturated: bool,
-    /// Whether one backend server is slow in it.
+    /// Whether one backend server is slow.
     pub slow: bool,
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// Every pattern that plays inside availability zones. `lasts` is how long each takes calls.
+/// All patterns without traffic between availability zones. Calls arrive for `lasts` in each.
 pub fn local(dep: &Deployment, lasts: time::Duration) -> Vec<Case> {
     let regions = dep.regions;
     let calm = |name| Pattern::steady(name, regions, CALM, lasts);
@@ -144,7 +144,7 @@
     }
 }
 
-/// A handful of callers sends most of the load, and more than the slots can bear.
+/// A few callers send most of a load that exceeds the capacity.
 fn hot_callers(regions: usize, lasts: time::Duration) -> Pattern {
     let callers = Callers {
         hot_share: 0.7,
@@ -156,7 +156,7 @@
     }
 }
 
-/// Now and then a request that crashes the backend server which runs it.
+/// Some requests crash the backend server that runs them.
 fn killers(regions: usize, lasts: time::Duration) -> Pattern {
     let callers = Callers {
         killers: 0.0002,
@@ -168,7 +168,7 @@
     }
 }
 
-/// Callers that ask again long before their patience ends, at a load that the slots cannot bear.
+/// Callers resend requests long before their timeout, while the load exceeds the capacity.
 fn retry_storm(regions: usize, lasts: time::Duration) -> Pattern {
     let callers = Callers {
         impatience: 0.1,
@@ -191,7 +191,7 @@
     }
 }
 
-/// Pulls of long records that take half of the slots' time, on the same backend servers.
+/// Adds a long-running operation that uses half of the slots' time on the same backend servers.
 fn with_long_work(dep: &Deployment) -> Deployment {
     let short: f64 = dep
         .ops
--- a/src/standin/model/run/backends.rs
+++ b/src/standin/model/run/backends.rs
@@ -1,4 +1,4 @@
-//! What backend servers do: queue, run, shed, crash, report.
+//! Backend servers in the model: they queue and run requests, shed load, crash and report load.
 
 use std::time;
 
@@ -64,7 +64,7 @@
         (report.in_flight, report.queued, report.leaving)
     }
 
-    /// Starts work while there are free slots.
+    /// Starts queued jobs while slots are free.
     pub(super) fn pull(&mut self, server: usize) {
         while self.servers[server].running.len() < self.servers[server].slots {
             let Some(job) = self.servers[server].waiting.pop_front() else {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Counts the start of a run and returns its work.
+    /// Counts the start of a run and returns its processing time.
     pub(super) fn begin(&mut self, server: usize, send: usize) -> time::Duration {
         let req = self.sends[send].req;
         let call = self.reqs[req].call;
@@ -151,7 +151,7 @@
         self.pull(server);
     }
 
-    /// Takes a cancelled attempt out of its slot.
+    /// Frees the slot of a cancelled attempt.
     pub(super) fn stop(&mut self, server: usize, send: usize) {
         let s = &mut self.servers[server];
         let job = Job::Send(send);
--- a/src/standin/model/run/callers.rs
+++ b/src/standin/model/run/callers.rs
@@ -1,4 +1,4 @@
-//! What callers do: ask, wait, give up, ask again.
+//! Callers in the model: they send requests, time out and resend.
 
 use std::time;
 
@@ -35,7 +35,7 @@
         self.push(give_up.min(info.deadline), Event::GiveUp(req));
     }
 
-    /// An entry VM near the caller; another region's where the near one is gone.
+    /// Selects an entry VM in the caller's region, or in another region if none there is up.
     pub(super) fn pick_vm(&self, call: &Call) -> Option<(usize, time::Duration)> {
         let near = |node: &&Node<P>| self.dep.azs[node.site.az].region == call.region;
         let live: Vec<_> = self.nodes.iter().filter(|node| node.up).collect();
@@ -72,7 +72,7 @@
         self.after(delay, Event::Ask(call));
     }
 
-    /// The settlement of a request reaches its caller.
+    /// Handles the arrival of a request's outcome at its caller.
     pub(super) fn told(&mut self, req: usize) {
         let r = &mut self.reqs[req];
         if std::mem::replace(&mut r.told, true) || r.dead {
@@ -81,7 +81,7 @@
         let (call, asked, last) = (r.call, r.asked, r.last);
         let info = &self.calls[call];
         let op = &self.dep.ops[info.op];
-        match r.settled.expect("it was settled before it was told") {
+        match r.settled.expect("a delivered outcome was settled") {
             RequestOutcome::Answer if last == Some(How::Answered) => self.answered(call),
             RequestOutcome::Answer => {}
             RequestOutcome::NotRun { retry_after, .. } => {
--- a/src/standin/model/run/entry.rs
+++ b/src/standin/model/run/entry.rs
@@ -1,4 +1,4 @@
-//! What entry VMs do: carry out what their policies decide.
+//! Entry VMs in the model: they carry out the actions that their policies decide.
 
 use std::time;
 
@@ -204,7 +204,7 @@
         if self.reqs[req].dead {
             return;
         }
-        // The answer that was settled on stays, whatever a second attempt ends with.
+        // A later attempt does not change the result that the request was settled with.
         if self.reqs[req].settled.is_none() {
             self.reqs[req].last = Some(how);
         }
@@ -256,7 +256,7 @@
         self.after(TICK, Event::Tick);
     }
 
-    /// The load of each region over the last second.
+    /// Samples the running jobs of each region and updates its peak load once per second.
     pub(super) fn sample(&mut self) {
         for region in 0..self.dep.regions {
             let (mut running, mut slots) = (0, 0);
--- a/src/standin/model/run/faults.rs
+++ b/src/standin/model/run/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, or is planned.
+//! Faults and planned events in the model.
 
 use super::{ASK_AGAIN, Event, How, LIST_LAG, World};
 use crate::decisions::policy;
@@ -47,8 +47,8 @@
         }
     }
 
-    /// A request whose entry VM died: its caller, or the VM that spilled it, sees the connection
-    /// break.
+    /// Handles the loss of a request whose entry VM failed. The connection breaks for its caller,
+    /// or for the VM that spilled the request over.
     pub(super) fn vanish(&mut self, req: usize) {
         let r = &mut self.reqs[req];
         r.dead = true;
--- a/src/standin/model/run/mod.rs
+++ b/src/standin/model/run/mod.rs
@@ -1,4 +1,4 @@
-//! The queue of events that plays one pattern against one policy.
+//! The event loop that runs one load pattern against one policy.
 
 mod backends;
 mod callers;
@@ -16,52 +16,52 @@
 use crate::id;
 use policy::{AttemptOutcome, Destination, Moment, Policy, RequestOutcome};
 
-/// How often policies get to act on time alone.
+/// Interval between the timer ticks of the policies.
 const TICK: time::Duration = time::Duration::from_millis(10);
 
-/// How far reports lag.
+/// Interval between updates of the load reports, and so their maximum staleness.
 const REPORT_LAG: time::Duration = time::Duration::from_millis(100);
 
-/// How long a probe occupies a slot.
+/// Processing time of a probe.
 const PROBE_WORK: time::Duration = time::Duration::from_millis(6);
 
-/// How long a request that crashes a backend server runs before it does.
+/// Time between the start of a request that crashes its backend server and the crash.
 const CRASH_AFTER: time::Duration = time::Duration::from_millis(1);
 
-/// How long a crashed backend server is away.
+/// Time until a crashed backend server is up again.
 const RESTART: time::Duration = time::Duration::from_secs(2);
 
-/// How long a request takes that fails at once.
+/// Processing time of a request on a backend server that fails immediately.
 const FAIL_FAST_WORK: time::Duration = time::Duration::from_micros(500);
 
-/// How long after a backend server says that it leaves the list of VMs says so.
+/// Delay between a backend server's report of its planned stop and the update of the VM list.
 const LIST_LAG: time::Duration = time::Duration::from_secs(2);
 
-/// A leaving backend server may still get new work for this long.
+/// Period after the announcement of a planned stop in which new work may still arrive.
 const LEAVING_GRACE: time::Duration = time::Duration::from_secs(5);
 
-/// How long a caller waits before it asks again where it was not told.
+/// Delay before a resend after a lost connection, and the maximum after an unknown outcome.
 const ASK_AGAIN: time::Duration = time::Duration::from_millis(200);
 
-/// Which entry VM a policy is made for.
+/// The entry VM that a policy runs on.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Its number among all.
+    /// Index among all entry VMs.
     pub index: usize,
-    /// Its name.
+    /// Name of the VM.
     pub vm: id::VmId,
-    /// Its availability zone, as an index into the deployment's.
+    /// Index of the availability zone in the deployment.
     pub az: usize,
 }
 
 /// An entry VM and its policy.
 #[derive(Debug)]
 pub struct Node<P> {
-    /// Which it is.
+    /// Identity and location of the VM.
     pub site: Site,
-    /// Whether it lives.
+    /// Whether the VM is running.
     pub up: bool,
-    /// Its decisions.
+    /// Policy of the VM.
     pub policy: P,
 }
 
@@ -148,7 +148,7 @@
     told: bool,
 }
 
-/// One attempt at one place.
+/// One attempt at a backend server or another availability zone.
 #[derive(Debug)]
 struct Send {
     req: usize,
@@ -159,7 +159,7 @@
     ended: bool,
 }
 
-/// One run.
+/// State of one run.
 pub struct World<'a, P, M> {
     dep: &'a Deployment,
     pattern: &'a Pattern,
@@ -179,8 +179,8 @@
     tally: tally::Tally,
 }
 
-/// Plays `calls` under `pattern` against the policies that `make` makes. `control` is called
-/// every 10 ms before the policies' own ticks and may pass on what they tell one another.
+/// Runs `calls` and the faults of `pattern` against the policies that `make` creates. `control` is
+/// called every 10 ms, before the policies' ticks, and may exchange messages between policies.
 pub fn run<P: Policy>(
     dep: &Deployment,
     pattern: &Pattern,
@@ -364,8 +364,7 @@
         assert_eq!(format!("{a:?}"), format!("{b:?}"));
     }
 
-    /// A region dies with all that is in flight in it. Its callers look up another entry VM and
-    /// ask there.
+    /// A region fails with all in-flight requests. Its callers switch to entry VMs elsewhere.
     #[test]
     fn callers_of_a_lost_region_go_elsewhere() {
         let half = time::Duration::from_millis(500);
--- a/src/standin/model/server.rs
+++ b/src/standin/model/server.rs
@@ -1,4 +1,4 @@
-//! A backend server: slots, a queue before them, cold starts, crashes, and reports that lag.
+//! Model of a backend server: slots behind a queue, cold starts, crashes, and delayed load reports.
 
 use std::collections;
 use std::time;
@@ -6,18 +6,18 @@
 use crate::decisions::policy;
 use crate::id;
 
-/// How many times as long the first request of a cold backend server takes.
+/// Factor by which the first request on a cold backend server takes longer.
 const COLD_FACTOR: f64 = 4.0;
 
-/// After how many requests most of the cold has gone.
+/// Decay constant of the cold-start slowdown, in requests served.
 const COLD_REQUESTS: f64 = 150.0;
 
-/// What occupies a slot or waits for one.
+/// Work that occupies a slot or waits in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Job {
-    /// An attempt, by its index.
+    /// An attempt at a request, by its index.
     Send(usize),
-    /// A probe by an entry VM.
+    /// A probe from an entry VM, by the VM's index.
     Probe(usize),
 }
 
@@ -67,7 +67,7 @@
         self.served = Some(0);
     }
 
-    /// How long the next request takes here, for `work` on a warm and sound backend server.
+    /// Processing time of the next request, given its `work` on a warm, healthy backend server.
     pub(super) fn time_for(&mut self, work: time::Duration) -> time::Duration {
         let mut factor = self.slow;
         if let Some(served) = &mut self.served {
@@ -77,7 +77,7 @@
         work.mul_f64(factor)
     }
 
-    /// Takes the newest state into the report that goes out with answers.
+    /// Updates the load report that is attached to answers.
     pub(super) fn refresh(&mut self) {
         self.snapshot = policy::Report {
             in_flight: self.running.len() as u32,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Everything that was in it, lost.
+    /// Stops the backend server and returns the running and queued jobs, which are lost.
     pub(super) fn crash(&mut self) -> Vec<Job> {
         self.up = false;
         self.epoch += 1;
--- a/src/standin/model/table.rs
+++ b/src/standin/model/table.rs
@@ -1,24 +1,24 @@
-//! The table of load patterns: the naive version beside ours, on the same calls.
+//! Result table of the load patterns: the naive policy and [`dispatch::Dispatch`] on the same calls.
 
 use std::time;
 
 use super::{Deployment, best, load, patterns, run, tally};
 use crate::decisions::{cross_az, dispatch, naive};
 
-/// One row: a pattern on a deployment.
+/// The results of both policies for one pattern on one deployment.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// The pattern.
+    /// Pattern and deployment.
     pub case: patterns::Case,
-    /// The most worth that the slots could have answered.
+    /// Upper bound on the worth that the slots can answer.
     pub best: f64,
-    /// What callers got from the naive version.
+    /// Results of the naive policy.
     pub naive: tally::Tally,
-    /// What callers got from ours.
+    /// Results of [`dispatch::Dispatch`].
     pub ours: tally::Tally,
 }
 
-/// Plays one pattern against both.
+/// Runs one pattern with both policies.
 pub fn play(case: patterns::Case) -> Row {
     let calls = load::calls(&case.dep, &case.pattern);
     let slots = case.dep.total_slots();
@@ -34,7 +34,7 @@
     }
 }
 
-/// Our decisions as an entry VM runs them.
+/// Creates the policy that an entry VM runs in production.
 pub fn ours(dep: &Deployment, site: &run::Site) -> dispatch::Dispatch {
     let cfg = dispatch::Config {
         seed: site.index as u64,
@@ -48,25 +48,25 @@
 }
 
 impl Row {
-    /// Worth answered, as a share of the best, by the naive version and by ours.
+    /// Worth answered as a share of the upper bound, by the naive policy and by `Dispatch`.
     pub fn shares(&self) -> (f64, f64) {
         let share = |t: &tally::Tally| t.worth as f64 / self.best;
         (share(&self.naive), share(&self.ours))
     }
 
-    /// Worth answered by ours against the naive version.
+    /// Worth answered by `Dispatch`, divided by that of the naive policy.
     pub fn worth_ratio(&self) -> f64 {
         self.ours.worth as f64 / self.naive.worth as f64
     }
 
-    /// The time that 99 of 100 answers stay within, ours against the naive version's.
+    /// 99th percentile latency of `Dispatch`, divided by that of the naive policy.
     pub fn p99_ratio(&self) -> f64 {
         self.ours.quantile_ms(0.99) / self.naive.quantile_ms(0.99)
     }
 }
 
-/// The last line of the table: the least worth ratio at twice the capacity, the largest p99 ratio
-/// with a slow backend server, and all broken promises of ours.
+/// Last line of the table: the smallest worth ratio at twice the capacity, the largest p99 ratio
+/// with a slow backend server, and the number of invariants that `Dispatch` violated.
 pub fn summary(rows: &[Row]) -> String {
     let worth = rows
         .iter()
@@ -81,5 +81,5 @@
     )
 }
 
-/// How long each pattern takes calls in the benchmark.
+/// How long calls arrive in each pattern of the benchmark.
 pub const LASTS: time::Duration = time::Duration::from_secs(30);
--- a/src/standin/model/tally.rs
+++ b/src/standin/model/tally.rs
@@ -1,60 +1,59 @@
-//! What one run counts.
+//! Counters of one run of the model.
 
 use std::collections;
 use std::time;
 
 use crate::decisions::policy;
 
-/// What callers got and what the system did, over one run.
+/// Results for callers and activity of the system over one run.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// The worth of all calls.
+    /// Total worth of all calls.
     pub offered: u64,
-    /// The worth of the calls that were answered in time.
+    /// Total worth of the calls that were answered before their deadline.
     pub worth: u64,
-    /// Calls and answered calls of each operation.
+    /// Numbers of calls and of answered calls, by operation.
     pub per_op: Vec<(u64, u64)>,
-    /// Calls and answered calls of callers outside the few that ask most.
+    /// Numbers of calls and of answered calls, excluding the most active callers.
     pub ordinary: (u64, u64),
-    /// From a caller's first asking to its answer, in microseconds, sorted.
+    /// Latencies from the first request of a call to its answer, in microseconds, sorted.
     pub latencies_us: Vec<u32>,
-    /// From asking to a refusal, in microseconds: the longest.
+    /// Longest time from a request to its refusal, in microseconds.
     pub slowest_refusal_us: u32,
-    /// Refusals by cause.
+    /// Refusals, by reason.
     pub refused: collections::BTreeMap<&'static str, u64>,
-    /// Requests whose fate the caller was told is unknown.
+    /// Requests that were reported to the caller as having an unknown outcome.
     pub unknown: u64,
-    /// Calls of non-idempotent operations that ran more than once.
+    /// Non-idempotent calls that ran more than once.
     pub second_runs: u64,
-    /// Requests that were called not run, but ran.
+    /// Requests that were reported as not run although they ran.
     pub false_not_runs: u64,
-    /// Requests that got no settlement, or two.
+    /// Requests that were settled never or more than once.
     pub unsettled: u64,
-    /// Work sent to a backend server that had been leaving for longer than it may.
+    /// Attempts that reached a backend server after the grace period of its planned stop.
     pub late_to_leaving: u64,
     /// Crashes of backend servers.
     pub crashes: u64,
-    /// Attempts that were sent to backend servers.
+    /// Attempts sent to backend servers.
     pub attempts: u64,
-    /// Probes.
+    /// Probes sent to backend servers.
     pub probes: u64,
-    /// Time that each backend server worked.
+    /// Total processing time of each backend server.
     pub busy: Vec<time::Duration>,
-    /// Runs that each backend server began.
+    /// Number of runs started on each backend server.
     pub runs: Vec<u64>,
-    /// The peak number of jobs in each region's slots from other regions, and in all, as shares
-    /// of its slots, over one sampling window.
+    /// Peak share of each region's slots that were in use over one sampling window.
     pub peak_load: Vec<f64>,
-    /// Requests between regions by (from, to, step).
+    /// Requests sent between regions, by (from, to, step).
     pub shifted: collections::BTreeMap<(usize, usize, u64), u64>,
-    /// Bytes between regions by (from, to, second).
+    /// Bytes sent between regions, by (from, to, second).
     pub link_bytes: collections::BTreeMap<(usize, usize, u64), u64>,
-    /// Requests that entered by (region, step).
+    /// Requests from callers, by (region, step).
     pub entered: collections::BTreeMap<(usize, u64), u64>,
 }
 
 impl Tally {
-    /// The latency that this share of the answers stayed within, in milliseconds.
+    /// Latency quantile of the answers, in milliseconds. `q` is from 0 to 1.
     pub fn quantile_ms(&self, q: f64) -> f64 {
         if self.latencies_us.is_empty() {
             return 0.0;
@@ -64,15 +63,15 @@
         f64::from(self.latencies_us[at]) / 1e3
     }
 
-    /// Runs of the hottest backend server against the mean.
+    /// Runs of the busiest backend server, divided by the mean of all backend servers.
     pub fn hottest(&self) -> f64 {
         let total: u64 = self.runs.iter().sum();
         let most = self.runs.iter().max().copied().unwrap_or(0);
         most as f64 * self.runs.len() as f64 / (total.max(1) as f64)
     }
 
-    /// Broken promises: second runs, false refusals, requests without exactly one settlement, and
-    /// new work for backend servers that leave.
+    /// Violated invariants: repeated runs, false "not run" outcomes, requests without exactly one
+    /// settlement, and new work for backend servers after the grace period of their planned stop.
     pub fn violations(&self) -> u64 {
         self.second_runs + self.false_not_runs + self.unsettled + self.late_to_leaving
     }
