--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -16,7 +16,7 @@
         .map(|src| model::Deployment::read(root, &src).expect("the example settings are sound"));
     let cases: Vec<_> = deployments
         .iter()
-        .flat_map(|dep| patterns::local(dep, table::LASTS))
+        .flat_map(|dep| patterns::local(dep, table::PATTERN_DURATION))
         .collect();
     let rows = play(&cases);
     println!("worth: share of the offline best; p50, p99: ms from first asking to the answer");
--- a/src/standin/model/best.rs
+++ b/src/standin/model/best.rs
@@ -12,73 +12,75 @@
 use super::{Deployment, load};
 
 /// Length of one time bin.
-const BIN: time::Duration = time::Duration::from_millis(250);
+const BIN_LENGTH: time::Duration = time::Duration::from_millis(250);
 
 /// Upper bound on the worth answered, given the number of slots in service at each moment.
 pub fn worth(dep: &Deployment, calls: &[load::Call], slots: impl Fn(time::Duration) -> f64) -> f64 {
-    let bin = |at: time::Duration| (at.as_secs_f64() / BIN.as_secs_f64()) as usize;
+    let bin = |at: time::Duration| (at.as_secs_f64() / BIN_LENGTH.as_secs_f64()) as usize;
     let bins = calls.iter().map(|c| bin(c.deadline) + 1).max().unwrap_or(0);
-    let mut slack = Slack::new(bins, |i| slots(BIN * i as u32) * BIN.as_secs_f64());
+    let mut slack = Slack::new(bins, |i| {
+        slots(BIN_LENGTH * i as u32) * BIN_LENGTH.as_secs_f64()
+    });
     let starts = calls.iter().map(|c| bin(c.at) + 1).max().unwrap_or(0);
     let mut work = vec![vec![0.0; starts]; dep.ops.len()];
     let mut count = vec![vec![0_u32; starts]; dep.ops.len()];
-    for call in calls.iter().filter(|call| !call.killer) {
+    for call in calls.iter().filter(|call| !call.crashes_backend) {
         work[call.op][bin(call.at)] += call.work.as_secs_f64();
         count[call.op][bin(call.at)] += 1;
     }
     let mut order: Vec<_> = (0..dep.ops.len()).collect();
-    order.sort_by(|a, b| density(&dep.ops[*b]).total_cmp(&density(&dep.ops[*a])));
+    order.sort_by(|a, b| worth_per_s(&dep.ops[*b]).total_cmp(&worth_per_s(&dep.ops[*a])));
     let mut total = 0.0;
     for op in order {
         for start in 0..starts {
-            let asked = work[op][start];
-            if asked <= 0.0 {
+            let requested = work[op][start];
+            if requested <= 0.0 {
                 continue;
             }
             let end = (start + bin(dep.ops[op].patience)).min(bins - 1);
-            let done = slack.take(start, end, asked);
+            let reserved = slack.reserve(start, end, requested);
             let worth = f64::from(dep.ops[op].worth) * f64::from(count[op][start]);
-            total += worth * done / asked;
+            total += worth * reserved / requested;
         }
     }
     total
 }
 
-fn density(op: &super::Op) -> f64 {
+fn worth_per_s(op: &super::Op) -> f64 {
     f64::from(op.worth) / op.typical.as_secs_f64()
 }
 
 /// Remaining capacity, in seconds of work, of each interval of bins.
 struct Slack {
     bins: usize,
-    left: Vec<f64>,
+    remaining: Vec<f64>,
 }
 
 impl Slack {
     fn new(bins: usize, capacity: impl Fn(usize) -> f64) -> Self {
-        let mut left = vec![0.0; bins * bins];
+        let mut remaining = vec![0.0; bins * bins];
         for first in 0..bins {
             let mut sum = 0.0;
             for last in first..bins {
                 sum += capacity(last);
-                left[first * bins + last] = sum;
+                remaining[first * bins + last] = sum;
             }
         }
-        Self { bins, left }
+        Self { bins, remaining }
     }
 
-    /// Reserves as much of `asked` as fits between two bins and returns the reserved amount.
-    fn take(&mut self, start: usize, end: usize, asked: f64) -> f64 {
-        let mut fits = asked;
+    /// Reserves as much of `requested` as fits between two bins and returns the reserved amount.
+    fn reserve(&mut self, start: usize, end: usize, requested: f64) -> f64 {
+        let mut fits = requested;
         for first in 0..=start {
             for last in end..self.bins {
-                fits = fits.min(self.left[first * self.bins + last]);
+                fits = fits.min(self.remaining[first * self.bins + last]);
             }
         }
         let fits = fits.max(0.0);
         for first in 0..=start {
             for last in end..self.bins {
-                self.left[first * self.bins + last] -= fits;
+                self.remaining[first * self.bins + last] -= fits;
             }
         }
         fits
@@ -90,10 +92,10 @@
     use super::*;
 
     #[test]
-    fn what_must_be_done_inside_a_stretch_is_bounded_by_it() {
+    fn reserved_work_is_limited_by_the_capacity_of_the_interval() {
         let mut slack = Slack::new(4, |_| 1.0);
-        assert_eq!(slack.take(1, 1, 3.0), 1.0);
-        assert_eq!(slack.take(0, 1, 3.0), 1.0);
-        assert_eq!(slack.take(0, 3, 9.0), 2.0);
+        assert_eq!(slack.reserve(1, 1, 3.0), 1.0);
+        assert_eq!(slack.reserve(0, 1, 3.0), 1.0);
+        assert_eq!(slack.reserve(0, 3, 9.0), 2.0);
     }
 }
--- a/src/standin/model/load.rs
+++ b/src/standin/model/load.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub struct Phase {
     /// Length of the phase.
-    pub lasts: time::Duration,
+    pub duration: time::Duration,
     /// Call rate in each region, as a share of the capacity of the region's slots.
     pub load: Vec<f64>,
 }
@@ -24,13 +24,13 @@
     /// A backend server immediately answers each request with a failure.
     FailFast(usize),
     /// A backend server recovers from [`Fault::Slow`] or [`Fault::FailFast`].
-    Mend(usize),
+    Recover(usize),
     /// Every backend server has cold caches.
     ColdFleet,
     /// Load reports are no longer refreshed.
     FreezeReports,
     /// A backend server always reports that it is idle.
-    Lie(usize),
+    FalseReports(usize),
     /// A backend server announces a planned stop in its reports. The VM list follows after a delay.
     Leave(usize),
     /// All entry VMs and backend servers of a region fail.
@@ -44,22 +44,22 @@
 pub struct Callers {
     /// Number of callers.
     pub count: u64,
-    /// Share of calls that come from the [`Callers::HOT`] most active callers.
+    /// Share of calls that come from the [`Callers::HOT_COUNT`] most active callers.
     pub hot_share: f64,
     /// Share of its timeout after which a caller without an answer resends the request. At 1 it
     /// never resends for lack of an answer.
-    pub impatience: f64,
+    pub resend_after_share: f64,
     /// Share of calls that crash the backend server that runs them.
-    pub killers: f64,
+    pub crash_share: f64,
     /// Maximum number of resends of one call.
-    pub resends: u32,
+    pub max_resends: u32,
     /// Size of one request and its answer, in bytes.
     pub bytes: u64,
 }
 
 impl Callers {
     /// Number of callers that send the hot share.
-    pub const HOT: u64 = 5;
+    pub const HOT_COUNT: u64 = 5;
 }
 
 impl Default for Callers {
@@ -67,9 +67,9 @@
         Self {
             count: 5_000,
             hot_share: 0.0,
-            impatience: 1.0,
-            killers: 0.0,
-            resends: 3,
+            resend_after_share: 1.0,
+            crash_share: 0.0,
+            max_resends: 3,
             bytes: 2_000,
         }
     }
@@ -91,13 +91,13 @@
 }
 
 impl Pattern {
-    /// A pattern with the same constant load in all regions for `lasts`.
-    pub fn steady(name: &'static str, regions: usize, load: f64, lasts: time::Duration) -> Self {
+    /// A pattern with the same constant load in all regions for `duration`.
+    pub fn steady(name: &'static str, regions: usize, load: f64, duration: time::Duration) -> Self {
         Self {
             name,
             seed: 1,
             phases: vec![Phase {
-                lasts,
+                duration,
                 load: vec![load; regions],
             }],
             faults: Vec::new(),
@@ -106,8 +106,8 @@
     }
 
     /// Total length of the phases, during which calls arrive.
-    pub fn lasts(&self) -> time::Duration {
-        self.phases.iter().map(|phase| phase.lasts).sum()
+    pub fn duration(&self) -> time::Duration {
+        self.phases.iter().map(|phase| phase.duration).sum()
     }
 }
 
@@ -127,9 +127,9 @@
     /// Processing time on a warm, healthy backend server.
     pub work: time::Duration,
     /// Whether it crashes the backend server that runs it.
-    pub killer: bool,
+    pub crashes_backend: bool,
     /// Random number that selects one of the entry VMs.
-    pub pick: usize,
+    pub vm_pick: usize,
 }
 
 /// Draws all calls of a pattern, ordered by arrival time.
@@ -140,11 +140,11 @@
         let mut start = Moment::ZERO;
         for phase in &pattern.phases {
             let rate = phase.load[region] * dep.capacity() / dep.regions as f64;
-            let end = start + phase.lasts;
-            let mut at = start + gap(&mut rng, rate);
+            let end = start + phase.duration;
+            let mut at = start + draw_gap(&mut rng, rate);
             while at < end {
-                calls.push(call(&mut rng, dep, pattern, region, at));
-                at += gap(&mut rng, rate);
+                calls.push(draw_call(&mut rng, dep, pattern, region, at));
+                at += draw_gap(&mut rng, rate);
             }
             start = end;
         }
@@ -153,21 +153,21 @@
     calls
 }
 
-fn gap(rng: &mut rand_chacha::ChaCha8Rng, rate: f64) -> time::Duration {
+fn draw_gap(rng: &mut rand_chacha::ChaCha8Rng, rate: f64) -> time::Duration {
     if rate <= 0.0 {
         return time::Duration::from_secs(1 << 20);
     }
-    time::Duration::from_secs_f64(exponential(rng) / rate)
+    time::Duration::from_secs_f64(draw_exponential(rng) / rate)
 }
 
-fn exponential(rng: &mut rand_chacha::ChaCha8Rng) -> f64 {
+fn draw_exponential(rng: &mut rand_chacha::ChaCha8Rng) -> f64 {
     -(1.0 - rng.random::<f64>()).ln()
 }
 
 /// Constant share of the mean work of a request. The rest is drawn from an exponential distribution.
-const FIXED_WORK: f64 = 0.7;
+const FIXED_WORK_SHARE: f64 = 0.7;
 
-fn call(
+fn draw_call(
     rng: &mut rand_chacha::ChaCha8Rng,
     dep: &Deployment,
     pattern: &Pattern,
@@ -186,10 +186,10 @@
     let callers = &pattern.callers;
     let hot = rng.random::<f64>() < callers.hot_share;
     let caller = match hot {
-        true => rng.random_range(0..Callers::HOT),
-        false => rng.random_range(Callers::HOT..callers.count),
+        true => rng.random_range(0..Callers::HOT_COUNT),
+        false => rng.random_range(Callers::HOT_COUNT..callers.count),
     };
-    let factor = FIXED_WORK + (1.0 - FIXED_WORK) * exponential(rng);
+    let factor = FIXED_WORK_SHARE + (1.0 - FIXED_WORK_SHARE) * draw_exponential(rng);
     Call {
         at,
         deadline: at + dep.ops[op].patience,
@@ -197,7 +197,7 @@
         region,
         caller,
         work: dep.ops[op].typical.mul_f64(factor),
-        killer: rng.random::<f64>() < callers.killers,
-        pick: rng.random::<u32>() as usize,
+        crashes_backend: rng.random::<f64>() < callers.crash_share,
+        vm_pick: rng.random::<u32>() as usize,
     }
 }
--- a/src/standin/model/patterns.rs
+++ b/src/standin/model/patterns.rs
@@ -1,6 +1,6 @@
 //! The load patterns under which policies are compared.
 //!
-//! Each lasts a few seconds: long enough for queues to fill and for outliers to be detected, short
+//! Each duration a few seconds: long enough for queues to fill and for outliers to be detected, short
 //! enough to run in a test.
 
 use std::time;
@@ -9,13 +9,13 @@
 use super::{Deployment, Op};
 
 /// Load of normal operation, as a share of capacity.
-const CALM: f64 = 0.6;
+const NORMAL_LOAD: f64 = 0.6;
 
 /// Load that an availability zone can serve with one of its two backend servers.
-const LIGHT: f64 = 0.4;
+const LIGHT_LOAD: f64 = 0.4;
 
 /// Constant load for patterns that measure how evenly requests are distributed.
-const STEADY: f64 = 0.5;
+const STEADY_LOAD: f64 = 0.5;
 
 const fn s(secs: u64) -> time::Duration {
     time::Duration::from_secs(secs)
@@ -52,22 +52,25 @@
     }
 }
 
-/// All patterns without traffic between availability zones. Calls arrive for `lasts` in each.
-pub fn local(dep: &Deployment, lasts: time::Duration) -> Vec<Case> {
+/// All patterns without traffic between availability zones. Calls arrive for `duration` in each.
+pub fn local(dep: &Deployment, duration: time::Duration) -> Vec<Case> {
     let regions = dep.regions;
-    let calm = |name| Pattern::steady(name, regions, CALM, lasts);
-    let early = lasts / 8;
+    let calm = |name| Pattern::steady(name, regions, NORMAL_LOAD, duration);
+    let early = duration / 8;
     vec![
         Case {
             steady: true,
-            ..Case::new(dep, Pattern::steady("steady", regions, STEADY, lasts))
+            ..Case::new(
+                dep,
+                Pattern::steady("steady", regions, STEADY_LOAD, duration),
+            )
         },
-        Case::new(dep, burst(regions, lasts)),
-        Case::new(dep, hot_callers(regions, lasts)),
+        Case::new(dep, burst(regions, duration)),
+        Case::new(dep, hot_callers(regions, duration)),
         slow(dep, calm("slow backend server"), early),
         slow(
             dep,
-            Pattern::steady("slow backend server, light", regions, LIGHT, lasts),
+            Pattern::steady("slow backend server, light", regions, LIGHT_LOAD, duration),
             early,
         ),
         Case::new(
@@ -79,15 +82,18 @@
             ),
         ),
         Case::new(
-            &with_long_work(dep),
-            Pattern::steady("long among short", regions, 1.2, lasts),
+            &with_long_operation(dep),
+            Pattern::steady("long among short", regions, 1.2, duration),
+        ),
+        Case::new(
+            dep,
+            Pattern::steady("saturation 1.2", regions, 1.2, duration),
         ),
-        Case::new(dep, Pattern::steady("saturation 1.2", regions, 1.2, lasts)),
         Case {
             saturated: true,
-            ..Case::new(dep, Pattern::steady("saturation 2", regions, 2.0, lasts))
+            ..Case::new(dep, Pattern::steady("saturation 2", regions, 2.0, duration))
         },
-        Case::new(dep, killers(regions, lasts)),
+        Case::new(dep, crashing_requests(regions, duration)),
         Case::new(
             dep,
             with_faults(calm("reports frozen"), early, vec![Fault::FreezeReports]),
@@ -97,7 +103,7 @@
             with_faults(
                 calm("reports lie"),
                 early,
-                vec![Fault::Lie(0), Fault::Slow(0, 4.0)],
+                vec![Fault::FalseReports(0), Fault::Slow(0, 4.0)],
             ),
         ),
         Case::new(
@@ -108,7 +114,7 @@
                 vec![Fault::ColdFleet],
             ),
         ),
-        Case::new(dep, retry_storm(regions, lasts)),
+        Case::new(dep, retry_storm(regions, duration)),
         Case::new(
             dep,
             with_faults(calm("backend server leaves"), early, vec![Fault::Leave(0)]),
@@ -129,70 +135,73 @@
 }
 
 fn phases(regions: usize, loads: &[(time::Duration, f64)]) -> Vec<Phase> {
-    let phase = |(lasts, load): &(time::Duration, f64)| Phase {
-        lasts: *lasts,
+    let phase = |(duration, load): &(time::Duration, f64)| Phase {
+        duration: *duration,
         load: vec![*load; regions],
     };
     loads.iter().map(phase).collect()
 }
 
-fn burst(regions: usize, lasts: time::Duration) -> Pattern {
-    let (calm, peak) = (lasts.mul_f64(0.4), lasts.mul_f64(0.2));
+fn burst(regions: usize, duration: time::Duration) -> Pattern {
+    let (calm, peak) = (duration.mul_f64(0.4), duration.mul_f64(0.2));
     Pattern {
-        phases: phases(regions, &[(calm, CALM), (peak, 4.0), (calm, CALM)]),
-        ..Pattern::steady("burst", regions, CALM, lasts)
+        phases: phases(
+            regions,
+            &[(calm, NORMAL_LOAD), (peak, 4.0), (calm, NORMAL_LOAD)],
+        ),
+        ..Pattern::steady("burst", regions, NORMAL_LOAD, duration)
     }
 }
 
 /// A few callers send most of a load that exceeds the capacity.
-fn hot_callers(regions: usize, lasts: time::Duration) -> Pattern {
+fn hot_callers(regions: usize, duration: time::Duration) -> Pattern {
     let callers = Callers {
         hot_share: 0.7,
         ..Callers::default()
     };
     Pattern {
         callers,
-        ..Pattern::steady("few callers", regions, 1.5, lasts)
+        ..Pattern::steady("few callers", regions, 1.5, duration)
     }
 }
 
 /// Some requests crash the backend server that runs them.
-fn killers(regions: usize, lasts: time::Duration) -> Pattern {
+fn crashing_requests(regions: usize, duration: time::Duration) -> Pattern {
     let callers = Callers {
-        killers: 0.0002,
+        crash_share: 0.0002,
         ..Callers::default()
     };
     Pattern {
         callers,
-        ..Pattern::steady("crashing request", regions, CALM, lasts)
+        ..Pattern::steady("crashing request", regions, NORMAL_LOAD, duration)
     }
 }
 
 /// Callers resend requests long before their timeout, while the load exceeds the capacity.
-fn retry_storm(regions: usize, lasts: time::Duration) -> Pattern {
+fn retry_storm(regions: usize, duration: time::Duration) -> Pattern {
     let callers = Callers {
-        impatience: 0.1,
-        resends: 8,
+        resend_after_share: 0.1,
+        max_resends: 8,
         ..Callers::default()
     };
-    let (calm, peak) = (lasts.mul_f64(0.3), lasts.mul_f64(0.3));
+    let (calm, peak) = (duration.mul_f64(0.3), duration.mul_f64(0.3));
     Pattern {
         callers,
         phases: phases(
             regions,
             &[
-                (calm, CALM),
+                (calm, NORMAL_LOAD),
                 (peak, 2.0),
-                (calm, CALM),
-                (lasts - calm - peak - calm, CALM),
+                (calm, NORMAL_LOAD),
+                (duration - calm - peak - calm, NORMAL_LOAD),
             ],
         ),
-        ..Pattern::steady("retry storm", regions, CALM, lasts)
+        ..Pattern::steady("retry storm", regions, NORMAL_LOAD, duration)
     }
 }
 
 /// Adds a long-running operation that uses half of the slots' time on the same backend servers.
-fn with_long_work(dep: &Deployment) -> Deployment {
+fn with_long_operation(dep: &Deployment) -> Deployment {
     let short: f64 = dep
         .ops
         .iter()
--- a/src/standin/model/run/entry.rs
+++ b/src/standin/model/run/entry.rs
@@ -2,48 +2,55 @@
 
 use std::time;
 
-use super::{Event, How, LIST_LAG, Node, Req, Send, TICK, World, read_report};
+use super::{
+    Attempt, Event, LIST_UPDATE_DELAY, Node, Req, SendResult, Simulation, TICK_INTERVAL,
+    read_report,
+};
 use crate::decisions::policy;
 use crate::id;
 use crate::standin::model::server::Job;
 use policy::{Action, AttemptOutcome, Destination, Moment, Policy, RequestOutcome};
 
-impl<P: Policy, M: FnMut(&super::Site) -> P> World<'_, P, M> {
-    pub(super) fn with(&mut self, vm: usize, f: impl FnOnce(&mut P, Moment, &mut Vec<Action>)) {
+impl<P: Policy, M: FnMut(&super::Site) -> P> Simulation<'_, P, M> {
+    pub(super) fn with_policy(
+        &mut self,
+        vm: usize,
+        f: impl FnOnce(&mut P, Moment, &mut Vec<Action>),
+    ) {
         if !self.nodes[vm].up {
             return;
         }
         let mut out = Vec::new();
         f(&mut self.nodes[vm].policy, self.now, &mut out);
         for action in out {
-            self.act(vm, action);
+            self.apply_action(vm, action);
         }
     }
 
-    pub(super) fn at_vm(&mut self, req: usize) {
+    pub(super) fn arrive_at_vm(&mut self, req: usize) {
         let r = &self.reqs[req];
         let (vm, call) = (r.vm, r.call);
-        if r.dead {
+        if r.lost {
             return;
         }
         if !self.nodes[vm].up {
-            return self.vanish(req);
+            return self.lose_request(req);
         }
         let info = &self.calls[call];
         let op = &self.dep.ops[info.op];
         let origin = match r.parent {
-            Some(send) => {
-                let from = self.nodes[self.reqs[self.sends[send].req].vm].site.az;
+            Some(attempt) => {
+                let from = self.nodes[self.reqs[self.attempts[attempt].req].vm].site.az;
                 policy::Origin::Az(self.dep.azs[from].id.clone())
             }
             None => policy::Origin::Caller,
         };
         if r.parent.is_none() {
             let region = self.dep.azs[self.nodes[vm].site.az].region;
-            let step = self.steps();
+            let step = self.current_step();
             *self.tally.entered.entry((region, step)).or_default() += 1;
         }
-        let fingerprint = match info.killer {
+        let fingerprint = match info.crashes_backend {
             true => (1 << 40) + call as u64,
             false => info.caller * 16 + info.op as u64,
         };
@@ -58,14 +65,14 @@
             deadline: info.deadline - self.dep.client_delay,
             bytes: self.pattern.callers.bytes,
         };
-        self.with(vm, |p, now, out| p.arrive(now, arrival, out));
+        self.with_policy(vm, |p, now, out| p.arrive(now, arrival, out));
     }
 
-    pub(super) fn steps(&self) -> u64 {
+    pub(super) fn current_step(&self) -> u64 {
         (self.now.as_millis() / self.dep.shift_step.as_millis()) as u64
     }
 
-    pub(super) fn act(&mut self, vm: usize, action: Action) {
+    pub(super) fn apply_action(&mut self, vm: usize, action: Action) {
         match action {
             Action::Send { req, to, deadline } => self.send(vm, req.0 as usize, to, deadline),
             Action::Cancel { req, to } => self.cancel(req.0 as usize, &to),
@@ -74,68 +81,75 @@
                 let server = self.servers.iter().position(|s| s.id == to);
                 self.tally.probes += 1;
                 if let Some(server) = server {
-                    self.after(self.dep.local_delay, Event::ProbeAt { server, vm });
+                    self.after(self.dep.local_delay, Event::ProbeArrived { server, vm });
                 }
             }
         }
     }
 
     pub(super) fn send(&mut self, vm: usize, req: usize, to: Destination, deadline: Moment) {
-        let send = self.sends.len();
-        let mut entry = Send {
+        let attempt = self.attempts.len();
+        let mut record = Attempt {
             req,
-            place: to.clone(),
+            destination: to.clone(),
             server: None,
             child: None,
             deadline,
             ended: false,
         };
-        self.push(deadline.max(self.now), Event::TimeOut(send));
+        self.push(deadline.max(self.now), Event::TimeOut(attempt));
         match to {
             Destination::Backend(id) => {
-                entry.server = self.servers.iter().position(|s| s.id == id);
-                self.sends.push(entry);
+                record.server = self.servers.iter().position(|s| s.id == id);
+                self.attempts.push(record);
                 self.tally.attempts += 1;
-                self.after(self.dep.local_delay, Event::AtServer(send));
+                self.after(self.dep.local_delay, Event::ArriveAtServer(attempt));
             }
             Destination::Az(az) => {
-                self.sends.push(entry);
-                self.spill(vm, send, &az);
+                self.attempts.push(record);
+                self.spill(vm, attempt, &az);
             }
         }
     }
 
-    pub(super) fn spill(&mut self, vm: usize, send: usize, az: &id::AzId) {
+    pub(super) fn spill(&mut self, vm: usize, attempt: usize, az: &id::AzId) {
         let from_az = self.nodes[vm].site.az;
         let to_az = self.dep.azs.iter().position(|a| a.id == *az);
         let live = |node: &&Node<P>| node.up && Some(node.site.az) == to_az;
         let there: Vec<_> = self.nodes.iter().filter(live).collect();
         if there.is_empty() {
-            let how = How::NotSent;
+            let result = SendResult::NotSent;
             let report = None;
-            return self.after(self.dep.az_delay, Event::Reply { send, how, report });
+            return self.after(
+                self.dep.az_delay,
+                Event::Reply {
+                    attempt,
+                    result,
+                    report,
+                },
+            );
         }
-        let to_vm = there[send % there.len()].site.index;
+        let to_vm = there[attempt % there.len()].site.index;
         let to_az = self.nodes[to_vm].site.az;
-        let delay = self.between(from_az, to_az);
+        let delay = self.delay_between(from_az, to_az);
         self.count_shift(from_az, to_az);
         let child = self.reqs.len();
-        self.sends[send].child = Some(child);
+        self.attempts[attempt].child = Some(child);
         self.reqs.push(Req {
-            call: self.reqs[self.sends[send].req].call,
+            call: self.reqs[self.attempts[attempt].req].call,
             vm: to_vm,
             asked: self.now,
-            parent: Some(send),
+            parent: Some(attempt),
             ran: false,
-            last: None,
+            last_result: None,
             settled: None,
-            dead: false,
-            told: true,
+            lost: false,
+            caller_done: true,
         });
-        self.after(delay, Event::AtVm(child));
+        self.after(delay, Event::ArriveAtVm(child));
     }
 
-    pub(super) fn between(&self, from_az: usize, to_az: usize) -> time::Duration {
+    pub(super) fn delay_between(&self, from_az: usize, to_az: usize) -> time::Duration {
         match self.dep.azs[from_az].region == self.dep.azs[to_az].region {
             true => self.dep.az_delay,
             false => self.dep.region_delay,
@@ -147,7 +161,7 @@
         if from == to {
             return;
         }
-        let step = self.steps();
+        let step = self.current_step();
         *self.tally.shifted.entry((from, to, step)).or_default() += 1;
         let second = self.now.as_secs();
         let bytes = self.tally.link_bytes.entry((from, to, second));
@@ -155,15 +169,16 @@
     }
 
     pub(super) fn cancel(&mut self, req: usize, to: &Destination) {
-        let open = |send: &Send| send.req == req && !send.ended && send.place == *to;
-        let Some(send) = self.sends.iter().rposition(open) else {
+        let open =
+            |attempt: &Attempt| attempt.req == req && !attempt.ended && attempt.destination == *to;
+        let Some(attempt) = self.attempts.iter().rposition(open) else {
             return;
         };
         let delay = match to {
             Destination::Backend(_) => self.dep.local_delay,
             Destination::Az(_) => self.dep.az_delay,
         };
-        self.after(delay, Event::CancelAt(send));
+        self.after(delay, Event::CancelAttempt(attempt));
     }
 
     pub(super) fn settle(&mut self, req: usize, fate: RequestOutcome) {
@@ -181,79 +196,98 @@
             RequestOutcome::Unknown { .. } => self.tally.unknown += 1,
             RequestOutcome::Answer => {}
         }
-        let Some(send) = r.parent else {
-            return self.after(self.dep.client_delay, Event::Told(req));
+        let Some(attempt) = r.parent else {
+            return self.after(self.dep.client_delay, Event::DeliverOutcome(req));
         };
-        let how = match fate {
-            RequestOutcome::Answer => r.last.unwrap_or(How::Failed),
-            RequestOutcome::NotRun { .. } => How::Shed,
-            RequestOutcome::Unknown { .. } => How::Lost,
+        let result = match fate {
+            RequestOutcome::Answer => r.last_result.unwrap_or(SendResult::Failed),
+            RequestOutcome::NotRun { .. } => SendResult::Shed,
+            RequestOutcome::Unknown { .. } => SendResult::Lost,
         };
-        let (here, home) = (r.vm, self.reqs[self.sends[send].req].vm);
-        let delay = self.between(self.nodes[here].site.az, self.nodes[home].site.az);
+        let (here, home) = (r.vm, self.reqs[self.attempts[attempt].req].vm);
+        let delay = self.delay_between(self.nodes[here].site.az, self.nodes[home].site.az);
         let report = None;
-        self.after(delay, Event::Reply { send, how, report });
+        self.after(
+            delay,
+            Event::Reply {
+                attempt,
+                result,
+                report,
+            },
+        );
     }
 
-    pub(super) fn reply(&mut self, send: usize, how: How, report: Option<(u32, u32, bool)>) {
-        if std::mem::replace(&mut self.sends[send].ended, true) {
+    pub(super) fn reply(
+        &mut self,
+        attempt: usize,
+        result: SendResult,
+        report: Option<(u32, u32, bool)>,
+    ) {
+        if std::mem::replace(&mut self.attempts[attempt].ended, true) {
             return;
         }
-        let req = self.sends[send].req;
+        let req = self.attempts[attempt].req;
         let vm = self.reqs[req].vm;
-        if self.reqs[req].dead {
+        if self.reqs[req].lost {
             return;
         }
         // A later attempt does not change the result that the request was settled with.
         if self.reqs[req].settled.is_none() {
-            self.reqs[req].last = Some(how);
+            self.reqs[req].last_result = Some(result);
         }
-        let place = self.sends[send].place.clone();
+        let destination = self.attempts[attempt].destination.clone();
         let id = policy::RequestId(req as u64);
-        let (how, report) = (how.ended(), report.map(read_report));
-        self.with(vm, |p, now, out| {
-            p.ended(now, id, &place, how, report, out);
+        let (result, report) = (result.outcome(), report.map(read_report));
+        self.with_policy(vm, |p, now, out| {
+            p.ended(now, id, &destination, result, report, out);
         });
     }
 
-    pub(super) fn time_out(&mut self, send: usize) {
-        let sent = &mut self.sends[send];
-        if std::mem::replace(&mut sent.ended, true) || self.reqs[sent.req].dead {
+    pub(super) fn time_out(&mut self, attempt: usize) {
+        let sent = &mut self.attempts[attempt];
+        if std::mem::replace(&mut sent.ended, true) || self.reqs[sent.req].lost {
             return;
         }
-        let (req, place) = (sent.req, sent.place.clone());
+        let (req, destination) = (sent.req, sent.destination.clone());
         let id = policy::RequestId(req as u64);
-        self.with(self.reqs[req].vm, |p, now, out| {
-            p.ended(now, id, &place, AttemptOutcome::TimedOut, None, out);
+        self.with_policy(self.reqs[req].vm, |p, now, out| {
+            p.ended(now, id, &destination, AttemptOutcome::TimedOut, None, out);
         });
     }
 
-    pub(super) fn cancel_at(&mut self, send: usize) {
-        if self.sends[send].ended {
+    pub(super) fn cancel_attempt(&mut self, attempt: usize) {
+        if self.attempts[attempt].ended {
             return;
         }
-        if let Some(child) = self.sends[send].child {
+        if let Some(child) = self.attempts[attempt].child {
             let id = policy::RequestId(child as u64);
-            return self.with(self.reqs[child].vm, |p, now, out| {
+            return self.with_policy(self.reqs[child].vm, |p, now, out| {
                 p.caller_gone(now, id, out)
             });
         }
-        if let Some(server) = self.sends[send].server {
+        if let Some(server) = self.attempts[attempt].server {
             self.servers[server]
                 .waiting
-                .retain(|job| *job != Job::Send(send));
-            self.stop(server, send);
+                .retain(|job| *job != Job::Attempt(attempt));
+            self.stop_attempt(server, attempt);
         }
-        let (how, report) = (How::Cancelled, None);
-        self.after(self.dep.local_delay, Event::Reply { send, how, report });
+        let (result, report) = (SendResult::Cancelled, None);
+        self.after(
+            self.dep.local_delay,
+            Event::Reply {
+                attempt,
+                result,
+                report,
+            },
+        );
     }
 
     pub(super) fn tick(&mut self) {
         for vm in 0..self.nodes.len() {
-            self.with(vm, |p, now, out| p.tick(now, out));
+            self.with_policy(vm, |p, now, out| p.tick(now, out));
         }
         self.sample();
-        self.after(TICK, Event::Tick);
+        self.after(TICK_INTERVAL, Event::Tick);
     }
 
     /// Samples the running jobs of each region and updates its peak load once per second.
@@ -276,10 +310,10 @@
         }
     }
 
-    pub(super) fn tell_backends(&mut self, vm: usize) {
+    pub(super) fn update_backends(&mut self, vm: usize) {
         let az = self.nodes[vm].site.az;
         let own = self.servers.iter().filter(|server| server.az == az);
-        let listed = |since: Moment| self.now >= since + LIST_LAG;
+        let listed = |since: Moment| self.now >= since + LIST_UPDATE_DELAY;
         let backends: Vec<_> = own
             .map(|server| policy::Backend {
                 id: server.id.clone(),
@@ -287,13 +321,13 @@
                 leaving: server.leaving.is_some_and(listed),
             })
             .collect();
-        self.with(vm, |p, now, out| p.set_backends(now, &backends, out));
+        self.with_policy(vm, |p, now, out| p.set_backends(now, &backends, out));
     }
 
-    pub(super) fn list_says(&mut self, server: usize) {
+    pub(super) fn update_list(&mut self, server: usize) {
         for vm in 0..self.nodes.len() {
             if self.nodes[vm].site.az == self.servers[server].az {
-                self.tell_backends(vm);
+                self.update_backends(vm);
             }
         }
     }
--- a/src/standin/model/run/faults.rs
+++ b/src/standin/model/run/faults.rs
@@ -1,28 +1,28 @@
 //! Faults and planned events in the model.
 
-use super::{ASK_AGAIN, Event, How, LIST_LAG, World};
+use super::{Event, LIST_UPDATE_DELAY, RESEND_DELAY, SendResult, Simulation};
 use crate::decisions::policy;
 use crate::standin::model::load;
 use crate::standin::model::server::Server;
 use load::Fault;
 use policy::Policy;
 
-impl<P: Policy, M: FnMut(&super::Site) -> P> World<'_, P, M> {
-    pub(super) fn fault(&mut self, i: usize) {
+impl<P: Policy, M: FnMut(&super::Site) -> P> Simulation<'_, P, M> {
+    pub(super) fn apply_fault(&mut self, i: usize) {
         let pattern = self.pattern;
         match &pattern.faults[i].1 {
-            Fault::Slow(server, factor) => self.servers[*server].slow = *factor,
+            Fault::Slow(server, factor) => self.servers[*server].slowdown = *factor,
             Fault::FailFast(server) => self.servers[*server].fail_fast = true,
-            Fault::Mend(server) => {
-                self.servers[*server].slow = 1.0;
+            Fault::Recover(server) => {
+                self.servers[*server].slowdown = 1.0;
                 self.servers[*server].fail_fast = false;
             }
-            Fault::ColdFleet => self.servers.iter_mut().for_each(Server::chill),
-            Fault::FreezeReports => self.frozen = true,
-            Fault::Lie(server) => self.servers[*server].lies = true,
+            Fault::ColdFleet => self.servers.iter_mut().for_each(Server::make_cold),
+            Fault::FreezeReports => self.reports_frozen = true,
+            Fault::FalseReports(server) => self.servers[*server].false_reports = true,
             Fault::Leave(server) => {
                 self.servers[*server].leaving = Some(self.now);
-                self.after(LIST_LAG, Event::ListSays(*server));
+                self.after(LIST_UPDATE_DELAY, Event::UpdateList(*server));
             }
             Fault::RegionDown(region) => self.region_down(*region),
             Fault::RegionUp(region) => self.region_up(*region),
@@ -32,7 +32,7 @@
     pub(super) fn region_down(&mut self, region: usize) {
         for server in 0..self.servers.len() {
             if self.dep.azs[self.servers[server].az].region == region {
-                self.kill(server);
+                self.stop_server(server);
             }
         }
         for vm in 0..self.nodes.len() {
@@ -42,23 +42,30 @@
         }
         for req in 0..self.reqs.len() {
             if !self.nodes[self.reqs[req].vm].up && self.reqs[req].settled.is_none() {
-                self.vanish(req);
+                self.lose_request(req);
             }
         }
     }
 
     /// Handles the loss of a request whose entry VM failed. The connection breaks for its caller,
     /// or for the VM that spilled the request over.
-    pub(super) fn vanish(&mut self, req: usize) {
+    pub(super) fn lose_request(&mut self, req: usize) {
         let r = &mut self.reqs[req];
-        r.dead = true;
+        r.lost = true;
         let call = r.call;
-        if let Some(send) = r.parent {
-            let (how, report) = (How::Lost, None);
-            return self.after(self.dep.region_delay, Event::Reply { send, how, report });
+        if let Some(attempt) = r.parent {
+            let (result, report) = (SendResult::Lost, None);
+            return self.after(
+                self.dep.region_delay,
+                Event::Reply {
+                    attempt,
+                    result,
+                    report,
+                },
+            );
         }
         if !r.ran || self.dep.ops[self.calls[call].op].idempotent {
-            self.ask_again(call, ASK_AGAIN);
+            self.resend(call, RESEND_DELAY);
         }
     }
 
@@ -73,9 +80,9 @@
             if self.dep.azs[site.az].region != region {
                 continue;
             }
-            self.nodes[vm].policy = (self.make)(&site);
+            self.nodes[vm].policy = (self.make_policy)(&site);
             self.nodes[vm].up = true;
-            self.tell_backends(vm);
+            self.update_backends(vm);
         }
     }
 }
--- a/src/standin/model/run/mod.rs
+++ b/src/standin/model/run/mod.rs
@@ -17,31 +17,31 @@
 use policy::{AttemptOutcome, Destination, Moment, Policy, RequestOutcome};
 
 /// Interval between the timer ticks of the policies.
-const TICK: time::Duration = time::Duration::from_millis(10);
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
 /// Interval between updates of the load reports, and so their maximum staleness.
-const REPORT_LAG: time::Duration = time::Duration::from_millis(100);
+const REPORT_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// Processing time of a probe.
-const PROBE_WORK: time::Duration = time::Duration::from_millis(6);
+const PROBE_WORK_TIME: time::Duration = time::Duration::from_millis(6);
 
 /// Time between the start of a request that crashes its backend server and the crash.
-const CRASH_AFTER: time::Duration = time::Duration::from_millis(1);
+const CRASH_DELAY: time::Duration = time::Duration::from_millis(1);
 
 /// Time until a crashed backend server is up again.
-const RESTART: time::Duration = time::Duration::from_secs(2);
+const RESTART_DOWNTIME: time::Duration = time::Duration::from_secs(2);
 
 /// Processing time of a request on a backend server that fails immediately.
-const FAIL_FAST_WORK: time::Duration = time::Duration::from_micros(500);
+const FAIL_FAST_WORK_TIME: time::Duration = time::Duration::from_micros(500);
 
 /// Delay between a backend server's report of its planned stop and the update of the VM list.
-const LIST_LAG: time::Duration = time::Duration::from_secs(2);
+const LIST_UPDATE_DELAY: time::Duration = time::Duration::from_secs(2);
 
 /// Period after the announcement of a planned stop in which new work may still arrive.
-const LEAVING_GRACE: time::Duration = time::Duration::from_secs(5);
+const LEAVING_GRACE_PERIOD: time::Duration = time::Duration::from_secs(5);
 
 /// Delay before a resend after a lost connection, and the maximum after an unknown outcome.
-const ASK_AGAIN: time::Duration = time::Duration::from_millis(200);
+const RESEND_DELAY: time::Duration = time::Duration::from_millis(200);
 
 /// The entry VM that a policy runs on.
 #[derive(Clone, Debug)]
@@ -67,9 +67,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Ask(usize),
-    AtVm(usize),
-    AtServer(usize),
+    Submit(usize),
+    ArriveAtVm(usize),
+    ArriveAtServer(usize),
     Done {
         server: usize,
         epoch: u32,
@@ -81,31 +81,31 @@
     },
     Restart(usize),
     Reply {
-        send: usize,
-        how: How,
+        attempt: usize,
+        result: SendResult,
         report: Option<(u32, u32, bool)>,
     },
     TimeOut(usize),
-    CancelAt(usize),
+    CancelAttempt(usize),
     GiveUp(usize),
-    Told(usize),
-    ProbeAt {
+    DeliverOutcome(usize),
+    ProbeArrived {
         server: usize,
         vm: usize,
     },
-    ProbeBack {
+    ProbeReplied {
         server: usize,
         vm: usize,
         report: Option<(u32, u32, bool)>,
     },
-    ListSays(usize),
+    UpdateList(usize),
     Fault(usize),
     Tick,
     Refresh,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum How {
+enum SendResult {
     Answered,
     Failed,
     Shed,
@@ -114,8 +114,8 @@
     Cancelled,
 }
 
-impl How {
-    fn ended(self) -> AttemptOutcome {
+impl SendResult {
+    fn outcome(self) -> AttemptOutcome {
         match self {
             Self::Answered => AttemptOutcome::Answered,
             Self::Failed => AttemptOutcome::Failed,
@@ -142,17 +142,17 @@
     asked: Moment,
     parent: Option<usize>,
     ran: bool,
-    last: Option<How>,
+    last_result: Option<SendResult>,
     settled: Option<RequestOutcome>,
-    dead: bool,
-    told: bool,
+    lost: bool,
+    caller_done: bool,
 }
 
 /// One attempt at a backend server or another availability zone.
 #[derive(Debug)]
-struct Send {
+struct Attempt {
     req: usize,
-    place: Destination,
+    destination: Destination,
     server: Option<usize>,
     child: Option<usize>,
     deadline: Moment,
@@ -160,59 +160,59 @@
 }
 
 /// State of one run.
-pub struct World<'a, P, M> {
+pub struct Simulation<'a, P, M> {
     dep: &'a Deployment,
     pattern: &'a Pattern,
     calls: &'a [Call],
-    make: M,
+    make_policy: M,
     now: Moment,
     seq: u64,
-    heap: collections::BinaryHeap<cmp::Reverse<(Moment, u64, Event)>>,
+    events: collections::BinaryHeap<cmp::Reverse<(Moment, u64, Event)>>,
     nodes: Vec<Node<P>>,
     servers: Vec<Server>,
     states: Vec<CallState>,
     reqs: Vec<Req>,
-    sends: Vec<Send>,
-    slots: collections::HashMap<u64, Job>,
-    frozen: bool,
+    attempts: Vec<Attempt>,
+    running_jobs: collections::HashMap<u64, Job>,
+    reports_frozen: bool,
     busy_samples: Vec<(u64, u64)>,
     tally: tally::Tally,
 }
 
-/// Runs `calls` and the faults of `pattern` against the policies that `make` creates. `control` is
+/// Runs `calls` and the faults of `pattern` against the policies from `make_policy`. `control` is
 /// called every 10 ms, before the policies' ticks, and may exchange messages between policies.
 pub fn run<P: Policy>(
     dep: &Deployment,
     pattern: &Pattern,
     calls: &[Call],
-    make: impl FnMut(&Site) -> P,
+    make_policy: impl FnMut(&Site) -> P,
     control: impl FnMut(Moment, &mut [Node<P>]),
 ) -> tally::Tally {
-    World::new(dep, pattern, calls, make).play(control)
+    Simulation::new(dep, pattern, calls, make_policy).play(control)
 }
 
-impl<'a, P: Policy, M: FnMut(&Site) -> P> World<'a, P, M> {
-    fn new(dep: &'a Deployment, pattern: &'a Pattern, calls: &'a [Call], make: M) -> Self {
-        let mut world = Self {
+impl<'a, P: Policy, M: FnMut(&Site) -> P> Simulation<'a, P, M> {
+    fn new(dep: &'a Deployment, pattern: &'a Pattern, calls: &'a [Call], make_policy: M) -> Self {
+        let mut simulation = Self {
             dep,
             pattern,
             calls,
-            make,
+            make_policy,
             now: Moment::ZERO,
             seq: 0,
-            heap: collections::BinaryHeap::new(),
+            events: collections::BinaryHeap::new(),
             nodes: Vec::new(),
             servers: Vec::new(),
             states: Vec::new(),
             reqs: Vec::new(),
-            sends: Vec::new(),
-            slots: collections::HashMap::new(),
-            frozen: false,
+            attempts: Vec::new(),
+            running_jobs: collections::HashMap::new(),
+            reports_frozen: false,
             busy_samples: vec![(0, 0); dep.regions],
             tally: tally::Tally::default(),
         };
-        world.build();
-        world
+        simulation.build();
+        simulation
     }
 
     fn build(&mut self) {
@@ -230,7 +230,7 @@
                     vm: format!("{}-entry-{i}", zone.id).as_str().into(),
                     az,
                 };
-                let policy = (self.make)(&site);
+                let policy = (self.make_policy)(&site);
                 self.nodes.push(Node {
                     site,
                     up: true,
@@ -244,16 +244,16 @@
         self.tally.peak_load = vec![0.0; self.dep.regions];
         for (i, call) in self.calls.iter().enumerate() {
             self.states.push(CallState {
-                resends: self.pattern.callers.resends,
+                resends: self.pattern.callers.max_resends,
                 ..CallState::default()
             });
             let worth = u64::from(self.dep.ops[call.op].worth);
-            if !call.killer {
+            if !call.crashes_backend {
                 self.tally.offered += worth;
                 self.tally.per_op[call.op].0 += 1;
-                self.tally.ordinary.0 += u64::from(call.caller >= load::Callers::HOT);
+                self.tally.ordinary.0 += u64::from(call.caller >= load::Callers::HOT_COUNT);
             }
-            self.push(call.at, Event::Ask(i));
+            self.push(call.at, Event::Submit(i));
         }
         for (i, (at, _)) in self.pattern.faults.iter().enumerate() {
             self.push(*at, Event::Fault(i));
@@ -261,14 +261,14 @@
         self.push(Moment::ZERO, Event::Tick);
         self.push(Moment::ZERO, Event::Refresh);
         for vm in 0..self.nodes.len() {
-            self.tell_backends(vm);
+            self.update_backends(vm);
         }
     }
 
     fn play(mut self, mut control: impl FnMut(Moment, &mut [Node<P>])) -> tally::Tally {
-        let patience = self.dep.ops.iter().map(|op| op.patience).max();
-        let end = self.pattern.lasts() + patience.unwrap_or_default() + RESTART;
-        while let Some(cmp::Reverse((at, _, event))) = self.heap.pop() {
+        let timeout = self.dep.ops.iter().map(|op| op.patience).max();
+        let end = self.pattern.duration() + timeout.unwrap_or_default() + RESTART_DOWNTIME;
+        while let Some(cmp::Reverse((at, _, event))) = self.events.pop() {
             if at > end {
                 break;
             }
@@ -282,7 +282,7 @@
     }
 
     fn finish(mut self) -> tally::Tally {
-        let open = |req: &&Req| !req.dead && req.settled.is_none();
+        let open = |req: &&Req| !req.lost && req.settled.is_none();
         self.tally.unsettled += self.reqs.iter().filter(open).count() as u64;
         self.tally.latencies_us.sort_unstable();
         self.tally
@@ -290,7 +290,7 @@
 
     fn push(&mut self, at: Moment, event: Event) {
         self.seq += 1;
-        self.heap.push(cmp::Reverse((at, self.seq, event)));
+        self.events.push(cmp::Reverse((at, self.seq, event)));
     }
 
     fn after(&mut self, delay: time::Duration, event: Event) {
@@ -299,9 +299,9 @@
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Ask(call) => self.ask(call),
-            Event::AtVm(req) => self.at_vm(req),
-            Event::AtServer(send) => self.at_server(send),
+            Event::Submit(call) => self.submit(call),
+            Event::ArriveAtVm(req) => self.arrive_at_vm(req),
+            Event::ArriveAtServer(attempt) => self.arrive_at_server(attempt),
             Event::Done {
                 server,
                 epoch,
@@ -309,15 +309,19 @@
             } => self.done(server, epoch, slot),
             Event::Crash { server, epoch } => self.crash(server, epoch),
             Event::Restart(server) => self.servers[server].up = true,
-            Event::Reply { send, how, report } => self.reply(send, how, report),
-            Event::TimeOut(send) => self.time_out(send),
-            Event::CancelAt(send) => self.cancel_at(send),
+            Event::Reply {
+                attempt,
+                result,
+                report,
+            } => self.reply(attempt, result, report),
+            Event::TimeOut(attempt) => self.time_out(attempt),
+            Event::CancelAttempt(attempt) => self.cancel_attempt(attempt),
             Event::GiveUp(req) => self.give_up(req),
-            Event::Told(req) => self.told(req),
-            Event::ProbeAt { server, vm } => self.probe_at(server, vm),
-            Event::ProbeBack { server, vm, report } => self.probe_back(server, vm, report),
-            Event::ListSays(server) => self.list_says(server),
-            Event::Fault(i) => self.fault(i),
+            Event::DeliverOutcome(req) => self.deliver_outcome(req),
+            Event::ProbeArrived { server, vm } => self.probe_arrived(server, vm),
+            Event::ProbeReplied { server, vm, report } => self.probe_replied(server, vm, report),
+            Event::UpdateList(server) => self.update_list(server),
+            Event::Fault(i) => self.apply_fault(i),
             Event::Tick => self.tick(),
             Event::Refresh => self.refresh(),
         }
--- a/src/standin/model/server.rs
+++ b/src/standin/model/server.rs
@@ -10,13 +10,13 @@
 const COLD_FACTOR: f64 = 4.0;
 
 /// Decay constant of the cold-start slowdown, in requests served.
-const COLD_REQUESTS: f64 = 150.0;
+const COLD_DECAY_REQUESTS: f64 = 150.0;
 
 /// Work that occupies a slot or waits in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Job {
     /// An attempt at a request, by its index.
-    Send(usize),
+    Attempt(usize),
     /// A probe from an entry VM, by the VM's index.
     Probe(usize),
 }
@@ -31,12 +31,12 @@
     pub(super) waiting: collections::VecDeque<Job>,
     pub(super) up: bool,
     pub(super) epoch: u32,
-    pub(super) slow: f64,
+    pub(super) slowdown: f64,
     pub(super) fail_fast: bool,
-    pub(super) lies: bool,
+    pub(super) false_reports: bool,
     pub(super) leaving: Option<policy::Moment>,
     pub(super) snapshot: policy::Report,
-    served: Option<u32>,
+    served_since_cold: Option<u32>,
 }
 
 impl Server {
@@ -50,35 +50,37 @@
             waiting: collections::VecDeque::new(),
             up: true,
             epoch: 0,
-            slow: 1.0,
+            slowdown: 1.0,
             fail_fast: false,
-            lies: false,
+            false_reports: false,
             leaving: None,
             snapshot: policy::Report {
                 in_flight: 0,
                 queued: 0,
                 leaving: false,
             },
-            served: None,
+            served_since_cold: None,
         }
     }
 
-    pub(super) fn chill(&mut self) {
-        self.served = Some(0);
+    pub(super) fn make_cold(&mut self) {
+        self.served_since_cold = Some(0);
     }
 
     /// Processing time of the next request, given its `work` on a warm, healthy backend server.
-    pub(super) fn time_for(&mut self, work: time::Duration) -> time::Duration {
-        let mut factor = self.slow;
-        if let Some(served) = &mut self.served {
-            factor *= 1.0 + (COLD_FACTOR - 1.0) * (-f64::from(*served) / COLD_REQUESTS).exp();
-            *served += 1;
+    pub(super) fn processing_time(&mut self, work: time::Duration) -> time::Duration {
+        let mut factor = self.slowdown;
+        if let Some(served_since_cold) = &mut self.served_since_cold {
+            factor *= 1.0
+                + (COLD_FACTOR - 1.0)
+                    * (-f64::from(*served_since_cold) / COLD_DECAY_REQUESTS).exp();
+            *served_since_cold += 1;
         }
         work.mul_f64(factor)
     }
 
     /// Updates the load report that is attached to answers.
-    pub(super) fn refresh(&mut self) {
+    pub(super) fn refresh_report(&mut self) {
         self.snapshot = policy::Report {
             in_flight: self.running.len() as u32,
             queued: self.waiting.len() as u32,
@@ -87,7 +89,7 @@
     }
 
     pub(super) fn report(&self) -> policy::Report {
-        if !self.lies {
+        if !self.false_reports {
             return self.snapshot;
         }
         policy::Report {
@@ -101,7 +103,7 @@
     pub(super) fn crash(&mut self) -> Vec<Job> {
         self.up = false;
         self.epoch += 1;
-        self.served = Some(0);
+        self.served_since_cold = Some(0);
         let mut lost = std::mem::take(&mut self.running);
         lost.extend(std::mem::take(&mut self.waiting));
         lost
--- a/src/standin/model/table.rs
+++ b/src/standin/model/table.rs
@@ -82,4 +82,4 @@
 }
 
 /// How long calls arrive in each pattern of the benchmark.
-pub const LASTS: time::Duration = time::Duration::from_secs(30);
+pub const PATTERN_DURATION: time::Duration = time::Duration::from_secs(30);
