--- a/src/standin/model/load.rs
+++ b/src/standin/model/load.rs
@@ -164,7 +164,7 @@
     -(1.0 - rng.random::<f64>()).ln()
 }
 
-/// Constant share of the mean work of a request. The rest is drawn from an exponential distribution.
+/// Constant share of the mean work of a request. The rest is drawn from an exponential law.
 const FIXED_WORK_SHARE: f64 = 0.7;
 
 fn draw_call(
--- a/src/standin/model/mod.rs
+++ b/src/standin/model/mod.rs
@@ -3,8 +3,8 @@
 //! The model drives real [`crate::decisions::policy::Policy`] values with fixed arrivals and counts
 //! the results for callers, so that two policies can be compared under the same load and faults. It
 //! does not simulate a cluster in detail: there is one event queue, a backend server is a set of
-//! slots behind a FIFO queue, and messages have fixed delays. The model reads no clock and seeds all
-//! randomness, so every run gives the same results.
+//! slots behind a FIFO queue, and messages have fixed delays. The model reads no clock and seeds
+//! all randomness, so every run gives the same results.
 
 pub mod best;
 pub mod load;
--- a/src/standin/model/patterns.rs
+++ b/src/standin/model/patterns.rs
@@ -1,7 +1,7 @@
 //! The load patterns under which policies are compared.
 //!
-//! Each duration a few seconds: long enough for queues to fill and for outliers to be detected, short
-//! enough to run in a test.
+//! Each lasts a few seconds: long enough for queues to fill and for outliers to be detected, and
+//! short enough to run in a test.
 
 use std::time;
 
--- a/src/standin/model/table.rs
+++ b/src/standin/model/table.rs
@@ -1,4 +1,4 @@
-//! Result table of the load patterns: the naive policy and [`dispatch::Dispatch`] on the same calls.
+//! Results of the naive policy and of [`dispatch::Dispatch`] on the same calls of each pattern.
 
 use std::time;
 
--- a/src/standin/steering/callers.rs
+++ b/src/standin/steering/callers.rs
@@ -1,4 +1,4 @@
-//! What callers do: ask at the place that their look-up names.
+//! Callers in the model: they send requests to the availability zone that their look-up returns.
 
 use std::time;
 
@@ -61,7 +61,7 @@
         self.reqs.len() - 1
     }
 
-    /// The place that a caller uses: the first of its look-up that is there.
+    /// Selects the first reachable availability zone from the caller's look-up result.
     pub(super) fn look_up(&mut self, region: usize, caller: u64) -> Option<usize> {
         let phase = caller % 50;
         let epoch = (self.now.as_millis() as u64 + phase * 100) / TTL.as_millis() as u64;
@@ -88,7 +88,7 @@
     }
 
     pub(super) fn order(&mut self, region: usize, caller: u64) -> Vec<usize> {
-        // Any entry VM that is up answers the look-up; one of the own region if it can.
+        // A running entry VM answers the look-up, preferably one in the caller's region.
         let home = (0..self.vms.len())
             .find(|vm| self.vms[*vm].up && self.azs[self.vms[*vm].az].region == region);
         let vm = home.or_else(|| (0..self.vms.len()).find(|vm| self.vms[*vm].up));
--- a/src/standin/steering/mod.rs
+++ b/src/standin/steering/mod.rs
@@ -1,9 +1,9 @@
-//! Traffic between availability zones in virtual time: what question 2 of the design is measured
-//! with.
+//! A virtual-time model of traffic between availability zones, to compare steering variants.
 //!
-//! It drives the real [`cross_az`], [`grants`] and [`plan`] with fixed arrivals. An availability
-//! zone is a pool of slots with one queue; messages take a fixed time, loads are told twice a
-//! second, callers keep a look-up for five seconds. Nothing reads a clock, all randomness is seeded.
+//! The model drives the real [`cross_az`], [`grants`] and [`plan`] modules with fixed arrivals. An
+//! availability zone is a pool of slots behind one queue. Messages have fixed delays, load reports
+//! are sent twice per second, and callers cache a look-up for five seconds. The model reads no
+//! clock and seeds all randomness, so every run gives the same results.
 
 mod callers;
 mod places;
@@ -21,23 +21,23 @@
 pub use play::play;
 pub use tally::Tally;
 
-/// How traffic may move between places.
+/// Rule by which traffic may move between availability zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// To the next nearest place, as much as wants to.
+    /// Excess traffic goes to the next nearest availability zone, without a limit.
     Naive,
-    /// By the plan's weights alone.
+    /// Only the weights of the plan move traffic.
     PlanOnly,
-    /// By the plan, and each sender its own fraction to where a lagging report shows room.
+    /// The plan, and each sender moves its own fraction to zones whose stale reports show capacity.
     OwnFraction,
-    /// By the plan, and under grants.
+    /// The plan, and spillover under grants.
     Grants,
-    /// Under grants, while no plan can be written.
+    /// Spillover under grants while no plan can be written.
     GrantsOnly,
 }
 
 impl Way {
-    /// All ways, the naive one first.
+    /// All variants, starting with the naive one.
     pub const ALL: [Self; 5] = [
         Self::Naive,
         Self::PlanOnly,
@@ -46,7 +46,7 @@
         Self::Grants,
     ];
 
-    /// Its name in tables.
+    /// Name in result tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Naive => "naive",
@@ -66,51 +66,51 @@
     }
 }
 
-/// Something that goes wrong. Regions are counted from 0 in the order of the settings.
+/// A failure or its end. Regions are numbered from 0 in the order of the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A region's backend servers die; its entry VMs run on.
+    /// All backend servers of a region fail; its entry VMs keep running.
     BackendsDown(usize),
-    /// A region's backend servers and entry VMs die.
+    /// All backend servers and entry VMs of a region fail.
     RegionDown(usize),
-    /// A region and the others, and the store, lose each other.
+    /// A region is partitioned from the other regions and the store.
     Cut(usize),
-    /// They find each other again.
+    /// The partition ends.
     Heal(usize),
 }
 
-/// A load and what goes wrong in it.
+/// A load with faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Its name in tables.
+    /// Name in result tables.
     pub name: &'static str,
-    /// How long it lasts.
+    /// Length of the scenario.
     pub lasts: time::Duration,
-    /// From when on each region has which load, as a share of its slots.
+    /// Load of each region as a share of its slots, from the given time on.
     pub loads: Vec<(policy::Moment, Vec<f64>)>,
-    /// What goes wrong when.
+    /// Faults and their times.
     pub faults: Vec<(policy::Moment, Fault)>,
-    /// A drain, dated in seconds of the scenario.
+    /// A drain. Its times are in seconds from the start of the scenario.
     pub drain: Option<settings::Drain>,
-    /// Bytes of one request and its answer.
+    /// Size of one request and its answer, in bytes.
     pub bytes: u64,
 }
 
-/// One service of a deployment as it is played.
+/// The modelled service of a deployment.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// The settings.
+    /// Settings of the deployment.
     pub settings: settings::Settings,
-    /// The service.
+    /// Settings of the service.
     pub service: settings::Service,
-    /// Slots in each availability zone.
+    /// Number of slots in each availability zone.
     pub slots: u32,
-    /// Each operation's share of the requests.
+    /// Share of the requests of each operation.
     pub shares: Vec<f64>,
 }
 
 impl Deployment {
-    /// The booking ledger of the cooperative. `root` is the directory of the package.
+    /// The booking ledger of the `cooperative` example. `root` is the package directory.
     pub fn ledger(root: &path::Path) -> Result<Self, settings::Error> {
         let settings = settings::Settings::read(&root.join("examples/cooperative"))?;
         let service = settings.service("ledger");
@@ -123,7 +123,7 @@
         })
     }
 
-    /// The mean time that a request takes.
+    /// Mean processing time of a request.
     pub fn mean(&self) -> time::Duration {
         let ops = self.service.operations.iter().zip(&self.shares);
         let ms: f64 = ops.map(|(op, share)| op.typical_ms * share).sum();
@@ -157,7 +157,7 @@
     }
 }
 
-/// A grant that any number of requests fits, for the way without grants.
+/// A practically unlimited grant, for the variant without grants.
 fn blank(service: &id::ServiceId, az: &id::AzId) -> grants::Grant {
     grants::Grant {
         id: grants::GrantId {
@@ -173,7 +173,7 @@
     }
 }
 
-/// The weights before anything is measured.
+/// The plan that applies before any load report.
 fn initial(dep: &Deployment) -> plan::Plan {
     let weights = plan::initial_weights(&dep.settings, &dep.service);
     plan::Plan {
--- a/src/standin/steering/places.rs
+++ b/src/standin/steering/places.rs
@@ -1,4 +1,4 @@
-//! What entry VMs and slots do with requests.
+//! Request handling on entry VMs and slots: admission, spillover, queueing and completion.
 
 use std::time;
 
@@ -117,7 +117,7 @@
         let (a, b) = (self.azs[from].region, self.azs[to].region);
         if a != b {
             let second = self.now.as_secs();
-            // The request is small beside its answer, which comes back.
+            // Only the link of the answer counts: the request is much smaller than its answer.
             *self.tally.link_bytes.entry((second, b, a)).or_default() += self.scenario.bytes;
         }
     }
@@ -275,7 +275,7 @@
         }
     }
 
-    /// A request leaves the place where it was in hand.
+    /// Releases the request from the VM or grant that counts it as in flight.
     pub(super) fn end(&mut self, req: usize) {
         if let Some((vm, grant)) = self.reqs[req].grant.take() {
             self.vms[vm].granter.done(grant);
--- a/src/standin/steering/play.rs
+++ b/src/standin/steering/play.rs
@@ -1,4 +1,4 @@
-//! One run of a scenario.
+//! The event loop that runs one scenario with one steering variant.
 
 use std::cmp;
 use std::collections;
@@ -12,28 +12,28 @@
 use crate::id;
 use policy::Moment;
 
-/// Entry VMs in each availability zone.
+/// Number of entry VMs in each availability zone.
 pub(super) const VMS: usize = 2;
 
 pub(super) const TICK: time::Duration = time::Duration::from_millis(100);
 
-/// How often loads are told and grants asked for.
+/// Interval between load reports and between grant requests.
 pub(super) const TELL: time::Duration = time::Duration::from_millis(500);
 
-/// How long callers keep a look-up.
+/// How long callers cache a look-up result.
 pub(super) const TTL: time::Duration = time::Duration::from_secs(5);
 
-/// How long a version of the plan takes to every node.
+/// Propagation delay of a plan version to the entry VMs.
 pub(super) const SPREAD: time::Duration = time::Duration::from_secs(2);
 
-/// A wait from which a request looks for another place.
+/// Expected queueing delay above which a request may spill over to another availability zone.
 pub(super) const CROSS_AFTER: time::Duration = time::Duration::from_millis(100);
 
-/// How many times as long a request of another region's callers takes on cold caches, and after how
-/// many of them most of the cold has gone.
+/// Factor by which the first request from another region takes longer on cold caches, and the decay
+/// constant of the slowdown, in requests served for that region.
 pub(super) const COLD: (f64, f64) = (3.0, 3_000.0);
 
-/// How often a request that waits for room under its grant is looked at.
+/// Interval at which a request that waits for capacity under its grant is retried.
 pub(super) const RETRY: time::Duration = time::Duration::from_millis(5);
 
 pub(super) const CALLERS: u64 = 20_000;
@@ -127,7 +127,7 @@
     pub(super) regions: Vec<id::RegionId>,
     pub(super) cut: Option<usize>,
     pub(super) granted: Vec<grants::Grant>,
-    // A caller's look-up lasts; weights are kept by the times of look-ups.
+    // Look-up results by (region, caller), each with the epoch of its lifetime.
     pub(super) lookups: collections::BTreeMap<(usize, u64), (u64, Vec<usize>)>,
     pub(super) plan: sync::Arc<plan::Plan>,
     pub(super) versions: Vec<sync::Arc<plan::Plan>>,
@@ -135,7 +135,7 @@
     pub(super) tally: Tally,
 }
 
-/// Plays a scenario in one of the ways.
+/// Runs a scenario with one steering variant.
 pub fn play(dep: &Deployment, scenario: &Scenario, way: Way) -> Tally {
     let mut world = World::new(dep, scenario, way);
     world.start();
@@ -261,7 +261,9 @@
 }
 
 pub(super) fn vm_index(name: &id::VmId) -> usize {
-    name.as_str().parse().expect("it is a number here")
+    name.as_str()
+        .parse()
+        .expect("VM names in this model are numbers")
 }
 
 fn new_vm(dep: &Deployment, azs: &[Az], az: usize, number: usize) -> Vm {
--- a/src/standin/steering/scenarios.rs
+++ b/src/standin/steering/scenarios.rs
@@ -1,17 +1,17 @@
-//! The scenarios of question 2.
+//! The scenarios under which the steering variants are compared.
 
 use std::time;
 
 use super::{Fault, Scenario};
 use crate::settings;
 
-/// The size of a request and its answer where links are no matter.
+/// Size of a request and its answer that is too small to load the links.
 const SMALL: u64 = 2_000;
 
-/// A size at which a tenth of a region's traffic fills a link.
+/// Size of a request and its answer at which a tenth of a region's traffic fills a link.
 const LARGE: u64 = 20_000;
 
-/// When it begins, so that the fleet has settled.
+/// Time of the first event, after the fleet has reached a steady state.
 const START: time::Duration = time::Duration::from_secs(20);
 
 const LASTS: time::Duration = time::Duration::from_secs(240);
@@ -39,7 +39,7 @@
     }
 }
 
-/// All of them, four minutes each.
+/// All scenarios.
 pub fn all() -> Vec<Scenario> {
     vec![
         scenario("calm", 0.5),
--- a/src/standin/steering/tally.rs
+++ b/src/standin/steering/tally.rs
@@ -1,35 +1,35 @@
-//! What callers got, and which limits were kept.
+//! Results for callers in one run, and the observed peaks against their limits.
 
 use std::collections;
 
-/// The figures of one run.
+/// Results of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// Worth of all requests.
+    /// Total worth of all requests.
     pub offered: u64,
-    /// Worth of those answered in time.
+    /// Total worth of the requests that were answered before their deadline.
     pub worth: u64,
-    /// Requests refused as not run.
+    /// Requests that were refused without running.
     pub refused: u64,
-    /// Requests that went across.
+    /// Requests that were sent to another availability zone.
     pub spilled: u64,
-    /// Requests that went across and came back refused.
+    /// Requests that another availability zone refused.
     pub bounced: u64,
-    /// Requests whose answer was lost on the way.
+    /// Requests that were lost with a VM, a backend server or a connection.
     pub lost: u64,
-    /// The largest growth from step to step of the share of traffic served in another region.
+    /// Largest increase per step of the share of traffic that other regions serve.
     pub largest_shift: f64,
-    /// The cap on it.
+    /// Limit on `largest_shift`.
     pub cap: f64,
-    /// The highest load of a region in a second in which it served others' callers.
+    /// Highest load of a region, over the seconds in which it served callers of other regions.
     pub peak_load: f64,
-    /// The limit of it.
+    /// Limit on `peak_load`.
     pub max_load: f64,
-    /// Seconds in which a region was over its limit while it served others' callers.
+    /// Seconds in which a region exceeded `max_load` while it served callers of other regions.
     pub seconds_over: u64,
-    /// The share of the first region's callers that it served itself in the last whole step.
+    /// Share of the first region's requests that it served itself in the last complete step.
     pub home_at_end: f64,
-    /// The highest share of a link's limit that was used in a second.
+    /// Highest share of a link's capacity that was used in one second.
     pub peak_link: f64,
     pub(super) latencies_us: Vec<u32>,
     pub(super) served: collections::BTreeMap<u64, collections::BTreeMap<(usize, usize), u64>>,
@@ -39,12 +39,12 @@
     pub(super) link_bytes: collections::BTreeMap<(u64, usize, usize), u64>,
 }
 
-/// What a second may be over the limit by, since arrivals are random. Two hundredths of a region's
-/// twelve slots are a quarter of a slot.
+/// Amount by which the load of one second may exceed the limit, because arrivals are random: 0.02
+/// of a region's twelve slots is a quarter of a slot.
 const RANDOM: f64 = 0.02;
 
 impl Tally {
-    /// The latency below which a share of the answers came, in milliseconds.
+    /// Latency quantile of the answers, in milliseconds. `share` is from 0 to 1.
     pub fn quantile_ms(&self, share: f64) -> f64 {
         let mut sorted = self.latencies_us.clone();
         sorted.sort_unstable();
@@ -54,7 +54,7 @@
             .map_or(0.0, |us| f64::from(*us) / 1e3)
     }
 
-    /// Limits that were not kept: of shifts, of regions, of links.
+    /// Number of violated limits, out of those on shifts, region load and link load.
     pub fn violations(&self) -> u64 {
         let over = |bad: bool| u64::from(bad);
         over(self.largest_shift > self.cap)
@@ -62,7 +62,7 @@
             + over(self.peak_link > 1.0)
     }
 
-    /// Adds up what was counted by step and second.
+    /// Computes the results from the counters by step and by second.
     pub(super) fn finish(&mut self, region_slots: f64, link_bytes_per_s: f64) {
         self.largest_shift = self.shifts();
         self.home_at_end = self.home_at_end();
--- a/src/standin/steering/upkeep.rs
+++ b/src/standin/steering/upkeep.rs
@@ -1,4 +1,4 @@
-//! What time brings: faults, loads, grants, versions of the plan.
+//! Timed events of the model: faults, load reports, grant requests and plan versions.
 
 use std::collections;
 use std::sync;
