--- a/src/standin/steering/mod.rs
+++ b/src/standin/steering/mod.rs
@@ -124,7 +124,7 @@
     }
 
     /// Mean processing time of a request.
-    pub fn mean(&self) -> time::Duration {
+    pub fn mean_work(&self) -> time::Duration {
         let ops = self.service.operations.iter().zip(&self.shares);
         let ms: f64 = ops.map(|(op, share)| op.typical_ms * share).sum();
         time::Duration::from_secs_f64(ms / 1e3)
@@ -142,14 +142,14 @@
     }
 
     fn routes(&self, from: &id::AzId) -> Vec<cross_az::Route> {
-        let own = &self.settings.region_of(from).expect("it is declared").name;
+        let local_region = &self.settings.region_of(from).expect("it is declared").name;
         let others = self.service.azs.iter().filter(|az| *az != from);
         others
             .map(|az| {
                 let region = &self.settings.region_of(az).expect("it is declared").name;
                 cross_az::Route {
                     az: az.clone(),
-                    region: (region != own).then(|| region.clone()),
+                    region: (region != local_region).then(|| region.clone()),
                     one_way: self.one_way(from, az),
                 }
             })
@@ -158,7 +158,7 @@
 }
 
 /// A practically unlimited grant, for the variant without grants.
-fn blank(service: &id::ServiceId, az: &id::AzId) -> grants::Grant {
+fn unlimited_grant(service: &id::ServiceId, az: &id::AzId) -> grants::Grant {
     grants::Grant {
         id: grants::GrantId {
             incarnation: id::Incarnation(0),
@@ -174,7 +174,7 @@
 }
 
 /// The plan that applies before any load report.
-fn initial(dep: &Deployment) -> plan::Plan {
+fn initial_plan(dep: &Deployment) -> plan::Plan {
     let weights = plan::initial_weights(&dep.settings, &dep.service);
     plan::Plan {
         version: 1,
--- a/src/standin/steering/places.rs
+++ b/src/standin/steering/places.rs
@@ -3,12 +3,15 @@
 use std::time;
 
 use super::Way;
-use super::play::{COLD, CROSS_AFTER, Event, RETRY, VMS, World, vm_index, vm_name};
+use super::play::{
+    COLD_FACTOR_AND_REQUESTS, Event, GRANT_RETRY_INTERVAL, SPILL_MIN_WAIT, Simulation, VMS_PER_AZ,
+    vm_index, vm_name,
+};
 use crate::decisions::{cross_az, grants, plan, policy};
 use crate::id;
 use policy::{AttemptOutcome, Moment};
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn arrive(&mut self, req: usize, vm: usize) {
         self.reqs[req].vm = vm;
         if !self.vms[vm].up {
@@ -18,7 +21,7 @@
         let (region, caller) = (self.reqs[req].region, self.reqs[req].caller);
         let az = self.vms[vm].az;
         let worth = self.worth(req);
-        self.azs[az].brought[region] += self.reqs[req].work.as_secs_f64();
+        self.azs[az].arrived_work_s[region] += self.reqs[req].work.as_secs_f64();
         if self.azs[az].region != region && self.way != Way::Naive {
             let weights = self.weights(vm, region);
             let placed = plan::rank_azs(&weights, caller).into_iter().next();
@@ -33,20 +36,20 @@
             }
         }
         self.vms[vm].cross_az.arrived(self.now);
-        let wait = self.wait(az);
-        let fits = self.fits(req, az);
-        if (wait > CROSS_AFTER || !fits) && self.try_cross_az(req, vm) {
+        let wait = self.expected_wait(az);
+        let fits = self.has_capacity(req, az);
+        if (wait > SPILL_MIN_WAIT || !fits) && self.try_spill(req, vm) {
             return;
         }
         if fits {
-            self.vms[vm].own += 1;
+            self.vms[vm].local_requests += 1;
             self.enqueue(req, az);
         } else {
             self.tally.refused += 1;
         }
     }
 
-    pub(super) fn wait(&self, az: usize) -> time::Duration {
+    pub(super) fn expected_wait(&self, az: usize) -> time::Duration {
         let az = &self.azs[az];
         if az.slots == 0 {
             return time::Duration::from_secs(3_600);
@@ -55,17 +58,17 @@
         if az.busy < az.slots {
             return time::Duration::ZERO;
         }
-        self.dep.mean().mul_f64(ahead)
+        self.dep.mean_work().mul_f64(ahead)
     }
 
-    pub(super) fn fits(&self, req: usize, az: usize) -> bool {
-        let most = (self.reqs[req].deadline - self.reqs[req].at).mul_f64(0.5);
-        self.wait(az) < most
-            && self.now + self.wait(az) + self.reqs[req].work < self.reqs[req].deadline
+    pub(super) fn has_capacity(&self, req: usize, az: usize) -> bool {
+        let max_wait = (self.reqs[req].deadline - self.reqs[req].at).mul_f64(0.5);
+        self.expected_wait(az) < max_wait
+            && self.now + self.expected_wait(az) + self.reqs[req].work < self.reqs[req].deadline
     }
 
-    pub(super) fn try_cross_az(&mut self, req: usize, vm: usize) -> bool {
-        if self.reqs[req].crossed.is_some() {
+    pub(super) fn try_spill(&mut self, req: usize, vm: usize) -> bool {
+        if self.reqs[req].spilled_to.is_some() {
             return false;
         }
         let (now, deadline) = (self.now, self.reqs[req].deadline);
@@ -90,26 +93,26 @@
             .azs
             .iter()
             .position(|a| a.name == az)
-            .expect("it was declared");
-        let mut target = to * VMS + vm % VMS;
+            .expect("the availability zone is declared");
+        let mut target = to * VMS_PER_AZ + vm % VMS_PER_AZ;
         let mut number = None;
         if self.way.grants() {
             let grant = self.vms[vm]
                 .cross_az
                 .grant(now, &az)
-                .expect("it was chosen");
+                .expect("a zone is only chosen with a grant");
             number = Some(grant.id.number);
             target = vm_index(&grant.vm);
         }
         self.tally.spilled += 1;
-        self.reqs[req].crossed = Some(to);
+        self.reqs[req].spilled_to = Some(to);
         self.count_bytes(from, to);
-        let cross = Event::Cross {
+        let arrival = Event::ArriveSpilled {
             req,
             vm: target,
             grant: number,
         };
-        self.after(self.dep.one_way(&self.azs[from].name, &az), cross);
+        self.after(self.dep.one_way(&self.azs[from].name, &az), arrival);
         true
     }
 
@@ -127,20 +130,20 @@
             .azs
             .iter()
             .position(|a| a.name == *to)
-            .expect("it was declared");
-        self.cut
+            .expect("the availability zone is declared");
+        self.partitioned
             .is_none_or(|cut| (self.azs[from].region == cut) == (self.azs[to].region == cut))
     }
 
-    pub(super) fn cross(&mut self, req: usize, vm: usize, grant: Option<u64>) {
+    pub(super) fn arrive_spilled(&mut self, req: usize, vm: usize, grant: Option<u64>) {
         let az = self.vms[vm].az;
         let sender = self.reqs[req].vm;
         let name = self.azs[az].name.clone();
         if !self.vms[vm].up || !self.reaches(self.vms[sender].az, &name) {
             let wait = time::Duration::from_millis(500);
-            return self.after(wait, Event::Bounce { req, how: 1 });
+            return self.after(wait, Event::SpillFailed { req, cause: 1 });
         }
-        let back = self.dep.one_way(&name, &self.azs[self.vms[sender].az].name);
+        let return_delay = self.dep.one_way(&name, &self.azs[self.vms[sender].az].name);
         if let Some(number) = grant {
             let id = grants::GrantId {
                 incarnation: id::Incarnation(vm as u64),
@@ -150,27 +153,32 @@
             let granter = &mut self.vms[vm].granter;
             granter.set_load(self.now, load);
             if let Err(why) = granter.admit(self.now, &vm_name(sender), id) {
-                let waited = self.now - self.reqs[req].reached.unwrap_or(self.now);
-                self.reqs[req].reached.get_or_insert(self.now);
+                let waited = self.now - self.reqs[req].first_arrived_at.unwrap_or(self.now);
+                self.reqs[req].first_arrived_at.get_or_insert(self.now);
                 if why != grants::Refused::NoGrant && waited < cross_az::MAX_SLOT_WAIT {
-                    return self.after(RETRY, Event::Cross { req, vm, grant });
+                    return self.after(
+                        GRANT_RETRY_INTERVAL,
+                        Event::ArriveSpilled { req, vm, grant },
+                    );
                 }
-                return self.after(back, Event::Bounce { req, how: 0 });
+                return self.after(return_delay, Event::SpillFailed { req, cause: 0 });
             }
             self.reqs[req].grant = Some((vm, id));
-        } else if !self.fits(req, az) {
-            return self.after(back, Event::Bounce { req, how: 0 });
+        } else if !self.has_capacity(req, az) {
+            return self.after(return_delay, Event::SpillFailed { req, cause: 0 });
         }
         self.enqueue(req, az);
     }
 
-    pub(super) fn bounce(&mut self, req: usize, how: u8) {
+    pub(super) fn spill_failed(&mut self, req: usize, cause: u8) {
         let (vm, to) = (
             self.reqs[req].vm,
-            self.reqs[req].crossed.expect("it went across"),
+            self.reqs[req]
+                .spilled_to
+                .expect("only a spilled request can fail remotely"),
         );
         let az = self.vms[vm].az;
-        let how = if how == 0 {
+        let outcome = if cause == 0 {
             AttemptOutcome::Shed
         } else {
             AttemptOutcome::TimedOut
@@ -178,15 +186,15 @@
         let name = self.azs[to].name.clone();
         self.vms[vm]
             .cross_az
-            .ended(self.now, &name, how, self.scenario.bytes);
-        if how == AttemptOutcome::TimedOut {
+            .ended(self.now, &name, outcome, self.scenario.bytes);
+        if outcome == AttemptOutcome::TimedOut {
             self.tally.lost += 1;
             return;
         }
         self.tally.bounced += 1;
-        if self.fits(req, az) {
-            self.vms[vm].own += 1;
-            self.reqs[req].crossed = None;
+        if self.has_capacity(req, az) {
+            self.vms[vm].local_requests += 1;
+            self.reqs[req].spilled_to = None;
             self.enqueue(req, az);
         } else {
             self.tally.refused += 1;
@@ -208,7 +216,10 @@
         let second = self.now.as_secs();
         if foreign {
             let served = self.azs[az].served.entry(region).or_insert(0.0);
-            work = work.mul_f64(1.0 + (COLD.0 - 1.0) * (-*served / COLD.1).exp());
+            work = work.mul_f64(
+                1.0 + (COLD_FACTOR_AND_REQUESTS.0 - 1.0)
+                    * (-*served / COLD_FACTOR_AND_REQUESTS.1).exp(),
+            );
             *served += 1.0;
             *self
                 .tally
@@ -238,17 +249,17 @@
     pub(super) fn done(&mut self, az: usize, epoch: u32, req: usize) {
         if self.azs[az].epoch != epoch {
             self.tally.lost += 1;
-            return self.end(req);
+            return self.release(req);
         }
         self.azs[az].busy -= 1;
-        self.end(req);
+        self.release(req);
         let from = self.vms[self.reqs[req].vm].az;
-        let mut back = time::Duration::from_millis(8);
+        let mut return_delay = time::Duration::from_millis(8);
         if self.azs[from].region != self.reqs[req].region {
-            back += time::Duration::from_millis(55);
+            return_delay += time::Duration::from_millis(55);
         }
-        if let Some(to) = self.reqs[req].crossed {
-            back += self.dep.one_way(&self.azs[from].name, &self.azs[to].name);
+        if let Some(to) = self.reqs[req].spilled_to {
+            return_delay += self.dep.one_way(&self.azs[from].name, &self.azs[to].name);
             let (vm, name) = (self.reqs[req].vm, self.azs[to].name.clone());
             self.vms[vm].cross_az.ended(
                 self.now,
@@ -257,11 +268,11 @@
                 self.scenario.bytes,
             );
         }
-        self.after(back, Event::Told(req));
-        self.pull(az);
+        self.after(return_delay, Event::DeliverAnswer(req));
+        self.start_queued(az);
     }
 
-    pub(super) fn pull(&mut self, az: usize) {
+    pub(super) fn start_queued(&mut self, az: usize) {
         while self.azs[az].busy < self.azs[az].slots {
             let Some(req) = self.azs[az].queue.pop_front() else {
                 return;
@@ -269,23 +280,23 @@
             if self.now + self.reqs[req].work < self.reqs[req].deadline {
                 self.run(req, az);
             } else {
-                self.end(req);
+                self.release(req);
                 self.tally.refused += 1;
             }
         }
     }
 
     /// Releases the request from the VM or grant that counts it as in flight.
-    pub(super) fn end(&mut self, req: usize) {
+    pub(super) fn release(&mut self, req: usize) {
         if let Some((vm, grant)) = self.reqs[req].grant.take() {
             self.vms[vm].granter.done(grant);
-        } else if self.reqs[req].crossed.is_none() {
-            let own = &mut self.vms[self.reqs[req].vm].own;
-            *own = own.saturating_sub(1);
+        } else if self.reqs[req].spilled_to.is_none() {
+            let local_requests = &mut self.vms[self.reqs[req].vm].local_requests;
+            *local_requests = local_requests.saturating_sub(1);
         }
     }
 
-    pub(super) fn told(&mut self, req: usize) {
+    pub(super) fn deliver_answer(&mut self, req: usize) {
         if self.now <= self.reqs[req].deadline {
             self.tally.worth += u64::from(self.worth(req));
             let latency = self.now - self.reqs[req].at;
--- a/src/standin/steering/play.rs
+++ b/src/standin/steering/play.rs
@@ -7,71 +7,71 @@
 
 use rand::SeedableRng;
 
-use super::{Deployment, Scenario, Tally, Way, initial};
+use super::{Deployment, Scenario, Tally, Way, initial_plan};
 use crate::decisions::{caps, cross_az, grants, links, plan, policy};
 use crate::id;
 use policy::Moment;
 
 /// Number of entry VMs in each availability zone.
-pub(super) const VMS: usize = 2;
+pub(super) const VMS_PER_AZ: usize = 2;
 
-pub(super) const TICK: time::Duration = time::Duration::from_millis(100);
+pub(super) const TICK_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// Interval between load reports and between grant requests.
-pub(super) const TELL: time::Duration = time::Duration::from_millis(500);
+pub(super) const REPORT_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
 /// How long callers cache a look-up result.
-pub(super) const TTL: time::Duration = time::Duration::from_secs(5);
+pub(super) const LOOKUP_TTL: time::Duration = time::Duration::from_secs(5);
 
 /// Propagation delay of a plan version to the entry VMs.
-pub(super) const SPREAD: time::Duration = time::Duration::from_secs(2);
+pub(super) const PLAN_PROPAGATION_DELAY: time::Duration = time::Duration::from_secs(2);
 
 /// Expected queueing delay above which a request may spill over to another availability zone.
-pub(super) const CROSS_AFTER: time::Duration = time::Duration::from_millis(100);
+pub(super) const SPILL_MIN_WAIT: time::Duration = time::Duration::from_millis(100);
 
 /// Factor by which the first request from another region takes longer on cold caches, and the decay
 /// constant of the slowdown, in requests served for that region.
-pub(super) const COLD: (f64, f64) = (3.0, 3_000.0);
+pub(super) const COLD_FACTOR_AND_REQUESTS: (f64, f64) = (3.0, 3_000.0);
 
 /// Interval at which a request that waits for capacity under its grant is retried.
-pub(super) const RETRY: time::Duration = time::Duration::from_millis(5);
+pub(super) const GRANT_RETRY_INTERVAL: time::Duration = time::Duration::from_millis(5);
 
-pub(super) const CALLERS: u64 = 20_000;
+pub(super) const CALLER_COUNT: u64 = 20_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Event {
-    Ask(usize),
+    Submit(usize),
     Arrive {
         req: usize,
         vm: usize,
     },
-    Cross {
+    ArriveSpilled {
         req: usize,
         vm: usize,
         grant: Option<u64>,
     },
-    Bounce {
+    SpillFailed {
         req: usize,
-        how: u8,
+        cause: u8,
     },
     Done {
         az: usize,
         epoch: u32,
         req: usize,
     },
-    Told(usize),
-    Wish {
+    DeliverAnswer(usize),
+    RequestGrant {
         from: usize,
         to: usize,
         per_s: u64,
         asked: Moment,
     },
-    Granted {
+    ReceiveGrant {
         to: usize,
         asked: Moment,
         number: usize,
     },
-    Version(usize, usize),
+    PlanVersion(usize, usize),
     Fault(usize),
     Tick,
 }
@@ -84,8 +84,8 @@
     pub(super) work: time::Duration,
     pub(super) deadline: Moment,
     pub(super) vm: usize,
-    pub(super) crossed: Option<usize>,
-    pub(super) reached: Option<Moment>,
+    pub(super) spilled_to: Option<usize>,
+    pub(super) first_arrived_at: Option<Moment>,
     pub(super) grant: Option<(usize, grants::GrantId)>,
 }
 
@@ -95,7 +95,7 @@
     pub(super) cross_az: cross_az::CrossAzRouter,
     pub(super) granter: grants::Granter,
     pub(super) applied: plan::AppliedPlan,
-    pub(super) own: u32,
+    pub(super) local_requests: u32,
 }
 
 pub(super) struct Az {
@@ -106,14 +106,14 @@
     pub(super) epoch: u32,
     pub(super) queue: collections::VecDeque<usize>,
     pub(super) served: collections::BTreeMap<usize, f64>,
-    pub(super) brought: Vec<f64>,
+    pub(super) arrived_work_s: Vec<f64>,
     pub(super) demand: Vec<f64>,
-    pub(super) told: Moment,
-    pub(super) in_hand: u32,
+    pub(super) reported_at: Moment,
+    pub(super) reported_in_flight: u32,
     pub(super) in_use: f64,
 }
 
-pub(super) struct World<'a> {
+pub(super) struct Simulation<'a> {
     pub(super) dep: &'a Deployment,
     pub(super) scenario: &'a Scenario,
     pub(super) way: Way,
@@ -125,37 +125,39 @@
     pub(super) vms: Vec<Vm>,
     pub(super) azs: Vec<Az>,
     pub(super) regions: Vec<id::RegionId>,
-    pub(super) cut: Option<usize>,
-    pub(super) granted: Vec<grants::Grant>,
+    pub(super) partitioned: Option<usize>,
+    pub(super) issued_grants: Vec<grants::Grant>,
     // Look-up results by (region, caller), each with the epoch of its lifetime.
     pub(super) lookups: collections::BTreeMap<(usize, u64), (u64, Vec<usize>)>,
     pub(super) plan: sync::Arc<plan::Plan>,
-    pub(super) versions: Vec<sync::Arc<plan::Plan>>,
-    pub(super) stepped: Moment,
+    pub(super) plan_versions: Vec<sync::Arc<plan::Plan>>,
+    pub(super) plan_written_at: Moment,
     pub(super) tally: Tally,
 }
 
 /// Runs a scenario with one steering variant.
 pub fn play(dep: &Deployment, scenario: &Scenario, way: Way) -> Tally {
-    let mut world = World::new(dep, scenario, way);
-    world.start();
-    while let Some(cmp::Reverse((at, _, event))) = world.events.pop() {
+    let mut simulation = Simulation::new(dep, scenario, way);
+    simulation.schedule_initial_events();
+    while let Some(cmp::Reverse((at, _, event))) = simulation.events.pop() {
         if at > scenario.lasts {
             break;
         }
-        world.now = at;
-        world.handle(event);
+        simulation.now = at;
+        simulation.handle(event);
     }
     let link = dep.settings.links().next().expect("links are declared");
     let limit = dep.settings.regions().next().expect("regions are declared");
-    world.tally.cap = dep.service.shift_cap;
-    world.tally.max_load = limit.max_load;
+    simulation.tally.cap = dep.service.shift_cap;
+    simulation.tally.max_load = limit.max_load;
     let region_slots = f64::from(dep.slots) * 2.0;
-    world.tally.finish(region_slots, link.bytes_per_s as f64);
-    world.tally
+    simulation
+        .tally
+        .finish(region_slots, link.bytes_per_s as f64);
+    simulation.tally
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(dep: &'a Deployment, scenario: &'a Scenario, way: Way) -> Self {
         let regions: Vec<_> = dep.settings.regions().map(|r| r.name.clone()).collect();
         let azs: Vec<_> = dep
@@ -172,18 +174,18 @@
                     epoch: 0,
                     queue: collections::VecDeque::new(),
                     served: collections::BTreeMap::new(),
-                    brought: vec![0.0; regions.len()],
+                    arrived_work_s: vec![0.0; regions.len()],
                     demand: vec![0.0; regions.len()],
-                    told: Moment::ZERO,
-                    in_hand: 0,
+                    reported_at: Moment::ZERO,
+                    reported_in_flight: 0,
                     in_use: 0.0,
                 }
             })
             .collect();
-        let vms = (0..azs.len() * VMS)
-            .map(|i| new_vm(dep, &azs, i / VMS, i))
+        let vms = (0..azs.len() * VMS_PER_AZ)
+            .map(|i| new_vm(dep, &azs, i / VMS_PER_AZ, i))
             .collect();
-        let plan = sync::Arc::new(initial(dep));
+        let plan = sync::Arc::new(initial_plan(dep));
         Self {
             dep,
             scenario,
@@ -196,22 +198,22 @@
             vms,
             azs,
             regions,
-            cut: None,
-            granted: Vec::new(),
+            partitioned: None,
+            issued_grants: Vec::new(),
             lookups: collections::BTreeMap::new(),
-            versions: vec![plan.clone()],
+            plan_versions: vec![plan.clone()],
             plan,
-            stepped: Moment::ZERO,
+            plan_written_at: Moment::ZERO,
             tally: Tally::default(),
         }
     }
 
-    fn start(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for vm in 0..self.vms.len() {
             self.vms[vm].applied.offer(self.plan.clone());
         }
         for region in 0..self.regions.len() {
-            self.push(Moment::ZERO, Event::Ask(region));
+            self.push(Moment::ZERO, Event::Submit(region));
         }
         for (i, (at, _)) in self.scenario.faults.iter().enumerate() {
             self.push(*at, Event::Fault(i));
@@ -230,27 +232,27 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Ask(region) => self.ask(region),
+            Event::Submit(region) => self.submit(region),
             Event::Arrive { req, vm } => self.arrive(req, vm),
-            Event::Cross { req, vm, grant } => self.cross(req, vm, grant),
-            Event::Bounce { req, how } => self.bounce(req, how),
+            Event::ArriveSpilled { req, vm, grant } => self.arrive_spilled(req, vm, grant),
+            Event::SpillFailed { req, cause } => self.spill_failed(req, cause),
             Event::Done { az, epoch, req } => self.done(az, epoch, req),
-            Event::Told(req) => self.told(req),
-            Event::Wish {
+            Event::DeliverAnswer(req) => self.deliver_answer(req),
+            Event::RequestGrant {
                 from,
                 to,
                 per_s,
                 asked,
-            } => self.wish(from, to, per_s, asked),
-            Event::Granted { to, asked, number } => {
-                let grant = self.granted[number].clone();
+            } => self.request_grant(from, to, per_s, asked),
+            Event::ReceiveGrant { to, asked, number } => {
+                let grant = self.issued_grants[number].clone();
                 self.vms[to].cross_az.set_grant(asked, grant);
             }
-            Event::Version(vm, number) => {
-                let plan = self.versions[number].clone();
+            Event::PlanVersion(vm, number) => {
+                let plan = self.plan_versions[number].clone();
                 self.vms[vm].applied.offer(plan);
             }
-            Event::Fault(number) => self.fault(number),
+            Event::Fault(number) => self.apply_fault(number),
             Event::Tick => self.tick(),
         }
     }
@@ -273,17 +275,22 @@
     };
     let mut cross_az = cross_az::CrossAzRouter::new(cfg, azs[az].name.clone());
     cross_az.set_routes(dep.routes(&azs[az].name));
-    let mut own_links = links::Links::new(links::Config::default());
+    let mut outgoing_links = links::Links::new(links::Config::default());
     let home = &dep
         .settings
         .region_of(&azs[az].name)
         .expect("it is declared")
         .name;
     for link in dep.settings.links().filter(|link| link.from == *home) {
-        own_links.set(Moment::ZERO, &link.to, link.bytes_per_s, 4 * VMS as u32);
+        outgoing_links.set(
+            Moment::ZERO,
+            &link.to,
+            link.bytes_per_s,
+            4 * VMS_PER_AZ as u32,
+        );
     }
-    cross_az.set_links(sync::Arc::new(parking_lot::Mutex::new(own_links)));
-    let lender = grants::Issuer {
+    cross_az.set_links(sync::Arc::new(parking_lot::Mutex::new(outgoing_links)));
+    let issuer = grants::Issuer {
         service: dep.service.name.clone(),
         az: azs[az].name.clone(),
         vm: vm_name(number),
@@ -293,8 +300,8 @@
         az,
         up: true,
         cross_az,
-        granter: grants::Granter::new(grants::Config::default(), Moment::ZERO, lender),
+        granter: grants::Granter::new(grants::Config::default(), Moment::ZERO, issuer),
         applied: plan::AppliedPlan::default(),
-        own: 0,
+        local_requests: 0,
     }
 }
--- a/src/standin/steering/tally.rs
+++ b/src/standin/steering/tally.rs
@@ -33,7 +33,7 @@
     pub peak_link: f64,
     pub(super) latencies_us: Vec<u32>,
     pub(super) served: collections::BTreeMap<u64, collections::BTreeMap<(usize, usize), u64>>,
-    pub(super) asked: collections::BTreeMap<u64, u64>,
+    pub(super) requests: collections::BTreeMap<u64, u64>,
     pub(super) busy_us: collections::BTreeMap<(u64, usize), f64>,
     pub(super) foreign: collections::BTreeMap<(u64, usize), u64>,
     pub(super) link_bytes: collections::BTreeMap<(u64, usize, usize), u64>,
@@ -41,7 +41,7 @@
 
 /// Amount by which the load of one second may exceed the limit, because arrivals are random: 0.02
 /// of a region's twelve slots is a quarter of a slot.
-const RANDOM: f64 = 0.02;
+const LOAD_TOLERANCE_SHARE: f64 = 0.02;
 
 impl Tally {
     /// Latency quantile of the answers, in milliseconds. `share` is from 0 to 1.
@@ -58,7 +58,7 @@
     pub fn violations(&self) -> u64 {
         let over = |bad: bool| u64::from(bad);
         over(self.largest_shift > self.cap)
-            + over(self.peak_load > self.max_load + RANDOM)
+            + over(self.peak_load > self.max_load + LOAD_TOLERANCE_SHARE)
             + over(self.peak_link > 1.0)
     }
 
@@ -71,11 +71,11 @@
             let foreign = self.foreign.get(at).copied().unwrap_or(0);
             if foreign > 0 {
                 self.peak_load = self.peak_load.max(load);
-                self.seconds_over += u64::from(load > self.max_load + RANDOM);
+                self.seconds_over += u64::from(load > self.max_load + LOAD_TOLERANCE_SHARE);
             }
         }
-        let most = self.link_bytes.values().max().copied().unwrap_or(0);
-        self.peak_link = most as f64 / link_bytes_per_s;
+        let peak_bytes = self.link_bytes.values().max().copied().unwrap_or(0);
+        self.peak_link = peak_bytes as f64 / link_bytes_per_s;
     }
 
     fn home_at_end(&self) -> f64 {
@@ -91,12 +91,12 @@
     fn shifts(&self) -> f64 {
         let mut largest = 0.0f64;
         let mut before = collections::BTreeMap::new();
-        for (step, asked) in &self.asked {
+        for (step, requests) in &self.requests {
             let empty = collections::BTreeMap::new();
             let served = self.served.get(step).unwrap_or(&empty);
             let away = |cells: &collections::BTreeMap<(usize, usize), u64>| {
                 let away = cells.iter().filter(|((from, to), _)| from != to);
-                away.map(|(cell, n)| (*cell, *n as f64 / *asked as f64))
+                away.map(|(cell, n)| (*cell, *n as f64 / *requests as f64))
                     .collect::<collections::BTreeMap<_, _>>()
             };
             let now = away(served);
--- a/src/standin/steering/upkeep.rs
+++ b/src/standin/steering/upkeep.rs
@@ -4,13 +4,16 @@
 use std::sync;
 use std::time;
 
-use super::play::{Az, Event, SPREAD, TELL, TICK, VMS, World, vm_name};
-use super::{Fault, Way, blank};
+use super::play::{
+    Az, Event, PLAN_PROPAGATION_DELAY, REPORT_INTERVAL, Simulation, TICK_INTERVAL, VMS_PER_AZ,
+    vm_name,
+};
+use super::{Fault, Way, unlimited_grant};
 use crate::decisions::{caps, drain, grants, plan, policy};
 use policy::Moment;
 
-impl World<'_> {
-    pub(super) fn fault(&mut self, number: usize) {
+impl Simulation<'_> {
+    pub(super) fn apply_fault(&mut self, number: usize) {
         let (_, fault) = self.scenario.faults[number];
         match fault {
             Fault::BackendsDown(region) | Fault::RegionDown(region) => {
@@ -22,35 +25,38 @@
                     self.azs[az].busy = 0;
                     self.azs[az].epoch += 1;
                     for req in std::mem::take(&mut self.azs[az].queue) {
-                        self.end(req);
+                        self.release(req);
                         self.tally.refused += 1;
                     }
-                    let dies = matches!(fault, Fault::RegionDown(_));
-                    for vm in &mut self.vms[az * VMS..(az + 1) * VMS] {
-                        vm.up &= !dies;
+                    let vms_fail = matches!(fault, Fault::RegionDown(_));
+                    for vm in &mut self.vms[az * VMS_PER_AZ..(az + 1) * VMS_PER_AZ] {
+                        vm.up &= !vms_fail;
                     }
                 }
             }
-            Fault::Cut(region) => self.cut = Some(region),
-            Fault::Heal(_) => self.cut = None,
+            Fault::Cut(region) => self.partitioned = Some(region),
+            Fault::Heal(_) => self.partitioned = None,
         }
     }
 
     pub(super) fn tick(&mut self) {
-        self.after(TICK, Event::Tick);
-        let tells = self.now.as_millis().is_multiple_of(TELL.as_millis());
+        self.after(TICK_INTERVAL, Event::Tick);
+        let report_due = self
+            .now
+            .as_millis()
+            .is_multiple_of(REPORT_INTERVAL.as_millis());
         for az in 0..self.azs.len() {
-            if !tells {
+            if !report_due {
                 break;
             }
             let a = &mut self.azs[az];
-            a.in_hand = a.busy + a.queue.len() as u32;
-            for (demand, brought) in a.demand.iter_mut().zip(&mut a.brought) {
-                let seen = std::mem::take(brought) / TELL.as_secs_f64();
+            a.reported_in_flight = a.busy + a.queue.len() as u32;
+            for (demand, arrived_work_s) in a.demand.iter_mut().zip(&mut a.arrived_work_s) {
+                let seen = std::mem::take(arrived_work_s) / REPORT_INTERVAL.as_secs_f64();
                 *demand += 0.2 * (seen - *demand);
             }
-            if self.vms[az * VMS].up && self.cut != Some(a.region) {
-                a.told = self.now;
+            if self.vms[az * VMS_PER_AZ].up && self.partitioned != Some(a.region) {
+                a.reported_at = self.now;
             }
         }
         for az in &mut self.azs {
@@ -58,15 +64,15 @@
         }
         for vm in 0..self.vms.len() {
             if self.vms[vm].up {
-                self.tick_vm(vm, tells);
+                self.tick_vm(vm, report_due);
             }
         }
-        if tells && self.way.plans() && self.now.as_secs().is_multiple_of(2) {
+        if report_due && self.way.plans() && self.now.as_secs().is_multiple_of(2) {
             self.write_plan();
         }
     }
 
-    pub(super) fn tick_vm(&mut self, vm: usize, tells: bool) {
+    pub(super) fn tick_vm(&mut self, vm: usize, report_due: bool) {
         let az = self.vms[vm].az;
         let load = self.load(vm);
         let (now, slots, busy) = (self.now, self.azs[az].slots, self.azs[az].busy);
@@ -76,7 +82,7 @@
         v.cross_az.set_local_load(now, slots, busy, queued);
         v.granter.set_load(now, load);
         v.granter.tick(now);
-        if !tells {
+        if !report_due {
             return;
         }
         if self.way == Way::OwnFraction {
@@ -84,8 +90,8 @@
                 let to = &self.azs[other];
                 let full = 0.9 * f64::from(to.slots);
                 let name = to.name.clone();
-                if f64::from(to.in_hand) < full && self.reaches(az, &name) {
-                    let grant = blank(&self.dep.service.name, &name);
+                if f64::from(to.reported_in_flight) < full && self.reaches(az, &name) {
+                    let grant = unlimited_grant(&self.dep.service.name, &name);
                     self.vms[vm].cross_az.set_grant(now, grant);
                 }
             }
@@ -93,20 +99,20 @@
         if !self.way.grants() {
             return;
         }
-        for wish in self.vms[vm].cross_az.grant_requests(now) {
+        for wanted in self.vms[vm].cross_az.grant_requests(now) {
             let to = self
                 .azs
                 .iter()
-                .position(|a| a.name == wish.az)
+                .position(|a| a.name == wanted.az)
                 .expect("it is declared");
-            let per_s = wish.per_s.ceil() as u64;
-            let ask = Event::Wish {
+            let per_s = wanted.per_s.ceil() as u64;
+            let request = Event::RequestGrant {
                 from: vm,
-                to: to * VMS + vm % VMS,
+                to: to * VMS_PER_AZ + vm % VMS_PER_AZ,
                 per_s,
                 asked: now,
             };
-            self.after(self.dep.one_way(&self.azs[az].name, &wish.az), ask);
+            self.after(self.dep.one_way(&self.azs[az].name, &wanted.az), request);
         }
     }
 
@@ -115,14 +121,14 @@
         grants::Load {
             slots: az.slots,
             max_load: 0.9,
-            members: VMS as u32,
-            local_requests: self.vms[vm].own,
+            members: VMS_PER_AZ as u32,
+            local_requests: self.vms[vm].local_requests,
             az_in_flight: az.busy + az.queue.len() as u32,
-            service_time: self.dep.mean(),
+            service_time: self.dep.mean_work(),
         }
     }
 
-    pub(super) fn wish(&mut self, from: usize, to: usize, per_s: u64, asked: Moment) {
+    pub(super) fn request_grant(&mut self, from: usize, to: usize, per_s: u64, asked: Moment) {
         let name = self.azs[self.vms[to].az].name.clone();
         if !self.vms[to].up || !self.reaches(self.vms[from].az, &name) {
             return;
@@ -131,12 +137,12 @@
         let granter = &mut self.vms[to].granter;
         granter.set_load(self.now, load);
         if let Some(grant) = granter.request_grant(self.now, &vm_name(from), per_s as f64) {
-            self.granted.push(grant);
-            let number = self.granted.len() - 1;
-            let back = self.dep.one_way(&name, &self.azs[self.vms[from].az].name);
+            self.issued_grants.push(grant);
+            let number = self.issued_grants.len() - 1;
+            let return_delay = self.dep.one_way(&name, &self.azs[self.vms[from].az].name);
             self.after(
-                back,
-                Event::Granted {
+                return_delay,
+                Event::ReceiveGrant {
                     to: from,
                     asked,
                     number,
@@ -147,15 +153,15 @@
 
     pub(super) fn write_plan(&mut self) {
         let step = time::Duration::from_millis(self.dep.service.shift_step_ms);
-        if self.now < self.stepped + step {
+        if self.now < self.plan_written_at + step {
             return;
         }
         let summaries: Vec<_> = self.azs.iter().map(|az| self.summary(az)).collect();
-        let mut left = collections::BTreeMap::new();
+        let mut capacity_shares = collections::BTreeMap::new();
         if let Some(drain) = &self.scenario.drain {
-            let part = drain::remaining_share(drain, self.now.as_secs_f64());
+            let remaining = drain::remaining_share(drain, self.now.as_secs_f64());
             for az in drain::target_azs(&self.dep.settings, &drain.target) {
-                left.insert(az, part);
+                capacity_shares.insert(az, remaining);
             }
         }
         let cfg = plan::Config::default();
@@ -163,28 +169,28 @@
             settings: &self.dep.settings,
             service: &self.dep.service,
             summaries: &summaries,
-            capacity_shares: &left,
+            capacity_shares: &capacity_shares,
             current: &self.plan.services[&self.dep.service.name],
         };
         let target = plan::target(&cfg, &inputs);
         let name = &self.dep.service.name;
-        let most = caps::Config::of(&self.dep.service).version_share();
-        let Some(next) = plan::step(&cfg, &self.plan.services[name], &target, most) else {
+        let max_share = caps::Config::of(&self.dep.service).version_share();
+        let Some(next) = plan::step(&cfg, &self.plan.services[name], &target, max_share) else {
             return;
         };
-        self.stepped = self.now;
+        self.plan_written_at = self.now;
         self.plan = sync::Arc::new(plan::Plan {
             version: self.plan.version + 1,
             services: [(name.clone(), next)].into(),
         });
-        self.versions.push(self.plan.clone());
+        self.plan_versions.push(self.plan.clone());
         for vm in 0..self.vms.len() {
             if self
-                .cut
+                .partitioned
                 .is_none_or(|cut| cut != self.azs[self.vms[vm].az].region)
             {
-                let number = self.versions.len() - 1;
-                self.after(SPREAD, Event::Version(vm, number));
+                let number = self.plan_versions.len() - 1;
+                self.after(PLAN_PROPAGATION_DELAY, Event::PlanVersion(vm, number));
             }
         }
     }
@@ -199,7 +205,7 @@
             demand: demand
                 .map(|(region, work)| (region.clone(), *work))
                 .collect(),
-            age: self.now - az.told,
+            age: self.now - az.reported_at,
         }
     }
 }
