--- a/benches/capacity/customers.rs
+++ b/benches/capacity/customers.rs
@@ -1,4 +1,4 @@
-//! What customers cost: finding one by its key, counting its requests, and keeping all of them.
+//! Cost of customers: look-up by key, counting requests against quotas, and memory.
 
 use std::fs;
 use std::hint;
@@ -9,10 +9,10 @@
 
 use super::best_of;
 
-/// Customers of today's deployment, and a thousand times as many.
+/// Customer counts: the current deployment's 84, up to about a thousand times as many.
 const SIZES: [usize; 3] = [84, 10_000, 100_000];
 
-/// Requests of one measurement.
+/// Number of requests per measurement.
 const REQUESTS: usize = 100_000;
 
 fn key(i: usize, n: usize) -> String {
@@ -37,7 +37,7 @@
     Customers::new((0..count).map(|i| (customer(i), keys(i)))).expect("they are distinct")
 }
 
-/// Resident memory of this process, in bytes; 0 where the system does not say.
+/// Resident memory of this process in bytes, or 0 if the system does not report it.
 fn resident() -> usize {
     const PAGE: usize = 4096;
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
@@ -48,7 +48,7 @@
     pages.unwrap_or_default() * PAGE
 }
 
-/// Finding who asks, and whether its quota leaves one more, by the number of customers.
+/// Measures finding a request's customer and admitting it against the quota, by customer count.
 pub(super) fn who_asks() {
     println!("customers   ns/key without   ns/key found   ns/request counted   MB kept");
     for count in SIZES {
@@ -78,7 +78,7 @@
     }
 }
 
-/// Counts requests of all customers in turn, with eight other VMs that tell of 84 of them.
+/// Counts requests of all customers in turn, with usage reports of eight other VMs on 84 customers.
 fn count_requests(customers: usize) {
     let limit = quota::Limit {
         rate: 1e6,
--- a/benches/capacity/gateway.rs
+++ b/benches/capacity/gateway.rs
@@ -1,4 +1,4 @@
-//! What the gateway's decisions cost as backend servers and entry VMs grow.
+//! Cost of the gateway's decisions, by the number of backend servers and entry VMs.
 
 use std::hint;
 use std::net;
@@ -11,7 +11,7 @@
 
 use super::{Fit, best_of};
 
-/// Objects that callers ask for. A region of today's largest deployment has 115 for one service.
+/// Number of distinct objects requested. A region of the largest deployment has 115 per service.
 const OBJECTS: u64 = 150;
 
 fn zone(i: usize) -> id::AzId {
@@ -22,7 +22,7 @@
     net::SocketAddr::from(([10, 1, (i >> 8) as u8, i as u8], 8080))
 }
 
-/// A gateway of one region with three availability zones.
+/// A gateway in a region with three availability zones.
 fn region() -> gateway::Gateway {
     let regions = (0..3).map(|i| (zone(i), "region".into())).collect();
     let cfg = gateway::Config {
@@ -53,7 +53,7 @@
     cx
 }
 
-/// Placements of requests, one at a time, by the number of a service's backend servers.
+/// Measures the placement of single requests, by the number of backend servers of the service.
 pub(super) fn placements() {
     println!("one request's placement: a backend server for its object, and giving it up");
     println!("backends   us/request, the same objects   us/request, always new objects");
@@ -93,7 +93,7 @@
     );
 }
 
-/// Naming the entry VMs that callers of the region are told, by the number of entry VMs.
+/// Measures the selection of entry VMs for a look-up in the region, by the number of entry VMs.
 pub(super) fn told() {
     println!("one look-up: the entry VMs that a caller of the region is told");
     println!("     VMs   us/look-up");
--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -1,6 +1,6 @@
-//! What grows with the size of the fleet, measured at several sizes, with the fitted slope.
+//! Time and memory costs that grow with the fleet, at several sizes, with a fitted slope.
 //!
-//! `cargo bench --bench capacity` prints one table a part. docs/CAPACITY.md uses the slopes.
+//! `cargo bench --bench capacity` prints one table per part. docs/CAPACITY.md uses the slopes.
 
 mod customers;
 mod gateway;
@@ -18,10 +18,10 @@
 use rand::{RngExt, SeedableRng};
 use state::{directory, fleet, lookup};
 
-/// The seed of all made-up data, so that every run measures the same.
+/// Seed of all generated data, so that every run measures the same work.
 const SEED: u64 = 20;
 
-/// The largest size that the users expect.
+/// Sizes of the largest expected deployment.
 const CLIENT_BLOCKS: usize = 1_300_000;
 const SITES: u16 = 800;
 const NODES: usize = 4_400;
@@ -39,7 +39,7 @@
     gateway::told();
 }
 
-/// A straight line through measured points, by least squares.
+/// Least-squares fit of a line to measured points.
 #[derive(Default)]
 struct Fit {
     points: Vec<(f64, f64)>,
@@ -64,7 +64,7 @@
     }
 }
 
-/// The shortest of several runs, in seconds: what the work itself costs.
+/// Shortest time of several runs, in seconds, to exclude interference by other processes.
 fn best_of<T>(runs: usize, mut work: impl FnMut() -> T) -> f64 {
     let mut best = f64::INFINITY;
     for _ in 0..runs {
@@ -78,7 +78,7 @@
 fn made_up_blocks(count: usize, rng: &mut rand_chacha::ChaCha8Rng) -> Vec<lookup::Block> {
     let mut blocks = Vec::with_capacity(count);
     while blocks.len() < count {
-        // Lengths as in routing tables: most blocks are /24, some are wider and hold others.
+        // Prefix lengths as in routing tables: mostly /24, some shorter that contain other blocks.
         let len = match rng.random_range(0..10u8) {
             0 => rng.random_range(12..20),
             1..=3 => rng.random_range(20..24),
@@ -167,7 +167,7 @@
     );
 }
 
-/// Settings with the regions and availability zones that the users expect.
+/// Settings with the regions and availability zones of the largest expected deployment.
 fn made_up_places() -> settings::Settings {
     let region = |i: usize| settings::Region {
         name: format!("region-{i}").as_str().into(),
@@ -381,7 +381,7 @@
     println!("slope: {:.3} us a backend server\n", cpu.slope());
 }
 
-/// Lets one request in, and ends every attempt that it leads to with an answer.
+/// Admits one request and completes each resulting attempt with an answer.
 fn serve_one(
     dispatch: &mut dispatch::Dispatch,
     now: policy::Moment,
--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,4 +1,4 @@
-//! What one decision costs: a request comes in, is sent, and its answer is taken in.
+//! Cost of the decisions for one request: its arrival, one attempt and the attempt's answer.
 
 use std::time;
 
--- a/benches/http.rs
+++ b/benches/http.rs
@@ -1,5 +1,5 @@
-//! The measurement behind the choice of HTTP libraries: `tiny_http` against our server on hyper,
-//! and `attohttpc` and `ureq` against our pooled client. docs/design/http.md holds the figures.
+//! Comparison of HTTP libraries: `tiny_http` with this crate's server on hyper, and `attohttpc` and
+//! `ureq` with its pooled client. The results are in docs/design/http.md.
 
 use std::fs;
 use std::io;
@@ -16,13 +16,13 @@
 use bulrushwind::{config, entry, logging, settings};
 use bytes::Bytes;
 
-/// Idle connections, as many as an entry VM must bear.
+/// Number of idle connections that an entry VM must support.
 const IDLE: usize = 2000;
 
-/// Senders that stop in the middle of a body.
+/// Number of clients that stop sending in the middle of a body.
 const HALF_SENT: usize = 200;
 
-/// Requests for each client.
+/// Number of requests sent with each client library.
 const REQUESTS: u32 = 3000;
 
 fn main() {
@@ -46,7 +46,7 @@
     let _ = io::stdout().flush();
 }
 
-/// A pool of four workers that answer whole requests, as a service on tiny_http would.
+/// Runs four workers that read a complete request before they answer, as usual with tiny_http.
 fn serve_tiny() {
     let http = sync::Arc::new(tiny_http::Server::http("127.0.0.1:0").unwrap());
     announce(http.server_addr().to_ip().unwrap());
@@ -99,7 +99,7 @@
     }
 }
 
-/// A whole entry process with the cooperative's settings.
+/// Runs a complete entry process with the settings of the `cooperative` example.
 fn serve_entry() {
     let root = path::Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/cooperative");
     let shared = sync::Arc::new(entry::SharedTables::default());
--- a/benches/paths.rs
+++ b/benches/paths.rs
@@ -1,7 +1,7 @@
-//! The request path beside a bare forwarder in the same run, and look-ups in process.
+//! Latency and throughput of the request path and of a bare forwarder, and the cost of look-ups.
 //!
-//! The bare forwarder has the same server and client and nothing in between: no workers, no
-//! settings, no keys, no decisions. The difference is what steering costs.
+//! The bare forwarder uses the same server and client without workers, settings, keys or decisions.
+//! The difference between the two is the cost of steering.
 
 use std::hint;
 use std::io::{Read, Write};
@@ -19,13 +19,13 @@
 use bytes::Bytes;
 use criterion::Criterion;
 
-/// How long one measurement of throughput lasts.
+/// Duration of one throughput measurement.
 const SPAN: time::Duration = time::Duration::from_secs(2);
 
-/// Callers' connections while throughput is measured.
+/// Number of caller connections in the throughput measurement.
 const CONNECTIONS: usize = 128;
 
-/// Backend servers of the service.
+/// Number of backend servers of the service.
 const BACKENDS: usize = 12;
 
 const REQUEST: &[u8] = b"GET /ledger/bays HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -42,7 +42,7 @@
     ([127, 0, 0, 1], 0).into()
 }
 
-/// A backend server that answers at once.
+/// A backend server that answers immediately.
 #[derive(Clone)]
 struct Echo;
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// Sends each request to the next backend server and hands back what comes.
+/// Forwards requests to the backend servers in round-robin order and returns their answers.
 #[derive(Clone)]
 struct Bare {
     client: client::Client,
@@ -103,7 +103,7 @@
     let mut settings = settings::Settings::read(&root).unwrap();
     for team in settings.teams.values_mut() {
         for service in &mut team.services {
-            // Backend servers that answer at once bear more than the examples' do.
+            // Backend servers that answer immediately handle more load than those of the example.
             service.slots = 100;
         }
     }
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -1,5 +1,5 @@
-//! Plays every load pattern in virtual time, the naive version beside ours, and prints what
-//! callers got. The figures depend on nothing but the code: no clock, fixed seeds.
+//! Runs every load pattern in virtual time with the naive policy and with the production policy, and
+//! prints the results for callers. They depend on the code only: no clock, fixed seeds.
 
 use std::path;
 use std::sync::atomic;
@@ -7,7 +7,7 @@
 use bulrushwind::standin::model::{self, patterns, table, tally};
 use parking_lot::Mutex;
 
-/// Patterns that are played side by side.
+/// Number of threads that run patterns in parallel.
 const THREADS: usize = 4;
 
 fn main() {
--- a/benches/steering.rs
+++ b/benches/steering.rs
@@ -1,5 +1,5 @@
-//! Question 2 of the design: grants against the sender's own fraction against the plan alone, in
-//! virtual time. The figures depend on nothing but the code: no clock, a fixed seed.
+//! Compares the steering variants (plan, sender's own fraction, grants) in virtual time. The results
+//! depend on the code only: no clock, a fixed seed.
 
 use std::path;
 
