--- a/benches/capacity/customers.rs
+++ b/benches/capacity/customers.rs
@@ -10,10 +10,10 @@
 use super::best_of;
 
 /// Customer counts: the current deployment's 84, up to about a thousand times as many.
-const SIZES: [usize; 3] = [84, 10_000, 100_000];
+const CUSTOMER_COUNTS: [usize; 3] = [84, 10_000, 100_000];
 
 /// Number of requests per measurement.
-const REQUESTS: usize = 100_000;
+const REQUEST_COUNT: usize = 100_000;
 
 fn key(i: usize, n: usize) -> String {
     format!("customer-{i}-key-{n}-qrh4jcda9r")
@@ -39,31 +39,31 @@
 
 /// Resident memory of this process in bytes, or 0 if the system does not report it.
 fn resident() -> usize {
-    const PAGE: usize = 4096;
+    const PAGE_BYTES: usize = 4096;
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm
         .split(' ')
         .nth(1)
         .and_then(|n| n.parse::<usize>().ok());
-    pages.unwrap_or_default() * PAGE
+    pages.unwrap_or_default() * PAGE_BYTES
 }
 
 /// Measures finding a request's customer and admitting it against the quota, by customer count.
-pub(super) fn who_asks() {
+pub(super) fn admission() {
     println!("customers   ns/key without   ns/key found   ns/request counted   MB kept");
-    for count in SIZES {
+    for count in CUSTOMER_COUNTS {
         let before = resident();
         let all = customers(count);
         let kept = resident().saturating_sub(before) as f64 / 1e6;
         let keys: Vec<String> = (0..1000).map(|n| key(n * 7919 % count, n % 2)).collect();
-        let each = |seconds: f64| seconds / REQUESTS as f64 * 1e9;
-        let without = best_of(3, || {
-            for n in 0..REQUESTS {
+        let ns_per_request = |seconds: f64| seconds / REQUEST_COUNT as f64 * 1e9;
+        let baseline = best_of(3, || {
+            for n in 0..REQUEST_COUNT {
                 hint::black_box(keys[n % keys.len()].as_bytes());
             }
         });
         let found = best_of(3, || {
-            for n in 0..REQUESTS {
+            for n in 0..REQUEST_COUNT {
                 let digest = KeyDigest::of(keys[n % keys.len()].as_bytes());
                 hint::black_box(all.holder(digest));
             }
@@ -71,9 +71,9 @@
         let counted = best_of(3, || count_requests(count));
         println!(
             "{count:9}   {:14.1}   {:12.1}   {:18.1}   {kept:7.1}",
-            each(without),
-            each(found),
-            each(counted)
+            ns_per_request(baseline),
+            ns_per_request(found),
+            ns_per_request(counted)
         );
     }
 }
@@ -85,16 +85,16 @@
         burst: 1e6,
     };
     let mut ledger = Ledger::<ByDemand>::new(quota::Bound::default(), time::Duration::ZERO, 0);
-    let told = quota::UsageReport {
+    let report = quota::UsageReport {
         used: 10.0,
         rate_per_s: 2.0,
         demand: 2.0,
     };
     let now = time::Duration::from_secs(60);
     for vm in 0..8 {
-        ledger.apply_report(now, 1_000_000 + vm, 0, (0..84).map(|c| (c, told)), true);
+        ledger.apply_report(now, 1_000_000 + vm, 0, (0..84).map(|c| (c, report)), true);
     }
-    for n in 0..REQUESTS {
+    for n in 0..REQUEST_COUNT {
         let now = now + time::Duration::from_micros(n as u64 * 3);
         let customer = (n % customers) as quota::NameHash;
         let _ = hint::black_box(ledger.admit(now, customer, limit, 0.5));
--- a/benches/capacity/gateway.rs
+++ b/benches/capacity/gateway.rs
@@ -12,7 +12,7 @@
 use super::{Fit, best_of};
 
 /// Number of distinct objects requested. A region of the largest deployment has 115 per service.
-const OBJECTS: u64 = 150;
+const OBJECT_COUNT: u64 = 150;
 
 fn zone(i: usize) -> id::AzId {
     format!("az-{}", i % 3).as_str().into()
@@ -81,7 +81,7 @@
             });
             took / requests as f64 * 1e6
         };
-        let (same, always) = (place(OBJECTS), place(u64::MAX));
+        let (same, always) = (place(OBJECT_COUNT), place(u64::MAX));
         known.add(count as f64, same);
         new.add(count as f64, always);
         println!("{count:8} {same:30.2} {always:32.2}");
@@ -94,7 +94,7 @@
 }
 
 /// Measures the selection of entry VMs for a look-up in the region, by the number of entry VMs.
-pub(super) fn told() {
+pub(super) fn entry_selection() {
     println!("one look-up: the entry VMs that a caller of the region is told");
     println!("     VMs   us/look-up");
     let mut cost = Fit::default();
--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -22,12 +22,12 @@
 const SEED: u64 = 20;
 
 /// Sizes of the largest expected deployment.
-const CLIENT_BLOCKS: usize = 1_300_000;
-const SITES: u16 = 800;
-const NODES: usize = 4_400;
+const CLIENT_BLOCK_COUNT: usize = 1_300_000;
+const SITE_COUNT: u16 = 800;
+const VM_COUNT: usize = 4_400;
 
 fn main() {
-    customers::who_asks();
+    customers::admission();
     look_ups();
     vm_list();
     directory();
@@ -36,7 +36,7 @@
     peer_messages();
     decisions();
     gateway::placements();
-    gateway::told();
+    gateway::entry_selection();
 }
 
 /// Least-squares fit of a line to measured points.
@@ -64,7 +64,7 @@
     }
 }
 
-/// Shortest time of several runs, in seconds, to exclude interference by other processes.
+/// Shortest time of several runs, in seconds: the cost of the work with the least interference.
 fn best_of<T>(runs: usize, mut work: impl FnMut() -> T) -> f64 {
     let mut best = f64::INFINITY;
     for _ in 0..runs {
@@ -75,7 +75,7 @@
     best
 }
 
-fn made_up_blocks(count: usize, rng: &mut rand_chacha::ChaCha8Rng) -> Vec<lookup::Block> {
+fn generate_blocks(count: usize, rng: &mut rand_chacha::ChaCha8Rng) -> Vec<lookup::Block> {
     let mut blocks = Vec::with_capacity(count);
     while blocks.len() < count {
         // Prefix lengths as in routing tables: mostly /24, some shorter that contain other blocks.
@@ -88,7 +88,7 @@
         let net = ipnet::Ipv4Net::new(addr, len)
             .expect("a length under 33")
             .trunc();
-        let target = rng.random_range(0..SITES);
+        let target = rng.random_range(0..SITE_COUNT);
         blocks.push(lookup::Block {
             net: net.into(),
             target,
@@ -98,12 +98,12 @@
 }
 
 fn look_ups() {
-    println!("look-up table: client blocks to {SITES} sites");
+    println!("look-up table: client blocks to {SITE_COUNT} sites");
     println!("   blocks    build ms     table MB   bytes/block   ns/look-up   look-ups/s");
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(SEED);
     let (mut bytes, mut build) = (Fit::default(), Fit::default());
-    for count in [10_000, 40_000, 160_000, 640_000, CLIENT_BLOCKS] {
-        let blocks = made_up_blocks(count, &mut rng);
+    for count in [10_000, 40_000, 160_000, 640_000, CLIENT_BLOCK_COUNT] {
+        let blocks = generate_blocks(count, &mut rng);
         let build_s = best_of(3, || lookup::Table::build(&blocks));
         let table = lookup::Table::build(&blocks);
         let addrs: Vec<net::IpAddr> = (0..200_000)
@@ -131,7 +131,7 @@
     );
 }
 
-fn made_up_vm(i: usize) -> store::Vm {
+fn generate_vm(i: usize) -> store::Vm {
     let az = format!("region-{}-{}", i % 11, i % 4);
     let addr = net::SocketAddr::from(([10, 0, (i >> 8) as u8, i as u8], 8080));
     store::Vm {
@@ -147,8 +147,8 @@
     println!("the platform's list of VMs, as the wire brings it");
     println!("     VMs    bytes/VM    parse us");
     let (mut bytes, mut cpu) = (Fit::default(), Fit::default());
-    for count in [50, 500, 2_000, NODES] {
-        let list: Vec<_> = (0..count).map(made_up_vm).collect();
+    for count in [50, 500, 2_000, VM_COUNT] {
+        let list: Vec<_> = (0..count).map(generate_vm).collect();
         let text = serde_json::to_vec(&list).expect("VMs can be JSON");
         let parse = || serde_json::from_slice::<Vec<store::Vm>>(&text).expect("it was printed");
         let parse_s = best_of(20, parse);
@@ -168,7 +168,7 @@
 }
 
 /// Settings with the regions and availability zones of the largest expected deployment.
-fn made_up_places() -> settings::Settings {
+fn generate_places() -> settings::Settings {
     let region = |i: usize| settings::Region {
         name: format!("region-{i}").as_str().into(),
         azs: (0..4)
@@ -199,23 +199,23 @@
 fn directory() {
     println!("which entry VMs a look-up names");
     println!("     VMs    build us   ns/look-up   look-ups/s");
-    let settings = made_up_places();
+    let settings = generate_places();
     let (region, az) = ("region-3".into(), "region-3-1".into());
     let mut cpu = Fit::default();
-    for count in [50, 500, 2_000, NODES] {
-        let fleet = fleet::Fleet::new((0..count).map(made_up_vm).collect());
+    for count in [50, 500, 2_000, VM_COUNT] {
+        let fleet = fleet::Fleet::new((0..count).map(generate_vm).collect());
         let build_s = best_of(10, || directory::Directory::build(&settings, &fleet, 0));
         let directory = directory::Directory::build(&settings, &fleet, 0);
         let look_ups = 20_000_u32;
         let name_s = best_of(5, || {
-            let asks = |i: u32| directory::LookupQuery {
+            let query = |i: u32| directory::LookupQuery {
                 caller: net::Ipv4Addr::from(i).into(),
                 region: Some(&region),
                 az: &az,
                 preferred_azs: &[],
             };
             (0..look_ups)
-                .map(|i| directory.select(&asks(i)).len())
+                .map(|i| directory.select(&query(i)).len())
                 .sum::<usize>()
         });
         let ns = name_s / f64::from(look_ups) * 1e9;
@@ -324,10 +324,10 @@
         peer_message(&format!("work of {services} services"), &message);
     }
     let mut bytes = Fit::default();
-    for count in [50, 500, NODES] {
+    for count in [50, 500, VM_COUNT] {
         let list = peer::VmList {
             reader: "entry-region-3-1-1234".into(),
-            rows: (0..count).map(made_up_vm).collect(),
+            rows: (0..count).map(generate_vm).collect(),
         };
         let len = peer_message(&format!("list of {count} VMs"), &peer::Message::Vms(list));
         bytes.add(count as f64, len as f64);
--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -9,20 +9,20 @@
 fn decisions(c: &mut criterion::Criterion) {
     for backends in [2, 20] {
         c.bench_function(&format!("decision/{backends} backend servers"), |b| {
-            let mut play = Play::new(backends);
-            b.iter(|| play.one());
+            let mut requests = RequestLoop::new(backends);
+            b.iter(|| requests.run_one());
         });
     }
 }
 
-struct Play {
+struct RequestLoop {
     dispatch: dispatch::Dispatch,
     now: policy::Moment,
     next: u64,
     out: Vec<Action>,
 }
 
-impl Play {
+impl RequestLoop {
     fn new(backends: usize) -> Self {
         let cross_az = cross_az::CrossAzRouter::new(cross_az::Config::default(), "here".into());
         let mut dispatch = dispatch::Dispatch::new(dispatch::Config::default(), cross_az);
@@ -42,7 +42,7 @@
         }
     }
 
-    fn one(&mut self) {
+    fn run_one(&mut self) {
         self.next += 1;
         self.now += time::Duration::from_micros(50);
         let req = policy::Arrival {
@@ -60,8 +60,9 @@
         let Some(Action::Send { req, to, .. }) = self.out.pop() else {
             panic!("the request was not sent");
         };
-        let (now, how) = (self.now, AttemptOutcome::Answered);
-        self.dispatch.ended(now, req, &to, how, None, &mut self.out);
+        let (now, outcome) = (self.now, AttemptOutcome::Answered);
+        self.dispatch
+            .ended(now, req, &to, outcome, None, &mut self.out);
         self.out.clear();
     }
 }
--- a/benches/http.rs
+++ b/benches/http.rs
@@ -17,13 +17,13 @@
 use bytes::Bytes;
 
 /// Number of idle connections that an entry VM must support.
-const IDLE: usize = 2000;
+const IDLE_CONNECTION_COUNT: usize = 2000;
 
 /// Number of clients that stop sending in the middle of a body.
-const HALF_SENT: usize = 200;
+const HALF_SENT_COUNT: usize = 200;
 
 /// Number of requests sent with each client library.
-const REQUESTS: u32 = 3000;
+const REQUEST_COUNT: u32 = 3000;
 
 fn main() {
     let args: Vec<String> = std::env::args().collect();
@@ -90,9 +90,9 @@
 
 fn serve_hyper() {
     let runtime = runtime(4);
-    let any = "127.0.0.1:0".parse().unwrap();
+    let any_port = "127.0.0.1:0".parse().unwrap();
     let limits = server::Limits::default();
-    let server = server::start(runtime.handle(), any, limits, Echo).unwrap();
+    let server = server::start(runtime.handle(), any_port, limits, Echo).unwrap();
     announce(server.addr());
     loop {
         thread::park();
@@ -123,7 +123,7 @@
     let child = Child::start("entry");
     println!("entry process: at rest {}", child.state());
     let mut idle = Vec::new();
-    for _ in 0..IDLE {
+    for _ in 0..IDLE_CONNECTION_COUNT {
         let mut stream = net::TcpStream::connect(child.addr).unwrap();
         let req = "GET /lookup/ledger HTTP/1.1\r\nHost: a\r\n\r\n";
         stream.write_all(req.as_bytes()).unwrap();
@@ -194,7 +194,7 @@
     let child = Child::start(kind);
     println!("{kind}: at rest {}", child.state());
     let mut idle = Vec::new();
-    for _ in 0..IDLE {
+    for _ in 0..IDLE_CONNECTION_COUNT {
         idle.extend(net::TcpStream::connect(child.addr));
     }
     thread::sleep(time::Duration::from_millis(500));
@@ -202,23 +202,23 @@
     drop(idle);
 
     let mut half = Vec::new();
-    for _ in 0..HALF_SENT {
+    for _ in 0..HALF_SENT_COUNT {
         let mut stream = net::TcpStream::connect(child.addr).unwrap();
         let head = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\nhalf";
         stream.write_all(head.as_bytes()).unwrap();
         half.push(stream);
     }
     thread::sleep(time::Duration::from_millis(200));
-    let begun = time::Instant::now();
+    let started_at = time::Instant::now();
     let answered = request_within(child.addr, time::Duration::from_secs(3));
     println!(
-        "{kind}: {HALF_SENT} half-sent bodies: a whole request {} after {:.1} ms",
+        "{kind}: {HALF_SENT_COUNT} half-sent bodies: a whole request {} after {:.1} ms",
         if answered {
             "was answered"
         } else {
             "had no answer"
         },
-        begun.elapsed().as_secs_f64() * 1000.0
+        started_at.elapsed().as_secs_f64() * 1000.0
     );
     drop(half);
 
@@ -274,14 +274,14 @@
 }
 
 fn time_requests(name: &str, mut request: impl FnMut()) {
-    let mut took: Vec<_> = (0..REQUESTS)
+    let mut latencies: Vec<_> = (0..REQUEST_COUNT)
         .map(|_| {
-            let begun = time::Instant::now();
+            let started_at = time::Instant::now();
             request();
-            begun.elapsed()
+            started_at.elapsed()
         })
         .collect();
-    took.sort_unstable();
-    let us = |share: f64| took[(took.len() as f64 * share) as usize].as_secs_f64() * 1e6;
+    latencies.sort_unstable();
+    let us = |share: f64| latencies[(latencies.len() as f64 * share) as usize].as_secs_f64() * 1e6;
     println!("{name}: p50 {:.0} us, p99 {:.0} us", us(0.5), us(0.99));
 }
--- a/benches/paths.rs
+++ b/benches/paths.rs
@@ -20,13 +20,13 @@
 use criterion::Criterion;
 
 /// Duration of one throughput measurement.
-const SPAN: time::Duration = time::Duration::from_secs(2);
+const THROUGHPUT_DURATION: time::Duration = time::Duration::from_secs(2);
 
 /// Number of caller connections in the throughput measurement.
-const CONNECTIONS: usize = 128;
+const CONNECTION_COUNT: usize = 128;
 
 /// Number of backend servers of the service.
-const BACKENDS: usize = 12;
+const BACKEND_COUNT: usize = 12;
 
 const REQUEST: &[u8] = b"GET /ledger/bays HTTP/1.1\r\nHost: a\r\n\r\n";
 
@@ -38,7 +38,7 @@
         .unwrap()
 }
 
-fn any() -> net::SocketAddr {
+fn any_port() -> net::SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
 
@@ -68,19 +68,19 @@
 
 /// Forwards requests to the backend servers in round-robin order and returns their answers.
 #[derive(Clone)]
-struct Bare {
+struct BareForwarder {
     client: client::Client,
     backends: sync::Arc<Vec<net::SocketAddr>>,
     next: sync::Arc<atomic::AtomicUsize>,
 }
 
-impl server::Sink for Bare {
+impl server::Sink for BareForwarder {
     fn request(&self, req: server::Request) {
-        let turn = self.next.fetch_add(1, atomic::Ordering::Relaxed);
+        let index = self.next.fetch_add(1, atomic::Ordering::Relaxed);
         let mut out = hyper::Request::new(req.body);
         *out.uri_mut() = "/bays".parse().unwrap();
         let call = client::Call {
-            to: self.backends[turn % self.backends.len()],
+            to: self.backends[index % self.backends.len()],
             req: out,
             timeout: time::Duration::from_secs(5),
             body_bytes: 1 << 20,
@@ -98,7 +98,7 @@
     }
 }
 
-fn shared(backends: &[net::SocketAddr], entries: usize) -> sync::Arc<entry::SharedTables> {
+fn shared_tables(backends: &[net::SocketAddr], entries: usize) -> sync::Arc<entry::SharedTables> {
     let root = path::Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/cooperative");
     let mut settings = settings::Settings::read(&root).unwrap();
     for team in settings.teams.values_mut() {
@@ -120,8 +120,8 @@
     let entry = |n: usize| store::Vm {
         id: format!("e{n}").as_str().into(),
         az: azs[n % azs.len()].clone(),
-        addr: any(),
-        role: store::VmRole::Entry { peers: any() },
+        addr: any_port(),
+        role: store::VmRole::Entry { peers: any_port() },
         state: store::VmState::Live,
     };
     let vms = backends.iter().enumerate().map(backend);
@@ -174,7 +174,7 @@
 
 fn throughput(name: &str, addr: net::SocketAddr) {
     let stop = sync::Arc::new(atomic::AtomicBool::new(false));
-    let callers: Vec<_> = (0..CONNECTIONS)
+    let callers: Vec<_> = (0..CONNECTION_COUNT)
         .map(|_| {
             let stop = stop.clone();
             thread::spawn(move || {
@@ -188,32 +188,32 @@
             })
         })
         .collect();
-    let begun = time::Instant::now();
-    thread::sleep(SPAN);
+    let started_at = time::Instant::now();
+    thread::sleep(THROUGHPUT_DURATION);
     stop.store(true, atomic::Ordering::Relaxed);
     let count: u64 = callers.into_iter().map(|c| c.join().unwrap()).sum();
-    let rate = count as f64 / begun.elapsed().as_secs_f64();
-    println!("throughput {name}: {rate:.0} requests/s over {CONNECTIONS} connections");
+    let rate = count as f64 / started_at.elapsed().as_secs_f64();
+    println!("throughput {name}: {rate:.0} requests/s over {CONNECTION_COUNT} connections");
 }
 
 fn main() {
     let backend_runtime = runtime(2);
-    let backends: Vec<_> = (0..BACKENDS)
+    let backends: Vec<_> = (0..BACKEND_COUNT)
         .map(|_| {
             let limits = server::Limits::default();
-            server::start(backend_runtime.handle(), any(), limits, Echo).unwrap()
+            server::start(backend_runtime.handle(), any_port(), limits, Echo).unwrap()
         })
         .collect();
     let addrs: Vec<_> = backends.iter().map(server::Server::addr).collect();
     let bare_runtime = runtime(4);
-    let bare = Bare {
+    let bare = BareForwarder {
         client: client::Client::new(bare_runtime.handle().clone(), client::Config::default()),
         backends: sync::Arc::new(addrs.clone()),
         next: sync::Arc::default(),
     };
     let limits = server::Limits::default();
-    let bare = server::start(bare_runtime.handle(), any(), limits, bare).unwrap();
-    let steered = start(entry::MakeDispatch, shared(&addrs, 12));
+    let bare = server::start(bare_runtime.handle(), any_port(), limits, bare).unwrap();
+    let steered = start(entry::MakeDispatch, shared_tables(&addrs, 12));
 
     let mut criterion = Criterion::default()
         .sample_size(60)
@@ -223,7 +223,7 @@
     latency(&mut criterion, "bare forwarder", bare.addr());
     latency(&mut criterion, "entry", steered.addr());
     look_ups(&mut criterion, "12 entry VMs", &steered);
-    let large = start(entry::MakeDispatch, shared(&addrs, 4400));
+    let large = start(entry::MakeDispatch, shared_tables(&addrs, 4400));
     look_ups(&mut criterion, "4400 entry VMs in 6 zones", &large);
     criterion.final_summary();
     throughput("bare forwarder", bare.addr());
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -1,4 +1,4 @@
-//! Runs every load pattern in virtual time with the naive policy and with the production policy, and
+//! Runs every load pattern in virtual time with the naive policy and the production policy, and
 //! prints the results for callers. They depend on the code only: no clock, fixed seeds.
 
 use std::path;
--- a/benches/steering.rs
+++ b/benches/steering.rs
@@ -1,5 +1,5 @@
-//! Compares the steering variants (plan, sender's own fraction, grants) in virtual time. The results
-//! depend on the code only: no clock, a fixed seed.
+//! Compares the steering variants (plan, sender's own fraction, grants) in virtual time. The
+//! results depend on the code only: no clock, a fixed seed.
 
 use std::path;
 
