--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -37,7 +37,7 @@
     for row in &rows {
         let (naive, ours) = row.shares();
         print(row, "naive", naive, &row.naive);
-        print(row, "ours", ours, &row.ours);
+        print(row, "ours", ours, &row.dispatch);
     }
     println!("{}", table::summary(&rows));
 }
@@ -72,7 +72,7 @@
         row.case.pattern.name,
         t.quantile_ms(0.5),
         t.quantile_ms(0.99),
-        t.hottest(),
+        t.max_run_ratio(),
         t.refused.values().sum::<u64>(),
         t.crashes,
         t.violations(),
--- a/benches/steering.rs
+++ b/benches/steering.rs
@@ -21,12 +21,12 @@
         {
             continue;
         }
-        for way in steering::Way::ALL {
-            let t = steering::play(&dep, &scenario, way);
+        for variant in steering::Variant::ALL {
+            let t = steering::play(&dep, &scenario, variant);
             println!(
                 "| {} | {} | {:.4} | {:.0} | {} | {} | {} | {} | {:.3} ({:.2}) | {:.3} ({:.2}) | {} | {:.2} | {:.2} |",
                 scenario.name,
-                way.name(),
+                variant.name(),
                 t.worth as f64 / t.offered as f64,
                 t.quantile_ms(0.99),
                 t.refused,
@@ -41,7 +41,7 @@
                 t.peak_link,
                 t.home_at_end,
             );
-            if way == steering::Way::Grants {
+            if variant == steering::Variant::Grants {
                 violations += t.violations();
             }
         }
--- a/src/standin/model/best.rs
+++ b/src/standin/model/best.rs
@@ -37,7 +37,7 @@
             if requested <= 0.0 {
                 continue;
             }
-            let end = (start + bin(dep.ops[op].patience)).min(bins - 1);
+            let end = (start + bin(dep.ops[op].timeout)).min(bins - 1);
             let reserved = slack.reserve(start, end, requested);
             let worth = f64::from(dep.ops[op].worth) * f64::from(count[op][start]);
             total += worth * reserved / requested;
--- a/src/standin/model/load.rs
+++ b/src/standin/model/load.rs
@@ -192,7 +192,7 @@
     let factor = FIXED_WORK_SHARE + (1.0 - FIXED_WORK_SHARE) * draw_exponential(rng);
     Call {
         at,
-        deadline: at + dep.ops[op].patience,
+        deadline: at + dep.ops[op].timeout,
         op,
         region,
         caller,
--- a/src/standin/model/mod.rs
+++ b/src/standin/model/mod.rs
@@ -30,7 +30,7 @@
     /// Mean processing time on a backend server.
     pub typical: time::Duration,
     /// Timeout of the caller.
-    pub patience: time::Duration,
+    pub timeout: time::Duration,
     /// Share of all requests; the shares add up to 1.
     pub share: f64,
 }
@@ -191,7 +191,7 @@
         idempotent: op.idempotent,
         worth: op.worth,
         typical: time::Duration::from_secs_f64(op.typical_ms / 1e3),
-        patience: time::Duration::from_millis(op.patience_ms),
+        timeout: time::Duration::from_millis(op.patience_ms),
         share,
     }
 }
--- a/src/standin/model/patterns.rs
+++ b/src/standin/model/patterns.rs
@@ -211,7 +211,7 @@
         idempotent: true,
         worth: 1,
         typical: ms(120),
-        patience: s(10),
+        timeout: s(10),
         share: 0.0,
     };
     let share = short / (short + long.typical.as_secs_f64());
--- a/src/standin/model/run/mod.rs
+++ b/src/standin/model/run/mod.rs
@@ -266,7 +266,7 @@
     }
 
     fn play(mut self, mut control: impl FnMut(Moment, &mut [Node<P>])) -> tally::Tally {
-        let timeout = self.dep.ops.iter().map(|op| op.patience).max();
+        let timeout = self.dep.ops.iter().map(|op| op.timeout).max();
         let end = self.pattern.duration() + timeout.unwrap_or_default() + RESTART_DOWNTIME;
         while let Some(cmp::Reverse((at, _, event))) = self.events.pop() {
             if at > end {
--- a/src/standin/model/table.rs
+++ b/src/standin/model/table.rs
@@ -15,7 +15,7 @@
     /// Results of the naive policy.
     pub naive: tally::Tally,
     /// Results of [`dispatch::Dispatch`].
-    pub ours: tally::Tally,
+    pub dispatch: tally::Tally,
 }
 
 /// Runs one pattern with both policies.
@@ -23,19 +23,19 @@
     let calls = load::calls(&case.dep, &case.pattern);
     let slots = case.dep.total_slots();
     let make_naive = |_: &run::Site| naive::Naive::default();
-    let make_ours = |site: &run::Site| ours(&case.dep, site);
+    let make_dispatch = |site: &run::Site| dispatch_policy(&case.dep, site);
     let naive = run::run(&case.dep, &case.pattern, &calls, make_naive, |_, _| {});
-    let ours = run::run(&case.dep, &case.pattern, &calls, make_ours, |_, _| {});
+    let dispatch = run::run(&case.dep, &case.pattern, &calls, make_dispatch, |_, _| {});
     Row {
         best: best::worth(&case.dep, &calls, |_| slots),
         naive,
-        ours,
+        dispatch,
         case,
     }
 }
 
 /// Creates the policy that an entry VM runs in production.
-pub fn ours(dep: &Deployment, site: &run::Site) -> dispatch::Dispatch {
+pub fn dispatch_policy(dep: &Deployment, site: &run::Site) -> dispatch::Dispatch {
     let cfg = dispatch::Config {
         seed: site.index as u64,
         ..dispatch::Config::default()
@@ -51,17 +51,17 @@
     /// Worth answered as a share of the upper bound, by the naive policy and by `Dispatch`.
     pub fn shares(&self) -> (f64, f64) {
         let share = |t: &tally::Tally| t.worth as f64 / self.best;
-        (share(&self.naive), share(&self.ours))
+        (share(&self.naive), share(&self.dispatch))
     }
 
     /// Worth answered by `Dispatch`, divided by that of the naive policy.
     pub fn worth_ratio(&self) -> f64 {
-        self.ours.worth as f64 / self.naive.worth as f64
+        self.dispatch.worth as f64 / self.naive.worth as f64
     }
 
     /// 99th percentile latency of `Dispatch`, divided by that of the naive policy.
     pub fn p99_ratio(&self) -> f64 {
-        self.ours.quantile_ms(0.99) / self.naive.quantile_ms(0.99)
+        self.dispatch.quantile_ms(0.99) / self.naive.quantile_ms(0.99)
     }
 }
 
@@ -73,7 +73,7 @@
         .filter(|r| r.case.saturated)
         .map(Row::worth_ratio);
     let p99 = rows.iter().filter(|r| r.case.slow).map(Row::p99_ratio);
-    let violations: u64 = rows.iter().map(|r| r.ours.violations()).sum();
+    let violations: u64 = rows.iter().map(|r| r.dispatch.violations()).sum();
     format!(
         "policy: worth ratio {:.2}, p99 ratio {:.2}, violations {violations}",
         worth.fold(f64::INFINITY, f64::min),
--- a/src/standin/model/tally.rs
+++ b/src/standin/model/tally.rs
@@ -64,10 +64,10 @@
     }
 
     /// Runs of the busiest backend server, divided by the mean of all backend servers.
-    pub fn hottest(&self) -> f64 {
+    pub fn max_run_ratio(&self) -> f64 {
         let total: u64 = self.runs.iter().sum();
-        let most = self.runs.iter().max().copied().unwrap_or(0);
-        most as f64 * self.runs.len() as f64 / (total.max(1) as f64)
+        let max_runs = self.runs.iter().max().copied().unwrap_or(0);
+        max_runs as f64 * self.runs.len() as f64 / (total.max(1) as f64)
     }
 
     /// Violated invariants: repeated runs, false "not run" outcomes, requests without exactly one
--- a/src/standin/steering/mod.rs
+++ b/src/standin/steering/mod.rs
@@ -23,7 +23,7 @@
 
 /// Rule by which traffic may move between availability zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Variant {
     /// Excess traffic goes to the next nearest availability zone, without a limit.
     Naive,
     /// Only the weights of the plan move traffic.
@@ -36,7 +36,7 @@
     GrantsOnly,
 }
 
-impl Way {
+impl Variant {
     /// All variants, starting with the naive one.
     pub const ALL: [Self; 5] = [
         Self::Naive,
@@ -85,7 +85,7 @@
     /// Name in result tables.
     pub name: &'static str,
     /// Length of the scenario.
-    pub lasts: time::Duration,
+    pub duration: time::Duration,
     /// Load of each region as a share of its slots, from the given time on.
     pub loads: Vec<(policy::Moment, Vec<f64>)>,
     /// Faults and their times.
--- a/src/standin/steering/places.rs
+++ b/src/standin/steering/places.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use super::Way;
+use super::Variant;
 use super::play::{
     COLD_FACTOR_AND_REQUESTS, Event, GRANT_RETRY_INTERVAL, SPILL_MIN_WAIT, Simulation, VMS_PER_AZ,
     vm_index, vm_name,
@@ -22,7 +22,7 @@
         let az = self.vms[vm].az;
         let worth = self.worth(req);
         self.azs[az].arrived_work_s[region] += self.reqs[req].work.as_secs_f64();
-        if self.azs[az].region != region && self.way != Way::Naive {
+        if self.azs[az].region != region && self.variant != Variant::Naive {
             let weights = self.weights(vm, region);
             let placed = plan::rank_azs(&weights, caller).into_iter().next();
             let here = placed.is_some_and(|placed| {
@@ -74,9 +74,9 @@
         let (now, deadline) = (self.now, self.reqs[req].deadline);
         let (bytes, worth) = (self.scenario.bytes, self.worth(req));
         let from = self.vms[vm].az;
-        let chosen = match self.way {
-            Way::PlanOnly => None,
-            Way::Naive => {
+        let chosen = match self.variant {
+            Variant::PlanOnly => None,
+            Variant::Naive => {
                 let mut routes = self.dep.routes(&self.azs[from].name);
                 routes.sort_by_key(|route| (route.one_way, route.az.clone()));
                 let up = |az: &id::AzId| {
@@ -96,7 +96,7 @@
             .expect("the availability zone is declared");
         let mut target = to * VMS_PER_AZ + vm % VMS_PER_AZ;
         let mut number = None;
-        if self.way.grants() {
+        if self.variant.grants() {
             let grant = self.vms[vm]
                 .cross_az
                 .grant(now, &az)
--- a/src/standin/steering/play.rs
+++ b/src/standin/steering/play.rs
@@ -7,7 +7,7 @@
 
 use rand::SeedableRng;
 
-use super::{Deployment, Scenario, Tally, Way, initial_plan};
+use super::{Deployment, Scenario, Tally, Variant, initial_plan};
 use crate::decisions::{caps, cross_az, grants, links, plan, policy};
 use crate::id;
 use policy::Moment;
@@ -116,7 +116,7 @@
 pub(super) struct Simulation<'a> {
     pub(super) dep: &'a Deployment,
     pub(super) scenario: &'a Scenario,
-    pub(super) way: Way,
+    pub(super) variant: Variant,
     pub(super) now: Moment,
     pub(super) seq: u64,
     pub(super) events: collections::BinaryHeap<cmp::Reverse<(Moment, u64, Event)>>,
@@ -136,11 +136,11 @@
 }
 
 /// Runs a scenario with one steering variant.
-pub fn play(dep: &Deployment, scenario: &Scenario, way: Way) -> Tally {
-    let mut simulation = Simulation::new(dep, scenario, way);
+pub fn play(dep: &Deployment, scenario: &Scenario, variant: Variant) -> Tally {
+    let mut simulation = Simulation::new(dep, scenario, variant);
     simulation.schedule_initial_events();
     while let Some(cmp::Reverse((at, _, event))) = simulation.events.pop() {
-        if at > scenario.lasts {
+        if at > scenario.duration {
             break;
         }
         simulation.now = at;
@@ -158,7 +158,7 @@
 }
 
 impl<'a> Simulation<'a> {
-    fn new(dep: &'a Deployment, scenario: &'a Scenario, way: Way) -> Self {
+    fn new(dep: &'a Deployment, scenario: &'a Scenario, variant: Variant) -> Self {
         let regions: Vec<_> = dep.settings.regions().map(|r| r.name.clone()).collect();
         let azs: Vec<_> = dep
             .service
@@ -189,7 +189,7 @@
         Self {
             dep,
             scenario,
-            way,
+            variant,
             now: Moment::ZERO,
             seq: 0,
             events: collections::BinaryHeap::new(),
--- a/src/standin/steering/scenarios.rs
+++ b/src/standin/steering/scenarios.rs
@@ -19,7 +19,7 @@
 fn scenario(name: &'static str, load: f64) -> Scenario {
     Scenario {
         name,
-        lasts: SCENARIO_DURATION,
+        duration: SCENARIO_DURATION,
         loads: vec![(time::Duration::ZERO, vec![load; 3])],
         faults: Vec::new(),
         drain: None,
--- a/src/standin/steering/upkeep.rs
+++ b/src/standin/steering/upkeep.rs
@@ -8,7 +8,7 @@
     Az, Event, PLAN_PROPAGATION_DELAY, REPORT_INTERVAL, Simulation, TICK_INTERVAL, VMS_PER_AZ,
     vm_name,
 };
-use super::{Fault, Way, unlimited_grant};
+use super::{Fault, Variant, unlimited_grant};
 use crate::decisions::{caps, drain, grants, plan, policy};
 use policy::Moment;
 
@@ -67,7 +67,7 @@
                 self.tick_vm(vm, report_due);
             }
         }
-        if report_due && self.way.plans() && self.now.as_secs().is_multiple_of(2) {
+        if report_due && self.variant.plans() && self.now.as_secs().is_multiple_of(2) {
             self.write_plan();
         }
     }
@@ -85,7 +85,7 @@
         if !report_due {
             return;
         }
-        if self.way == Way::OwnFraction {
+        if self.variant == Variant::OwnFraction {
             for other in 0..self.azs.len() {
                 let to = &self.azs[other];
                 let full = 0.9 * f64::from(to.slots);
@@ -96,7 +96,7 @@
                 }
             }
         }
-        if !self.way.grants() {
+        if !self.variant.grants() {
             return;
         }
         for wanted in self.vms[vm].cross_az.grant_requests(now) {
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -30,20 +30,20 @@
         row.case.dep.name,
         row.case.pattern.name,
         row.naive.quantile_ms(0.99),
-        row.ours.quantile_ms(0.99),
-        row.naive.hottest(),
-        row.ours.hottest(),
+        row.dispatch.quantile_ms(0.99),
+        row.naive.max_run_ratio(),
+        row.dispatch.max_run_ratio(),
         row.naive.ordinary,
-        row.ours.ordinary,
-        row.ours.slowest_refusal_us,
-        row.ours.violations(),
+        row.dispatch.ordinary,
+        row.dispatch.slowest_refusal_us,
+        row.dispatch.violations(),
     )
 }
 
 /// Checks each row, and that our policy violates no invariant.
 fn check(names: &[&str], holds: impl Fn(&table::Row) -> bool) {
     for row in rows(names) {
-        assert_eq!(row.ours.violations(), 0, "{}", describe(&row));
+        assert_eq!(row.dispatch.violations(), 0, "{}", describe(&row));
         assert!(holds(&row), "{}", describe(&row));
     }
 }
@@ -60,9 +60,9 @@
 #[test]
 fn a_steady_load_is_answered_as_by_the_baseline_and_spread_evenly() {
     check(&["steady"], |row| {
-        row.ours.per_op == row.naive.per_op
-            && row.ours.worth == row.ours.offered
-            && row.ours.hottest() <= 1.15
+        row.dispatch.per_op == row.naive.per_op
+            && row.dispatch.worth == row.dispatch.offered
+            && row.dispatch.max_run_ratio() <= 1.15
     });
 }
 
@@ -76,7 +76,9 @@
 /// each still get answers.
 #[test]
 fn few_callers_do_not_crowd_out_the_others() {
-    check(&["few callers"], |row| answered(row.ours.ordinary) >= 0.84);
+    check(&["few callers"], |row| {
+        answered(row.dispatch.ordinary) >= 0.84
+    });
 }
 
 /// A backend server takes ten times as long. Round robin would send it every second request of its
@@ -101,7 +103,7 @@
 #[test]
 fn short_requests_do_not_wait_behind_long_ones() {
     check(&["long among short"], |row| {
-        let short = &row.ours.per_op[..row.ours.per_op.len() - 1];
+        let short = &row.dispatch.per_op[..row.dispatch.per_op.len() - 1];
         ours(row) >= 0.99 && short.iter().all(|of| answered(*of) >= 0.999)
     });
 }
@@ -110,7 +112,7 @@
 #[test]
 fn a_request_that_crashes_backend_servers_stops_there() {
     check(&["crashing request"], |row| {
-        ours(row) >= 0.99 && row.ours.crashes < row.naive.crashes
+        ours(row) >= 0.99 && row.dispatch.crashes < row.naive.crashes
     });
 }
 
@@ -146,9 +148,9 @@
 #[test]
 fn saturation_favours_requests_with_the_most_worth() {
     check(&["saturation 2"], |row| {
-        let first_op = row.ours.per_op[0];
-        let slowest_refusal_ms = u128::from(row.ours.slowest_refusal_us / 1_000);
-        let longest_timeout = row.case.dep.ops.iter().map(|op| op.patience).max();
+        let first_op = row.dispatch.per_op[0];
+        let slowest_refusal_ms = u128::from(row.dispatch.slowest_refusal_us / 1_000);
+        let longest_timeout = row.case.dep.ops.iter().map(|op| op.timeout).max();
         ours(row) >= 0.82
             && answered(first_op) >= 0.999
             && slowest_refusal_ms < longest_timeout.unwrap().as_millis() / 2
