--- a/src/standin/model/patterns.rs
+++ b/src/standin/model/patterns.rs
@@ -165,7 +165,7 @@
     }
 }
 
-/// Some requests crash the backend server that runs them.
+/// A small share of the requests crashes the backend server that runs them.
 fn crashing_requests(regions: usize, duration: time::Duration) -> Pattern {
     let callers = Callers {
         crash_share: 0.0002,
--- a/src/standin/model/table.rs
+++ b/src/standin/model/table.rs
@@ -81,5 +81,5 @@
     )
 }
 
-/// How long calls arrive in each pattern of the benchmark.
+/// How long calls arrive in each pattern of the printed table.
 pub const PATTERN_DURATION: time::Duration = time::Duration::from_secs(30);
