--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins for what the users run: the platform's store and backend servers.
+//! Stand-ins for external systems: the platform's store, backend servers, callers and operators.
 //!
-//! They exist for the tests, the benchmarks and the example; no product code uses them.
+//! Used only by tests, benchmarks and examples; no product code depends on them.
 
 pub mod altered;
 pub mod backend;
