--- a/src/standin/altered.rs
+++ b/src/standin/altered.rs
@@ -1,12 +1,12 @@
-//! The naive policy with a change that a test chooses.
+//! The naive routing policy with its arrival handling replaced by a test.
 
 use crate::decisions::{naive, policy, quarantine};
 use crate::{config, entry, id, settings};
 use policy::{Action, Policy};
 
-/// What a test changes.
+/// Replacement behaviour that a test supplies.
 pub trait Change: Clone + Send + Sync + 'static {
-    /// A request arrives.
+    /// Handles a request's arrival, optionally through the `naive` policy.
     fn arrive(
         &mut self,
         naive: &mut naive::Naive,
@@ -15,20 +15,20 @@
         out: &mut Vec<Action>,
     );
 
-    /// What other entry VMs are told.
+    /// The quarantine bans to send to other entry VMs.
     fn bans(&self) -> Vec<quarantine::Ban> {
         Vec::new()
     }
 }
 
-/// The naive policy with a change.
+/// A naive policy whose arrivals and bans come from a [`Change`].
 #[derive(Debug)]
 pub struct Altered<C> {
     naive: naive::Naive,
     change: C,
 }
 
-/// Builds the naive policy with a change.
+/// Builds an [`Altered`] policy for each service.
 #[derive(Clone, Debug)]
 pub struct Make<C>(pub C);
 
