--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a backend server: slots, a short queue, a load report, drain, cold start,
-//! shedding, cancellation and deadlines, and a log of what ran.
+//! A stand-in backend server with slots, a bounded queue, load reports, drain, cold start,
+//! load shedding, cancellation and deadlines. It logs the requests that it ran.
 
 use std::collections;
 use std::fs;
@@ -21,42 +21,42 @@
 use crate::protocol::{backend_http, headers, outcome};
 use crate::transport::server;
 
-/// Changes the behaviour: a POST of a JSON [`Behaviour`].
+/// Path that sets the behaviour from the JSON [`Behaviour`] in the body.
 pub const BEHAVIOUR_PATH: &str = "/_behaviour";
-/// Reads the log: a JSON [`Log`].
+/// Path that returns the JSON [`Log`].
 pub const LOG_PATH: &str = "/_log";
-/// A request with this in its query ends the process that runs it.
+/// A request with this text in its query makes the server process exit.
 pub const CRASH: &str = "crash=1";
 
-/// How often a job looks whether it was cancelled.
+/// Interval at which a running job checks for cancellation.
 const STEP: time::Duration = time::Duration::from_millis(1);
 
 data! {
-    /// How a backend server behaves.
+    /// Configurable behaviour of a backend server.
     #[serde(default)]
     pub struct Behaviour {
-        /// Requests that it works on at a time. Read at the start only.
+        /// Number of requests processed concurrently. Read at startup only.
         pub slots: usize,
-        /// Requests that wait; more are shed.
+        /// Maximum number of queued requests; further requests are shed.
         pub queue: usize,
-        /// How long it works on one, in milliseconds.
+        /// Processing time of one request, in milliseconds.
         pub work_ms: u64,
-        /// How long after its start it works at a third of its speed, in milliseconds.
+        /// Time after startup during which requests take three times as long, in milliseconds.
         pub cold_ms: u64,
-        /// It says that it is about to go.
+        /// Load reports announce that the server is about to leave.
         pub leaving: bool,
-        /// It takes requests and never answers.
+        /// Requests are accepted and never answered.
         pub stuck: bool,
-        /// It answers probes and fails all work.
+        /// Health probes succeed, but all requests fail.
         pub failing: bool,
-        /// It refuses all work, and says so.
+        /// All requests are refused as not run.
         pub shedding: bool,
     }
 
-    /// What ran.
+    /// Counts of the requests that a backend server has processed.
     #[derive(Default)]
     pub struct Log {
-        /// How often each key ran.
+        /// Number of runs of each idempotency key.
         pub runs: collections::BTreeMap<String, u32>,
         /// Requests that were started.
         pub started: u64,
@@ -66,15 +66,15 @@
         pub late: u64,
         /// Requests that were shed.
         pub shed: u64,
-        /// When the last request was started, in milliseconds after it said that it leaves.
+        /// Start of the last request, in milliseconds after the server announced that it leaves.
         pub started_after_leaving_ms: Option<u64>,
     }
 
-    /// The body of its answers: what it was asked, so that a caller can tell its own answer.
+    /// The body of an answer: a copy of the request, so that a caller can verify the answer.
     pub struct Echo {
         /// The path and the query.
         pub path: String,
-        /// The key, where there was one.
+        /// The idempotency key, if any.
         pub key: Option<String>,
         /// The request's body.
         pub body: String,
@@ -114,7 +114,7 @@
     journal: Option<Mutex<fs::File>>,
 }
 
-/// A running backend server. Dropped, it closes all its connections.
+/// A running backend server. All its connections close when it is dropped.
 pub struct Backend {
     shared: sync::Arc<Shared>,
     server: server::Server,
@@ -122,8 +122,8 @@
 }
 
 impl Backend {
-    /// Starts one on `addr`. Each key that runs becomes a line of `journal`, which outlives a
-    /// crash of the process.
+    /// Starts a backend server on `addr`. The key of each request that runs is appended to
+    /// `journal` as a line, which survives a crash of the process.
     pub fn start(
         addr: net::SocketAddr,
         behaviour: Behaviour,
@@ -168,22 +168,22 @@
         })
     }
 
-    /// Where it listens.
+    /// The address on which the server listens.
     pub fn addr(&self) -> net::SocketAddr {
         self.server.addr()
     }
 
-    /// Changes how it behaves.
+    /// Replaces the behaviour.
     pub fn behave(&self, behaviour: Behaviour) {
         self.shared.behave(behaviour);
     }
 
-    /// What ran so far.
+    /// A copy of the log.
     pub fn log(&self) -> Log {
         self.shared.log.lock().clone()
     }
 
-    /// Connections that are open now.
+    /// Number of open connections.
     pub fn open(&self) -> usize {
         self.server.open_connections()
     }
@@ -339,7 +339,7 @@
 fn record(shared: &Shared, key: Option<&str>) {
     if let (Some(journal), Some(key)) = (&shared.journal, key) {
         let written = journal.lock().write_all(format!("{key}\n").as_bytes());
-        written.expect("a journal that misses a run would hide a second one");
+        written.expect("the journal must record each run, or a duplicate run stays hidden");
     }
     let leaving = shared.leaving_since.lock().map(|since| since.elapsed());
     let mut log = shared.log.lock();
@@ -352,8 +352,8 @@
     }
 }
 
-/// Works for as long as it takes. Returns whether it was left to finish: only work that can be
-/// stopped without harm is.
+/// Waits for the processing time of a request. Returns false if the request was cancelled, which
+/// only a GET can be: it has no side effects.
 fn hold(shared: &Shared, job: &Job) -> bool {
     let begun = time::Instant::now();
     let stops = job.req.method == Method::GET;
@@ -386,11 +386,11 @@
         key,
         body: String::from_utf8_lossy(&req.body).into_owned(),
     };
-    let body = serde_json::to_vec(&echo).expect("an echo is text");
+    let body = serde_json::to_vec(&echo).expect("an echo can be serialised as JSON");
     shared.respond(req, StatusCode::OK, outcome::Outcome::Answered, body);
 }
 
-/// Asks the backend server at `addr` to behave otherwise.
+/// Sets the behaviour of the backend server at `addr`.
 pub fn behave(addr: net::SocketAddr, behaviour: &Behaviour) -> io::Result<()> {
     attohttpc::post(format!("http://{addr}{BEHAVIOUR_PATH}"))
         .header(header::CONTENT_TYPE.as_str(), "application/json")
