--- a/src/standin/caller.rs
+++ b/src/standin/caller.rs
@@ -1,4 +1,4 @@
-//! A caller as the users' clients are: it looks up, sends, and reads what it is told.
+//! A stand-in caller that looks up entry VMs, sends requests and parses the responses.
 
 use std::io;
 use std::net;
@@ -6,23 +6,23 @@
 
 use crate::protocol::{headers, lookup, outcome};
 
-/// The most bytes of an answer that it reads.
+/// Maximum size of a response body.
 const MAX_BYTES: u64 = 8 << 20;
 
-/// What a caller sends.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct Ask<'a> {
     /// The method.
     pub method: &'a str,
-    /// The path with the service's name, and the query.
+    /// The path, which begins with the service's name, and the query.
     pub path: &'a str,
-    /// The key, if any.
+    /// The idempotency key, if any.
     pub key: Option<&'a str>,
     /// The body; empty for none.
     pub body: &'a str,
-    /// How long it waits.
+    /// Time after which the caller gives up.
     pub timeout: time::Duration,
-    /// What it states as its patience.
+    /// The timeout sent in the request's header, if any.
     pub patience: Option<time::Duration>,
 }
 
@@ -39,27 +39,27 @@
     }
 }
 
-/// What a caller is told.
+/// The response to a request.
 #[derive(Clone, Debug)]
 pub struct Told {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// What became of the request.
+    /// The outcome stated in the header, if any.
     pub outcome: Option<outcome::Outcome>,
     /// The body.
     pub body: String,
-    /// When to come back.
+    /// Delay after which to retry, if stated.
     pub retry_after: Option<time::Duration>,
 }
 
 impl Told {
-    /// The body of an answer that no backend server gave.
+    /// The error body of a response that an entry VM generated.
     pub fn problem(&self) -> Option<outcome::Body> {
         serde_json::from_str(&self.body).ok()
     }
 }
 
-/// A caller. Connections are kept and used again.
+/// A caller that reuses its connections.
 #[derive(Clone, Debug)]
 pub struct Caller {
     agent: ureq::Agent,
@@ -77,7 +77,7 @@
 }
 
 impl Caller {
-    /// Looks a service up.
+    /// Looks a service up at an entry VM.
     pub fn look_up(&self, entry: net::SocketAddr, service: &str) -> io::Result<lookup::Lookup> {
         let path = format!("/lookup/{service}");
         let told = self.ask(
@@ -90,7 +90,7 @@
         serde_json::from_str(&told.body).map_err(|_| io::Error::other(told.body))
     }
 
-    /// Sends a request. An error: no complete answer came.
+    /// Sends a request. Returns an error if no complete response arrived.
     pub fn ask(&self, entry: net::SocketAddr, ask: &Ask<'_>) -> io::Result<Told> {
         let mut req = ureq::http::Request::builder()
             .method(ask.method)
