--- a/src/standin/control.rs
+++ b/src/standin/control.rs
@@ -1,4 +1,4 @@
-//! How tests and the example change a stand-in store that runs as a process of its own.
+//! Control calls by which tests and examples change a stand-in store in another process.
 
 use std::io;
 use std::net;
@@ -8,36 +8,36 @@
 use crate::coordination::store as platform;
 use crate::id;
 
-/// The path of these calls, beside the store's own wire.
+/// HTTP path of the control calls, separate from the store's own protocol.
 pub const PATH: &str = "/control";
 
 data! {
-    /// A change of the stand-in store.
+    /// A change to the stand-in store.
     #[serde(rename_all = "snake_case", tag = "control")]
     pub enum Control {
-        /// Puts a VM on the list, or changes its row.
+        /// Adds a VM to the list or replaces its row.
         PutVm {
             /// The row.
             vm: platform::Vm,
         },
-        /// Takes a VM off the list.
+        /// Removes a VM from the list.
         RemoveVm {
-            /// Its name.
+            /// The VM's name.
             vm: id::VmId,
         },
-        /// Switches faults on and off.
+        /// Replaces the set of active faults.
         Faults {
             /// Every call is refused.
             down: bool,
-            /// Every call takes this much longer, in milliseconds.
+            /// Delay added to every call, in milliseconds.
             delay_ms: u64,
-            /// So many of the next writes take effect but their reply is lost.
+            /// Number of upcoming writes that take effect but whose reply is lost.
             lose_write_replies: u32,
         },
     }
 }
 
-/// Makes a change.
+/// Applies a change to the store.
 pub fn perform(memory: &store::Memory, control: Control) {
     match control {
         Control::PutVm { vm } => memory.put_vm(vm),
@@ -55,7 +55,7 @@
     }
 }
 
-/// Asks the stand-in store at `addr` for a change.
+/// Sends a change to the stand-in store at `addr`.
 pub fn send(addr: net::SocketAddr, control: &Control) -> io::Result<()> {
     attohttpc::post(format!("http://{addr}{PATH}"))
         .text(serde_json::to_string(control)?)
