--- a/src/standin/deployment.rs
+++ b/src/standin/deployment.rs
@@ -1,8 +1,8 @@
-//! A store and entry VMs as processes of their own, linked to each other, for tests and benchmarks.
+//! A store and interconnected entry VMs, each in a separate process, for tests and benchmarks.
 //!
-//! Each process gets loopback addresses of its own, so that all ports are known beforehand: the
-//! second and third byte come from the process that starts them, so that two runs at a time do
-//! not meet.
+//! Each entry VM has its own loopback address, so that all ports are known in advance. The second
+//! and third byte of the address derive from the ID of the process that starts the deployment, so
+//! that concurrent runs do not share addresses.
 
 use std::io;
 use std::net;
@@ -14,16 +14,16 @@
 use crate::protocol::operators;
 use crate::{config, id};
 
-/// Protects nothing.
+/// A public test secret that entry VMs share.
 const SECRET: &str = "0303030303030303030303030303030303030303030303030303030303030303";
 
 const CALLERS_PORT: u16 = 7301;
 const OPERATORS_PORT: u16 = 7302;
 const PEERS_PORT: u16 = 7303;
 
-/// A store and entry VMs.
+/// The processes of a store and of entry VMs.
 pub struct Deployment {
-    /// The store.
+    /// The store's process.
     pub store: processes::Process,
     entries: Vec<Option<processes::Process>>,
     per_az: usize,
@@ -33,8 +33,8 @@
 }
 
 impl Deployment {
-    /// Starts the store and puts `azs` times `per_az` entry VMs on its list, none of which runs
-    /// yet. `series` keeps the deployments of one process apart; `dir` takes the configurations.
+    /// Starts the store and lists `azs` times `per_az` entry VMs in it without starting them.
+    /// `series` separates the ports of one process's deployments; `dir` holds the configurations.
     pub fn new(
         standin: &path::Path,
         entry: &path::Path,
@@ -63,7 +63,7 @@
         (0..self.entries.len()).try_for_each(|i| self.start(i))
     }
 
-    /// Starts one entry VM, with nothing.
+    /// Starts one entry VM without stored state.
     pub fn start(&mut self, i: usize) -> io::Result<()> {
         let row = self.row(i);
         let cfg = config::Config {
@@ -96,7 +96,7 @@
         store_http::Client::new(self.store.addr())
     }
 
-    /// Switches the store's faults.
+    /// Replaces the store's active faults.
     pub fn faults(&self, down: bool, delay_ms: u64, lose_write_replies: u32) -> io::Result<()> {
         let faults = control::Control::Faults {
             down,
@@ -106,7 +106,7 @@
         control::send(self.store.addr(), &faults)
     }
 
-    /// What an entry VM tells operators.
+    /// Reads an entry VM's status from its operators' interface.
     pub fn status(&self, i: usize) -> io::Result<operators::Status> {
         let url = format!("http://{}/status", self.addr(i, OPERATORS_PORT));
         let answer = attohttpc::get(url)
@@ -117,7 +117,7 @@
         serde_json::from_str(&answer).map_err(io::Error::other)
     }
 
-    /// The version of a team's settings that an entry VM has in force.
+    /// The version of a team's settings in force on an entry VM, if it responds.
     pub fn version(&self, i: usize, team: &str) -> Option<u64> {
         let status = self.status(i).ok()?;
         status.settings.get(team).copied()
@@ -137,7 +137,7 @@
 
     fn addr(&self, i: usize, port: u16) -> net::SocketAddr {
         let [_, _, high, low] = std::process::id().to_be_bytes();
-        let last = u8::try_from(i + 1).expect("few entry VMs");
+        let last = u8::try_from(i + 1).expect("a deployment has at most 255 entry VMs");
         let port = port + 10 * u16::from(self.series);
         (net::Ipv4Addr::new(127, 64 | (high & 63), low, last), port).into()
     }
