--- a/src/standin/elections.rs
+++ b/src/standin/elections.rs
@@ -1,8 +1,8 @@
-//! Plays the picking of a reader on faulty links, in virtual time.
+//! Simulates the election of a store reader over faulty links, in virtual time.
 //!
-//! One availability zone, each pair of VMs linked. A reader counts as useful when it runs, takes
-//! itself for the reader and reaches the store, and when at least half of those that run take it for
-//! the reader too.
+//! All VMs are in one availability zone and each pair is linked. A reader counts as useful if it is
+//! running, considers itself the reader and reaches the store, and if at least half of the running
+//! VMs consider it the reader.
 
 use std::time;
 
@@ -13,51 +13,51 @@
 use crate::protocol::peer;
 use reader::Election;
 
-/// How finely time passes.
+/// Duration of one simulation step.
 const STEP: time::Duration = time::Duration::from_millis(20);
 
-/// How long a reader's calls to the store fail before it says so.
+/// Duration of failed store calls after which a reader reports the store as lost.
 const STORE_PATIENCE: time::Duration = time::Duration::from_secs(2);
 
-/// What goes wrong.
+/// The fault to simulate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// Every link loses this share.
+    /// Every link loses this share of its messages.
     Loss(f64),
-    /// Every link delays by up to this many milliseconds.
+    /// Every link delays messages by up to this many milliseconds.
     Delay(u64),
-    /// The VM with the lowest name is heard by nobody, but hears the others.
+    /// All messages from the VM with the lowest name are lost, but those sent to it arrive.
     LowestUnheard,
-    /// Half of the VMs do not hear the lowest.
+    /// Half of the VMs receive nothing from the lowest-named VM.
     LowestHalfHeard,
-    /// What the lowest sends is lost in this share.
+    /// This share of the lowest-named VM's messages is lost.
     LowestLossy(f64),
-    /// The lowest stands still for 4 s every 10 s.
+    /// The lowest-named VM pauses for 4 s every 10 s.
     LowestPauses,
-    /// The lowest starts anew every 10 s and is away for 3 s of it.
+    /// The lowest-named VM restarts every 10 s and is down for 3 s each time.
     LowestRestarts,
-    /// The lowest does not reach the store.
+    /// The lowest-named VM cannot reach the store.
     LowestWithoutStore,
-    /// The reader, whoever it is, is killed every 60 s and is away for 20 s.
+    /// The current reader is killed every 60 s and is down for 20 s.
     ReaderKilled,
-    /// The two halves do not hear each other for 20 s every 60 s.
+    /// The VMs are partitioned into two halves for 20 s every 60 s.
     Split,
 }
 
-/// What a play gave.
+/// Results of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// How often a VM changed its mind, after it had one, a VM and hour.
+    /// Changes from one known reader to another, per VM and hour.
     pub changes: f64,
-    /// Messages a VM and minute.
+    /// Messages sent, per VM and minute.
     pub messages: f64,
-    /// The share of time without a useful reader.
+    /// Share of time without a useful reader.
     pub without: f64,
-    /// The longest time without a useful reader, in seconds.
+    /// Longest period without a useful reader, in seconds.
     pub longest_s: f64,
-    /// The share of time with two readers or more.
+    /// Share of time with two or more readers.
     pub doubled: f64,
 }
 
@@ -80,7 +80,7 @@
     changes: u64,
 }
 
-/// Plays `span` with `vms` processes.
+/// Simulates `vms` VMs for `span` of virtual time.
 pub fn play<E: Election>(fault: Fault, vms: usize, span: time::Duration, seed: u64) -> Report {
     let mut play = Play::<E>::new(fault, vms, seed);
     let (mut steps, mut without, mut doubled) = (0_u64, 0_u64, 0_u64);
