--- a/src/standin/fabric.rs
+++ b/src/standin/fabric.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the network between processes, in virtual time: links that lose, delay,
-//! duplicate and reorder messages, one way or both, from one seed.
+//! A simulated network between processes, in virtual time. Links lose, delay, duplicate and
+//! reorder messages, separately for each direction and reproducibly from one seed.
 
 use std::collections;
 use std::time;
@@ -10,16 +10,16 @@
 use crate::decisions::policy;
 
 data! {
-    /// What one direction of a link does to messages.
+    /// Faults and delays of one direction of a link.
     #[derive(Copy)]
     pub struct Link {
-        /// The share that is lost.
+        /// Share of messages that is lost.
         pub loss: f64,
-        /// The share that arrives twice.
+        /// Share of messages that is delivered twice.
         pub duplicates: f64,
         /// The shortest delay.
         pub min_delay: time::Duration,
-        /// The longest delay. Messages overtake each other where it is larger than the shortest.
+        /// The longest delay. Messages can be reordered if it exceeds the shortest.
         pub max_delay: time::Duration,
     }
 }
@@ -36,7 +36,7 @@
 }
 
 impl Link {
-    /// A link that carries nothing.
+    /// A link that loses every message.
     pub fn cut() -> Self {
         Self {
             loss: 1.0,
@@ -46,7 +46,7 @@
 }
 
 data! {
-    /// A message that has arrived.
+    /// A delivered message.
     pub struct Arrived<M> {
         /// The sender's index.
         pub from: usize,
@@ -57,7 +57,7 @@
     }
 }
 
-/// The network between processes that are told apart by an index.
+/// The network between processes, which are identified by index.
 #[derive(Debug)]
 pub struct Fabric<M> {
     rng: rand_chacha::ChaCha8Rng,
@@ -68,7 +68,7 @@
 }
 
 impl<M: Clone> Fabric<M> {
-    /// A network whose links all are `default` until set otherwise.
+    /// Creates a network in which links without a setting of their own use `default`.
     pub fn new(seed: u64, default: Link) -> Self {
         Self {
             rng: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
@@ -84,12 +84,12 @@
         self.links.insert((from, to), link);
     }
 
-    /// Sets every link back to the default.
+    /// Resets every link to the default.
     pub fn heal(&mut self) {
         self.links.clear();
     }
 
-    /// What one direction of a link does now.
+    /// The current setting of one direction of a link.
     pub fn link(&self, from: usize, to: usize) -> Link {
         self.links.get(&(from, to)).copied().unwrap_or(self.default)
     }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The messages that have arrived by now, in the order of their arrival.
+    /// Removes and returns the messages due by `now`, in order of arrival.
     pub fn arrived(&mut self, now: policy::Moment) -> Vec<Arrived<M>> {
         let later = self.under_way.split_off(&(now, u64::MAX));
         std::mem::replace(&mut self.under_way, later)
@@ -119,7 +119,7 @@
             .collect()
     }
 
-    /// Messages sent so far, lost ones too.
+    /// Number of messages sent so far, including lost ones.
     pub fn sent(&self) -> u64 {
         self.sent
     }
