--- a/src/standin/nodes.rs
+++ b/src/standin/nodes.rs
@@ -1,9 +1,9 @@
-//! Entry processes that agree, in virtual time: real [`node::Node`]s over a network and a store
-//! with faults, from one seed.
+//! Simulates coordination between entry VMs in virtual time: real [`node::Node`]s over a network
+//! and a store with faults, reproducible from one seed.
 //!
-//! Only what lies around a node is played here: links that come up, break and are noticed late,
-//! calls to the store that take time, a store that is down, slow, out of reach for some, put back
-//! to an older state or read from a copy that lags.
+//! Only the environment of a node is simulated: links that connect, break and are detected late,
+//! and store calls that take time. The store can be down, slow, unreachable for some processes,
+//! restored to an older state or read from a stale replica.
 
 use std::collections;
 use std::net;
@@ -19,41 +19,41 @@
 use action::{Action, Note, Prefix};
 use store::Store;
 
-/// How finely time passes.
+/// Duration of one simulation step.
 pub const STEP: time::Duration = time::Duration::from_millis(50);
 
-/// How long a watch waits.
+/// Time after which a watch without events returns.
 const WATCH_WAIT: time::Duration = time::Duration::from_secs(25);
 
-/// A link that carries nothing in one direction is noticed and cut after this.
+/// Time to detect and close a link that loses all messages in either direction.
 const LINK_IDLE: time::Duration = time::Duration::from_secs(10);
 
-/// A link that could be there is, after this.
+/// Time to establish a link once both ends are running and can exchange messages.
 const LINK_UP: time::Duration = time::Duration::from_millis(150);
 
-/// Where a node is and what it has cost.
+/// A process with its node, location and resource counters.
 pub struct Process {
-    /// The node. None: the process is not running.
+    /// The node, or none while the process is not running.
     pub node: Option<node::Node>,
-    /// Its name.
+    /// The VM's name.
     pub vm: id::VmId,
-    /// Its availability zone.
+    /// Index of the availability zone.
     pub az: usize,
-    /// It stands still.
+    /// The process is paused and handles no events.
     pub paused: bool,
-    /// It cannot reach the store.
+    /// The process cannot reach the store.
     pub no_store: bool,
     /// The settings in force.
     pub settings: sync::Arc<settings::Settings>,
-    /// Calls to the store.
+    /// Number of calls to the store.
     pub calls: u64,
-    /// Bytes that the store answered with.
+    /// Bytes received from the store.
     pub store_bytes: u64,
-    /// Messages sent to peers.
+    /// Number of messages sent to peers.
     pub messages: u64,
     /// Bytes sent to peers.
     pub peer_bytes: u64,
-    /// What operators were told.
+    /// Notes logged for operators.
     pub notes: Vec<Note>,
     starts: u64,
     targets: collections::BTreeSet<usize>,
@@ -61,7 +61,7 @@
     versions: collections::BTreeMap<id::TeamId, signed_values::Rank>,
 }
 
-/// A call under way.
+/// A pending store call.
 struct Call {
     process: usize,
     start: u64,
@@ -76,22 +76,22 @@
     Vms,
 }
 
-/// What a play starts from.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Availability zones.
+    /// Number of availability zones.
     pub azs: usize,
-    /// Entry processes in each.
+    /// Number of entry VMs in each availability zone.
     pub per_az: usize,
-    /// Sets everything that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// The links.
+    /// Default faults and delays of a link.
     pub link: fabric::Link,
-    /// The public root keys.
+    /// Public root keys that the nodes trust.
     pub roots: Vec<keys::PublicKey>,
-    /// How long the store takes to answer.
+    /// Time that a store call takes.
     pub store_delay: time::Duration,
-    /// Whether processes know the others' addresses from their own configuration.
+    /// Whether each process has the other processes' addresses in its configuration.
     pub seeds: bool,
 }
 
@@ -109,7 +109,7 @@
     }
 }
 
-/// The processes, their network and their store.
+/// A simulation of processes with their network and their store.
 pub struct Nodes {
     /// The processes.
     pub processes: Vec<Process>,
@@ -117,11 +117,11 @@
     pub fabric: fabric::Fabric<sync::Arc<peer::Message>>,
     /// The store.
     pub store: memory::Memory,
-    /// The store answers nobody.
+    /// All store calls fail.
     pub down: bool,
-    /// Full reads show this instead of the truth.
+    /// Snapshot that full reads return instead of the store's current entries.
     pub stale: Option<store::Snapshot>,
-    /// How long the store takes to answer.
+    /// Time that a store call takes.
     pub store_delay: time::Duration,
     cfg: Config,
     now: policy::Moment,
@@ -139,7 +139,7 @@
 }
 
 impl Nodes {
-    /// Starts all processes at once.
+    /// Creates the simulation and starts all processes.
     pub fn new(cfg: Config) -> Self {
         let count = cfg.azs * cfg.per_az;
         let mut nodes = Self {
@@ -163,12 +163,12 @@
         nodes
     }
 
-    /// The time.
+    /// The current virtual time.
     pub fn now(&self) -> policy::Moment {
         self.now
     }
 
-    /// Starts a process anew, with nothing.
+    /// Starts or restarts a process without stored state.
     pub fn start(&mut self, i: usize) {
         let process = &mut self.processes[i];
         process.starts += 1;
@@ -196,7 +196,7 @@
         self.links.retain(|(a, b), _| *a != i && *b != i);
     }
 
-    /// Lets time pass.
+    /// Advances the simulation by `span`.
     pub fn run(&mut self, span: time::Duration) {
         let until = self.now + span;
         while self.now < until {
@@ -204,7 +204,8 @@
         }
     }
 
-    /// Lets time pass until something holds, at most `span`. None: it did not.
+    /// Advances the simulation by at most `span` until a condition holds. Returns the time taken,
+    /// or none if the condition did not hold.
     pub fn run_until<F: Fn(&Self) -> bool>(
         &mut self,
         span: time::Duration,
@@ -220,11 +221,11 @@
         None
     }
 
-    /// Lets one step of time pass.
+    /// Advances the simulation by one [`STEP`].
     ///
     /// # Panics
     ///
-    /// When a process's settings go back.
+    /// If a running process replaces a team's settings by an older version.
     pub fn step(&mut self) {
         self.now += STEP;
         self.move_links();
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Whether all processes that run have a version of a team's settings in force.
+    /// Whether a version of a team's settings is in force on all running processes.
     pub fn all_have(&self, team: &str, version: u64) -> bool {
         let running = self.processes.iter().filter(|p| p.node.is_some());
         running
@@ -251,13 +252,13 @@
             .all(|p| p.version(team) == Some(version))
     }
 
-    /// The highest rank of a key that the store or a running process holds.
+    /// The highest rank of a key among the running processes.
     pub fn highest(&self, key: &str) -> Option<signed_values::Rank> {
         let nodes = self.processes.iter().filter_map(|p| p.node.as_ref());
         nodes.filter_map(|node| node.sync().held().rank(key)).max()
     }
 
-    /// Sets both directions between two groups of processes.
+    /// Sets the links from one group of processes to another, and back if `both`.
     pub fn set_links(&mut self, from: &[usize], to: &[usize], both: bool, link: fabric::Link) {
         for (a, b) in from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b))) {
             if a != b {
@@ -269,7 +270,7 @@
         }
     }
 
-    /// The processes of one availability zone, and all others.
+    /// Indexes of the processes inside and outside one availability zone.
     pub fn split(&self, az: usize) -> (Vec<usize>, Vec<usize>) {
         (0..self.processes.len()).partition(|i| self.processes[*i].az == az)
     }
@@ -515,18 +516,18 @@
         }
     }
 
-    /// The version of a team's settings in force.
+    /// The version of a team's settings in force, if any.
     pub fn version(&self, team: &str) -> Option<u64> {
         self.versions.get(team).map(|rank| rank.version)
     }
 
-    /// Whether this process takes itself for the reader.
+    /// Whether this process considers itself the reader.
     pub fn is_reader(&self) -> bool {
         let node = self.node.as_ref();
         node.is_some_and(|node| node.reader() == Some(&self.vm))
     }
 
-    /// Settings in force never go back while a process runs.
+    /// Asserts that no team's settings were replaced by an older version since the last check.
     fn check(&mut self) {
         let Some(node) = &self.node else { return };
         let versions = node.sync().held().versions();
@@ -556,9 +557,9 @@
     format!("az-{az:02}").as_str().into()
 }
 
-/// The port stands for the index of the process.
+/// The address of process `i`: the port encodes the index.
 fn addr(i: usize) -> net::SocketAddr {
-    let port = u16::try_from(i + 1).expect("plays are small");
+    let port = u16::try_from(i + 1).expect("simulations have fewer than 65,535 processes");
     (net::Ipv4Addr::LOCALHOST, port).into()
 }
 
