--- a/src/standin/operator.rs
+++ b/src/standin/operator.rs
@@ -1,31 +1,32 @@
-//! A stand-in for an operator who applies settings, with the keys that go with it.
+//! A stand-in operator that signs settings and writes them to the store.
 //!
-//! It does what `bulrushwind apply` does to the store: reads, signs a higher version, writes by
-//! compare-and-swap, and reads back when the reply was lost.
+//! It follows the steps of `bulrushwind apply`: read the current version, sign a higher one, write
+//! it by compare-and-swap, and read it back if the reply was lost.
 
 use crate::coordination::store;
 use crate::id;
 use crate::settings::{envelope, keys};
 use store::Store;
 
-/// Keys that are the same in every run. They protect nothing.
+/// Number from which the root key derives. It is public, the same in every run and for tests only.
 const ROOT: u8 = 1;
 
-/// The root key of plays and tests.
+/// The root key of simulations and tests.
 pub fn root() -> keys::SecretKey {
     secret(ROOT)
 }
 
-/// A team key of plays and tests, by its number.
+/// The team key with a given number, for simulations and tests.
 pub fn team_key(number: u8) -> keys::SecretKey {
     secret(100 + number)
 }
 
-/// A ring with the given keys, signed by [`root`], as it stands in the store.
+/// A key ring of key numbers, each with an optional version from which it is invalid, signed by
+/// [`root`].
 ///
 /// # Panics
 ///
-/// When a ring does not hold so many keys.
+/// If there are more keys than a ring can hold.
 pub fn ring(team: &str, version: u64, keys: &[(u8, Option<u64>)]) -> keys::KeyRing {
     let keys = keys
         .iter()
@@ -35,15 +36,16 @@
             until: *until,
         })
         .collect();
-    keys::KeyRing::sign(team.into(), version, keys, &root()).expect("few keys")
+    keys::KeyRing::sign(team.into(), version, keys, &root())
+        .expect("a key ring holds this many keys")
 }
 
-/// Writes a team's key ring, whatever was there.
+/// Writes a team's key ring over any existing one.
 pub fn put_ring<S: Store>(platform: &S, ring: &keys::KeyRing) -> Result<(), store::Error> {
     put(platform, &keys::store_key(&ring.team), &ring.encode())
 }
 
-/// Puts settings in the store, with a key ring of key 0.
+/// Writes a key ring with key 0 and settings signed by it. Returns the settings' version.
 pub fn publish<S: Store>(
     platform: &S,
     team: &str,
@@ -54,7 +56,7 @@
     apply(platform, team, text, 0, now_ms)
 }
 
-/// Applies settings, signed by a key, and returns their version. `now_ms` is the time of day.
+/// Signs and applies settings and returns their version. `now_ms` is Unix time in milliseconds.
 pub fn apply<S: Store>(
     platform: &S,
     team: &str,
@@ -67,14 +69,14 @@
     apply_on(platform, team, text, key, (expect, base), now_ms)
 }
 
-/// The revision and version that an operator's plan starts from.
+/// Reads the revision and version of the settings in the store, or zeros if there are none.
 pub fn read<S: Store>(platform: &S, at: &str) -> Result<(store::Revision, u64), store::Error> {
     let entry = platform.get(at)?;
     let base = entry.as_ref().and_then(|e| version(&e.value)).unwrap_or(0);
     Ok((entry.map_or(store::Revision(0), |e| e.revision), base))
 }
 
-/// Applies settings on what an earlier [`read`] gave.
+/// Applies settings on top of the revision and version from an earlier [`read`].
 pub fn apply_on<S: Store>(
     platform: &S,
     team: &str,
@@ -93,7 +95,9 @@
         text.to_owned(),
         &team_key(key),
     );
-    let bytes = envelope.encode().expect("small settings");
+    let bytes = envelope
+        .encode()
+        .expect("the settings fit into an envelope");
     let at = envelope::store_key(&team);
     match platform.compare_and_swap(&at, expect, &bytes, None) {
         Ok(_) => Ok(version),
@@ -119,5 +123,6 @@
 
 fn secret(number: u8) -> keys::SecretKey {
     let hex = format!("{number:02x}").repeat(32);
-    keys::SecretKey::parse(&format!("bulrushwind-secret-key {hex}")).expect("64 digits")
+    keys::SecretKey::parse(&format!("bulrushwind-secret-key {hex}"))
+        .expect("a secret key has 64 hex digits")
 }
