--- a/src/standin/processes.rs
+++ b/src/standin/processes.rs
@@ -1,7 +1,7 @@
-//! Starts the programs as processes of their own, for tests and the example.
+//! Starts programs as child processes for tests and examples.
 //!
-//! Each program prints `listening <address>` once it takes connections. A process is killed when
-//! its handle is dropped, so that a failed test leaves none behind.
+//! Each program prints `listening <address>` once it accepts connections. Dropping the handle
+//! kills the process, so that a failed test leaves no processes running.
 
 use std::io;
 use std::io::BufRead;
@@ -15,7 +15,7 @@
 use crate::coordination::store_http;
 use crate::settings;
 
-/// A process that listens.
+/// A child process that listens on an address.
 #[derive(Debug)]
 pub struct Process {
     child: process::Child,
@@ -23,7 +23,7 @@
 }
 
 impl Process {
-    /// Starts `program` and waits until it listens. Its log goes to `log`, where given.
+    /// Starts `program` and waits until it prints its address.
     pub fn start<I, A>(program: &path::Path, args: I) -> io::Result<Self>
     where
         I: IntoIterator<Item = A>,
@@ -38,30 +38,33 @@
         let mut lines = io::BufReader::new(stdout).lines();
         let line = lines.next().unwrap_or_else(|| Ok(String::new()))?;
         let addr = line.strip_prefix("listening ").and_then(|a| a.parse().ok());
-        // Something must read on, or the process could block on a full pipe.
+        // Drains standard output: the process would block on a full pipe.
         thread::spawn(move || lines.for_each(drop));
         match addr {
             Some(addr) => Ok(Self { child, addr }),
             None => {
                 let _ = child.kill();
                 let status = child.wait()?;
-                let text = format!("{} did not listen: {status}", program.display());
+                let text = format!(
+                    "{} ended before it printed its address: {status}",
+                    program.display()
+                );
                 Err(io::Error::other(text))
             }
         }
     }
 
-    /// Where it listens.
+    /// The address on which the process listens.
     pub fn addr(&self) -> net::SocketAddr {
         self.addr
     }
 
-    /// Its number on this machine.
+    /// The process ID.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal by name, such as `TERM`, `STOP` or `CONT`.
+    /// Sends a signal by name, such as `TERM`, `STOP` or `CONT`.
     pub fn signal(&self, name: &str) -> io::Result<()> {
         let status = process::Command::new("kill")
             .arg(format!("-{name}"))
@@ -73,13 +76,13 @@
         Err(io::Error::other(format!("kill -{name}: {status}")))
     }
 
-    /// Kills it at once.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits until it has ended, at most `limit`.
+    /// Waits at most `limit` for the process to exit, then returns a timeout error.
     pub fn wait(&mut self, limit: time::Duration) -> io::Result<process::ExitStatus> {
         let until = time::Instant::now() + limit;
         loop {
@@ -100,8 +103,8 @@
     }
 }
 
-/// Writes settings into the store at `addr`, each team under its key, signed by the stand-in
-/// operator. Entry processes take them when [`operator::root`] is among their root keys.
+/// Writes each team's settings to the store at `addr`, signed by the stand-in operator. Entry VMs
+/// accept them if [`operator::root`] is among their root keys.
 pub fn put_settings(addr: net::SocketAddr, settings: &settings::Settings) -> io::Result<()> {
     let store = store_http::Client::new(addr);
     for (name, team) in &settings.teams {
