--- a/src/standin/run.rs
+++ b/src/standin/run.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as commands.
+//! Command-line entry point of the stand-in store and backend server.
 
 use std::fs;
 use std::io::Write;
@@ -9,7 +9,7 @@
 use super::{backend, store};
 use crate::error;
 
-/// Calls that the stand-in store answers at a time. Each waiting watch holds one.
+/// Number of threads that answer store calls. Each waiting watch occupies one.
 const STORE_THREADS: usize = 64;
 
 /// Which stand-in to run.
@@ -17,31 +17,31 @@
 pub enum Standin {
     /// The platform's store and list of VMs.
     Store {
-        /// Where to listen.
+        /// Address to listen on.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: net::SocketAddr,
     },
     /// One backend server.
     Backend {
-        /// Where to listen.
+        /// Address to listen on.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: net::SocketAddr,
-        /// Requests that it works on at a time.
+        /// Number of requests processed concurrently.
         #[arg(long, default_value_t = 3)]
         slots: usize,
-        /// How long it works on one, in milliseconds.
+        /// Processing time of one request, in milliseconds.
         #[arg(long, default_value_t = 5)]
         work_ms: u64,
-        /// How long after its start it works at a third of its speed, in milliseconds.
+        /// Time after startup during which requests take three times as long, in milliseconds.
         #[arg(long, default_value_t = 0)]
         cold_ms: u64,
-        /// A file to which each key that runs is appended.
+        /// File to which the idempotency key of each run is appended.
         #[arg(long)]
         journal: Option<path::PathBuf>,
     },
 }
 
-/// Runs a stand-in until the process is ended. Prints `listening <address>` first.
+/// Starts a stand-in, prints `listening <address>` and runs until the process is terminated.
 pub fn run(standin: &Standin) -> Result<(), error::Error> {
     match standin {
         Standin::Store { listen } => {
