--- a/src/standin/store.rs
+++ b/src/standin/store.rs
@@ -1,7 +1,7 @@
-//! A stand-in for the platform's store: in memory, with faults that can be switched on.
+//! An in-memory stand-in for the platform's store with injectable faults.
 //!
-//! [`Memory`] is the store itself and implements [`store::Store`] directly, so that tests need no
-//! sockets. [`serve`] puts it behind the HTTP wire of [`store_http`].
+//! [`Memory`] implements [`store::Store`] directly, so that tests need no sockets. [`serve`] exposes
+//! it over the HTTP protocol of [`store_http`].
 
 use std::collections;
 use std::io;
@@ -18,38 +18,38 @@
 use crate::transport::{pool, server};
 use store::Store;
 
-/// The largest value, as on the platform.
+/// Maximum size of a value, the same as on the platform.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// The largest call: a value as JSON, a number for each byte.
+/// Maximum size of a call, in which a value is a JSON array with one number per byte.
 const MAX_CALL_BYTES: usize = 5 << 20;
 
-/// Calls that wait for a thread.
+/// Maximum number of calls that wait for a thread.
 const MAX_WAITING: usize = 4096;
 
-/// How many writes the history keeps before a watch gets a gap.
+/// Number of writes in the history. A watch that starts before the oldest one returns a gap.
 const HISTORY: usize = 4096;
 
-/// How often a waiting watch looks whether an outage has begun.
+/// Interval at which a waiting watch checks for an outage.
 const WATCH_POLL: time::Duration = time::Duration::from_millis(20);
 
-/// The faults that are switched on.
+/// The active faults.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// Every call is refused.
     pub down: bool,
-    /// Every call takes this much longer.
+    /// Delay added to every call.
     pub delay: time::Duration,
-    /// So many of the next writes take effect but their reply is lost.
+    /// Number of upcoming writes that take effect but whose reply is lost.
     pub lose_write_replies: u32,
-    /// The list of VMs stays as it is.
+    /// Reads of the VM list return the last list read before the fault.
     pub freeze_vms: bool,
 }
 
-/// How many calls were made, by kind.
+/// Number of calls by kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Calls {
-    /// Reads, watches and reads of the list of VMs.
+    /// Reads, watches and reads of the VM list.
     pub reads: u64,
     /// Writes and lease calls.
     pub writes: u64,
@@ -67,46 +67,46 @@
     calls: Calls,
 }
 
-/// A store in memory. Clones share it.
+/// An in-memory store. Clones share its contents.
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
     shared: sync::Arc<(parking_lot::Mutex<Inner>, parking_lot::Condvar)>,
 }
 
 impl Memory {
-    /// Switches faults on and off.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: Faults) {
         self.shared.0.lock().faults = faults;
         self.shared.1.notify_all();
     }
 
-    /// How many calls were made so far.
+    /// Number of calls made so far.
     pub fn calls(&self) -> Calls {
         self.shared.0.lock().calls.clone()
     }
 
-    /// Puts a VM on the list, or changes its row.
+    /// Adds a VM to the list or replaces its row.
     pub fn put_vm(&self, vm: store::Vm) {
         self.shared.0.lock().vms.insert(vm.id.clone(), vm);
     }
 
-    /// Takes a VM off the list.
+    /// Removes a VM from the list.
     pub fn remove_vm(&self, vm: &id::VmId) {
         self.shared.0.lock().vms.remove(vm);
     }
 
-    /// Forgets the history of writes, so that every watch gets a gap.
+    /// Discards the history of writes, so that a watch from an earlier revision returns a gap.
     pub fn forget_history(&self) {
         self.shared.0.lock().history.clear();
     }
 
-    /// Everything in the store, to be put back by [`Memory::restore`].
+    /// Copies all entries, for [`Memory::restore`].
     pub fn backup(&self) -> store::Snapshot {
         let inner = self.shared.0.lock();
         snapshot(&inner, "")
     }
 
-    /// Puts the store back to an older state, as a restore from a backup does.
+    /// Restores the entries and the revision of an earlier backup.
     pub fn restore(&self, backup: &store::Snapshot) {
         let mut inner = self.shared.0.lock();
         inner.revision = backup.revision.0;
@@ -228,7 +228,7 @@
         let mut inner = self.enter(true)?;
         inner.revision += 1;
         let id = inner.revision;
-        // The revision that the lease took shows up in the history, so that none is missing.
+        // The lease uses up a revision, which needs a history entry to avoid a gap.
         inner.history.push_back(store::Entry {
             key: String::new(),
             value: Vec::new(),
@@ -341,8 +341,8 @@
     }
 }
 
-/// Answers the store's wire on `addr`. `threads` calls are answered at a time; a waiting watch
-/// holds one of them.
+/// Serves the store's HTTP protocol on `addr` with `threads` threads. Each waiting watch occupies
+/// one of them.
 pub fn serve(memory: &Memory, addr: net::SocketAddr, threads: usize) -> io::Result<pool::Pool> {
     let cfg = pool::Config {
         threads,
@@ -371,13 +371,13 @@
         Err(err) => {
             return req.reply.send(server::Answer {
                 status: StatusCode::BAD_REQUEST,
-                body: format!("not a call of the store: {err}").into(),
+                body: format!("the body is no valid store call: {err}").into(),
                 ..server::Answer::default()
             });
         }
     };
     let reply = match perform(memory, call) {
-        // A lost reply is no answer to the call.
+        // Simulates a lost reply by sending none.
         Err(store::Error::Unknown(_)) => return,
         Err(store::Error::Unavailable(why)) => store_http::Reply::Unavailable(why),
         Err(store::Error::Conflict { key, now }) => store_http::Reply::Conflict { key, now },
@@ -385,7 +385,7 @@
         Err(store::Error::TooLarge(len)) => store_http::Reply::TooLarge(len),
         Ok(reply) => reply,
     };
-    let body = serde_json::to_vec(&reply).expect("a reply has only values that JSON can hold");
+    let body = serde_json::to_vec(&reply).expect("a reply can be serialised as JSON");
     req.reply.send(server::Answer {
         body: body.into(),
         ..server::Answer::default()
@@ -458,8 +458,8 @@
         assert!(matches!(watch, store::Watch::Events { entries, .. } if entries.len() == 1));
     }
 
-    /// The store takes a write and its reply gets lost on the way. An operator who took that for
-    /// a failure would write again, or tell the team that nothing changed.
+    /// Guards against a lost reply being reported as a failed write: an operator would write again
+    /// or report that nothing changed.
     #[test]
     fn a_lost_reply_is_unknown_and_the_write_is_there() {
         let memory = Memory::default();
@@ -476,8 +476,8 @@
         assert_eq!(client.get("k").unwrap().unwrap().value, b"1");
     }
 
-    /// Many processes start at once, and each keeps its connection. A call that waits for another
-    /// process's connection to close makes a test fail that has nothing to do with it.
+    /// Guards against a call that waits for another process's connection to close: many processes
+    /// start at once, each keeps its connection, and unrelated tests would fail.
     #[test]
     fn calls_that_come_at_once_are_all_answered() {
         for _ in 0..20 {
