--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -29,7 +29,7 @@
 pub const CRASH: &str = "crash=1";
 
 /// Interval at which a running job checks for cancellation.
-const STEP: time::Duration = time::Duration::from_millis(1);
+const CANCEL_POLL_INTERVAL: time::Duration = time::Duration::from_millis(1);
 
 data! {
     /// Configurable behaviour of a backend server.
@@ -154,7 +154,7 @@
                     let Some(shared) = shared.upgrade() else {
                         return;
                     };
-                    run(&shared, job);
+                    run_job(&shared, job);
                 }
             });
         }
@@ -184,7 +184,7 @@
     }
 
     /// Number of open connections.
-    pub fn open(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.server.open_connections()
     }
 }
@@ -208,16 +208,21 @@
         }
     }
 
-    fn answer(&self, status: StatusCode, word: outcome::Outcome, body: Vec<u8>) -> server::Answer {
+    fn answer(
+        &self,
+        status: StatusCode,
+        outcome: outcome::Outcome,
+        body: Vec<u8>,
+    ) -> server::Answer {
         let mut answer = server::Answer {
             status,
             body: Bytes::from(body),
             ..server::Answer::default()
         };
         let load = backend_http::format_load(&self.report());
-        if let (Ok(load), Ok(word)) = (load.parse(), word.as_str().parse()) {
+        if let (Ok(load), Ok(outcome)) = (load.parse(), outcome.as_str().parse()) {
             answer.headers.insert(headers::LOAD, load);
-            answer.headers.insert(headers::OUTCOME, word);
+            answer.headers.insert(headers::OUTCOME, outcome);
         }
         answer
     }
@@ -226,10 +231,10 @@
         &self,
         req: server::Request,
         status: StatusCode,
-        word: outcome::Outcome,
+        outcome: outcome::Outcome,
         body: Vec<u8>,
     ) {
-        let mut answer = self.answer(status, word, body);
+        let mut answer = self.answer(status, outcome, body);
         if let Some(attempt) = req.headers.get(headers::REQUEST) {
             answer.headers.insert(headers::REQUEST, attempt.clone());
         }
@@ -300,16 +305,16 @@
     let _ = shared.jobs.send(job);
 }
 
-fn run(shared: &Shared, job: Job) {
+fn run_job(shared: &Shared, job: Job) {
     shared.queued.fetch_sub(1, atomic::Ordering::SeqCst);
     shared.in_flight.fetch_add(1, atomic::Ordering::SeqCst);
     let id = job.req.id;
-    work(shared, job);
+    process_job(shared, job);
     shared.cancels.lock().remove(&id);
     shared.in_flight.fetch_sub(1, atomic::Ordering::SeqCst);
 }
 
-fn work(shared: &Shared, job: Job) {
+fn process_job(shared: &Shared, job: Job) {
     if job.cancelled.load(atomic::Ordering::SeqCst) {
         shared.log.lock().cancelled += 1;
         return;
@@ -320,7 +325,7 @@
         return shared.respond(job.req, status, outcome::Outcome::NotRun, Vec::new());
     }
     let key = headers::text(&job.req.headers, headers::KEY).map(str::to_owned);
-    record(shared, key.as_deref());
+    log_run(shared, key.as_deref());
     if job
         .req
         .uri
@@ -329,14 +334,14 @@
     {
         process::exit(70);
     }
-    if !hold(shared, &job) {
+    if !execute(shared, &job) {
         shared.log.lock().cancelled += 1;
         return;
     }
-    finish(shared, job.req, key);
+    send_answer(shared, job.req, key);
 }
 
-fn record(shared: &Shared, key: Option<&str>) {
+fn log_run(shared: &Shared, key: Option<&str>) {
     if let (Some(journal), Some(key)) = (&shared.journal, key) {
         let written = journal.lock().write_all(format!("{key}\n").as_bytes());
         written.expect("the journal must record each run, or a duplicate run stays hidden");
@@ -354,29 +359,29 @@
 
 /// Waits for the processing time of a request. Returns false if the request was cancelled, which
 /// only a GET can be: it has no side effects.
-fn hold(shared: &Shared, job: &Job) -> bool {
-    let begun = time::Instant::now();
-    let stops = job.req.method == Method::GET;
+fn execute(shared: &Shared, job: &Job) -> bool {
+    let started_at = time::Instant::now();
+    let is_cancellable = job.req.method == Method::GET;
     loop {
         let behaviour = shared.behaviour.lock().clone();
         let cold = shared.started.elapsed() < time::Duration::from_millis(behaviour.cold_ms);
         let work_ms = behaviour.work_ms * if cold { 3 } else { 1 };
-        let left = time::Duration::from_millis(work_ms).saturating_sub(begun.elapsed());
-        if left.is_zero() && !behaviour.stuck {
+        let remaining = time::Duration::from_millis(work_ms).saturating_sub(started_at.elapsed());
+        if remaining.is_zero() && !behaviour.stuck {
             return true;
         }
-        if stops && job.cancelled.load(atomic::Ordering::SeqCst) {
+        if is_cancellable && job.cancelled.load(atomic::Ordering::SeqCst) {
             return false;
         }
         thread::sleep(if behaviour.stuck {
-            STEP
+            CANCEL_POLL_INTERVAL
         } else {
-            left.min(STEP)
+            remaining.min(CANCEL_POLL_INTERVAL)
         });
     }
 }
 
-fn finish(shared: &Shared, req: server::Request, key: Option<String>) {
+fn send_answer(shared: &Shared, req: server::Request, key: Option<String>) {
     if shared.behaviour.lock().failing {
         let status = StatusCode::INTERNAL_SERVER_ERROR;
         return shared.respond(req, status, outcome::Outcome::Answered, Vec::new());
