--- a/src/standin/caller.rs
+++ b/src/standin/caller.rs
@@ -7,7 +7,7 @@
 use crate::protocol::{headers, lookup, outcome};
 
 /// Maximum size of a response body.
-const MAX_BYTES: u64 = 8 << 20;
+const MAX_RESPONSE_BYTES: u64 = 8 << 20;
 
 /// A request to send.
 #[derive(Clone, Debug)]
@@ -115,14 +115,14 @@
         let body = res
             .body_mut()
             .with_config()
-            .limit(MAX_BYTES)
+            .limit(MAX_RESPONSE_BYTES)
             .read_to_string()
             .map_err(io::Error::other)?;
         let header = |name: &str| res.headers().get(name)?.to_str().ok();
-        let word = header(headers::OUTCOME);
+        let outcome = header(headers::OUTCOME);
         Ok(Told {
             status: res.status().as_u16(),
-            outcome: word.and_then(|word| serde_json::from_value(word.into()).ok()),
+            outcome: outcome.and_then(|outcome| serde_json::from_value(outcome.into()).ok()),
             retry_after: header("retry-after")
                 .and_then(|after| after.parse().ok())
                 .map(time::Duration::from_secs),
