--- a/src/standin/elections.rs
+++ b/src/standin/elections.rs
@@ -14,10 +14,10 @@
 use reader::Election;
 
 /// Duration of one simulation step.
-const STEP: time::Duration = time::Duration::from_millis(20);
+const TIME_STEP: time::Duration = time::Duration::from_millis(20);
 
 /// Duration of failed store calls after which a reader reports the store as lost.
-const STORE_PATIENCE: time::Duration = time::Duration::from_secs(2);
+const STORE_LOSS_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 /// The fault to simulate.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -67,33 +67,33 @@
     starts: u64,
     down: bool,
     paused: bool,
-    held: Vec<fabric::Arrived<peer::Message>>,
-    mind: Option<id::VmId>,
-    store_lost: Option<policy::Moment>,
+    inbox: Vec<fabric::Arrived<peer::Message>>,
+    known_reader: Option<id::VmId>,
+    store_lost_since: Option<policy::Moment>,
 }
 
-struct Play<E> {
+struct Simulation<E> {
     vms: Vec<Vm<E>>,
     fabric: fabric::Fabric<peer::Message>,
     fault: Fault,
-    killed: Option<(usize, policy::Moment)>,
+    killed_reader: Option<(usize, policy::Moment)>,
     changes: u64,
 }
 
 /// Simulates `vms` VMs for `span` of virtual time.
 pub fn play<E: Election>(fault: Fault, vms: usize, span: time::Duration, seed: u64) -> Report {
-    let mut play = Play::<E>::new(fault, vms, seed);
+    let mut simulation = Simulation::<E>::new(fault, vms, seed);
     let (mut steps, mut without, mut doubled) = (0_u64, 0_u64, 0_u64);
     let (mut gap, mut longest) = (0_u64, 0_u64);
     let mut now = policy::Moment::ZERO;
     while now < span {
-        play.step(now);
+        simulation.step(now);
         steps += 1;
-        gap = if play.has_useful() { 0 } else { gap + 1 };
+        gap = if simulation.has_useful() { 0 } else { gap + 1 };
         longest = longest.max(gap);
         without += u64::from(gap > 0);
-        doubled += u64::from(play.readers() > 1);
-        now += STEP;
+        doubled += u64::from(simulation.readers() > 1);
+        now += TIME_STEP;
     }
     #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^52")]
     let (share, per_vm) = (
@@ -101,15 +101,15 @@
         |count: u64| count as f64 / vms as f64,
     );
     Report {
-        changes: per_vm(play.changes) / span.as_secs_f64() * 3_600.0,
-        messages: per_vm(play.fabric.sent()) / span.as_secs_f64() * 60.0,
+        changes: per_vm(simulation.changes) / span.as_secs_f64() * 3_600.0,
+        messages: per_vm(simulation.fabric.sent()) / span.as_secs_f64() * 60.0,
         without: share(without),
         longest_s: share(longest) * span.as_secs_f64(),
         doubled: share(doubled),
     }
 }
 
-impl<E: Election> Play<E> {
+impl<E: Election> Simulation<E> {
     fn new(fault: Fault, vms: usize, seed: u64) -> Self {
         let default = match fault {
             Fault::Loss(loss) => fabric::Link {
@@ -139,34 +139,34 @@
             vms: (0..vms).map(Vm::new).collect(),
             fabric,
             fault,
-            killed: None,
+            killed_reader: None,
             changes: 0,
         }
     }
 
     fn step(&mut self, now: policy::Moment) {
-        self.inject(now);
+        self.inject_faults(now);
         for arrived in self.fabric.arrived(now) {
             let vm = &mut self.vms[arrived.to];
             if vm.down {
                 continue;
             }
-            vm.held.push(arrived);
+            vm.inbox.push(arrived);
         }
         for i in 0..self.vms.len() {
-            self.run(now, i);
+            self.run_vm(now, i);
         }
     }
 
-    fn run(&mut self, now: policy::Moment, i: usize) {
-        let reaches = self.reaches_store(i);
+    fn run_vm(&mut self, now: policy::Moment, i: usize) {
+        let store_reachable = self.reaches_store(i);
         let names: Vec<_> = self.vms.iter().map(|vm| vm.name.clone()).collect();
         let vm = &mut self.vms[i];
         if vm.down || vm.paused {
             return;
         }
         let mut out = Vec::new();
-        for arrived in vm.held.drain(..) {
+        for arrived in vm.inbox.drain(..) {
             let from = &names[arrived.from];
             match arrived.message {
                 peer::Message::Alive(alive) => {
@@ -179,11 +179,11 @@
             }
         }
         vm.election.tick(now, &mut out);
-        vm.watch_store(now, reaches);
-        let mind = vm.election.reader().cloned();
-        if mind != vm.mind {
-            self.changes += u64::from(vm.mind.is_some() && mind.is_some());
-            vm.mind = mind;
+        vm.watch_store(now, store_reachable);
+        let known_reader = vm.election.reader().cloned();
+        if known_reader != vm.known_reader {
+            self.changes += u64::from(vm.known_reader.is_some() && known_reader.is_some());
+            vm.known_reader = known_reader;
         }
         for message in out {
             self.send(now, i, &names, message);
@@ -211,7 +211,7 @@
         }
     }
 
-    fn inject(&mut self, now: policy::Moment) {
+    fn inject_faults(&mut self, now: policy::Moment) {
         let second = now.as_secs();
         match self.fault {
             Fault::LowestPauses => self.vms[0].paused = second % 10 >= 6,
@@ -223,27 +223,27 @@
     }
 
     fn kill_reader(&mut self, now: policy::Moment) {
-        if now.as_secs() % 60 == 40 && self.killed.is_none() {
+        if now.as_secs() % 60 == 40 && self.killed_reader.is_none() {
             let reader = (0..self.vms.len()).find(|i| self.is_reader(*i));
             if let Some(i) = reader {
-                self.killed = Some((i, now));
+                self.killed_reader = Some((i, now));
                 self.set_down(now, i, true);
             }
         }
-        if let Some((i, at)) = self.killed
+        if let Some((i, at)) = self.killed_reader
             && now >= at + time::Duration::from_secs(20)
         {
-            self.killed = None;
+            self.killed_reader = None;
             self.set_down(now, i, false);
         }
     }
 
-    fn split(&mut self, apart: bool) {
+    fn split(&mut self, partitioned: bool) {
         let half = self.vms.len() / 2;
         self.fabric.heal();
         for a in 0..half {
             for b in half..self.vms.len() {
-                if apart {
+                if partitioned {
                     self.fabric.set(a, b, fabric::Link::cut());
                     self.fabric.set(b, a, fabric::Link::cut());
                 }
@@ -258,10 +258,10 @@
             let incarnation = id::Incarnation(vm.starts);
             let timing = reader::Timing::default();
             vm.election = E::new(vm.name.clone(), incarnation, timing, now);
-            vm.mind = None;
+            vm.known_reader = None;
         }
         if down {
-            vm.held.clear();
+            vm.inbox.clear();
         }
         vm.down = down;
     }
@@ -304,21 +304,21 @@
             starts: 1,
             down: false,
             paused: false,
-            held: Vec::new(),
-            mind: None,
-            store_lost: None,
+            inbox: Vec::new(),
+            known_reader: None,
+            store_lost_since: None,
         }
     }
 
-    fn watch_store(&mut self, now: policy::Moment, reaches: bool) {
-        if reaches || self.election.reader() != Some(&self.name) {
-            self.store_lost = None;
+    fn watch_store(&mut self, now: policy::Moment, store_reachable: bool) {
+        if store_reachable || self.election.reader() != Some(&self.name) {
+            self.store_lost_since = None;
             return;
         }
-        let since = *self.store_lost.get_or_insert(now);
-        if now >= since + STORE_PATIENCE {
+        let since = *self.store_lost_since.get_or_insert(now);
+        if now >= since + STORE_LOSS_TIMEOUT {
             self.election.handle_store_loss(now);
-            self.store_lost = None;
+            self.store_lost_since = None;
         }
     }
 }
