--- a/src/standin/fabric.rs
+++ b/src/standin/fabric.rs
@@ -63,7 +63,7 @@
     rng: rand_chacha::ChaCha8Rng,
     links: collections::HashMap<(usize, usize), Link>,
     default: Link,
-    under_way: collections::BTreeMap<(policy::Moment, u64), Arrived<M>>,
+    in_transit: collections::BTreeMap<(policy::Moment, u64), Arrived<M>>,
     sent: u64,
 }
 
@@ -74,7 +74,7 @@
             rng: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
             links: collections::HashMap::new(),
             default,
-            under_way: collections::BTreeMap::new(),
+            in_transit: collections::BTreeMap::new(),
             sent: 0,
         }
     }
@@ -107,14 +107,14 @@
             let at = now + link.min_delay + spread.mul_f64(self.rng.random());
             let message = message.clone();
             let arrived = Arrived { from, to, message };
-            self.under_way.insert((at, 2 * self.sent + copy), arrived);
+            self.in_transit.insert((at, 2 * self.sent + copy), arrived);
         }
     }
 
     /// Removes and returns the messages due by `now`, in order of arrival.
     pub fn arrived(&mut self, now: policy::Moment) -> Vec<Arrived<M>> {
-        let later = self.under_way.split_off(&(now, u64::MAX));
-        std::mem::replace(&mut self.under_way, later)
+        let later = self.in_transit.split_off(&(now, u64::MAX));
+        std::mem::replace(&mut self.in_transit, later)
             .into_values()
             .collect()
     }
@@ -130,7 +130,7 @@
     use super::*;
 
     #[test]
-    fn a_link_loses_one_way_only() {
+    fn cutting_a_link_affects_one_direction_only() {
         let mut fabric = Fabric::new(1, Link::default());
         fabric.set(0, 1, Link::cut());
         fabric.send(policy::Moment::ZERO, 0, 1, "there");
