--- a/src/standin/nodes.rs
+++ b/src/standin/nodes.rs
@@ -20,16 +20,16 @@
 use store::Store;
 
 /// Duration of one simulation step.
-pub const STEP: time::Duration = time::Duration::from_millis(50);
+pub const TIME_STEP: time::Duration = time::Duration::from_millis(50);
 
 /// Time after which a watch without events returns.
-const WATCH_WAIT: time::Duration = time::Duration::from_secs(25);
+const WATCH_TIMEOUT: time::Duration = time::Duration::from_secs(25);
 
 /// Time to detect and close a link that loses all messages in either direction.
-const LINK_IDLE: time::Duration = time::Duration::from_secs(10);
+const LINK_FAILURE_DELAY: time::Duration = time::Duration::from_secs(10);
 
 /// Time to establish a link once both ends are running and can exchange messages.
-const LINK_UP: time::Duration = time::Duration::from_millis(150);
+const LINK_SETUP_DELAY: time::Duration = time::Duration::from_millis(150);
 
 /// A process with its node, location and resource counters.
 pub struct Process {
@@ -55,21 +55,21 @@
     pub peer_bytes: u64,
     /// Notes logged for operators.
     pub notes: Vec<Note>,
-    starts: u64,
+    start_count: u64,
     targets: collections::BTreeSet<usize>,
-    held: Vec<node::Event>,
+    pending_events: Vec<node::Event>,
     versions: collections::BTreeMap<id::TeamId, signed_values::Rank>,
 }
 
 /// A pending store call.
 struct Call {
     process: usize,
-    start: u64,
-    what: What,
-    until: policy::Moment,
+    start_count: u64,
+    request: Request,
+    deadline: policy::Moment,
 }
 
-enum What {
+enum Request {
     List(Prefix),
     Watch(Prefix, store::Revision),
     Write(String, store::Revision, sync::Arc<str>),
@@ -125,17 +125,17 @@
     pub store_delay: time::Duration,
     cfg: Config,
     now: policy::Moment,
-    calls: collections::BTreeMap<(policy::Moment, u64), Call>,
-    numbered: u64,
-    links: collections::BTreeMap<(usize, usize), Pair>,
+    pending_calls: collections::BTreeMap<(policy::Moment, u64), Call>,
+    last_call_number: u64,
+    links: collections::BTreeMap<(usize, usize), LinkState>,
     adjacent: Vec<Vec<usize>>,
 }
 
 #[derive(Default)]
-struct Pair {
-    up: bool,
+struct LinkState {
+    connected: bool,
     since: policy::Moment,
-    good: bool,
+    usable: bool,
 }
 
 impl Nodes {
@@ -150,8 +150,8 @@
             stale: None,
             store_delay: cfg.store_delay,
             now: policy::Moment::ZERO,
-            calls: collections::BTreeMap::new(),
-            numbered: 0,
+            pending_calls: collections::BTreeMap::new(),
+            last_call_number: 0,
             links: collections::BTreeMap::new(),
             adjacent: vec![Vec::new(); count],
             cfg,
@@ -171,8 +171,8 @@
     /// Starts or restarts a process without stored state.
     pub fn start(&mut self, i: usize) {
         let process = &mut self.processes[i];
-        process.starts += 1;
-        process.held.clear();
+        process.start_count += 1;
+        process.pending_events.clear();
         process.targets.clear();
         process.versions.clear();
         process.settings = sync::Arc::default();
@@ -180,10 +180,10 @@
         let cfg = node::Config {
             vm: process.vm.clone(),
             az: az_id(process.az),
-            incarnation: id::Incarnation(process.starts),
+            incarnation: id::Incarnation(process.start_count),
             roots: self.cfg.roots.clone(),
             seeds: seeds.filter(|_| self.cfg.seeds).collect(),
-            seed: self.cfg.seed ^ ((i as u64) << 32) ^ process.starts,
+            seed: self.cfg.seed ^ ((i as u64) << 32) ^ process.start_count,
             limits: budget::Limits::default(),
             timing: reader::Timing::default(),
         };
@@ -204,16 +204,16 @@
         }
     }
 
-    /// Advances the simulation by at most `span` until a condition holds. Returns the time taken,
+    /// Advances the simulation by at most `span` until `condition` holds. Returns the time taken,
     /// or none if the condition did not hold.
     pub fn run_until<F: Fn(&Self) -> bool>(
         &mut self,
         span: time::Duration,
-        holds: F,
+        condition: F,
     ) -> Option<time::Duration> {
         let from = self.now;
         while self.now < from + span {
-            if holds(self) {
+            if condition(self) {
                 return Some(self.now - from);
             }
             self.step();
@@ -221,13 +221,13 @@
         None
     }
 
-    /// Advances the simulation by one [`STEP`].
+    /// Advances the simulation by one [`TIME_STEP`].
     ///
     /// # Panics
     ///
     /// If a running process replaces a team's settings by an older version.
     pub fn step(&mut self) {
-        self.now += STEP;
+        self.now += TIME_STEP;
         self.move_links();
         for arrived in self.fabric.arrived(self.now) {
             let linked = self.is_linked(arrived.from, arrived.to);
@@ -235,12 +235,12 @@
             let to = &mut self.processes[arrived.to];
             if to.node.is_some() && linked {
                 let message = (*arrived.message).clone();
-                to.held.push(node::Event::Message(from, message));
+                to.pending_events.push(node::Event::Message(from, message));
             }
         }
         self.answer_calls();
         for i in 0..self.processes.len() {
-            self.turn(i);
+            self.run_process(i);
         }
     }
 
@@ -275,14 +275,14 @@
         (0..self.processes.len()).partition(|i| self.processes[*i].az == az)
     }
 
-    fn turn(&mut self, i: usize) {
-        let linked = self.linked(i);
+    fn run_process(&mut self, i: usize) {
+        let linked = self.linked_peers(i);
         let now = self.now;
         let process = &mut self.processes[i];
         if process.paused {
             return;
         }
-        let mut events = std::mem::take(&mut process.held);
+        let mut events = std::mem::take(&mut process.pending_events);
         events.push(node::Event::Links(linked));
         events.push(node::Event::Tick);
         let Some(node) = &mut process.node else {
@@ -292,25 +292,27 @@
         for event in events {
             node.step(now, event, &mut out);
         }
-        process.check();
+        process.check_versions();
         for action in out {
-            self.act(i, action);
+            self.perform(i, action);
         }
     }
 
-    fn act(&mut self, i: usize, action: Action) {
+    fn perform(&mut self, i: usize, action: Action) {
         let process = &mut self.processes[i];
         match action {
-            Action::List(prefix) => self.call(i, What::List(prefix)),
-            Action::Watch(prefix, after) => self.call(i, What::Watch(prefix, after)),
-            Action::Write { key, expect, value } => self.call(i, What::Write(key, expect, value)),
-            Action::ReadVms => self.call(i, What::Vms),
+            Action::List(prefix) => self.call(i, Request::List(prefix)),
+            Action::Watch(prefix, after) => self.call(i, Request::Watch(prefix, after)),
+            Action::Write { key, expect, value } => {
+                self.call(i, Request::Write(key, expect, value))
+            }
+            Action::ReadVms => self.call(i, Request::Vms),
             Action::InForce(settings) => process.settings = settings,
             Action::Vms(_) => {}
             Action::Log(note) => process.notes.push(note),
             Action::Targets(targets) => {
-                let ports = targets.iter().map(|t| usize::from(t.addr.port()) - 1);
-                process.targets = ports.collect();
+                let indexes = targets.iter().map(|t| usize::from(t.addr.port()) - 1);
+                process.targets = indexes.collect();
             }
             Action::Send(to, message) => {
                 let to = self.processes.iter().position(|p| p.vm == to);
@@ -351,19 +353,19 @@
         self.adjacent[i].iter().copied()
     }
 
-    fn linked(&self, i: usize) -> Vec<peers::Linked> {
+    fn linked_peers(&self, i: usize) -> Vec<peers::Linked> {
         self.neighbours(i)
             .map(|j| peers::Linked {
                 vm: self.processes[j].vm.clone(),
                 az: az_id(self.processes[j].az),
-                incarnation: id::Incarnation(self.processes[j].starts),
+                incarnation: id::Incarnation(self.processes[j].start_count),
             })
             .collect()
     }
 
     fn is_linked(&self, a: usize, b: usize) -> bool {
         let pair = self.links.get(&(a.min(b), a.max(b)));
-        pair.is_some_and(|pair| pair.up)
+        pair.is_some_and(|pair| pair.connected)
     }
 
     fn move_links(&mut self) {
@@ -378,105 +380,120 @@
         }
         self.links.retain(|pair, _| wanted.contains(pair));
         for (a, b) in wanted {
-            let good = self.fabric.link(a, b).loss < 1.0 && self.fabric.link(b, a).loss < 1.0;
+            let usable = self.fabric.link(a, b).loss < 1.0 && self.fabric.link(b, a).loss < 1.0;
             let now = self.now;
-            let pair = self.links.entry((a, b)).or_insert(Pair {
-                up: false,
+            let pair = self.links.entry((a, b)).or_insert(LinkState {
+                connected: false,
                 since: now,
-                good,
+                usable,
             });
-            if pair.good != good {
-                pair.good = good;
+            if pair.usable != usable {
+                pair.usable = usable;
                 pair.since = now;
             }
-            let noticed = if good { LINK_UP } else { LINK_IDLE };
-            if now >= pair.since + noticed {
-                pair.up = good;
+            let delay = if usable {
+                LINK_SETUP_DELAY
+            } else {
+                LINK_FAILURE_DELAY
+            };
+            if now >= pair.since + delay {
+                pair.connected = usable;
             }
         }
         self.adjacent.iter_mut().for_each(Vec::clear);
-        for (a, b) in self.links.iter().filter(|(_, p)| p.up).map(|(ab, _)| ab) {
+        for (a, b) in self
+            .links
+            .iter()
+            .filter(|(_, p)| p.connected)
+            .map(|(ab, _)| ab)
+        {
             self.adjacent[*a].push(*b);
             self.adjacent[*b].push(*a);
         }
     }
 
-    fn call(&mut self, i: usize, what: What) {
+    fn call(&mut self, i: usize, request: Request) {
         self.processes[i].calls += 1;
-        self.numbered += 1;
+        self.last_call_number += 1;
         let call = Call {
             process: i,
-            start: self.processes[i].starts,
-            what,
-            until: self.now + WATCH_WAIT,
+            start_count: self.processes[i].start_count,
+            request,
+            deadline: self.now + WATCH_TIMEOUT,
         };
         let due = self.now + self.store_delay;
-        self.calls.insert((due, self.numbered), call);
+        self.pending_calls
+            .insert((due, self.last_call_number), call);
     }
 
     fn answer_calls(&mut self) {
-        let later = self.calls.split_off(&(self.now, u64::MAX));
-        for ((_, number), call) in std::mem::replace(&mut self.calls, later) {
+        let later = self.pending_calls.split_off(&(self.now, u64::MAX));
+        for ((_, number), call) in std::mem::replace(&mut self.pending_calls, later) {
             let process = &self.processes[call.process];
-            if process.node.is_none() || process.starts != call.start {
+            if process.node.is_none() || process.start_count != call.start_count {
                 continue;
             }
-            let lost = self.down || process.no_store;
-            match self.answer(&call, lost) {
+            let unreachable = self.down || process.no_store;
+            match self.answer(&call, unreachable) {
                 Some((event, bytes)) => {
                     let process = &mut self.processes[call.process];
                     process.store_bytes += bytes;
-                    process.held.push(event);
+                    process.pending_events.push(event);
                 }
                 None => {
-                    self.calls.insert((self.now + STEP, number), call);
+                    self.pending_calls
+                        .insert((self.now + TIME_STEP, number), call);
                 }
             }
         }
     }
 
-    fn answer(&self, call: &Call, lost: bool) -> Option<(node::Event, u64)> {
+    fn answer(&self, call: &Call, unreachable: bool) -> Option<(node::Event, u64)> {
         let store = &self.store;
-        let gone = || store::Error::Unavailable("out of reach".to_owned());
-        Some(match &call.what {
-            What::List(prefix) => {
-                let result = if lost {
-                    Err(gone())
+        let unavailable = || store::Error::Unavailable("out of reach".to_owned());
+        Some(match &call.request {
+            Request::List(prefix) => {
+                let result = if unreachable {
+                    Err(unavailable())
                 } else {
                     self.list(*prefix)
                 };
-                let bytes = result.as_ref().map_or(0, |s| size(&s.entries));
+                let bytes = result.as_ref().map_or(0, |s| entries_bytes(&s.entries));
                 (node::Event::Listed(*prefix, result), bytes)
             }
-            What::Watch(prefix, after) => {
+            Request::Watch(prefix, after) => {
                 let zero = time::Duration::ZERO;
-                let result = if lost {
-                    Err(gone())
+                let result = if unreachable {
+                    Err(unavailable())
                 } else {
                     store.watch(prefix.as_str(), *after, zero)
                 };
                 let bytes = match &result {
                     Ok(store::Watch::Events { entries, .. }) => {
-                        if entries.is_empty() && self.now < call.until {
+                        if entries.is_empty() && self.now < call.deadline {
                             return None;
                         }
-                        size(entries)
+                        entries_bytes(entries)
                     }
                     _ => 0,
                 };
                 (node::Event::Watched(*prefix, result), bytes)
             }
-            What::Write(key, expect, value) => {
-                let result = if lost {
-                    Err(gone())
+            Request::Write(key, expect, value) => {
+                let result = if unreachable {
+                    Err(unavailable())
                 } else {
                     store.compare_and_swap(key, *expect, value.as_bytes(), None)
                 };
                 (node::Event::Wrote(key.clone(), result), 0)
             }
-            What::Vms => {
-                let result = if lost { Err(gone()) } else { store.vms() };
-                let bytes = result.as_ref().map_or(0, json);
+            Request::Vms => {
+                let result = if unreachable {
+                    Err(unavailable())
+                } else {
+                    store.vms()
+                };
+                let bytes = result.as_ref().map_or(0, json_bytes);
                 (node::Event::Vms(result), bytes)
             }
         })
@@ -509,9 +526,9 @@
             messages: 0,
             peer_bytes: 0,
             notes: Vec::new(),
-            starts: 0,
+            start_count: 0,
             targets: collections::BTreeSet::new(),
-            held: Vec::new(),
+            pending_events: Vec::new(),
             versions: collections::BTreeMap::new(),
         }
     }
@@ -528,7 +545,7 @@
     }
 
     /// Asserts that no team's settings were replaced by an older version since the last check.
-    fn check(&mut self) {
+    fn check_versions(&mut self) {
         let Some(node) = &self.node else { return };
         let versions = node.sync().held().versions();
         for (team, before) in &self.versions {
@@ -563,11 +580,11 @@
     (net::Ipv4Addr::LOCALHOST, port).into()
 }
 
-fn size(entries: &[store::Entry]) -> u64 {
+fn entries_bytes(entries: &[store::Entry]) -> u64 {
     let bytes = entries.iter().map(|e| e.key.len() + e.value.len() + 32);
     bytes.sum::<usize>() as u64
 }
 
-fn json<T: serde::Serialize>(value: &T) -> u64 {
+fn json_bytes<T: serde::Serialize>(value: &T) -> u64 {
     serde_json::to_vec(value).map_or(0, |text| text.len() as u64)
 }
