--- a/src/standin/operator.rs
+++ b/src/standin/operator.rs
@@ -9,16 +9,16 @@
 use store::Store;
 
 /// Number from which the root key derives. It is public, the same in every run and for tests only.
-const ROOT: u8 = 1;
+const ROOT_KEY_NUMBER: u8 = 1;
 
 /// The root key of simulations and tests.
 pub fn root() -> keys::SecretKey {
-    secret(ROOT)
+    secret_key(ROOT_KEY_NUMBER)
 }
 
 /// The team key with a given number, for simulations and tests.
 pub fn team_key(number: u8) -> keys::SecretKey {
-    secret(100 + number)
+    secret_key(100 + number)
 }
 
 /// A key ring of key numbers, each with an optional version from which it is invalid, signed by
@@ -42,7 +42,7 @@
 
 /// Writes a team's key ring over any existing one.
 pub fn put_ring<S: Store>(platform: &S, ring: &keys::KeyRing) -> Result<(), store::Error> {
-    put(platform, &keys::store_key(&ring.team), &ring.encode())
+    put_value(platform, &keys::store_key(&ring.team), &ring.encode())
 }
 
 /// Writes a key ring with key 0 and settings signed by it. Returns the settings' version.
@@ -64,16 +64,25 @@
     key: u8,
     now_ms: u64,
 ) -> Result<u64, store::Error> {
-    let at = envelope::store_key(&team.into());
-    let (expect, base) = read(platform, &at)?;
-    apply_on(platform, team, text, key, (expect, base), now_ms)
+    let store_key = envelope::store_key(&team.into());
+    let (expect, base_version) = read(platform, &store_key)?;
+    apply_on(platform, team, text, key, (expect, base_version), now_ms)
 }
 
 /// Reads the revision and version of the settings in the store, or zeros if there are none.
-pub fn read<S: Store>(platform: &S, at: &str) -> Result<(store::Revision, u64), store::Error> {
-    let entry = platform.get(at)?;
-    let base = entry.as_ref().and_then(|e| version(&e.value)).unwrap_or(0);
-    Ok((entry.map_or(store::Revision(0), |e| e.revision), base))
+pub fn read<S: Store>(
+    platform: &S,
+    store_key: &str,
+) -> Result<(store::Revision, u64), store::Error> {
+    let entry = platform.get(store_key)?;
+    let base_version = entry
+        .as_ref()
+        .and_then(|e| envelope_version(&e.value))
+        .unwrap_or(0);
+    Ok((
+        entry.map_or(store::Revision(0), |e| e.revision),
+        base_version,
+    ))
 }
 
 /// Applies settings on top of the revision and version from an earlier [`read`].
@@ -82,11 +91,11 @@
     team: &str,
     text: &str,
     key: u8,
-    (expect, base): (store::Revision, u64),
+    (expect, base_version): (store::Revision, u64),
     now_ms: u64,
 ) -> Result<u64, store::Error> {
     let team = id::TeamId::from(team);
-    let version = (base + 1).max(now_ms);
+    let version = (base_version + 1).max(now_ms);
     let change = format!("{team}-{version}-{key}");
     let envelope = envelope::Envelope::sign(
         team.clone(),
@@ -98,18 +107,18 @@
     let bytes = envelope
         .encode()
         .expect("the settings fit into an envelope");
-    let at = envelope::store_key(&team);
-    match platform.compare_and_swap(&at, expect, &bytes, None) {
+    let store_key = envelope::store_key(&team);
+    match platform.compare_and_swap(&store_key, expect, &bytes, None) {
         Ok(_) => Ok(version),
         Err(store::Error::Unknown(why)) => {
-            let written = platform.get(&at)?.is_some_and(|e| e.value == bytes);
+            let written = platform.get(&store_key)?.is_some_and(|e| e.value == bytes);
             written.then_some(version).ok_or(store::Error::Unknown(why))
         }
         Err(err) => Err(err),
     }
 }
 
-fn put<S: Store>(platform: &S, key: &str, value: &[u8]) -> Result<(), store::Error> {
+fn put_value<S: Store>(platform: &S, key: &str, value: &[u8]) -> Result<(), store::Error> {
     let expect = platform
         .get(key)?
         .map_or(store::Revision(0), |e| e.revision);
@@ -117,11 +126,11 @@
     Ok(())
 }
 
-fn version(value: &[u8]) -> Option<u64> {
+fn envelope_version(value: &[u8]) -> Option<u64> {
     envelope::Envelope::decode(value).ok().map(|e| e.version)
 }
 
-fn secret(number: u8) -> keys::SecretKey {
+fn secret_key(number: u8) -> keys::SecretKey {
     let hex = format!("{number:02x}").repeat(32);
     keys::SecretKey::parse(&format!("bulrushwind-secret-key {hex}"))
         .expect("a secret key has 64 hex digits")
