--- a/src/standin/processes.rs
+++ b/src/standin/processes.rs
@@ -84,12 +84,12 @@
 
     /// Waits at most `limit` for the process to exit, then returns a timeout error.
     pub fn wait(&mut self, limit: time::Duration) -> io::Result<process::ExitStatus> {
-        let until = time::Instant::now() + limit;
+        let deadline = time::Instant::now() + limit;
         loop {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status);
             }
-            if time::Instant::now() >= until {
+            if time::Instant::now() >= deadline {
                 return Err(io::ErrorKind::TimedOut.into());
             }
             thread::sleep(time::Duration::from_millis(5));
