--- a/src/standin/run.rs
+++ b/src/standin/run.rs
@@ -48,7 +48,7 @@
             let memory = store::Memory::default();
             let server = store::serve(&memory, *listen, STORE_THREADS)
                 .map_err(|err| bind_error(*listen, &err))?;
-            wait(server.addr());
+            announce_and_park(server.addr());
         }
         Standin::Backend {
             listen,
@@ -57,7 +57,7 @@
             cold_ms,
             journal,
         } => {
-            let journal = journal.as_deref().map(open).transpose()?;
+            let journal = journal.as_deref().map(open_journal).transpose()?;
             let behaviour = backend::Behaviour {
                 slots: *slots,
                 work_ms: *work_ms,
@@ -66,13 +66,13 @@
             };
             let backend = backend::Backend::start(*listen, behaviour, journal)
                 .map_err(|err| bind_error(*listen, &err))?;
-            wait(backend.addr());
+            announce_and_park(backend.addr());
         }
     }
     Ok(())
 }
 
-fn open(path: &path::Path) -> Result<fs::File, error::Error> {
+fn open_journal(path: &path::Path) -> Result<fs::File, error::Error> {
     let opened = fs::File::options().create(true).append(true).open(path);
     opened.map_err(|source| error::Error::Read {
         path: path.to_owned(),
@@ -88,7 +88,7 @@
     }
 }
 
-fn wait(addr: net::SocketAddr) {
+fn announce_and_park(addr: net::SocketAddr) {
     println!("listening {addr}");
     let _ = std::io::stdout().flush();
     loop {
