--- a/src/standin/control.rs
+++ b/src/standin/control.rs
@@ -38,7 +38,7 @@
 }
 
 /// Applies a change to the store.
-pub fn perform(memory: &store::Memory, control: Control) {
+pub fn apply(memory: &store::Memory, control: Control) {
     match control {
         Control::PutVm { vm } => memory.put_vm(vm),
         Control::RemoveVm { vm } => memory.remove_vm(&vm),
--- a/src/standin/store.rs
+++ b/src/standin/store.rs
@@ -25,13 +25,13 @@
 const MAX_CALL_BYTES: usize = 5 << 20;
 
 /// Maximum number of calls that wait for a thread.
-const MAX_WAITING: usize = 4096;
+const MAX_QUEUED_CALLS: usize = 4096;
 
-/// Number of writes in the history. A watch that starts before the oldest one returns a gap.
-const HISTORY: usize = 4096;
+/// Maximum number of writes in the history. A watch that starts before it returns a gap.
+const MAX_HISTORY_WRITES: usize = 4096;
 
 /// Interval at which a waiting watch checks for an outage.
-const WATCH_POLL: time::Duration = time::Duration::from_millis(20);
+const WATCH_POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 /// The active faults.
 #[derive(Clone, Debug, Default)]
@@ -62,7 +62,7 @@
     history: collections::VecDeque<store::Entry>,
     leases: collections::BTreeMap<u64, (time::Duration, time::Instant)>,
     vms: collections::BTreeMap<id::VmId, store::Vm>,
-    shown_vms: Vec<store::Vm>,
+    last_read_vms: Vec<store::Vm>,
     faults: Faults,
     calls: Calls,
 }
@@ -119,9 +119,12 @@
         self.shared.1.notify_all();
     }
 
-    fn enter(&self, writes: bool) -> Result<parking_lot::MutexGuard<'_, Inner>, store::Error> {
+    fn begin_call(
+        &self,
+        is_write: bool,
+    ) -> Result<parking_lot::MutexGuard<'_, Inner>, store::Error> {
         let mut inner = self.shared.0.lock();
-        if writes {
+        if is_write {
             inner.calls.writes += 1;
         } else {
             inner.calls.reads += 1;
@@ -133,14 +136,14 @@
         if inner.faults.down {
             return Err(store::Error::Unavailable("the store is down".to_owned()));
         }
-        lapse(&mut inner);
+        expire_leases(&mut inner);
         Ok(inner)
     }
 }
 
 impl Store for Memory {
     fn get(&self, key: &str) -> Result<Option<store::Entry>, store::Error> {
-        let inner = self.enter(false)?;
+        let inner = self.begin_call(false)?;
         Ok(inner
             .entries
             .get(key)
@@ -152,7 +155,7 @@
     }
 
     fn list(&self, prefix: &str) -> Result<store::Snapshot, store::Error> {
-        Ok(snapshot(&*self.enter(false)?, prefix))
+        Ok(snapshot(&*self.begin_call(false)?, prefix))
     }
 
     fn compare_and_swap(
@@ -162,31 +165,31 @@
         value: &[u8],
         lease: Option<store::LeaseId>,
     ) -> Result<store::Revision, store::Error> {
-        let mut inner = self.enter(true)?;
+        let mut inner = self.begin_call(true)?;
         if value.len() > MAX_VALUE_BYTES {
             return Err(store::Error::TooLarge(value.len()));
         }
-        let now = inner
+        let current = inner
             .entries
             .get(key)
             .map_or(0, |(_, revision, _)| *revision);
-        if now != expect.0 {
+        if current != expect.0 {
             return Err(store::Error::Conflict {
                 key: key.to_owned(),
-                now: store::Revision(now),
+                now: store::Revision(current),
             });
         }
         if lease.is_some_and(|lease| !inner.leases.contains_key(&lease.0)) {
             return Err(store::Error::LeaseGone);
         }
         let revision = write(&mut inner, key, value, lease.map(|lease| lease.0));
-        let lost = inner.faults.lose_write_replies > 0;
-        if lost {
+        let reply_lost = inner.faults.lose_write_replies > 0;
+        if reply_lost {
             inner.faults.lose_write_replies -= 1;
         }
         drop(inner);
         self.shared.1.notify_all();
-        if lost {
+        if reply_lost {
             return Err(store::Error::Unknown("the reply was lost".to_owned()));
         }
         Ok(revision)
@@ -199,14 +202,14 @@
         wait: time::Duration,
     ) -> Result<store::Watch, store::Error> {
         let until = time::Instant::now() + wait;
-        let mut inner = self.enter(false)?;
+        let mut inner = self.begin_call(false)?;
         loop {
             if inner.faults.down {
                 return Err(store::Error::Unavailable("the store went down".to_owned()));
             }
-            lapse(&mut inner);
-            let known_from = inner.revision - inner.history.len() as u64;
-            if after.0 < known_from || after.0 > inner.revision {
+            expire_leases(&mut inner);
+            let history_start = inner.revision - inner.history.len() as u64;
+            if after.0 < history_start || after.0 > inner.revision {
                 return Ok(store::Watch::Gap);
             }
             let entries: Vec<_> = inner
@@ -219,13 +222,13 @@
                 let revision = store::Revision(inner.revision);
                 return Ok(store::Watch::Events { revision, entries });
             }
-            let next = until.min(time::Instant::now() + WATCH_POLL);
+            let next = until.min(time::Instant::now() + WATCH_POLL_INTERVAL);
             self.shared.1.wait_until(&mut inner, next);
         }
     }
 
     fn grant(&self, ttl: time::Duration) -> Result<store::LeaseId, store::Error> {
-        let mut inner = self.enter(true)?;
+        let mut inner = self.begin_call(true)?;
         inner.revision += 1;
         let id = inner.revision;
         // The lease uses up a revision, which needs a history entry to avoid a gap.
@@ -239,7 +242,7 @@
     }
 
     fn renew(&self, lease: store::LeaseId) -> Result<(), store::Error> {
-        let mut inner = self.enter(true)?;
+        let mut inner = self.begin_call(true)?;
         let (ttl, until) = inner
             .leases
             .get_mut(&lease.0)
@@ -249,22 +252,22 @@
     }
 
     fn revoke(&self, lease: store::LeaseId) -> Result<(), store::Error> {
-        let mut inner = self.enter(true)?;
+        let mut inner = self.begin_call(true)?;
         inner
             .leases
             .remove(&lease.0)
             .ok_or(store::Error::LeaseGone)?;
-        drop_keys_of(&mut inner, lease.0);
+        remove_leased_keys(&mut inner, lease.0);
         self.shared.1.notify_all();
         Ok(())
     }
 
     fn vms(&self) -> Result<Vec<store::Vm>, store::Error> {
-        let mut inner = self.enter(false)?;
+        let mut inner = self.begin_call(false)?;
         if !inner.faults.freeze_vms {
-            inner.shown_vms = inner.vms.values().cloned().collect();
+            inner.last_read_vms = inner.vms.values().cloned().collect();
         }
-        Ok(inner.shown_vms.clone())
+        Ok(inner.last_read_vms.clone())
     }
 }
 
@@ -299,31 +302,31 @@
         value: value.to_owned(),
         revision,
     });
-    if inner.history.len() > HISTORY {
+    if inner.history.len() > MAX_HISTORY_WRITES {
         inner.history.pop_front();
     }
     revision
 }
 
-fn lapse(inner: &mut Inner) {
+fn expire_leases(inner: &mut Inner) {
     let now = time::Instant::now();
-    let gone: Vec<u64> = inner
+    let expired: Vec<u64> = inner
         .leases
         .iter()
         .filter(|(_, (_, until))| *until < now)
         .map(|(lease, _)| *lease)
         .collect();
-    for lease in gone {
+    for lease in expired {
         inner.leases.remove(&lease);
-        drop_keys_of(inner, lease);
+        remove_leased_keys(inner, lease);
     }
 }
 
-fn drop_keys_of(inner: &mut Inner, lease: u64) {
+fn remove_leased_keys(inner: &mut Inner, lease: u64) {
     let keys: Vec<String> = inner
         .entries
         .iter()
-        .filter(|(_, (_, _, of))| *of == Some(lease))
+        .filter(|(_, (_, _, key_lease))| *key_lease == Some(lease))
         .map(|(key, _)| key.clone())
         .collect();
     for key in keys {
@@ -346,7 +349,7 @@
 pub fn serve(memory: &Memory, addr: net::SocketAddr, threads: usize) -> io::Result<pool::Pool> {
     let cfg = pool::Config {
         threads,
-        max_queued: MAX_WAITING,
+        max_queued: MAX_QUEUED_CALLS,
         limits: server::Limits {
             body_bytes: MAX_CALL_BYTES,
             ..server::Limits::default()
@@ -364,7 +367,7 @@
 
 fn answer(memory: &Memory, req: server::Request) {
     if req.uri.path() == control::PATH {
-        return req.reply.send(change(memory, &req.body));
+        return req.reply.send(apply_control(memory, &req.body));
     }
     let call = match serde_json::from_slice(&req.body) {
         Ok(call) => call,
@@ -376,7 +379,7 @@
             });
         }
     };
-    let reply = match perform(memory, call) {
+    let reply = match execute_call(memory, call) {
         // Simulates a lost reply by sending none.
         Err(store::Error::Unknown(_)) => return,
         Err(store::Error::Unavailable(why)) => store_http::Reply::Unavailable(why),
@@ -392,17 +395,20 @@
     });
 }
 
-fn change(memory: &Memory, body: &[u8]) -> server::Answer {
+fn apply_control(memory: &Memory, body: &[u8]) -> server::Answer {
     match serde_json::from_slice(body) {
         Ok(control) => {
-            control::perform(memory, control);
+            control::apply(memory, control);
             status(StatusCode::OK)
         }
         Err(_) => status(StatusCode::BAD_REQUEST),
     }
 }
 
-fn perform(memory: &Memory, call: store_http::Call) -> Result<store_http::Reply, store::Error> {
+fn execute_call(
+    memory: &Memory,
+    call: store_http::Call,
+) -> Result<store_http::Reply, store::Error> {
     Ok(match call {
         store_http::Call::Get { key } => store_http::Reply::Entry(memory.get(&key)?),
         store_http::Call::List { prefix } => store_http::Reply::Snapshot(memory.list(&prefix)?),
@@ -440,7 +446,7 @@
     use super::*;
 
     #[test]
-    fn the_wire_and_the_store_agree() {
+    fn http_and_direct_access_agree() {
         let memory = Memory::default();
         let server = serve(&memory, "127.0.0.1:0".parse().unwrap(), 2).unwrap();
         let client = store_http::Client::new(server.addr());
@@ -461,7 +467,7 @@
     /// Guards against a lost reply being reported as a failed write: an operator would write again
     /// or report that nothing changed.
     #[test]
-    fn a_lost_reply_is_unknown_and_the_write_is_there() {
+    fn a_write_with_a_lost_reply_is_unknown_and_takes_effect() {
         let memory = Memory::default();
         let server = serve(&memory, "127.0.0.1:0".parse().unwrap(), 2).unwrap();
         let client = store_http::Client::new(server.addr());
@@ -479,7 +485,7 @@
     /// Guards against a call that waits for another process's connection to close: many processes
     /// start at once, each keeps its connection, and unrelated tests would fail.
     #[test]
-    fn calls_that_come_at_once_are_all_answered() {
+    fn concurrent_calls_are_all_answered() {
         for _ in 0..20 {
             let memory = Memory::default();
             let server = serve(&memory, "127.0.0.1:0".parse().unwrap(), 8).unwrap();
@@ -500,7 +506,7 @@
     }
 
     #[test]
-    fn keys_go_with_their_lease() {
+    fn revoking_a_lease_removes_its_keys() {
         let memory = Memory::default();
         let lease = memory.grant(time::Duration::from_secs(60)).unwrap();
         memory
