--- a/src/standin/store.rs
+++ b/src/standin/store.rs
@@ -1,7 +1,7 @@
 //! An in-memory stand-in for the platform's store with injectable faults.
 //!
-//! [`Memory`] implements [`store::Store`] directly, so that tests need no sockets. [`serve`] exposes
-//! it over the HTTP protocol of [`store_http`].
+//! [`Memory`] implements [`store::Store`] directly, so that tests need no sockets. [`serve`]
+//! exposes it over the HTTP protocol of [`store_http`].
 
 use std::collections;
 use std::io;
