--- a/benches/coordination/main.rs
+++ b/benches/coordination/main.rs
@@ -1,7 +1,7 @@
-//! What agreement between entry processes costs and how long it takes.
+//! Measures the cost and the duration of coordination between entry VMs.
 //!
 //! `cargo bench --bench coordination -- [readers|sizes|times|cutoff]` prints one table or all.
-//! `readers`, `sizes` and `cutoff` play in virtual time and give the same figures every run.
+//! `readers`, `sizes` and `cutoff` run in virtual time and give the same figures in every run.
 
 mod cutoff;
 mod readers;
