--- a/benches/coordination/cutoff.rs
+++ b/benches/coordination/cutoff.rs
@@ -1,4 +1,5 @@
-//! How soon a cut-off availability zone serves by settings again, and how soon it rejoins.
+//! Measures how soon VMs of an isolated availability zone obtain settings, and how soon the zone
+//! applies a missed change after it is reconnected.
 
 use std::time;
 
@@ -8,7 +9,7 @@
 const SEEDS: u64 = 20;
 const SPAN: time::Duration = time::Duration::from_secs(60);
 
-/// Prints the table.
+/// Runs all cases and prints the table.
 pub(crate) fn print() {
     println!("cutoff: 6 zones of 2 VMs, {SEEDS} seeds, cut off from peers and store for 60 s");
     println!("| what | p50 s | largest s |");
@@ -67,7 +68,7 @@
     all.run_until(SPAN, |all| {
         all.processes[i].version("bays") == Some(version)
     })
-    .expect("it has them within a minute")
+    .expect("the settings are in force within 60 s")
 }
 
 fn replaced(seed: u64) -> time::Duration {
