--- a/benches/coordination/readers.rs
+++ b/benches/coordination/readers.rs
@@ -1,4 +1,4 @@
-//! Question 3: the lowest name heard against accusation counters, on links with faults.
+//! Compares reader election by lowest name with election by fewest accusations, on faulty links.
 
 use std::time;
 
@@ -27,7 +27,7 @@
     ("split 20 s each 60 s", Fault::Split),
 ];
 
-/// Prints the table.
+/// Runs all faults with both elections and prints the table.
 pub(crate) fn print() {
     println!("readers: {VMS} VMs, {} s, {SEEDS} seeds", SPAN.as_secs());
     println!(
