--- a/benches/coordination/sizes.rs
+++ b/benches/coordination/sizes.rs
@@ -1,7 +1,7 @@
-//! What agreement costs a node as the fleet grows, in virtual time.
+//! Measures the cost of coordination per node as the fleet grows, in virtual time.
 //!
-//! The sizes are zones times VMs: 2x2, 6x2, 6x8 and 10x20. One change is applied every
-//! 25 s, as 3,500 a day are.
+//! The sizes are availability zones times VMs in each: 2x2, 6x2, 6x8 and 10x20. One change is
+//! applied every 25 s, which corresponds to 3,500 a day.
 
 use std::time;
 
@@ -12,12 +12,12 @@
 const SIZES: [(usize, usize); 4] = [(2, 2), (6, 2), (6, 8), (10, 20)];
 const NOW_MS: u64 = 1_790_000_000_000;
 
-/// A team's settings of the usual size.
+/// A team's settings of typical size, about 1 KB.
 fn text(change: u64) -> String {
     format!("# {change}\n{}", "# a line of settings\n".repeat(50))
 }
 
-/// Prints the table.
+/// Runs all sizes and prints the table.
 pub(crate) fn print() {
     println!("sizes: {} s, a change of 1 KB every 25 s", SPAN.as_secs());
     println!(
