--- a/benches/coordination/times.rs
+++ b/benches/coordination/times.rs
@@ -1,4 +1,4 @@
-//! From `apply` to in force on all of 12 entry processes, over real sockets.
+//! Measures the time from `apply` until settings are in force on all 12 entry VMs, over sockets.
 
 use std::path;
 use std::thread;
@@ -9,7 +9,7 @@
 const APPLIES: usize = 40;
 const LIMIT: time::Duration = time::Duration::from_secs(60);
 
-/// Prints the table.
+/// Runs all store conditions and prints the table.
 pub(crate) fn print() {
     let standin = path::Path::new(env!("CARGO_BIN_EXE_bulrushwind-standin"));
     let entry = path::Path::new(env!("CARGO_BIN_EXE_bulrushwind-entry"));
@@ -55,7 +55,10 @@
 fn wait<F: Fn() -> bool>(holds: F) {
     let until = time::Instant::now() + LIMIT;
     while !holds() {
-        assert!(time::Instant::now() < until, "waited {LIMIT:?} in vain");
+        assert!(
+            time::Instant::now() < until,
+            "the condition did not hold within {LIMIT:?}"
+        );
         thread::sleep(time::Duration::from_millis(3));
     }
 }
