--- a/examples/cost.rs
+++ b/examples/cost.rs
@@ -1,8 +1,8 @@
-//! Measures what an entry process costs: processor, memory, and bytes on loopback, idle and loaded.
+//! Measures the CPU time, memory and loopback traffic of entry processes, idle and under load.
 //!
 //! Starts a stand-in store, backend servers and entry processes, leaves them idle, then sends
-//! requests at a steady rate, and reads `/proc` before and after each phase. Bytes are those of the
-//! whole loopback device divided by the entry processes, so run it with nothing else on loopback.
+//! requests at a steady rate. `/proc` is read before and after each phase. Traffic is that of the
+//! whole loopback device divided by the number of entry processes, so no other program may use it.
 
 use std::fs;
 use std::net;
@@ -15,34 +15,34 @@
 use bulrushwind::{config, settings};
 use clap::Parser;
 
-/// Ticks of processor time a second.
+/// Clock ticks per second of CPU time in `/proc`.
 const TICKS_A_SECOND: f64 = 100.0;
 
-/// Bytes of a page of memory.
+/// Size of a memory page.
 const PAGE_BYTES: f64 = 4096.0;
 
-/// The secret by which the entry processes know each other.
+/// The shared secret by which the entry processes authenticate each other.
 const SECRET: &str = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef";
 
-/// Measures what an entry process costs.
+/// Measures the resource usage of entry processes.
 #[derive(Parser)]
 struct Cli {
-    /// Seconds under load.
+    /// Duration of the loaded phase, in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Seconds idle.
+    /// Duration of the idle phase, in seconds.
     #[arg(long, default_value_t = 20)]
     idle: u64,
-    /// Requests a second that each entry process gets while loaded.
+    /// Requests per second sent to each entry process in the loaded phase.
     #[arg(long, default_value_t = 200)]
     rate: u64,
-    /// Entry processes, in turn in the availability zones of one region.
+    /// Number of entry processes, spread over the availability zones of one region.
     #[arg(long, default_value_t = 4)]
     entries: usize,
-    /// Backend servers of the service in each availability zone.
+    /// Number of backend servers in each availability zone.
     #[arg(long, default_value_t = 4)]
     backends: usize,
-    /// Milliseconds that a backend server works on a request.
+    /// Processing time of a request, in milliseconds.
     #[arg(long, default_value_t = 5)]
     work_ms: u64,
     /// Stop half of the backend servers after this many seconds of load.
@@ -57,7 +57,7 @@
     _dir: tempfile::TempDir,
 }
 
-/// What one entry process used up to now.
+/// Resource usage of one entry process so far.
 #[derive(Clone, Copy)]
 struct Used {
     cpu_s: f64,
@@ -119,14 +119,15 @@
     let bin = |name: &str| {
         let exe = std::env::current_exe().expect("this program has a path");
         let dir = exe.parent().and_then(path::Path::parent);
-        dir.expect("examples stand below the binaries").join(name)
+        dir.expect("the binaries are in the parent of the examples' directory")
+            .join(name)
     };
-    let dir = tempfile::tempdir().expect("a directory for configurations");
+    let dir = tempfile::tempdir().expect("a temporary directory can be created");
     let store = processes::Process::start(&bin("bulrushwind-standin"), ["store"])
         .expect("the stand-in store starts");
     let root = path::Path::new("examples/cooperative");
-    let settings = settings::Settings::read(root).expect("the example's settings are sound");
-    processes::put_settings(store.addr(), &settings).expect("settings are written");
+    let settings = settings::Settings::read(root).expect("the example's settings are valid");
+    processes::put_settings(store.addr(), &settings).expect("the store accepts the settings");
     let azs = ["ub-a", "ub-b"];
     let mut backends = Vec::new();
     for n in 0..cli.backends * azs.len() {
@@ -148,7 +149,7 @@
     }
     let mut entries = Vec::new();
     for n in 0..cli.entries {
-        let octet = u8::try_from(n + 1).expect("few entry processes");
+        let octet = u8::try_from(n + 1).expect("at most 255 entry processes");
         let cfg = config::Config {
             vm: format!("e{n}").as_str().into(),
             az: azs[n % 2].into(),
@@ -161,8 +162,8 @@
             ..config::Config::default()
         };
         let file = dir.path().join(format!("e{n}.toml"));
-        let text = toml::to_string(&cfg).expect("a configuration is TOML");
-        fs::write(&file, text).expect("a configuration is written");
+        let text = toml::to_string(&cfg).expect("the configuration can be serialised as TOML");
+        fs::write(&file, text).expect("the configuration file can be written");
         let args = ["--config".as_ref(), file.as_os_str()];
         let entry = processes::Process::start(&bin("bulrushwind-entry"), args)
             .expect("an entry process starts");
@@ -195,7 +196,7 @@
         role,
         state: store::VmState::Live,
     };
-    control::send(at, &control::Control::PutVm { vm }).expect("the stand-in takes a VM");
+    control::send(at, &control::Control::PutVm { vm }).expect("the stand-in store accepts the VM");
 }
 
 /// Sends requests at a steady rate with a few threads for each entry process.
@@ -258,7 +259,7 @@
             .nth(1)
             .and_then(|f| f.parse::<f64>().ok());
         Used {
-            // Behind the name stand the state and then field 3 onwards.
+            // The text after the process name starts with a space: index 12 is utime, 13 stime.
             cpu_s: (ticks(12) + ticks(13)) / TICKS_A_SECOND,
             resident: pages.unwrap_or(0.0) * PAGE_BYTES,
         }
@@ -266,7 +267,7 @@
     pids.iter().map(of).collect()
 }
 
-/// Bytes that loopback carried; each counts once.
+/// Bytes received on the loopback device, so that each byte counts once.
 fn loopback_bytes() -> f64 {
     let text = fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text
