--- a/examples/soak/main.rs
+++ b/examples/soak/main.rs
@@ -1,8 +1,8 @@
-//! A randomized soak: gateways as processes of their own, with a store, backend servers and callers
-//! in this process, and faults from outside. It checks, from what callers and backend servers see,
-//! that nothing that must run once runs twice, that answers are whole and their callers' own, that
-//! "not run" is true, that a planned stop cuts nothing, that a configuration never goes back, and
-//! that all recovers.
+//! A randomized soak test: gateways run as child processes; the store, backend servers and callers
+//! run in this process, which injects faults. From the view of callers and backend servers, it
+//! checks that no booking runs twice, that each caller gets the complete answer to its own request,
+//! that requests reported as not run did not run, that a planned stop interrupts no request, that
+//! no VM returns to an older configuration, and that all VMs recover.
 //!
 //! ```text
 //! cargo run --release --example soak -- --seeds 10
@@ -23,33 +23,33 @@
 use clap::Parser;
 use tokio::task;
 
-/// Plays faults on gateway processes and checks what callers get.
+/// Injects faults into gateway processes and checks the responses to callers.
 #[derive(Debug, clap::Parser)]
 struct Args {
     /// The first seed
     #[arg(long, default_value_t = 1)]
     first: u64,
-    /// How many seeds to play
+    /// Number of seeds to run
     #[arg(long, default_value_t = 3)]
     seeds: u64,
-    /// Go on with further seeds for so many minutes
+    /// Continue with further seeds until this many minutes have passed
     #[arg(long)]
     minutes: Option<f64>,
-    /// Entry VMs
+    /// Number of entry VMs
     #[arg(long, default_value_t = 6)]
     vms: usize,
-    /// Seconds of faults for each seed
+    /// Duration of fault injection for each seed, in seconds
     #[arg(long, default_value_t = 8.0)]
     faults: f64,
-    /// Play the seeds that failed once
+    /// Run the recorded seeds that have failed before
     #[arg(long)]
     kept: bool,
-    /// Keep the processes' logs in this directory
+    /// Write the processes' logs to this directory
     #[arg(long, value_name = "DIR")]
     keep_logs: Option<path::PathBuf>,
 }
 
-/// The seeds that failed once.
+/// Recorded seeds that have failed before.
 #[derive(Debug, serde::Deserialize)]
 struct Kept {
     seed: Vec<KeptSeed>,
@@ -68,7 +68,7 @@
         begun.elapsed().as_secs_f64() < minutes * 60.0
     };
     let kept: Kept = toml::from_str(include_str!("../../tests/soak_seeds.toml"))
-        .expect("the kept seeds can be read");
+        .expect("tests/soak_seeds.toml is valid");
     let mut seeds = kept.seed.iter().map(|kept| kept.seed).collect::<Vec<u64>>();
     if !args.kept {
         seeds = (args.first..args.first + args.seeds).collect();
@@ -101,7 +101,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime starts");
+        .expect("the Tokio runtime starts");
     let cfg = scene::Config {
         seed,
         vms: args.vms,
