--- a/examples/soak/callers.rs
+++ b/examples/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that check what they get.
+//! Callers that send requests and check the responses.
 
 use std::net;
 use std::rc;
@@ -13,7 +13,7 @@
 
 use super::scene::{Scene, Vm};
 
-/// How long a caller waits, and for a connection.
+/// Time that a caller waits for a response, and for a connection.
 const PATIENCE: time::Duration = time::Duration::from_millis(3000);
 const CONNECT: time::Duration = time::Duration::from_millis(500);
 
@@ -24,9 +24,9 @@
         body: String,
         close: bool,
     },
-    /// The connection ended without a whole answer.
+    /// The connection closed before the answer was complete.
     Cut,
-    /// Nothing came in time.
+    /// No complete answer arrived before the timeout.
     Nothing,
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// The status that one request gets.
+/// Sends one GET and returns the status of its answer, if any.
 pub(crate) async fn status(addr: net::SocketAddr, path: &str, id: &str) -> Option<u16> {
     let mut wire = socket::Wire::connect(addr, CONNECT).await.ok()?;
     match exchange(&mut wire, "GET", path, id).await {
@@ -99,7 +99,7 @@
     }
 }
 
-/// One request and its checks. Returns whether the connection goes on.
+/// Sends one request and checks the result. Returns whether the connection can be reused.
 async fn one(scene: &Scene, vm: &Vm, wire: &mut socket::Wire, id: &str, books: bool) -> bool {
     let begun = time::Instant::now();
     let (method, path) = match books {
@@ -163,7 +163,7 @@
     }
 }
 
-/// Watches which version an entry VM has in force: within one start it only grows.
+/// Checks that the version in force on an entry VM never decreases between restarts.
 pub(crate) async fn watch_versions(scene: rc::Rc<Scene>, n: usize) {
     let vm = &scene.vms[n];
     let (mut epoch, mut in_force) = (0, 0);
