--- a/examples/soak/faults.rs
+++ b/examples/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults in series that overlap, drawn from the seed.
+//! Random overlapping faults, reproducible from the seed.
 
 use std::rc;
 use std::time;
@@ -15,7 +15,7 @@
     time::Duration::from_millis(n)
 }
 
-/// Injects faults until the time is over, then waits until each has ended.
+/// Injects faults for the configured duration, then waits until all have ended.
 pub(crate) async fn play(scene: &rc::Rc<Scene>, rng: &mut ChaCha8Rng) {
     let begun = time::Instant::now();
     let mut running: Vec<task::JoinHandle<()>> = Vec::new();
@@ -63,7 +63,7 @@
     }
 }
 
-/// A process dies and is started again.
+/// Kills a process and starts it again after `length`.
 async fn kill(scene: rc::Rc<Scene>, n: usize, length: time::Duration) {
     let vm = &scene.vms[n];
     if vm.ending.replace(true) {
@@ -77,9 +77,9 @@
     vm.ending.set(false);
 }
 
-/// A process is stopped as planned and started again once it has ended.
+/// Stops a process with SIGTERM and starts it again once it has exited.
 async fn stop(scene: rc::Rc<Scene>, n: usize) {
-    /// The grace time of the settings.
+    /// Grace period after which the settings require a stopped process to have exited.
     const GRACE: time::Duration = time::Duration::from_secs(6);
     let vm = &scene.vms[n];
     if vm.ending.replace(true) {
@@ -89,7 +89,7 @@
     vm.signal(Signal::TERM);
     while !vm.has_ended() {
         if begun.elapsed() > GRACE {
-            // One that stood still meanwhile cannot be held to its time.
+            // A process that was paused meanwhile may exceed the grace period.
             if !vm.is_rough_since(begun - GRACE) {
                 scene.breaks(format!(
                     "{} did not end within its grace time",
@@ -106,7 +106,7 @@
     vm.ending.set(false);
 }
 
-/// A process stands still for a while.
+/// Pauses a process for `length`.
 async fn pause(scene: rc::Rc<Scene>, n: usize, length: time::Duration) {
     let vm = &scene.vms[n];
     vm.rough.set(Some(time::Instant::now()));
@@ -128,9 +128,9 @@
     scene.vms[n].to_store.set(proxy::Fault::None);
 }
 
-/// A backend server leaves: it says so, serves on for a while, and ends.
+/// Marks a backend server as draining, serves on for the grace period and closes it.
 async fn leave(scene: rc::Rc<Scene>) {
-    /// So many stay at least.
+    /// No backend server leaves unless more than this many are running.
     const LEAST: usize = 4;
     if scene.backends.borrow().len() <= LEAST {
         return;
@@ -143,7 +143,7 @@
     gone.close();
 }
 
-/// A backend server runs what it gets and its answers are lost.
+/// Lets a backend server run requests but lose its answers for `length`.
 async fn lose_answers(scene: rc::Rc<Scene>, length: time::Duration) {
     let Some(backend) = scene.backends.borrow().last().cloned() else {
         return;
@@ -155,7 +155,7 @@
     scene.backend_fault.set(Some(time::Instant::now()));
 }
 
-/// A backend server works many times longer than usual.
+/// Raises a backend server's service time to 400 ms for `length`.
 async fn slow_down(scene: rc::Rc<Scene>, length: time::Duration) {
     let Some(backend) = scene.backends.borrow().first().cloned() else {
         return;
