--- a/examples/soak/scene.rs
+++ b/examples/soak/scene.rs
@@ -1,4 +1,5 @@
-//! One seed: what stands around the gateways, the calm phases, and the verdict.
+//! Runs one seed: sets up the gateways' environment, checks the phases without faults and reports
+//! violations.
 
 use std::cell;
 use std::fmt;
@@ -16,7 +17,7 @@
 use super::support::{backend, process, proxy, store};
 use super::{callers, faults};
 
-/// How a seed is played.
+/// Parameters of one seed's run.
 #[derive(Clone, Debug)]
 pub(crate) struct Config {
     pub(crate) seed: u64,
@@ -40,24 +41,24 @@
     }
 }
 
-/// How long all may take to serve again once the faults are over.
+/// Time within which all VMs must serve again after the last fault.
 const RECOVERY: time::Duration = time::Duration::from_secs(20);
 
-/// How long a backend server works on a request.
+/// Time that a backend server takes for a request.
 pub(crate) const WORK: time::Duration = time::Duration::from_millis(20);
 
 pub(crate) const ZONES: [&str; 3] = ["az-a", "az-b", "az-c"];
 
-/// An entry VM and what is done to it.
+/// An entry VM with its process and fault state.
 pub(crate) struct Vm {
     pub(crate) start: process::GatewayOptions,
     pub(crate) gateway: cell::RefCell<Option<process::Gateway>>,
     pub(crate) to_store: proxy::Proxy,
-    /// When it was last killed or paused, or came back from it.
+    /// Time at which the process was last killed, paused, restarted or resumed.
     pub(crate) rough: cell::Cell<Option<time::Instant>>,
-    /// Whether it is being ended and started again.
+    /// Whether a stop or kill is in progress and the process is yet to restart.
     pub(crate) ending: cell::Cell<bool>,
-    /// Counts its starts.
+    /// Number of times that the process was started.
     pub(crate) epoch: cell::Cell<u64>,
 }
 
@@ -86,7 +87,7 @@
     }
 }
 
-/// What all tasks of a seed share.
+/// State shared by all tasks of a seed.
 pub(crate) struct Scene {
     pub(crate) cfg: Config,
     pub(crate) store: store::Store,
@@ -96,11 +97,11 @@
     pub(crate) version: cell::Cell<u64>,
     pub(crate) broken: cell::RefCell<Vec<String>>,
     pub(crate) counts: cell::RefCell<Counts>,
-    /// Backend servers have lost answers or ended since.
+    /// Time of the last backend server fault: lost answers or a closed server.
     pub(crate) backend_fault: cell::Cell<Option<time::Instant>>,
 }
 
-/// What callers got.
+/// Counts of requests by result, of faults and of store calls.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counts {
     pub(crate) sent: u64,
@@ -108,11 +109,11 @@
     pub(crate) refused: u64,
     pub(crate) unknown: u64,
     pub(crate) faults: u64,
-    /// Calls to the store.
+    /// Number of calls to the store.
     pub(crate) calls: usize,
 }
 
-/// A seed's verdict.
+/// Result of one seed's run.
 #[derive(Debug)]
 pub(crate) struct Report {
     seed: u64,
@@ -135,7 +136,7 @@
     }
 }
 
-/// The configuration of a version: two routes that stay and one that only this version has.
+/// The configuration of a version: two permanent routes and one that exists only in this version.
 pub(crate) fn config(version: u64) -> Value {
     let route = |prefix: String, kind: &str| {
         json!({"name": prefix, "host": "example.test", "prefix": prefix, "kind": kind,
@@ -204,7 +205,7 @@
     }
 
     pub(crate) fn breaks(&self, what: String) {
-        /// More tell nothing new.
+        /// Limits the report: further violations add no information.
         const MOST: usize = 8;
         let mut broken = self.broken.borrow_mut();
         if broken.len() < MOST {
@@ -217,7 +218,7 @@
         self.store.write("op/config", &config(self.version.get()));
     }
 
-    /// All entry VMs serve again.
+    /// Checks that all entry VMs serve the newest version within the recovery time.
     async fn all_serve(&self) {
         let begun = time::Instant::now();
         for vm in &self.vms {
@@ -236,7 +237,7 @@
         }
     }
 
-    /// A backend server leaves while all is calm.
+    /// Checks that a draining backend server gets no requests after its grace period.
     async fn calm_leaving(&self) {
         tokio::time::sleep(time::Duration::from_secs(1)).await;
         let Some(leaving) = self.backends.borrow().first().cloned() else {
@@ -252,22 +253,22 @@
     }
 }
 
-/// The gateway's program, built beside this one.
+/// Path of the gateway program, which is built into the parent of this example's directory.
 fn program() -> path::PathBuf {
     let own = std::env::current_exe().expect("this program has a path");
     let beside = own
         .parent()
         .and_then(path::Path::parent)
-        .expect("it lies in examples/");
+        .expect("the example lies two levels below the target directory");
     beside.join("bulrushwind-gateway")
 }
 
-/// Plays one seed.
+/// Runs one seed.
 pub(crate) async fn play(cfg: Config) -> Report {
     let kept = cfg.logs.clone();
-    let temporary = tempfile::tempdir().expect("a directory for the logs");
+    let temporary = tempfile::tempdir().expect("the log directory can be created");
     let dir = kept.as_deref().unwrap_or(temporary.path());
-    fs::create_dir_all(dir).expect("a directory for the logs");
+    fs::create_dir_all(dir).expect("the log directory can be created");
     let seed = cfg.seed;
     let scene = rc::Rc::new(Scene::new(cfg, dir));
     (0..scene.cfg.backends).for_each(|n| scene.add_backend(n));
