--- a/examples/tryout/main.rs
+++ b/examples/tryout/main.rs
@@ -1,8 +1,8 @@
-//! Shows the whole path end to end on this machine, and checks the promises while it does.
+//! Runs a complete deployment on this machine and checks its guarantees under faults.
 //!
-//! It starts a stand-in store, backend servers and entry VMs as processes of their own (this same
-//! program under other arguments), lets callers work through a list of scenes, and prints what
-//! the callers got. It exits with 1 if a promise broke.
+//! Starts a stand-in store, backend servers and entry VMs as child processes (this program with
+//! other arguments), runs a list of scenes under steady load, and prints the callers' results.
+//! Exits with 1 if a guarantee was violated.
 
 mod deployment;
 mod load;
@@ -14,26 +14,26 @@
 use bulrushwind::{config, entry, error, exit_codes, logging, standin};
 use clap::Parser;
 
-/// Shows the whole path end to end on this machine.
+/// Runs a complete deployment on this machine and checks its guarantees.
 #[derive(Parser)]
 struct Cli {
     #[command(subcommand)]
     role: Option<Role>,
 }
 
-/// What a child process is.
+/// Role of a child process.
 #[derive(clap::Subcommand)]
 enum Role {
     /// An entry VM.
     #[command(hide = true)]
     Entry {
-        /// Its configuration.
+        /// Path of the configuration file.
         config: std::path::PathBuf,
     },
     /// A stand-in.
     #[command(hide = true)]
     Standin {
-        /// Which one.
+        /// The stand-in to run.
         #[command(subcommand)]
         which: standin::run::Standin,
     },
