--- a/examples/tryout/deployment.rs
+++ b/examples/tryout/deployment.rs
@@ -1,4 +1,4 @@
-//! The processes of the example: a store, entry VMs and backend servers in two regions.
+//! The example's processes: a store, entry VMs and backend servers in two regions.
 
 use std::collections;
 use std::io;
@@ -9,13 +9,13 @@
 use bulrushwind::standin::{control, operator, processes};
 use bulrushwind::{config, settings};
 
-/// How long a look-up may be kept. Short, so that a planned stop fits into the example.
+/// Time for which a look-up is valid. It is short so that a planned stop fits into the example.
 pub(crate) const LOOKUP_TTL_MS: u64 = 500;
 
-/// How long a ticket takes new keys.
+/// Time for which a ticket accepts new idempotency keys.
 pub(crate) const TICKET_TTL_MS: u64 = 4_000;
 
-/// Everything that runs.
+/// All running processes.
 pub(crate) struct Deployment {
     pub(crate) store: processes::Process,
     settings: settings::Settings,
@@ -27,7 +27,7 @@
 }
 
 impl Deployment {
-    /// Starts the store, with the cooperative's settings in it.
+    /// Starts the store and writes the example's settings to it.
     pub(crate) fn start() -> io::Result<Self> {
         let program = std::env::current_exe()?;
         let store = processes::Process::start(&program, ["standin", "store"])?;
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Starts a backend server and puts it on the list of VMs.
+    /// Starts a backend server and adds it to the VM list.
     pub(crate) fn backend(&mut self, az: &str, service: &str, work_ms: u64) -> io::Result<String> {
         let name = format!("{service}-{}", self.rows.len());
         let journal = self.dir.path().join(format!("{name}.runs"));
@@ -69,7 +69,7 @@
         Ok(name)
     }
 
-    /// Starts an entry VM and puts it on the list of VMs.
+    /// Starts an entry VM and adds it to the VM list.
     pub(crate) fn entry(&mut self, az: &str) -> io::Result<String> {
         let name = format!("entry-{}", self.rows.len());
         let any: net::SocketAddr = ([127, 0, 0, 1], 0).into();
@@ -103,7 +103,7 @@
         control::send(self.store.addr(), &control::Control::PutVm { vm })
     }
 
-    /// Marks a VM as leaving on the platform's list.
+    /// Marks a VM as leaving in the platform's VM list.
     pub(crate) fn list_leaving(&mut self, name: &str) -> io::Result<()> {
         let Some(mut vm) = self.rows.get(name).cloned() else {
             return Ok(());
@@ -112,7 +112,7 @@
         self.list(vm)
     }
 
-    /// Drains a VM by the settings, from now on.
+    /// Starts draining a VM through the settings.
     pub(crate) fn drain(&mut self, name: &str) -> io::Result<()> {
         let drain = settings::Drain {
             target: settings::DrainTarget::Vm(name.into()),
@@ -125,13 +125,13 @@
         processes::put_settings(self.store.addr(), &self.settings)
     }
 
-    /// Takes a VM off the platform's list.
+    /// Removes a VM from the platform's VM list.
     pub(crate) fn unlist(&mut self, name: &str) -> io::Result<()> {
         let vm = name.into();
         control::send(self.store.addr(), &control::Control::RemoveVm { vm })
     }
 
-    /// Switches an outage of the store on or off.
+    /// Starts or ends an outage of the store.
     pub(crate) fn outage(&self, down: bool) -> io::Result<()> {
         let control = control::Control::Faults {
             down,
@@ -141,7 +141,7 @@
         control::send(self.store.addr(), &control)
     }
 
-    /// How often each key ran, over all backend servers that ever were.
+    /// Number of runs of each idempotency key on all backend servers, including stopped ones.
     pub(crate) fn runs(&self) -> io::Result<collections::HashMap<String, u32>> {
         let mut runs = collections::HashMap::new();
         for file in std::fs::read_dir(self.dir.path())? {
