--- a/examples/tryout/load.rs
+++ b/examples/tryout/load.rs
@@ -1,4 +1,4 @@
-//! Callers that send steadily and write down what they are told.
+//! Callers that send requests at a steady rate and record the results.
 
 use std::net;
 use std::sync;
@@ -10,7 +10,7 @@
 use bulrushwind::standin::{backend, caller};
 use parking_lot::Mutex;
 
-/// What each service is asked: service, method, path, share of the callers' requests.
+/// The request mix: service, method, path and relative weight.
 const MIX: [(&str, &str, &str, u64); 4] = [
     ("availability", "GET", "/availability/", 5),
     ("ledger", "GET", "/ledger/bays", 1),
@@ -18,68 +18,68 @@
     ("archive", "GET", "/archive/history", 1),
 ];
 
-/// How long a caller rests between requests.
+/// Pause of a caller between two requests.
 const REST: time::Duration = time::Duration::from_millis(15);
 
-/// How often a caller sends one request under one key.
+/// Maximum number of sends of one request with one idempotency key.
 const SENDS: u32 = 6;
 
-/// How many tickets a caller takes for one request, one after the other.
+/// Maximum number of consecutive tickets that a caller uses for one request.
 const TICKETS: usize = 3;
 
-/// How long a caller waits for one answer.
+/// Time that a caller waits for an answer.
 const TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// How a request ended for its caller.
+/// Final result of a request for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Ended {
     Answered,
     NotRun,
     Unknown,
-    /// The connection broke where nothing may break.
+    /// The connection broke although its entry VM was not killed.
     Cut,
-    /// It got another request's answer, or a broken one.
+    /// The answer belonged to another request or was malformed.
     Wrong,
 }
 
-/// One request.
+/// The record of one request.
 #[derive(Clone, Debug)]
 pub(crate) struct Record {
     pub(crate) service: &'static str,
     pub(crate) key: Option<String>,
-    /// Keys of it that were told not run before.
+    /// Earlier keys of the request whose outcome was not run.
     pub(crate) refused: Vec<String>,
     pub(crate) ended: Ended,
     pub(crate) took: time::Duration,
 }
 
-/// What callers share.
+/// State shared by all callers.
 #[derive(Default)]
 pub(crate) struct Callers {
     entries: Mutex<Vec<net::SocketAddr>>,
-    /// Entry VMs that were killed: a connection that breaks there is no cut.
+    /// Killed entry VMs: a broken connection to one does not count as cut.
     killed: Mutex<Vec<net::SocketAddr>>,
     records: Mutex<Vec<Record>>,
     stop: atomic::AtomicBool,
 }
 
 impl Callers {
-    /// Tells the callers which entry VMs to begin with.
+    /// Sets the entry VMs for the first look-up.
     pub(crate) fn know(&self, entries: Vec<net::SocketAddr>) {
         *self.entries.lock() = entries;
     }
 
-    /// An entry VM is about to be killed.
+    /// Records that an entry VM is about to be killed.
     pub(crate) fn will_be_killed(&self, entry: net::SocketAddr) {
         self.killed.lock().push(entry);
     }
 
-    /// Takes what was written down so far.
+    /// Removes and returns the records so far.
     pub(crate) fn take(&self) -> Vec<Record> {
         std::mem::take(&mut *self.records.lock())
     }
 
-    /// Ends the load.
+    /// Stops all callers.
     pub(crate) fn stop(&self) {
         self.stop.store(true, atomic::Ordering::SeqCst);
     }
@@ -155,7 +155,7 @@
             };
             let ended = self.send(&found.entries, &ask, service);
             if ended == Ended::NotRun && books && refused.len() + 1 < TICKETS {
-                // Not run is a word to rely on: a new key under a new ticket books nothing twice.
+                // A not-run outcome is reliable: a new key under a new ticket cannot book twice.
                 refused.extend(key);
                 continue;
             }
@@ -170,8 +170,8 @@
         }
     }
 
-    /// Sends until the outcome is final: a broken connection, or an unknown outcome, is asked
-    /// again at the next entry VM with the same key.
+    /// Sends until the outcome is final. Retries after an unknown outcome or a killed entry VM use
+    /// the next entry VM and the same key.
     fn send(&mut self, entries: &[lookup::EntryVm], ask: &caller::Ask<'_>, service: &str) -> Ended {
         let mut last = Ended::Unknown;
         for turn in 0..SENDS {
@@ -186,7 +186,7 @@
                             self.found = None;
                             return Ended::NotRun;
                         }
-                        // Its word holds for this send; an earlier one may have run.
+                        // The outcome covers only this send; an earlier one may have run.
                         if turn == 0 || ask.key.is_none() || last == Ended::NotRun {
                             last = Ended::NotRun;
                         }
@@ -220,7 +220,7 @@
     }
 }
 
-/// Whether the answer is whole and to this very request.
+/// Checks that the answer is complete and belongs to this request.
 fn judge(told: &caller::Told, ask: &caller::Ask<'_>, service: &str) -> Ended {
     let Ok(echo) = serde_json::from_str::<backend::Echo>(&told.body) else {
         return Ended::Wrong;
