--- a/examples/tryout/report.rs
+++ b/examples/tryout/report.rs
@@ -1,10 +1,10 @@
-//! What the callers got, and whether a promise broke.
+//! Aggregates the callers' results and checks for violated guarantees.
 
 use std::collections;
 
 use super::load;
 
-/// The table and the counts.
+/// Results per scene and service, with the violations.
 #[derive(Default)]
 pub(crate) struct Report {
     rows: Vec<(String, collections::BTreeMap<&'static str, Row>)>,
@@ -50,7 +50,7 @@
 }
 
 impl Report {
-    /// Adds what one scene brought.
+    /// Adds the records of one scene.
     pub(crate) fn scene(&mut self, name: &str, records: Vec<load::Record>) {
         let mut rows: collections::BTreeMap<&'static str, Row> = collections::BTreeMap::new();
         for record in &records {
@@ -64,12 +64,12 @@
         self.rows.push((name.to_owned(), rows));
     }
 
-    /// A promise that broke.
+    /// Records a violated guarantee.
     pub(crate) fn broke(&mut self, what: String) {
         self.notes.push(what);
     }
 
-    /// Counts second runs and false words of "not run" from what backend servers ran.
+    /// Counts duplicate runs, and not-run outcomes of keys that backend servers did run.
     pub(crate) fn runs(&mut self, runs: &collections::HashMap<String, u32>) {
         self.second_runs = runs.values().map(|n| u64::from(n.saturating_sub(1))).sum();
         let false_word = |(key, ended): &&(String, load::Ended)| {
@@ -86,14 +86,14 @@
             .sum()
     }
 
-    /// Whether a promise broke.
+    /// Whether a guarantee was violated or no request was answered.
     pub(crate) fn broken(&self) -> bool {
         self.second_runs + self.false_notruns + self.total(|r| r.cut + r.wrong) > 0
             || !self.notes.is_empty()
             || self.total(|row| row.answered) == 0
     }
 
-    /// Prints the table; the last line holds the sums.
+    /// Prints the table; its last line holds the totals.
     pub(crate) fn print(&self) {
         println!(
             "{:<34} {:<13} {:>6} {:>8} {:>7} {:>7} {:>4} {:>6} {:>9} {:>9}",
