--- a/examples/tryout/scenes.rs
+++ b/examples/tryout/scenes.rs
@@ -1,4 +1,4 @@
-//! The scenes, one after the other, under the same steady load.
+//! The sequence of scenes, all under the same steady load.
 
 use std::collections;
 use std::io;
@@ -11,27 +11,27 @@
 use bulrushwind::protocol::outcome;
 use bulrushwind::standin::{backend, caller, processes};
 
-/// How long one scene lasts.
+/// Duration of one scene.
 const SCENE: time::Duration = time::Duration::from_millis(1500);
 
-/// Callers that send at the same time.
+/// Number of concurrent callers.
 const CALLERS: u64 = 16;
 
-/// How long to wait for something that must come true.
+/// Time within which an awaited condition must hold.
 const LIMIT: time::Duration = time::Duration::from_secs(20);
 
-/// A few seconds, after which a backend server that leaves gets no new work.
+/// Time after which a leaving backend server must get no new requests.
 const QUIET: time::Duration = time::Duration::from_secs(2);
 
-/// The services, how long their backend servers work on a request, in milliseconds, and how many
-/// of them run in each availability zone. Of the archive three leave.
+/// The services, with their processing time per request in milliseconds and their number of
+/// backend servers per availability zone. Three of the archive's backend servers leave.
 const SERVICES: [(&str, u64, u32); 3] =
     [("availability", 4, 2), ("ledger", 8, 2), ("archive", 15, 4)];
 
 /// The two availability zones, one in each of two regions.
 const AZS: [&str; 2] = ["ub-a", "khovd-a"];
 
-/// Plays all scenes and tells what the callers got.
+/// Runs all scenes and returns the callers' results.
 pub(crate) fn play() -> io::Result<report::Report> {
     let mut all = deployment::Deployment::start()?;
     for az in AZS {
@@ -82,7 +82,7 @@
     Ok(report)
 }
 
-/// A booking ends the process of the backend server that runs it, and its caller sends it again.
+/// Sends a booking that crashes the backend server which runs it, then sends it again.
 fn crash(all: &mut deployment::Deployment, report: &mut report::Report) -> io::Result<()> {
     let entry = first(&all.entries)?.1.addr();
     let caller = caller::Caller::default();
@@ -113,7 +113,7 @@
     Ok((name.clone(), process))
 }
 
-/// The first backend server of the archive that still runs.
+/// The first running backend server of the archive.
 fn archive(all: &deployment::Deployment) -> io::Result<(String, net::SocketAddr)> {
     let of_archive = |(name, _): &(&String, &processes::Process)| name.starts_with("archive");
     let found = all.backends.iter().find(of_archive);
@@ -121,14 +121,14 @@
     Ok((name.clone(), process.addr()))
 }
 
-/// The platform's list says that a backend server is about to go.
+/// A backend server is marked as leaving in the platform's VM list.
 fn leave_by_list(all: &mut deployment::Deployment, report: &mut report::Report) -> io::Result<()> {
     let (name, addr) = archive(all)?;
     all.list_leaving(&name)?;
     gone_quiet(all, &name, addr, report)
 }
 
-/// A backend server says itself that it is about to go, and the list does not know yet.
+/// A backend server announces that it leaves in its load reports, before the VM list shows it.
 fn leave_by_word(all: &mut deployment::Deployment, report: &mut report::Report) -> io::Result<()> {
     let (name, addr) = archive(all)?;
     let behaviour = backend::Behaviour {
@@ -140,7 +140,7 @@
     gone_quiet(all, &name, addr, report)
 }
 
-/// An operator drains a backend server by the settings.
+/// An operator drains a backend server through the settings.
 fn leave_by_settings(
     all: &mut deployment::Deployment,
     report: &mut report::Report,
@@ -150,7 +150,7 @@
     gone_quiet(all, &name, addr, report)
 }
 
-/// A few seconds on, a backend server that leaves must get no new work.
+/// Checks that a leaving backend server gets no new requests, then removes it.
 fn gone_quiet(
     all: &mut deployment::Deployment,
     name: &str,
@@ -168,7 +168,7 @@
     all.unlist(name)
 }
 
-/// An entry VM is told to stop. Nothing in flight may be cut, and it must end by itself.
+/// Stops an entry VM with SIGTERM: it must complete its in-flight requests and exit by itself.
 fn stop_entry(all: &mut deployment::Deployment, report: &mut report::Report) -> io::Result<()> {
     let (name, process) = first(&all.entries)?;
     process.signal("TERM")?;
@@ -183,7 +183,7 @@
     all.unlist(&name)
 }
 
-/// An entry VM dies without a word.
+/// Kills an entry VM without warning.
 fn kill_entry(all: &mut deployment::Deployment, callers: &load::Callers) -> io::Result<()> {
     let (name, process) = first(&all.entries)?;
     callers.will_be_killed(process.addr());
@@ -198,7 +198,7 @@
     report.scene(name, callers.take());
 }
 
-/// Waits until each entry VM brings requests of each service to a backend server.
+/// Waits until each entry VM routes requests of each service to a backend server.
 fn wait_ready(all: &deployment::Deployment) -> io::Result<()> {
     let caller = caller::Caller::default();
     let until = time::Instant::now() + LIMIT;
@@ -213,7 +213,9 @@
                 .is_ok_and(|t| t.status == 200)
             {
                 if time::Instant::now() > until {
-                    return Err(io::Error::other("an entry VM never became ready"));
+                    return Err(io::Error::other(
+                        "an entry VM did not route requests of all services in time",
+                    ));
                 }
                 thread::sleep(time::Duration::from_millis(20));
             }
