--- a/benches/coordination/cutoff.rs
+++ b/benches/coordination/cutoff.rs
@@ -7,7 +7,7 @@
 
 const NOW_MS: u64 = 1_790_000_000_000;
 const SEEDS: u64 = 20;
-const SPAN: time::Duration = time::Duration::from_secs(60);
+const CUTOFF_DURATION: time::Duration = time::Duration::from_secs(60);
 
 /// Runs all cases and prints the table.
 pub(crate) fn print() {
@@ -16,97 +16,101 @@
     println!("|---|---|---|");
     row(
         "a VM replaced inside has its settings, from the other one",
-        &replaced,
+        &replace_inside,
     );
     row(
         "rejoin: a change made meanwhile is in force inside",
-        &rejoined,
+        &rejoin_after_change,
     );
     row(
         "a VM replaced in a healthy fleet has its settings",
-        &healthy,
+        &replace_in_healthy_fleet,
     );
     row(
         "all VMs of the zone replaced, store down, peers there",
-        &emptied,
+        &replace_all_without_store,
     );
 }
 
-fn row(what: &str, play: &dyn Fn(u64) -> time::Duration) {
-    let mut took: Vec<_> = (0..SEEDS).map(play).collect();
-    took.sort();
-    let (half, last) = (took[took.len() / 2], took[took.len() - 1]);
+fn row(case: &str, measure: &dyn Fn(u64) -> time::Duration) {
+    let mut durations: Vec<_> = (0..SEEDS).map(measure).collect();
+    durations.sort();
+    let (median, largest) = (
+        durations[durations.len() / 2],
+        durations[durations.len() - 1],
+    );
     println!(
-        "| {what} | {:.2} | {:.2} |",
-        half.as_secs_f64(),
-        last.as_secs_f64()
+        "| {case} | {:.2} | {:.2} |",
+        median.as_secs_f64(),
+        largest.as_secs_f64()
     );
 }
 
 fn start(seed: u64) -> (nodes::Nodes, u64) {
-    let mut all = nodes::Nodes::new(nodes::Config {
+    let mut fleet = nodes::Nodes::new(nodes::Config {
         azs: 6,
         per_az: 2,
         seed,
         roots: vec![operator::root().public()],
         ..nodes::Config::default()
     });
-    let version = operator::publish(&all.store, "bays", "# 0", NOW_MS).unwrap();
-    all.run(time::Duration::from_secs(10) + time::Duration::from_millis(seed * 173));
-    (all, version)
+    let version = operator::publish(&fleet.store, "bays", "# 0", NOW_MS).unwrap();
+    fleet.run(time::Duration::from_secs(10) + time::Duration::from_millis(seed * 173));
+    (fleet, version)
 }
 
-fn cut(all: &mut nodes::Nodes) {
-    let (inside, outside) = all.split(0);
-    all.set_links(&inside, &outside, true, fabric::Link::cut());
+fn isolate(fleet: &mut nodes::Nodes) {
+    let (inside, outside) = fleet.split(0);
+    fleet.set_links(&inside, &outside, true, fabric::Link::cut());
     for i in inside {
-        all.processes[i].no_store = true;
+        fleet.processes[i].no_store = true;
     }
 }
 
-fn until(all: &mut nodes::Nodes, i: usize, version: u64) -> time::Duration {
-    all.run_until(SPAN, |all| {
-        all.processes[i].version("bays") == Some(version)
-    })
-    .expect("the settings are in force within 60 s")
+fn wait_for_version(fleet: &mut nodes::Nodes, i: usize, version: u64) -> time::Duration {
+    fleet
+        .run_until(CUTOFF_DURATION, |fleet| {
+            fleet.processes[i].version("bays") == Some(version)
+        })
+        .expect("the settings are in force within 60 s")
 }
 
-fn replaced(seed: u64) -> time::Duration {
-    let (mut all, version) = start(seed);
-    cut(&mut all);
-    all.run(SPAN);
-    all.kill(0);
-    all.start(0);
-    until(&mut all, 0, version)
+fn replace_inside(seed: u64) -> time::Duration {
+    let (mut fleet, version) = start(seed);
+    isolate(&mut fleet);
+    fleet.run(CUTOFF_DURATION);
+    fleet.kill(0);
+    fleet.start(0);
+    wait_for_version(&mut fleet, 0, version)
 }
 
-fn rejoined(seed: u64) -> time::Duration {
-    let (mut all, _) = start(seed);
-    cut(&mut all);
-    all.run(SPAN / 2);
-    let version = operator::apply(&all.store, "bays", "# 1", 0, NOW_MS + 1).unwrap();
-    all.run(SPAN / 2);
-    all.fabric.heal();
+fn rejoin_after_change(seed: u64) -> time::Duration {
+    let (mut fleet, _) = start(seed);
+    isolate(&mut fleet);
+    fleet.run(CUTOFF_DURATION / 2);
+    let version = operator::apply(&fleet.store, "bays", "# 1", 0, NOW_MS + 1).unwrap();
+    fleet.run(CUTOFF_DURATION / 2);
+    fleet.fabric.heal();
     for i in 0..2 {
-        all.processes[i].no_store = false;
+        fleet.processes[i].no_store = false;
     }
-    until(&mut all, 0, version) + until(&mut all, 1, version)
+    wait_for_version(&mut fleet, 0, version) + wait_for_version(&mut fleet, 1, version)
 }
 
-fn healthy(seed: u64) -> time::Duration {
-    let (mut all, version) = start(seed);
-    all.kill(0);
-    all.run(time::Duration::from_secs(5));
-    all.start(0);
-    until(&mut all, 0, version)
+fn replace_in_healthy_fleet(seed: u64) -> time::Duration {
+    let (mut fleet, version) = start(seed);
+    fleet.kill(0);
+    fleet.run(time::Duration::from_secs(5));
+    fleet.start(0);
+    wait_for_version(&mut fleet, 0, version)
 }
 
-fn emptied(seed: u64) -> time::Duration {
-    let (mut all, version) = start(seed);
-    all.down = true;
+fn replace_all_without_store(seed: u64) -> time::Duration {
+    let (mut fleet, version) = start(seed);
+    fleet.down = true;
     for i in 0..2 {
-        all.kill(i);
-        all.start(i);
+        fleet.kill(i);
+        fleet.start(i);
     }
-    until(&mut all, 0, version) + until(&mut all, 1, version)
+    wait_for_version(&mut fleet, 0, version) + wait_for_version(&mut fleet, 1, version)
 }
--- a/benches/coordination/main.rs
+++ b/benches/coordination/main.rs
@@ -9,21 +9,21 @@
 mod times;
 
 fn main() {
-    let wanted: Vec<String> = std::env::args()
+    let selected: Vec<String> = std::env::args()
         .skip(1)
         .filter(|arg| !arg.starts_with('-'))
         .collect();
-    let asked = |name: &str| wanted.is_empty() || wanted.iter().any(|w| w == name);
-    if asked("readers") {
+    let is_selected = |name: &str| selected.is_empty() || selected.iter().any(|w| w == name);
+    if is_selected("readers") {
         readers::print();
     }
-    if asked("sizes") {
+    if is_selected("sizes") {
         sizes::print();
     }
-    if asked("cutoff") {
+    if is_selected("cutoff") {
         cutoff::print();
     }
-    if asked("times") {
+    if is_selected("times") {
         times::print();
     }
 }
--- a/benches/coordination/readers.rs
+++ b/benches/coordination/readers.rs
@@ -7,7 +7,7 @@
 use elections::Fault;
 
 const VMS: usize = 6;
-const SPAN: time::Duration = time::Duration::from_secs(1_800);
+const RUN_TIME: time::Duration = time::Duration::from_secs(1_800);
 const SEEDS: u64 = 5;
 
 const FAULTS: [(&str, Fault); 14] = [
@@ -29,7 +29,10 @@
 
 /// Runs all faults with both elections and prints the table.
 pub(crate) fn print() {
-    println!("readers: {VMS} VMs, {} s, {SEEDS} seeds", SPAN.as_secs());
+    println!(
+        "readers: {VMS} VMs, {} s, {SEEDS} seeds",
+        RUN_TIME.as_secs()
+    );
     println!(
         "| fault | way | changes/VM/h | messages/VM/min | without % | longest s | doubled % |"
     );
@@ -40,9 +43,9 @@
     }
 }
 
-fn row(fault: &str, way: &str, report: &elections::Report) {
+fn row(fault: &str, election: &str, report: &elections::Report) {
     println!(
-        "| {fault} | {way} | {:.1} | {:.0} | {:.2} | {:.1} | {:.2} |",
+        "| {fault} | {election} | {:.1} | {:.0} | {:.2} | {:.1} | {:.2} |",
         report.changes,
         report.messages,
         report.without * 100.0,
@@ -54,7 +57,7 @@
 fn mean<E: reader::Election>(fault: Fault) -> elections::Report {
     let mut sum = elections::Report::default();
     for seed in 0..SEEDS {
-        let report = elections::play::<E>(fault, VMS, SPAN, seed);
+        let report = elections::play::<E>(fault, VMS, RUN_TIME, seed);
         sum.changes += report.changes / SEEDS as f64;
         sum.messages += report.messages / SEEDS as f64;
         sum.without += report.without / SEEDS as f64;
--- a/benches/coordination/sizes.rs
+++ b/benches/coordination/sizes.rs
@@ -7,19 +7,22 @@
 
 use bulrushwind::standin::{nodes, operator};
 
-const SPAN: time::Duration = time::Duration::from_secs(300);
-const CHANGE_EVERY: time::Duration = time::Duration::from_secs(25);
+const RUN_TIME: time::Duration = time::Duration::from_secs(300);
+const CHANGE_INTERVAL: time::Duration = time::Duration::from_secs(25);
 const SIZES: [(usize, usize); 4] = [(2, 2), (6, 2), (6, 8), (10, 20)];
 const NOW_MS: u64 = 1_790_000_000_000;
 
 /// A team's settings of typical size, about 1 KB.
-fn text(change: u64) -> String {
+fn settings_text(change: u64) -> String {
     format!("# {change}\n{}", "# a line of settings\n".repeat(50))
 }
 
 /// Runs all sizes and prints the table.
 pub(crate) fn print() {
-    println!("sizes: {} s, a change of 1 KB every 25 s", SPAN.as_secs());
+    println!(
+        "sizes: {} s, a change of 1 KB every 25 s",
+        RUN_TIME.as_secs()
+    );
     println!(
         "| nodes | azs | store calls/node/min | store calls/s, all | store bytes/node/min | peer messages/node/min | peer bytes/node/s | worst node, bytes/s |"
     );
@@ -31,30 +34,30 @@
 
 #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^52")]
 fn row(azs: usize, per_az: usize) {
-    let mut all = nodes::Nodes::new(nodes::Config {
+    let mut fleet = nodes::Nodes::new(nodes::Config {
         azs,
         per_az,
         roots: vec![operator::root().public()],
         ..nodes::Config::default()
     });
-    operator::publish(&all.store, "bays", &text(0), NOW_MS).unwrap();
-    all.run(time::Duration::from_secs(30));
-    let cost = |all: &nodes::Nodes| -> Vec<[u64; 4]> {
-        let processes = all.processes.iter();
+    operator::publish(&fleet.store, "bays", &settings_text(0), NOW_MS).unwrap();
+    fleet.run(time::Duration::from_secs(30));
+    let cost = |fleet: &nodes::Nodes| -> Vec<[u64; 4]> {
+        let processes = fleet.processes.iter();
         processes
             .map(|p| [p.calls, p.store_bytes, p.messages, p.peer_bytes])
             .collect()
     };
-    let before = cost(&all);
+    let before = cost(&fleet);
     let mut change = 0;
-    while CHANGE_EVERY * change < SPAN {
+    while CHANGE_INTERVAL * change < RUN_TIME {
         change += 1;
         let version = NOW_MS + u64::from(change);
-        operator::apply(&all.store, "bays", &text(version), 0, version).unwrap();
-        all.run(CHANGE_EVERY);
+        operator::apply(&fleet.store, "bays", &settings_text(version), 0, version).unwrap();
+        fleet.run(CHANGE_INTERVAL);
     }
-    let after = cost(&all);
-    let seconds = SPAN.as_secs_f64();
+    let after = cost(&fleet);
+    let seconds = RUN_TIME.as_secs_f64();
     let nodes = (azs * per_az) as f64;
     let sum = |n: usize| -> f64 {
         let pairs = after.iter().zip(&before);
