--- a/examples/cost.rs
+++ b/examples/cost.rs
@@ -16,7 +16,7 @@
 use clap::Parser;
 
 /// Clock ticks per second of CPU time in `/proc`.
-const TICKS_A_SECOND: f64 = 100.0;
+const CLOCK_TICKS_PER_S: f64 = 100.0;
 
 /// Size of a memory page.
 const PAGE_BYTES: f64 = 4096.0;
@@ -59,9 +59,9 @@
 
 /// Resource usage of one entry process so far.
 #[derive(Clone, Copy)]
-struct Used {
+struct Usage {
     cpu_s: f64,
-    resident: f64,
+    resident_bytes: f64,
 }
 
 fn main() {
@@ -70,7 +70,7 @@
     thread::sleep(time::Duration::from_secs(3));
     println!("| phase | core share of one process, mean / max | memory, max | bytes/s a process |");
     println!("|---|---|---|---|");
-    phase(&cli, "idle", &running, || {
+    measure_phase(&cli, "idle", &running, || {
         thread::sleep(time::Duration::from_secs(cli.idle));
     });
     let addrs: Vec<_> = running
@@ -79,26 +79,32 @@
         .map(processes::Process::addr)
         .collect();
     let pids: Vec<_> = running.entries.iter().map(processes::Process::id).collect();
-    let before = (used(&pids), loopback_bytes());
-    let began = time::Instant::now();
-    let answered = load(&cli, &addrs, &mut running.backends);
-    row(&cli, "loaded", &pids, &before, began.elapsed());
+    let before = (read_usage(&pids), loopback_bytes());
+    let started_at = time::Instant::now();
+    let answered = send_load(&cli, &addrs, &mut running.backends);
+    print_row(&cli, "loaded", &pids, &before, started_at.elapsed());
     println!(
         "\nanswered with 200: {answered} of {}",
         cli.seconds * cli.rate * addrs.len() as u64
     );
 }
 
-fn phase(cli: &Cli, name: &str, running: &Running, work: impl FnOnce()) {
+fn measure_phase(cli: &Cli, name: &str, running: &Running, work: impl FnOnce()) {
     let pids: Vec<_> = running.entries.iter().map(processes::Process::id).collect();
-    let before = (used(&pids), loopback_bytes());
-    let began = time::Instant::now();
+    let before = (read_usage(&pids), loopback_bytes());
+    let started_at = time::Instant::now();
     work();
-    row(cli, name, &pids, &before, began.elapsed());
+    print_row(cli, name, &pids, &before, started_at.elapsed());
 }
 
-fn row(cli: &Cli, name: &str, pids: &[u32], before: &(Vec<Used>, f64), took: time::Duration) {
-    let (after, bytes) = (used(pids), loopback_bytes() - before.1);
+fn print_row(
+    cli: &Cli,
+    name: &str,
+    pids: &[u32],
+    before: &(Vec<Usage>, f64),
+    took: time::Duration,
+) {
+    let (after, bytes) = (read_usage(pids), loopback_bytes() - before.1);
     let took = took.as_secs_f64();
     let shares: Vec<f64> = after
         .iter()
@@ -107,7 +113,10 @@
         .collect();
     let mean = shares.iter().sum::<f64>() / shares.len() as f64;
     let max = shares.iter().copied().fold(0.0, f64::max);
-    let memory = after.iter().map(|used| used.resident).fold(0.0, f64::max);
+    let memory = after
+        .iter()
+        .map(|usage| usage.resident_bytes)
+        .fold(0.0, f64::max);
     println!(
         "| {name} | {mean:.2}% / {max:.2}% | {:.1} MB | {:.0} |",
         memory / 1e6,
@@ -138,7 +147,7 @@
         let role = store::VmRole::Backend {
             service: "availability".into(),
         };
-        list(
+        put_vm(
             store.addr(),
             &format!("b{n}"),
             azs[n % 2],
@@ -170,7 +179,7 @@
         let role = store::VmRole::Entry {
             peers: cfg.peers_listen,
         };
-        list(
+        put_vm(
             store.addr(),
             &format!("e{n}"),
             azs[n % 2],
@@ -188,7 +197,7 @@
     }
 }
 
-fn list(at: net::SocketAddr, name: &str, az: &str, addr: net::SocketAddr, role: store::VmRole) {
+fn put_vm(at: net::SocketAddr, name: &str, az: &str, addr: net::SocketAddr, role: store::VmRole) {
     let vm = store::Vm {
         id: name.into(),
         az: az.into(),
@@ -200,18 +209,18 @@
 }
 
 /// Sends requests at a steady rate with a few threads for each entry process.
-fn load(cli: &Cli, addrs: &[net::SocketAddr], backends: &mut [processes::Process]) -> u64 {
+fn send_load(cli: &Cli, addrs: &[net::SocketAddr], backends: &mut [processes::Process]) -> u64 {
     const THREADS: u64 = 8;
-    let began = time::Instant::now();
-    let until = began + time::Duration::from_secs(cli.seconds);
-    let every = time::Duration::from_secs_f64(THREADS as f64 / cli.rate as f64);
+    let started_at = time::Instant::now();
+    let until = started_at + time::Duration::from_secs(cli.seconds);
+    let interval = time::Duration::from_secs_f64(THREADS as f64 / cli.rate as f64);
     thread::scope(|scope| {
         let mut threads = Vec::new();
         for addr in addrs {
             for n in 0..THREADS {
                 threads.push(scope.spawn(move || {
                     let caller = caller::Caller::default();
-                    let mut next = began + every.mul_f64(n as f64 / THREADS as f64);
+                    let mut next = started_at + interval.mul_f64(n as f64 / THREADS as f64);
                     let mut answered = 0;
                     while next < until {
                         thread::sleep(next.saturating_duration_since(time::Instant::now()));
@@ -219,9 +228,10 @@
                             path: "/availability/bays",
                             ..caller::Ask::default()
                         };
-                        let told = caller.ask(*addr, &ask);
-                        answered += u64::from(told.is_ok_and(|told| told.status == 200));
-                        next += every;
+                        let response = caller.ask(*addr, &ask);
+                        answered +=
+                            u64::from(response.is_ok_and(|response| response.status == 200));
+                        next += interval;
                     }
                     answered
                 }));
@@ -238,8 +248,8 @@
     })
 }
 
-fn used(pids: &[u32]) -> Vec<Used> {
-    let of = |pid: &u32| {
+fn read_usage(pids: &[u32]) -> Vec<Usage> {
+    let read_process = |pid: &u32| {
         let read = |name| fs::read_to_string(format!("/proc/{pid}/{name}")).unwrap_or_default();
         let stat = read("stat");
         let fields: Vec<&str> = stat
@@ -258,13 +268,13 @@
             .split(' ')
             .nth(1)
             .and_then(|f| f.parse::<f64>().ok());
-        Used {
+        Usage {
             // The text after the process name starts with a space: index 12 is utime, 13 stime.
-            cpu_s: (ticks(12) + ticks(13)) / TICKS_A_SECOND,
-            resident: pages.unwrap_or(0.0) * PAGE_BYTES,
+            cpu_s: (ticks(12) + ticks(13)) / CLOCK_TICKS_PER_S,
+            resident_bytes: pages.unwrap_or(0.0) * PAGE_BYTES,
         }
     };
-    pids.iter().map(of).collect()
+    pids.iter().map(read_process).collect()
 }
 
 /// Bytes received on the loopback device, so that each byte counts once.
