--- a/examples/soak/main.rs
+++ b/examples/soak/main.rs
@@ -51,23 +51,23 @@
 
 /// Recorded seeds that have failed before.
 #[derive(Debug, serde::Deserialize)]
-struct Kept {
-    seed: Vec<KeptSeed>,
+struct FailedSeeds {
+    seed: Vec<FailedSeed>,
 }
 
 #[derive(Debug, serde::Deserialize)]
-struct KeptSeed {
+struct FailedSeed {
     seed: u64,
 }
 
 fn main() -> process::ExitCode {
     let args = Args::parse();
-    let begun = time::Instant::now();
-    let more = || {
+    let started_at = time::Instant::now();
+    let has_time_left = || {
         let minutes = args.minutes.unwrap_or_default();
-        begun.elapsed().as_secs_f64() < minutes * 60.0
+        started_at.elapsed().as_secs_f64() < minutes * 60.0
     };
-    let kept: Kept = toml::from_str(include_str!("../../tests/soak_seeds.toml"))
+    let kept: FailedSeeds = toml::from_str(include_str!("../../tests/soak_seeds.toml"))
         .expect("tests/soak_seeds.toml is valid");
     let mut seeds = kept.seed.iter().map(|kept| kept.seed).collect::<Vec<u64>>();
     if !args.kept {
@@ -78,9 +78,9 @@
     while next < seeds.len() {
         let seed = seeds[next];
         next += 1;
-        let report = play(&args, seed);
+        let report = run_seed(&args, seed);
         println!("{report}");
-        match report.broken.is_empty() {
+        match report.violations.is_empty() {
             true => passed += 1,
             false => {
                 failed += 1;
@@ -89,7 +89,7 @@
                 );
             }
         }
-        if next == seeds.len() && more() {
+        if next == seeds.len() && has_time_left() {
             seeds.push(seed + 1);
         }
     }
@@ -97,7 +97,7 @@
     process::ExitCode::from(u8::from(failed > 0))
 }
 
-fn play(args: &Args, seed: u64) -> scene::Report {
+fn run_seed(args: &Args, seed: u64) -> scene::Report {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -105,9 +105,9 @@
     let cfg = scene::Config {
         seed,
         vms: args.vms,
-        faults: time::Duration::from_secs_f64(args.faults),
-        logs: args.keep_logs.clone(),
+        fault_duration: time::Duration::from_secs_f64(args.faults),
+        log_dir: args.keep_logs.clone(),
         ..scene::Config::default()
     };
-    task::LocalSet::new().block_on(&runtime, scene::play(cfg))
+    task::LocalSet::new().block_on(&runtime, scene::run(cfg))
 }
--- a/examples/soak/scene.rs
+++ b/examples/soak/scene.rs
@@ -24,8 +24,8 @@
     pub(crate) vms: usize,
     pub(crate) backends: usize,
     pub(crate) callers: usize,
-    pub(crate) faults: time::Duration,
-    pub(crate) logs: Option<path::PathBuf>,
+    pub(crate) fault_duration: time::Duration,
+    pub(crate) log_dir: Option<path::PathBuf>,
 }
 
 impl Default for Config {
@@ -35,39 +35,39 @@
             vms: 6,
             backends: 9,
             callers: 24,
-            faults: time::Duration::from_secs(8),
-            logs: None,
+            fault_duration: time::Duration::from_secs(8),
+            log_dir: None,
         }
     }
 }
 
 /// Time within which all VMs must serve again after the last fault.
-const RECOVERY: time::Duration = time::Duration::from_secs(20);
+const RECOVERY_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 /// Time that a backend server takes for a request.
-pub(crate) const WORK: time::Duration = time::Duration::from_millis(20);
+pub(crate) const SERVICE_TIME: time::Duration = time::Duration::from_millis(20);
 
-pub(crate) const ZONES: [&str; 3] = ["az-a", "az-b", "az-c"];
+pub(crate) const AZS: [&str; 3] = ["az-a", "az-b", "az-c"];
 
 /// An entry VM with its process and fault state.
 pub(crate) struct Vm {
-    pub(crate) start: process::GatewayOptions,
+    pub(crate) options: process::GatewayOptions,
     pub(crate) gateway: cell::RefCell<Option<process::Gateway>>,
-    pub(crate) to_store: proxy::Proxy,
+    pub(crate) store_proxy: proxy::Proxy,
     /// Time at which the process was last killed, paused, restarted or resumed.
-    pub(crate) rough: cell::Cell<Option<time::Instant>>,
+    pub(crate) disturbed_at: cell::Cell<Option<time::Instant>>,
     /// Whether a stop or kill is in progress and the process is yet to restart.
-    pub(crate) ending: cell::Cell<bool>,
+    pub(crate) restarting: cell::Cell<bool>,
     /// Number of times that the process was started.
-    pub(crate) epoch: cell::Cell<u64>,
+    pub(crate) start_count: cell::Cell<u64>,
 }
 
 impl Vm {
     pub(crate) fn spawn(&self) {
-        self.epoch.set(self.epoch.get() + 1);
-        match self.start.spawn() {
+        self.start_count.set(self.start_count.get() + 1);
+        match self.options.spawn() {
             Ok(gateway) => *self.gateway.borrow_mut() = Some(gateway),
-            Err(err) => eprintln!("{} does not start: {err}", self.start.node),
+            Err(err) => eprintln!("{} does not start: {err}", self.options.node),
         }
     }
 
@@ -82,8 +82,8 @@
         gateway.as_mut().is_none_or(process::Gateway::has_ended)
     }
 
-    pub(crate) fn is_rough_since(&self, since: time::Instant) -> bool {
-        self.rough.get().is_some_and(|at| at >= since)
+    pub(crate) fn was_disturbed_since(&self, since: time::Instant) -> bool {
+        self.disturbed_at.get().is_some_and(|at| at >= since)
     }
 }
 
@@ -95,7 +95,7 @@
     pub(crate) backends: cell::RefCell<Vec<backend::Backend>>,
     pub(crate) log: rc::Rc<cell::RefCell<backend::Log>>,
     pub(crate) version: cell::Cell<u64>,
-    pub(crate) broken: cell::RefCell<Vec<String>>,
+    pub(crate) violations: cell::RefCell<Vec<String>>,
     pub(crate) counts: cell::RefCell<Counts>,
     /// Time of the last backend server fault: lost answers or a closed server.
     pub(crate) backend_fault: cell::Cell<Option<time::Instant>>,
@@ -118,18 +118,24 @@
 pub(crate) struct Report {
     seed: u64,
     counts: Counts,
-    pub(crate) broken: Vec<String>,
+    pub(crate) violations: Vec<String>,
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let c = &self.counts;
+        let counts = &self.counts;
         write!(
             f,
             "seed {}: {} faults, sent {} answered {} refused {} unknown {}, store calls {}",
-            self.seed, c.faults, c.sent, c.answered, c.refused, c.unknown, c.calls
+            self.seed,
+            counts.faults,
+            counts.sent,
+            counts.answered,
+            counts.refused,
+            counts.unknown,
+            counts.calls
         )?;
-        for line in &self.broken {
+        for line in &self.violations {
             write!(f, "\n  BROKEN {line}")?;
         }
         Ok(())
@@ -156,30 +162,30 @@
     fn new(cfg: Config, dir: &path::Path) -> Self {
         let store = store::Store::start();
         store.write("op/config", &config(1));
-        let program = program();
+        let program = gateway_program();
         let ports: Vec<process::Ports> = (0..cfg.vms).map(|_| process::Ports::free()).collect();
         let seeds: Vec<net::SocketAddr> = ports.iter().take(3).map(|p| p.control).collect();
         let vms = ports
             .into_iter()
             .enumerate()
             .map(|(n, ports)| {
-                let to_store = proxy::Proxy::start(store.addr);
+                let store_proxy = proxy::Proxy::start(store.addr);
                 Vm {
-                    start: process::GatewayOptions {
+                    options: process::GatewayOptions {
                         bootstrap: false,
                         program: program.clone(),
                         dir: dir.to_owned(),
                         node: format!("vm-{n}"),
-                        zone: ZONES[n % ZONES.len()],
+                        zone: AZS[n % AZS.len()],
                         ports,
-                        store: to_store.addr,
+                        store: store_proxy.addr,
                         seeds: seeds.clone(),
                     },
                     gateway: cell::RefCell::default(),
-                    to_store,
-                    rough: cell::Cell::default(),
-                    ending: cell::Cell::default(),
-                    epoch: cell::Cell::default(),
+                    store_proxy,
+                    disturbed_at: cell::Cell::default(),
+                    restarting: cell::Cell::default(),
+                    start_count: cell::Cell::default(),
                 }
             })
             .collect();
@@ -189,7 +195,7 @@
             backends: cell::RefCell::default(),
             log: rc::Rc::default(),
             version: cell::Cell::new(1),
-            broken: cell::RefCell::default(),
+            violations: cell::RefCell::default(),
             counts: cell::RefCell::default(),
             backend_fault: cell::Cell::default(),
             cfg,
@@ -197,37 +203,37 @@
     }
 
     pub(crate) fn add_backend(&self, n: usize) {
-        let zone = ZONES[n % ZONES.len()];
+        let zone = AZS[n % AZS.len()];
         let id = format!("i-{n}");
-        let added = backend::Backend::start(&id, "svc", zone, WORK, self.log.clone());
+        let added = backend::Backend::start(&id, "svc", zone, SERVICE_TIME, self.log.clone());
         added.register(&self.store, "ready");
         self.backends.borrow_mut().push(added);
     }
 
-    pub(crate) fn breaks(&self, what: String) {
+    pub(crate) fn add_violation(&self, what: String) {
         /// Limits the report: further violations add no information.
-        const MOST: usize = 8;
-        let mut broken = self.broken.borrow_mut();
-        if broken.len() < MOST {
-            broken.push(what);
+        const MAX_VIOLATIONS: usize = 8;
+        let mut violations = self.violations.borrow_mut();
+        if violations.len() < MAX_VIOLATIONS {
+            violations.push(what);
         }
     }
 
-    pub(crate) fn configure(&self) {
+    pub(crate) fn publish_config(&self) {
         self.version.set(self.version.get() + 1);
         self.store.write("op/config", &config(self.version.get()));
     }
 
     /// Checks that all entry VMs serve the newest version within the recovery time.
-    async fn all_serve(&self) {
-        let begun = time::Instant::now();
+    async fn check_all_serve(&self) {
+        let started_at = time::Instant::now();
         for vm in &self.vms {
             let path = format!("/v{}/x", self.version.get());
-            while callers::status(vm.start.ports.front, &path, "recovery").await != Some(200) {
-                if begun.elapsed() > RECOVERY {
-                    self.breaks(format!(
+            while callers::status(vm.options.ports.front, &path, "recovery").await != Some(200) {
+                if started_at.elapsed() > RECOVERY_TIMEOUT {
+                    self.add_violation(format!(
                         "{} does not serve version {} again",
-                        vm.start.node,
+                        vm.options.node,
                         self.version.get()
                     ));
                     break;
@@ -238,7 +244,7 @@
     }
 
     /// Checks that a draining backend server gets no requests after its grace period.
-    async fn calm_leaving(&self) {
+    async fn check_drain(&self) {
         tokio::time::sleep(time::Duration::from_secs(1)).await;
         let Some(leaving) = self.backends.borrow().first().cloned() else {
             return;
@@ -246,7 +252,7 @@
         leaving.register(&self.store, "draining");
         tokio::time::sleep(backend::DRAIN_GRACE + time::Duration::from_secs(1)).await;
         for id in &self.log.borrow().late_requests {
-            self.breaks(format!(
+            self.add_violation(format!(
                 "request {id} reached a backend server that had left"
             ));
         }
@@ -254,42 +260,42 @@
 }
 
 /// Path of the gateway program, which is built into the parent of this example's directory.
-fn program() -> path::PathBuf {
-    let own = std::env::current_exe().expect("this program has a path");
-    let beside = own
+fn gateway_program() -> path::PathBuf {
+    let example = std::env::current_exe().expect("this program has a path");
+    let target_dir = example
         .parent()
         .and_then(path::Path::parent)
         .expect("the example lies two levels below the target directory");
-    beside.join("bulrushwind-gateway")
+    target_dir.join("bulrushwind-gateway")
 }
 
 /// Runs one seed.
-pub(crate) async fn play(cfg: Config) -> Report {
-    let kept = cfg.logs.clone();
+pub(crate) async fn run(cfg: Config) -> Report {
+    let log_dir = cfg.log_dir.clone();
     let temporary = tempfile::tempdir().expect("the log directory can be created");
-    let dir = kept.as_deref().unwrap_or(temporary.path());
+    let dir = log_dir.as_deref().unwrap_or(temporary.path());
     fs::create_dir_all(dir).expect("the log directory can be created");
     let seed = cfg.seed;
     let scene = rc::Rc::new(Scene::new(cfg, dir));
     (0..scene.cfg.backends).for_each(|n| scene.add_backend(n));
     scene.vms.iter().for_each(Vm::spawn);
-    scene.all_serve().await;
+    scene.check_all_serve().await;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let tasks: Vec<task::JoinHandle<()>> = (0..scene.cfg.callers)
-        .map(|n| task::spawn_local(callers::call(scene.clone(), seed * 1000 + n as u64)))
+        .map(|n| task::spawn_local(callers::run_caller(scene.clone(), seed * 1000 + n as u64)))
         .chain(
             (0..scene.vms.len())
                 .map(|n| task::spawn_local(callers::watch_versions(scene.clone(), n))),
         )
         .collect();
-    faults::play(&scene, &mut rng).await;
-    scene.all_serve().await;
+    faults::inject(&scene, &mut rng).await;
+    scene.check_all_serve().await;
     scene.log.borrow_mut().late_requests.clear();
-    scene.calm_leaving().await;
+    scene.check_drain().await;
     tasks.iter().for_each(task::JoinHandle::abort);
     let registered = scene.store.keys("bulrushwind/entry/").len();
     if registered != scene.vms.len() {
-        scene.breaks(format!(
+        scene.add_violation(format!(
             "{registered} entry VMs are registered, not {}",
             scene.vms.len()
         ));
@@ -297,15 +303,15 @@
     scene.counts.borrow_mut().calls = scene.store.calls();
     let counts = *scene.counts.borrow();
     if counts.answered < counts.sent / 4 {
-        scene.breaks(format!(
+        scene.add_violation(format!(
             "only {} of {} requests were answered",
             counts.answered, counts.sent
         ));
     }
-    let broken = scene.broken.take();
+    let violations = scene.violations.take();
     Report {
         seed,
         counts,
-        broken,
+        violations,
     }
 }
