--- a/examples/tryout/deployment.rs
+++ b/examples/tryout/deployment.rs
@@ -46,7 +46,12 @@
     }
 
     /// Starts a backend server and adds it to the VM list.
-    pub(crate) fn backend(&mut self, az: &str, service: &str, work_ms: u64) -> io::Result<String> {
+    pub(crate) fn start_backend(
+        &mut self,
+        az: &str,
+        service: &str,
+        work_ms: u64,
+    ) -> io::Result<String> {
         let name = format!("{service}-{}", self.rows.len());
         let journal = self.dir.path().join(format!("{name}.runs"));
         let work_ms = work_ms.to_string();
@@ -56,7 +61,7 @@
             .map(std::ffi::OsStr::new)
             .chain([journal.as_os_str()]);
         let process = processes::Process::start(&self.program, args)?;
-        self.list(store::Vm {
+        self.put_vm(store::Vm {
             id: name.as_str().into(),
             az: az.into(),
             addr: process.addr(),
@@ -70,9 +75,9 @@
     }
 
     /// Starts an entry VM and adds it to the VM list.
-    pub(crate) fn entry(&mut self, az: &str) -> io::Result<String> {
+    pub(crate) fn start_entry(&mut self, az: &str) -> io::Result<String> {
         let name = format!("entry-{}", self.rows.len());
-        let any: net::SocketAddr = ([127, 0, 0, 1], 0).into();
+        let unused_addr: net::SocketAddr = ([127, 0, 0, 1], 0).into();
         let cfg = config::Config {
             vm: name.as_str().into(),
             az: az.into(),
@@ -87,29 +92,29 @@
         std::fs::write(&file, toml::to_string(&cfg).map_err(io::Error::other)?)?;
         let args = ["entry".as_ref(), file.as_os_str()];
         let process = processes::Process::start(&self.program, args)?;
-        self.list(store::Vm {
+        self.put_vm(store::Vm {
             id: name.as_str().into(),
             az: az.into(),
             addr: process.addr(),
-            role: store::VmRole::Entry { peers: any },
+            role: store::VmRole::Entry { peers: unused_addr },
             state: store::VmState::Live,
         })?;
         self.entries.insert(name.clone(), process);
         Ok(name)
     }
 
-    fn list(&mut self, vm: store::Vm) -> io::Result<()> {
+    fn put_vm(&mut self, vm: store::Vm) -> io::Result<()> {
         self.rows.insert(vm.id.to_string(), vm.clone());
         control::send(self.store.addr(), &control::Control::PutVm { vm })
     }
 
     /// Marks a VM as leaving in the platform's VM list.
-    pub(crate) fn list_leaving(&mut self, name: &str) -> io::Result<()> {
+    pub(crate) fn mark_leaving(&mut self, name: &str) -> io::Result<()> {
         let Some(mut vm) = self.rows.get(name).cloned() else {
             return Ok(());
         };
         vm.state = store::VmState::Leaving;
-        self.list(vm)
+        self.put_vm(vm)
     }
 
     /// Starts draining a VM through the settings.
@@ -126,13 +131,13 @@
     }
 
     /// Removes a VM from the platform's VM list.
-    pub(crate) fn unlist(&mut self, name: &str) -> io::Result<()> {
+    pub(crate) fn remove_vm(&mut self, name: &str) -> io::Result<()> {
         let vm = name.into();
         control::send(self.store.addr(), &control::Control::RemoveVm { vm })
     }
 
     /// Starts or ends an outage of the store.
-    pub(crate) fn outage(&self, down: bool) -> io::Result<()> {
+    pub(crate) fn set_outage(&self, down: bool) -> io::Result<()> {
         let control = control::Control::Faults {
             down,
             delay_ms: 0,
@@ -142,7 +147,7 @@
     }
 
     /// Number of runs of each idempotency key on all backend servers, including stopped ones.
-    pub(crate) fn runs(&self) -> io::Result<collections::HashMap<String, u32>> {
+    pub(crate) fn run_counts(&self) -> io::Result<collections::HashMap<String, u32>> {
         let mut runs = collections::HashMap::new();
         for file in std::fs::read_dir(self.dir.path())? {
             let path = file?.path();
--- a/examples/tryout/load.rs
+++ b/examples/tryout/load.rs
@@ -11,7 +11,7 @@
 use parking_lot::Mutex;
 
 /// The request mix: service, method, path and relative weight.
-const MIX: [(&str, &str, &str, u64); 4] = [
+const REQUEST_MIX: [(&str, &str, &str, u64); 4] = [
     ("availability", "GET", "/availability/", 5),
     ("ledger", "GET", "/ledger/bays", 1),
     ("ledger", "POST", "/ledger/book", 3),
@@ -19,20 +19,20 @@
 ];
 
 /// Pause of a caller between two requests.
-const REST: time::Duration = time::Duration::from_millis(15);
+const REQUEST_PAUSE: time::Duration = time::Duration::from_millis(15);
 
 /// Maximum number of sends of one request with one idempotency key.
-const SENDS: u32 = 6;
+const MAX_SENDS: u32 = 6;
 
 /// Maximum number of consecutive tickets that a caller uses for one request.
-const TICKETS: usize = 3;
+const MAX_TICKETS: usize = 3;
 
 /// Time that a caller waits for an answer.
 const TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 /// Final result of a request for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Ended {
+pub(crate) enum RequestEnd {
     Answered,
     NotRun,
     Unknown,
@@ -49,8 +49,8 @@
     pub(crate) key: Option<String>,
     /// Earlier keys of the request whose outcome was not run.
     pub(crate) refused: Vec<String>,
-    pub(crate) ended: Ended,
-    pub(crate) took: time::Duration,
+    pub(crate) ended: RequestEnd,
+    pub(crate) latency: time::Duration,
 }
 
 /// State shared by all callers.
@@ -65,12 +65,12 @@
 
 impl Callers {
     /// Sets the entry VMs for the first look-up.
-    pub(crate) fn know(&self, entries: Vec<net::SocketAddr>) {
+    pub(crate) fn set_entries(&self, entries: Vec<net::SocketAddr>) {
         *self.entries.lock() = entries;
     }
 
     /// Records that an entry VM is about to be killed.
-    pub(crate) fn will_be_killed(&self, entry: net::SocketAddr) {
+    pub(crate) fn mark_killed(&self, entry: net::SocketAddr) {
         self.killed.lock().push(entry);
     }
 
@@ -90,17 +90,17 @@
     let start = |number| {
         let callers = callers.clone();
         thread::spawn(move || {
-            let mut one = One::new(number, &callers);
+            let mut worker = CallerThread::new(number, &callers);
             while !callers.stop.load(atomic::Ordering::SeqCst) {
-                one.request();
-                thread::sleep(REST);
+                worker.request();
+                thread::sleep(REQUEST_PAUSE);
             }
         })
     };
     (0..count).map(start).collect()
 }
 
-struct One<'a> {
+struct CallerThread<'a> {
     callers: &'a Callers,
     caller: caller::Caller,
     number: u64,
@@ -108,7 +108,7 @@
     found: Option<(lookup::Lookup, time::Instant)>,
 }
 
-impl<'a> One<'a> {
+impl<'a> CallerThread<'a> {
     fn new(number: u64, callers: &'a Callers) -> Self {
         Self {
             callers,
@@ -121,40 +121,43 @@
 
     fn request(&mut self) {
         self.sequence += 1;
-        let total: u64 = MIX.iter().map(|(_, _, _, share)| share).sum();
+        let total: u64 = REQUEST_MIX.iter().map(|(_, _, _, share)| share).sum();
         let mut pick = (self.sequence * 7 + self.number) % total;
-        let (service, method, path, _) = MIX
+        let (service, method, path, _) = REQUEST_MIX
             .into_iter()
             .find(|(_, _, _, share)| {
-                let here = pick < *share;
+                let is_selected = pick < *share;
                 pick = pick.saturating_sub(*share);
-                here
+                is_selected
             })
-            .unwrap_or(MIX[0]);
-        let books = method == "POST";
-        let begun = time::Instant::now();
+            .unwrap_or(REQUEST_MIX[0]);
+        let is_booking = method == "POST";
+        let started_at = time::Instant::now();
         let mut refused = Vec::new();
-        for _ in 0..TICKETS {
+        for _ in 0..MAX_TICKETS {
             let Some(found) = self.look_up() else {
                 continue;
             };
-            let own = format!("{}-{}", self.number, self.sequence);
-            let key = found.ticket.filter(|_| books).map(|t| format!("{t}.{own}"));
-            if books && key.is_none() {
+            let request_id = format!("{}-{}", self.number, self.sequence);
+            let key = found
+                .ticket
+                .filter(|_| is_booking)
+                .map(|t| format!("{t}.{request_id}"));
+            if is_booking && key.is_none() {
                 self.found = None;
                 continue;
             }
-            let path = format!("{path}?n={own}");
+            let path = format!("{path}?n={request_id}");
             let ask = caller::Ask {
                 method,
                 path: &path,
                 key: key.as_deref(),
-                body: if books { &own } else { "" },
+                body: if is_booking { &request_id } else { "" },
                 timeout: TIMEOUT,
                 patience: None,
             };
             let ended = self.send(&found.entries, &ask, service);
-            if ended == Ended::NotRun && books && refused.len() + 1 < TICKETS {
+            if ended == RequestEnd::NotRun && is_booking && refused.len() + 1 < MAX_TICKETS {
                 // A not-run outcome is reliable: a new key under a new ticket cannot book twice.
                 refused.extend(key);
                 continue;
@@ -164,7 +167,7 @@
                 key,
                 refused,
                 ended,
-                took: begun.elapsed(),
+                latency: started_at.elapsed(),
             };
             return self.callers.records.lock().push(record);
         }
@@ -172,32 +175,39 @@
 
     /// Sends until the outcome is final. Retries after an unknown outcome or a killed entry VM use
     /// the next entry VM and the same key.
-    fn send(&mut self, entries: &[lookup::EntryVm], ask: &caller::Ask<'_>, service: &str) -> Ended {
-        let mut last = Ended::Unknown;
-        for turn in 0..SENDS {
-            let at = (self.number as usize + turn as usize) % entries.len();
+    fn send(
+        &mut self,
+        entries: &[lookup::EntryVm],
+        ask: &caller::Ask<'_>,
+        service: &str,
+    ) -> RequestEnd {
+        let mut last = RequestEnd::Unknown;
+        for attempt in 0..MAX_SENDS {
+            let at = (self.number as usize + attempt as usize) % entries.len();
             let entry = entries[at].addr;
             match self.caller.ask(entry, ask) {
-                Ok(told) => match told.outcome {
-                    Some(outcome::Outcome::Answered) => return judge(&told, ask, service),
+                Ok(response) => match response.outcome {
+                    Some(outcome::Outcome::Answered) => {
+                        return check_answer(&response, ask, service);
+                    }
                     Some(outcome::Outcome::NotRun) => {
-                        let stopping = told.problem().is_some_and(|p| p.reason == "stopping");
-                        if stopping && turn == 0 && ask.key.is_some() {
+                        let stopping = response.problem().is_some_and(|p| p.reason == "stopping");
+                        if stopping && attempt == 0 && ask.key.is_some() {
                             self.found = None;
-                            return Ended::NotRun;
+                            return RequestEnd::NotRun;
                         }
                         // The outcome covers only this send; an earlier one may have run.
-                        if turn == 0 || ask.key.is_none() || last == Ended::NotRun {
-                            last = Ended::NotRun;
+                        if attempt == 0 || ask.key.is_none() || last == RequestEnd::NotRun {
+                            last = RequestEnd::NotRun;
                         }
                     }
-                    _ => last = Ended::Unknown,
+                    _ => last = RequestEnd::Unknown,
                 },
-                Err(_) if self.callers.killed.lock().contains(&entry) => last = Ended::Unknown,
-                Err(_) => return Ended::Cut,
+                Err(_) if self.callers.killed.lock().contains(&entry) => last = RequestEnd::Unknown,
+                Err(_) => return RequestEnd::Cut,
             }
             self.found = None;
-            thread::sleep(time::Duration::from_millis(100 << turn.min(3)));
+            thread::sleep(time::Duration::from_millis(100 << attempt.min(3)));
         }
         last
     }
@@ -208,8 +218,8 @@
             return Some(found.clone());
         }
         let known = self.callers.entries.lock().clone();
-        for turn in 0..known.len() {
-            let entry = known[(self.number as usize + turn) % known.len()];
+        for attempt in 0..known.len() {
+            let entry = known[(self.number as usize + attempt) % known.len()];
             let found = self.caller.look_up(entry, "ledger");
             if let Some(found) = found.ok().filter(|found| !found.entries.is_empty()) {
                 self.found = Some((found.clone(), time::Instant::now()));
@@ -221,13 +231,13 @@
 }
 
 /// Checks that the answer is complete and belongs to this request.
-fn judge(told: &caller::Told, ask: &caller::Ask<'_>, service: &str) -> Ended {
-    let Ok(echo) = serde_json::from_str::<backend::Echo>(&told.body) else {
-        return Ended::Wrong;
+fn check_answer(response: &caller::Told, ask: &caller::Ask<'_>, service: &str) -> RequestEnd {
+    let Ok(echo) = serde_json::from_str::<backend::Echo>(&response.body) else {
+        return RequestEnd::Wrong;
     };
     let path = ask.path.strip_prefix(&format!("/{service}"));
     if Some(echo.path.as_str()) == path && echo.body == ask.body {
-        return Ended::Answered;
+        return RequestEnd::Answered;
     }
-    Ended::Wrong
+    RequestEnd::Wrong
 }
--- a/examples/tryout/main.rs
+++ b/examples/tryout/main.rs
@@ -40,12 +40,12 @@
 }
 
 fn main() -> process::ExitCode {
-    let done = match Cli::parse().role {
+    let result = match Cli::parse().role {
         Some(Role::Entry { config }) => run_entry(&config),
         Some(Role::Standin { which }) => standin::run::run(&which),
         None => return tryout(),
     };
-    match done {
+    match result {
         Ok(()) => process::ExitCode::SUCCESS,
         Err(err) => {
             eprintln!("tryout: {err}");
@@ -59,10 +59,10 @@
 }
 
 fn tryout() -> process::ExitCode {
-    match scenes::play() {
+    match scenes::run() {
         Ok(report) => {
             report.print();
-            if report.broken() {
+            if report.has_violations() {
                 return exit_codes::ExitCode::Failure.into();
             }
             exit_codes::ExitCode::Success.into()
--- a/examples/tryout/report.rs
+++ b/examples/tryout/report.rs
@@ -8,10 +8,10 @@
 #[derive(Default)]
 pub(crate) struct Report {
     rows: Vec<(String, collections::BTreeMap<&'static str, Row>)>,
-    keys: Vec<(String, load::Ended)>,
-    second_runs: u64,
-    false_notruns: u64,
-    notes: Vec<String>,
+    keys: Vec<(String, load::RequestEnd)>,
+    duplicate_runs: u64,
+    false_not_runs: u64,
+    violations: Vec<String>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -22,42 +22,44 @@
     unknown: u64,
     cut: u64,
     wrong: u64,
-    took_us: Vec<u64>,
+    latencies_us: Vec<u64>,
 }
 
 impl Row {
     fn add(&mut self, record: &load::Record) {
         self.sent += 1;
         match record.ended {
-            load::Ended::Answered => self.answered += 1,
-            load::Ended::NotRun => self.notrun += 1,
-            load::Ended::Unknown => self.unknown += 1,
-            load::Ended::Cut => self.cut += 1,
-            load::Ended::Wrong => self.wrong += 1,
+            load::RequestEnd::Answered => self.answered += 1,
+            load::RequestEnd::NotRun => self.notrun += 1,
+            load::RequestEnd::Unknown => self.unknown += 1,
+            load::RequestEnd::Cut => self.cut += 1,
+            load::RequestEnd::Wrong => self.wrong += 1,
         }
-        if record.ended == load::Ended::Answered {
-            let us = u64::try_from(record.took.as_micros()).unwrap_or(u64::MAX);
-            self.took_us.push(us);
+        if record.ended == load::RequestEnd::Answered {
+            let us = u64::try_from(record.latency.as_micros()).unwrap_or(u64::MAX);
+            self.latencies_us.push(us);
         }
     }
 
     fn quantile_ms(&mut self, quantile: f64) -> f64 {
-        self.took_us.sort_unstable();
-        let last = self.took_us.len().saturating_sub(1);
+        self.latencies_us.sort_unstable();
+        let last = self.latencies_us.len().saturating_sub(1);
         let at = (last as f64 * quantile).round() as usize;
-        self.took_us.get(at).map_or(0.0, |us| *us as f64 / 1000.0)
+        self.latencies_us
+            .get(at)
+            .map_or(0.0, |us| *us as f64 / 1000.0)
     }
 }
 
 impl Report {
     /// Adds the records of one scene.
-    pub(crate) fn scene(&mut self, name: &str, records: Vec<load::Record>) {
+    pub(crate) fn add_scene(&mut self, name: &str, records: Vec<load::Record>) {
         let mut rows: collections::BTreeMap<&'static str, Row> = collections::BTreeMap::new();
         for record in &records {
             rows.entry(record.service).or_default().add(record);
         }
         for record in records {
-            let refused = |key| (key, load::Ended::NotRun);
+            let refused = |key| (key, load::RequestEnd::NotRun);
             self.keys.extend(record.refused.into_iter().map(refused));
             self.keys.extend(record.key.map(|key| (key, record.ended)));
         }
@@ -65,31 +67,31 @@
     }
 
     /// Records a violated guarantee.
-    pub(crate) fn broke(&mut self, what: String) {
-        self.notes.push(what);
+    pub(crate) fn add_violation(&mut self, what: String) {
+        self.violations.push(what);
     }
 
     /// Counts duplicate runs, and not-run outcomes of keys that backend servers did run.
-    pub(crate) fn runs(&mut self, runs: &collections::HashMap<String, u32>) {
-        self.second_runs = runs.values().map(|n| u64::from(n.saturating_sub(1))).sum();
-        let false_word = |(key, ended): &&(String, load::Ended)| {
-            *ended == load::Ended::NotRun && runs.contains_key(key)
+    pub(crate) fn count_runs(&mut self, runs: &collections::HashMap<String, u32>) {
+        self.duplicate_runs = runs.values().map(|n| u64::from(n.saturating_sub(1))).sum();
+        let is_false_not_run = |(key, ended): &&(String, load::RequestEnd)| {
+            *ended == load::RequestEnd::NotRun && runs.contains_key(key)
         };
-        self.false_notruns = self.keys.iter().filter(false_word).count() as u64;
+        self.false_not_runs = self.keys.iter().filter(is_false_not_run).count() as u64;
     }
 
-    fn total(&self, part: impl Fn(&Row) -> u64) -> u64 {
+    fn total(&self, field: impl Fn(&Row) -> u64) -> u64 {
         self.rows
             .iter()
             .flat_map(|(_, rows)| rows.values())
-            .map(part)
+            .map(field)
             .sum()
     }
 
     /// Whether a guarantee was violated or no request was answered.
-    pub(crate) fn broken(&self) -> bool {
-        self.second_runs + self.false_notruns + self.total(|r| r.cut + r.wrong) > 0
-            || !self.notes.is_empty()
+    pub(crate) fn has_violations(&self) -> bool {
+        self.duplicate_runs + self.false_not_runs + self.total(|r| r.cut + r.wrong) > 0
+            || !self.violations.is_empty()
             || self.total(|row| row.answered) == 0
     }
 
@@ -118,7 +120,7 @@
                 );
             }
         }
-        for note in &self.notes {
+        for note in &self.violations {
             println!("broken promise: {note}");
         }
         println!(
@@ -127,8 +129,8 @@
             self.total(|row| row.answered),
             self.total(|row| row.notrun),
             self.total(|row| row.unknown),
-            self.second_runs,
-            self.false_notruns,
+            self.duplicate_runs,
+            self.false_not_runs,
             self.total(|row| row.cut),
         );
     }
