--- a/benches/coordination/cutoff.rs
+++ b/benches/coordination/cutoff.rs
@@ -9,7 +9,6 @@
 const SEEDS: u64 = 20;
 const CUTOFF_DURATION: time::Duration = time::Duration::from_secs(60);
 
-/// Runs all cases and prints the table.
 pub(crate) fn print() {
     println!("cutoff: 6 zones of 2 VMs, {SEEDS} seeds, cut off from peers and store for 60 s");
     println!("| what | p50 s | largest s |");
--- a/benches/coordination/readers.rs
+++ b/benches/coordination/readers.rs
@@ -27,7 +27,6 @@
     ("split 20 s each 60 s", Fault::Split),
 ];
 
-/// Runs all faults with both elections and prints the table.
 pub(crate) fn print() {
     println!(
         "readers: {VMS} VMs, {} s, {SEEDS} seeds",
--- a/benches/coordination/sizes.rs
+++ b/benches/coordination/sizes.rs
@@ -17,7 +17,6 @@
     format!("# {change}\n{}", "# a line of settings\n".repeat(50))
 }
 
-/// Runs all sizes and prints the table.
 pub(crate) fn print() {
     println!(
         "sizes: {} s, a change of 1 KB every 25 s",
--- a/benches/coordination/times.rs
+++ b/benches/coordination/times.rs
@@ -9,7 +9,6 @@
 const CHANGE_COUNT: usize = 40;
 const WAIT_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
-/// Runs all store conditions and prints the table.
 pub(crate) fn print() {
     let standin = path::Path::new(env!("CARGO_BIN_EXE_bulrushwind-standin"));
     let entry = path::Path::new(env!("CARGO_BIN_EXE_bulrushwind-entry"));
--- a/examples/tryout/load.rs
+++ b/examples/tryout/load.rs
@@ -85,7 +85,6 @@
     }
 }
 
-/// Starts `count` callers.
 pub(crate) fn start(callers: &sync::Arc<Callers>, count: u64) -> Vec<thread::JoinHandle<()>> {
     let start = |number| {
         let callers = callers.clone();
--- a/src/standin/store.rs
+++ b/src/standin/store.rs
@@ -27,7 +27,7 @@
 /// Maximum number of calls that wait for a thread.
 const MAX_QUEUED_CALLS: usize = 4096;
 
-/// Maximum number of writes in the history. A watch that starts before it returns a gap.
+/// Maximum number of writes in the history. A watch from an earlier revision returns a gap.
 const MAX_HISTORY_WRITES: usize = 4096;
 
 /// Interval at which a waiting watch checks for an outage.
