--- a/src/protocol/http1.rs
+++ b/src/protocol/http1.rs
@@ -1,44 +1,44 @@
-//! HTTP/1.1 heads and bodies as bytes: parsing, framing and writing.
+//! HTTP/1.1 heads and bodies: parsing, framing and writing, without any I/O.
 //!
-//! Heads are kept as the bytes that came, with the places of their fields, so that a request is
-//! passed on without copying each name and value. Nothing here touches a socket. Framing is
-//! strict: a message whose length can be read in two ways is refused, since whoever reads it the
-//! other way would take the rest of one request for the next one.
+//! A head is stored as the received bytes with the positions of its fields, so that a request is
+//! forwarded without copying each name and value. Framing is strict: a message with an ambiguous
+//! length is rejected, because a server that reads the length differently would treat the rest of
+//! one request as the next one (request smuggling).
 
 use std::ops;
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// The most fields a head may have. Common servers allow about a hundred.
+/// Maximum number of fields in a head. Common servers allow about a hundred.
 const MAX_FIELDS: usize = 100;
 
-/// Why a head or a body cannot be read.
+/// Why a head or a body is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
-    /// The bytes are not a head.
-    #[error("the bytes are no HTTP/1.1 head; send a request line and fields that end with CRLF")]
+    /// The bytes are not an HTTP/1.1 head.
+    #[error("malformed HTTP/1.1 head; send a request line and fields that end with CRLF")]
     Head,
-    /// The head is longer than allowed.
-    #[error("the head is longer than the limit; send fewer or shorter fields")]
+    /// The head exceeds the length limit.
+    #[error("the head exceeds the length limit; send fewer or shorter fields")]
     TooLong,
-    /// The body's length is given twice, or in a way that cannot be read.
+    /// The body's length is ambiguous or malformed.
     #[error(
-        "the body's length is unclear; send one Content-Length or Transfer-Encoding: chunked, not both"
+        "the body's length is ambiguous; send one Content-Length or Transfer-Encoding: chunked, not both"
     )]
     Length,
-    /// A chunk is not in the format.
+    /// A chunk is malformed.
     #[error("a chunk is malformed; check the sender's chunked encoding")]
     Chunk,
 }
 
-/// How a body ends.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// After this many bytes.
+    /// By its length in bytes.
     Length(u64),
-    /// With the last chunk.
+    /// By the last chunk.
     Chunked,
-    /// With the connection. Only answers may.
+    /// By the end of the connection. Allowed for answers only.
     UntilClose,
 }
 
@@ -77,7 +77,7 @@
             .collect()
     }
 
-    /// All fields in the order in which they came.
+    /// All fields in the order of arrival.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
         self.spans
             .iter()
@@ -91,29 +91,29 @@
             .map(|(_, value)| value)
     }
 
-    /// The value of the first field of this name, where it is text.
+    /// The value of the first field of this name, trimmed, if it is UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         std::str::from_utf8(self.get(name)?).ok().map(str::trim)
     }
 
-    /// Whether a comma-separated field of this name lists the word.
-    pub fn lists(&self, name: &str, word: &str) -> bool {
+    /// Whether a comma-separated field of this name contains the token, ignoring case.
+    pub fn contains_token(&self, name: &str, token: &str) -> bool {
         self.iter()
             .filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()))
             .flat_map(|(_, value)| value.split(|b| *b == b','))
-            .any(|part| part.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
+            .any(|part| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 
-    /// The fields that travel from end to end: those of one connection, and those that the
-    /// `Connection` field names, stay behind.
+    /// The end-to-end fields: all except hop-by-hop fields and those that the `Connection` field
+    /// lists.
     pub fn end_to_end(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
         self.iter().filter(|(name, _)| {
             let text = std::str::from_utf8(name).unwrap_or_default();
-            !is_hop_by_hop(name) && !self.lists("connection", text)
+            !is_hop_by_hop(name) && !self.contains_token("connection", text)
         })
     }
 
-    /// How the body is framed by these fields; `None` where they say nothing.
+    /// The framing that these fields specify, if any.
     fn framing(&self) -> Result<Option<Framing>, Malformed> {
         let mut length = None;
         let mut chunked = false;
@@ -164,7 +164,7 @@
         .any(|n| name.eq_ignore_ascii_case(n.as_bytes()))
 }
 
-/// A request's head.
+/// The head of a request.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
     /// Its fields.
@@ -173,13 +173,13 @@
     pub framing: Framing,
     method: Span,
     target: Span,
-    minor: u8,
+    minor_version: u8,
 }
 
 impl RequestHead {
-    /// Takes a head off the front of what was read; `None` while it is not whole.
+    /// Removes a head of up to `limit` bytes from the front of `buf`; `None` while it is incomplete.
     pub fn take(buf: &mut BytesMut, limit: usize) -> Result<Option<Self>, Malformed> {
-        // Clients may send empty lines between requests.
+        // Clients may send empty lines between requests (RFC 9112).
         while buf.starts_with(b"\r\n") {
             buf.advance(2);
         }
@@ -201,7 +201,7 @@
         }
         let method = Span::of(base, parsed.method.unwrap_or_default().as_bytes());
         let target = Span::of(base, parsed.path.unwrap_or_default().as_bytes());
-        let minor = parsed.version.unwrap_or(1);
+        let minor_version = parsed.version.unwrap_or(1);
         let spans = Fields::spans(base, parsed.headers);
         let bytes = buf.split_to(len).freeze();
         let fields = Fields { bytes, spans };
@@ -211,7 +211,7 @@
             framing,
             method,
             target,
-            minor,
+            minor_version,
         }))
     }
 
@@ -220,7 +220,7 @@
         &self.fields.bytes[self.method.range()]
     }
 
-    /// The target: path and query.
+    /// The request target: path and query.
     pub fn target(&self) -> &str {
         std::str::from_utf8(&self.fields.bytes[self.target.range()]).unwrap_or_default()
     }
@@ -233,19 +233,19 @@
 
     /// Whether the sender keeps the connection open after the answer.
     pub fn keeps_alive(&self) -> bool {
-        if self.fields.lists("connection", "close") {
+        if self.fields.contains_token("connection", "close") {
             return false;
         }
-        self.minor >= 1 || self.fields.lists("connection", "keep-alive")
+        self.minor_version >= 1 || self.fields.contains_token("connection", "keep-alive")
     }
 
-    /// Whether the sender understands chunks.
-    pub fn knows_chunks(&self) -> bool {
-        self.minor >= 1
+    /// Whether the sender supports chunked bodies.
+    pub fn supports_chunked(&self) -> bool {
+        self.minor_version >= 1
     }
 }
 
-/// An answer's head.
+/// The head of an answer.
 #[derive(Clone, Debug)]
 pub struct ResponseHead {
     /// Its fields.
@@ -254,16 +254,16 @@
     pub status: u16,
     /// How its body is framed.
     pub framing: Framing,
-    minor: u8,
+    minor_version: u8,
 }
 
 impl ResponseHead {
-    /// Takes a head off the front of what was read; `None` while it is not whole. `to_head`
-    /// says that the answer is to a request without an answer's body.
+    /// Removes a head of up to `limit` bytes from the front of `buf`; `None` while it is incomplete.
+    /// `is_head_request`: the answer is to a HEAD request and has no body.
     pub fn take(
         buf: &mut BytesMut,
         limit: usize,
-        to_head: bool,
+        is_head_request: bool,
     ) -> Result<Option<Self>, Malformed> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut parsed = httparse::Response::new(&mut headers);
@@ -276,13 +276,13 @@
             return Ok(None);
         };
         let status = parsed.code.unwrap_or_default();
-        let minor = parsed.version.unwrap_or(1);
+        let minor_version = parsed.version.unwrap_or(1);
         let spans = Fields::spans(base, parsed.headers);
         let bytes = buf.split_to(len).freeze();
         let fields = Fields { bytes, spans };
-        let bodyless = to_head || status < 200 || status == 204 || status == 304;
+        let has_no_body = is_head_request || status < 200 || status == 204 || status == 304;
         let framing = match fields.framing()? {
-            _ if bodyless => Framing::Length(0),
+            _ if has_no_body => Framing::Length(0),
             Some(framing) => framing,
             None => Framing::UntilClose,
         };
@@ -290,117 +290,117 @@
             fields,
             status,
             framing,
-            minor,
+            minor_version,
         }))
     }
 
-    /// Whether the connection may carry another request.
+    /// Whether the connection can be reused for another request.
     pub fn keeps_alive(&self) -> bool {
         self.framing != Framing::UntilClose
-            && self.minor >= 1
-            && !self.fields.lists("connection", "close")
+            && self.minor_version >= 1
+            && !self.fields.contains_token("connection", "close")
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Chunk {
+enum ChunkState {
     Size,
     Data,
     AfterData,
     Trailer,
 }
 
-/// Takes a body apart as its bytes come.
+/// Incremental decoder of a body.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyReader {
     framing: Framing,
-    left: u64,
-    taken: u64,
-    chunk: Chunk,
+    remaining: u64,
+    bytes_read: u64,
+    chunk_state: ChunkState,
     done: bool,
 }
 
 impl BodyReader {
-    /// A reader for a body framed so.
+    /// Creates a reader for a body with this framing.
     pub fn new(framing: Framing) -> Self {
-        let left = match framing {
+        let remaining = match framing {
             Framing::Length(n) => n,
             Framing::Chunked | Framing::UntilClose => 0,
         };
         Self {
             framing,
-            left,
-            taken: 0,
-            chunk: Chunk::Size,
+            remaining,
+            bytes_read: 0,
+            chunk_state: ChunkState::Size,
             done: framing == Framing::Length(0),
         }
     }
 
-    /// Whether the body is whole.
+    /// Whether the body is complete.
     pub fn is_done(&self) -> bool {
         self.done
     }
 
-    /// How many bytes of the body were taken.
-    pub fn taken(&self) -> u64 {
-        self.taken
+    /// Number of body bytes read, excluding chunk framing.
+    pub fn bytes_read(&self) -> u64 {
+        self.bytes_read
     }
 
-    /// The connection ended. Returns whether the body is whole by that.
-    pub fn closed(&mut self) -> bool {
+    /// Handles the end of the connection. Returns whether the body is complete.
+    pub fn handle_close(&mut self) -> bool {
         self.done |= self.framing == Framing::UntilClose;
         self.done
     }
 
-    /// The next piece of what was read; `None` where more has to be read or the body is done.
+    /// Removes the next piece of the body from `buf`; `None` at the end or if more input is needed.
     pub fn next(&mut self, buf: &mut BytesMut) -> Result<Option<Bytes>, Malformed> {
         if self.done || buf.is_empty() {
             return Ok(None);
         }
         let piece = match self.framing {
             Framing::UntilClose => Some(buf.split().freeze()),
-            Framing::Length(_) => Some(self.take_left(buf)),
+            Framing::Length(_) => Some(self.take_remaining(buf)),
             Framing::Chunked => self.next_chunk(buf)?,
         };
-        self.taken += piece.as_ref().map_or(0, |p| p.len() as u64);
+        self.bytes_read += piece.as_ref().map_or(0, |p| p.len() as u64);
         Ok(piece)
     }
 
-    fn take_left(&mut self, buf: &mut BytesMut) -> Bytes {
+    fn take_remaining(&mut self, buf: &mut BytesMut) -> Bytes {
         let n = buf
             .len()
-            .min(usize::try_from(self.left).unwrap_or(usize::MAX));
-        self.left -= n as u64;
-        self.done = self.left == 0 && self.framing != Framing::Chunked;
+            .min(usize::try_from(self.remaining).unwrap_or(usize::MAX));
+        self.remaining -= n as u64;
+        self.done = self.remaining == 0 && self.framing != Framing::Chunked;
         buf.split_to(n).freeze()
     }
 
     fn next_chunk(&mut self, buf: &mut BytesMut) -> Result<Option<Bytes>, Malformed> {
         loop {
-            match self.chunk {
-                Chunk::Size => match httparse::parse_chunk_size(buf) {
-                    Ok(httparse::Status::Complete((used, size))) => {
-                        buf.advance(used);
-                        self.left = size;
-                        self.chunk = match size {
-                            0 => Chunk::Trailer,
-                            _ => Chunk::Data,
+            match self.chunk_state {
+                ChunkState::Size => match httparse::parse_chunk_size(buf) {
+                    Ok(httparse::Status::Complete((consumed, size))) => {
+                        buf.advance(consumed);
+                        self.remaining = size;
+                        self.chunk_state = match size {
+                            0 => ChunkState::Trailer,
+                            _ => ChunkState::Data,
                         };
                     }
                     Ok(httparse::Status::Partial) => return Ok(None),
                     Err(_) => return Err(Malformed::Chunk),
                 },
-                Chunk::Data => {
+                ChunkState::Data => {
                     if buf.is_empty() {
                         return Ok(None);
                     }
-                    let piece = self.take_left(buf);
-                    if self.left == 0 {
-                        self.chunk = Chunk::AfterData;
+                    let piece = self.take_remaining(buf);
+                    if self.remaining == 0 {
+                        self.chunk_state = ChunkState::AfterData;
                     }
                     return Ok(Some(piece));
                 }
-                Chunk::AfterData => {
+                ChunkState::AfterData => {
                     if buf.len() < 2 {
                         return Ok(None);
                     }
@@ -408,9 +408,9 @@
                         return Err(Malformed::Chunk);
                     }
                     buf.advance(2);
-                    self.chunk = Chunk::Size;
+                    self.chunk_state = ChunkState::Size;
                 }
-                Chunk::Trailer => {
+                ChunkState::Trailer => {
                     let Some(end) = buf.iter().position(|b| *b == b'\n') else {
                         return Ok(None);
                     };
@@ -438,7 +438,7 @@
     put_field(buf, name.as_bytes(), value.to_string().as_bytes());
 }
 
-/// Writes an answer's first line.
+/// Writes the status line of an answer.
 pub fn put_status(buf: &mut BytesMut, status: u16) {
     let reason = hyper::StatusCode::from_u16(status)
         .ok()
@@ -447,7 +447,7 @@
     buf.put_slice(format!("HTTP/1.1 {status} {reason}\r\n").as_bytes());
 }
 
-/// Writes one chunk.
+/// Writes one chunk. Skips an empty piece, because an empty chunk would end the body.
 pub fn put_chunk(buf: &mut BytesMut, piece: &[u8]) {
     if piece.is_empty() {
         return;
@@ -457,5 +457,5 @@
     buf.put_slice(b"\r\n");
 }
 
-/// What ends a chunked body.
+/// Terminates a chunked body that has no trailers.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
