--- a/benches/coordination/cutoff.rs
+++ b/benches/coordination/cutoff.rs
@@ -59,10 +59,10 @@
 }
 
 fn isolate(fleet: &mut nodes::Nodes) {
-    let (inside, outside) = fleet.split(0);
+    let (inside, outside) = fleet.split_by_az(0);
     fleet.set_links(&inside, &outside, true, fabric::Link::cut());
     for i in inside {
-        fleet.processes[i].no_store = true;
+        fleet.processes[i].store_unreachable = true;
     }
 }
 
@@ -91,7 +91,7 @@
     fleet.run(CUTOFF_DURATION / 2);
     fleet.fabric.heal();
     for i in 0..2 {
-        fleet.processes[i].no_store = false;
+        fleet.processes[i].store_unreachable = false;
     }
     wait_for_version(&mut fleet, 0, version) + wait_for_version(&mut fleet, 1, version)
 }
@@ -106,7 +106,7 @@
 
 fn replace_all_without_store(seed: u64) -> time::Duration {
     let (mut fleet, version) = start(seed);
-    fleet.down = true;
+    fleet.store_down = true;
     for i in 0..2 {
         fleet.kill(i);
         fleet.start(i);
--- a/benches/coordination/readers.rs
+++ b/benches/coordination/readers.rs
@@ -47,21 +47,21 @@
         "| {fault} | {election} | {:.1} | {:.0} | {:.2} | {:.1} | {:.2} |",
         report.changes,
         report.messages,
-        report.without * 100.0,
-        report.longest_s,
-        report.doubled * 100.0,
+        report.no_reader_share * 100.0,
+        report.longest_gap_s,
+        report.multiple_reader_share * 100.0,
     );
 }
 
 fn mean<E: reader::Election>(fault: Fault) -> elections::Report {
     let mut sum = elections::Report::default();
     for seed in 0..SEEDS {
-        let report = elections::play::<E>(fault, VMS, RUN_TIME, seed);
+        let report = elections::simulate::<E>(fault, VMS, RUN_TIME, seed);
         sum.changes += report.changes / SEEDS as f64;
         sum.messages += report.messages / SEEDS as f64;
-        sum.without += report.without / SEEDS as f64;
-        sum.doubled += report.doubled / SEEDS as f64;
-        sum.longest_s = sum.longest_s.max(report.longest_s);
+        sum.no_reader_share += report.no_reader_share / SEEDS as f64;
+        sum.multiple_reader_share += report.multiple_reader_share / SEEDS as f64;
+        sum.longest_gap_s = sum.longest_gap_s.max(report.longest_gap_s);
     }
     sum
 }
--- a/benches/coordination/times.rs
+++ b/benches/coordination/times.rs
@@ -14,7 +14,7 @@
     let entry = path::Path::new(env!("CARGO_BIN_EXE_bulrushwind-entry"));
     let dir = tempfile::tempdir().unwrap();
     let mut fleet = deployment::Deployment::new(standin, entry, dir.path(), 9, (6, 2)).unwrap();
-    operator::publish(&fleet.platform(), "bays", "# 0", 0).unwrap();
+    operator::publish(&fleet.store_client(), "bays", "# 0", 0).unwrap();
     fleet.start_all().unwrap();
     let linked = |i| fleet.status(i).is_ok_and(|s| s.peers == 11);
     wait_until(|| (0..12).all(linked));
@@ -27,10 +27,10 @@
 }
 
 fn row(fleet: &deployment::Deployment, name: &str, delay_ms: u64, lost_replies: u32) {
-    let platform = fleet.platform();
+    let platform = fleet.store_client();
     let mut durations_ms = Vec::new();
     for change in 0..CHANGE_COUNT {
-        fleet.faults(false, delay_ms, lost_replies).unwrap();
+        fleet.set_faults(false, delay_ms, lost_replies).unwrap();
         thread::sleep(time::Duration::from_millis(37 * (change as u64 % 5)));
         let from = time::Instant::now();
         let version = operator::apply(&platform, "bays", &format!("# {change}"), 0, 0).unwrap();
--- a/examples/cost.rs
+++ b/examples/cost.rs
@@ -224,11 +224,11 @@
                     let mut answered = 0;
                     while next < until {
                         thread::sleep(next.saturating_duration_since(time::Instant::now()));
-                        let ask = caller::Ask {
+                        let request = caller::Request {
                             path: "/availability/bays",
-                            ..caller::Ask::default()
+                            ..caller::Request::default()
                         };
-                        let response = caller.ask(*addr, &ask);
+                        let response = caller.send(*addr, &request);
                         answered +=
                             u64::from(response.is_ok_and(|response| response.status == 200));
                         next += interval;
--- a/examples/tryout/load.rs
+++ b/examples/tryout/load.rs
@@ -147,15 +147,15 @@
                 continue;
             }
             let path = format!("{path}?n={request_id}");
-            let ask = caller::Ask {
+            let request = caller::Request {
                 method,
                 path: &path,
                 key: key.as_deref(),
                 body: if is_booking { &request_id } else { "" },
                 timeout: TIMEOUT,
-                patience: None,
+                stated_timeout: None,
             };
-            let ended = self.send(&found.entries, &ask, service);
+            let ended = self.send(&found.entries, &request, service);
             if ended == RequestEnd::NotRun && is_booking && refused.len() + 1 < MAX_TICKETS {
                 // A not-run outcome is reliable: a new key under a new ticket cannot book twice.
                 refused.extend(key);
@@ -177,26 +177,28 @@
     fn send(
         &mut self,
         entries: &[lookup::EntryVm],
-        ask: &caller::Ask<'_>,
+        request: &caller::Request<'_>,
         service: &str,
     ) -> RequestEnd {
         let mut last = RequestEnd::Unknown;
         for attempt in 0..MAX_SENDS {
             let at = (self.number as usize + attempt as usize) % entries.len();
             let entry = entries[at].addr;
-            match self.caller.ask(entry, ask) {
+            match self.caller.send(entry, request) {
                 Ok(response) => match response.outcome {
                     Some(outcome::Outcome::Answered) => {
-                        return check_answer(&response, ask, service);
+                        return check_answer(&response, request, service);
                     }
                     Some(outcome::Outcome::NotRun) => {
-                        let stopping = response.problem().is_some_and(|p| p.reason == "stopping");
-                        if stopping && attempt == 0 && ask.key.is_some() {
+                        let stopping = response
+                            .error_body()
+                            .is_some_and(|p| p.reason == "stopping");
+                        if stopping && attempt == 0 && request.key.is_some() {
                             self.found = None;
                             return RequestEnd::NotRun;
                         }
                         // The outcome covers only this send; an earlier one may have run.
-                        if attempt == 0 || ask.key.is_none() || last == RequestEnd::NotRun {
+                        if attempt == 0 || request.key.is_none() || last == RequestEnd::NotRun {
                             last = RequestEnd::NotRun;
                         }
                     }
@@ -230,12 +232,16 @@
 }
 
 /// Checks that the answer is complete and belongs to this request.
-fn check_answer(response: &caller::Told, ask: &caller::Ask<'_>, service: &str) -> RequestEnd {
+fn check_answer(
+    response: &caller::Response,
+    request: &caller::Request<'_>,
+    service: &str,
+) -> RequestEnd {
     let Ok(echo) = serde_json::from_str::<backend::Echo>(&response.body) else {
         return RequestEnd::Wrong;
     };
-    let path = ask.path.strip_prefix(&format!("/{service}"));
-    if Some(echo.path.as_str()) == path && echo.body == ask.body {
+    let path = request.path.strip_prefix(&format!("/{service}"));
+    if Some(echo.path.as_str()) == path && echo.body == request.body {
         return RequestEnd::Answered;
     }
     RequestEnd::Wrong
--- a/examples/tryout/scenes.rs
+++ b/examples/tryout/scenes.rs
@@ -88,15 +88,15 @@
     let caller = caller::Caller::default();
     let ticket = caller.look_up(entry, "ledger")?.ticket.unwrap_or_default();
     let key = format!("{ticket}.crash");
-    let ask = caller::Ask {
+    let request = caller::Request {
         method: "POST",
         path: "/ledger/book?crash=1",
         key: Some(&key),
         body: "bay 7",
-        ..caller::Ask::default()
+        ..caller::Request::default()
     };
     for _ in 0..2 {
-        let response = caller.ask(entry, &ask)?;
+        let response = caller.send(entry, &request)?;
         if response.outcome != Some(outcome::Outcome::Unknown) {
             report.add_violation(format!(
                 "a booking that crashed its backend server: {response:?}"
@@ -142,7 +142,7 @@
         leaving: true,
         ..backend::Behaviour::default()
     };
-    backend::behave(addr, &behaviour)?;
+    backend::set_behaviour(addr, &behaviour)?;
     check_no_new_requests(fleet, &name, addr, report)
 }
 
@@ -210,12 +210,12 @@
     let until = time::Instant::now() + WAIT_TIMEOUT;
     for entry in fleet.entries.values() {
         for path in ["/availability/", "/ledger/bays", "/archive/history"] {
-            let ask = caller::Ask {
+            let request = caller::Request {
                 path,
-                ..caller::Ask::default()
+                ..caller::Request::default()
             };
             while !caller
-                .ask(entry.addr(), &ask)
+                .send(entry.addr(), &request)
                 .is_ok_and(|t| t.status == 200)
             {
                 if time::Instant::now() > until {
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -26,7 +26,7 @@
 /// Path that returns the JSON [`Log`].
 pub const LOG_PATH: &str = "/_log";
 /// A request with this text in its query makes the server process exit.
-pub const CRASH: &str = "crash=1";
+pub const CRASH_QUERY: &str = "crash=1";
 
 /// Interval at which a running job checks for cancellation.
 const CANCEL_POLL_INTERVAL: time::Duration = time::Duration::from_millis(1);
@@ -146,7 +146,7 @@
             jobs,
             journal: journal.map(Mutex::new),
         });
-        shared.behave(behaviour);
+        shared.set_behaviour(behaviour);
         for _ in 0..slots {
             let (shared, rx) = (sync::Arc::downgrade(&shared), rx.clone());
             thread::spawn(move || {
@@ -174,8 +174,8 @@
     }
 
     /// Replaces the behaviour.
-    pub fn behave(&self, behaviour: Behaviour) {
-        self.shared.behave(behaviour);
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        self.shared.set_behaviour(behaviour);
     }
 
     /// A copy of the log.
@@ -190,7 +190,7 @@
 }
 
 impl Shared {
-    fn behave(&self, behaviour: Behaviour) {
+    fn set_behaviour(&self, behaviour: Behaviour) {
         let mut since = self.leaving_since.lock();
         *since = match (behaviour.leaving, *since) {
             (true, None) => Some(time::Instant::now()),
@@ -259,7 +259,7 @@
             BEHAVIOUR_PATH => {
                 let status = match serde_json::from_slice(&req.body) {
                     Ok(behaviour) => {
-                        shared.behave(behaviour);
+                        shared.set_behaviour(behaviour);
                         StatusCode::OK
                     }
                     Err(_) => StatusCode::BAD_REQUEST,
@@ -330,7 +330,7 @@
         .req
         .uri
         .query()
-        .is_some_and(|query| query.contains(CRASH))
+        .is_some_and(|query| query.contains(CRASH_QUERY))
     {
         process::exit(70);
     }
@@ -396,7 +396,7 @@
 }
 
 /// Sets the behaviour of the backend server at `addr`.
-pub fn behave(addr: net::SocketAddr, behaviour: &Behaviour) -> io::Result<()> {
+pub fn set_behaviour(addr: net::SocketAddr, behaviour: &Behaviour) -> io::Result<()> {
     attohttpc::post(format!("http://{addr}{BEHAVIOUR_PATH}"))
         .header(header::CONTENT_TYPE.as_str(), "application/json")
         .text(serde_json::to_string(behaviour)?)
--- a/src/standin/caller.rs
+++ b/src/standin/caller.rs
@@ -11,7 +11,7 @@
 
 /// A request to send.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct Request<'a> {
     /// The method.
     pub method: &'a str,
     /// The path, which begins with the service's name, and the query.
@@ -23,10 +23,10 @@
     /// Time after which the caller gives up.
     pub timeout: time::Duration,
     /// The timeout sent in the request's header, if any.
-    pub patience: Option<time::Duration>,
+    pub stated_timeout: Option<time::Duration>,
 }
 
-impl Default for Ask<'_> {
+impl Default for Request<'_> {
     fn default() -> Self {
         Self {
             method: "GET",
@@ -34,14 +34,14 @@
             key: None,
             body: "",
             timeout: time::Duration::from_secs(20),
-            patience: None,
+            stated_timeout: None,
         }
     }
 }
 
 /// The response to a request.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct Response {
     /// The HTTP status.
     pub status: u16,
     /// The outcome stated in the header, if any.
@@ -52,9 +52,9 @@
     pub retry_after: Option<time::Duration>,
 }
 
-impl Told {
+impl Response {
     /// The error body of a response that an entry VM generated.
-    pub fn problem(&self) -> Option<outcome::Body> {
+    pub fn error_body(&self) -> Option<outcome::Body> {
         serde_json::from_str(&self.body).ok()
     }
 }
@@ -80,34 +80,34 @@
     /// Looks a service up at an entry VM.
     pub fn look_up(&self, entry: net::SocketAddr, service: &str) -> io::Result<lookup::Lookup> {
         let path = format!("/lookup/{service}");
-        let told = self.ask(
+        let response = self.send(
             entry,
-            &Ask {
+            &Request {
                 path: &path,
-                ..Ask::default()
+                ..Request::default()
             },
         )?;
-        serde_json::from_str(&told.body).map_err(|_| io::Error::other(told.body))
+        serde_json::from_str(&response.body).map_err(|_| io::Error::other(response.body))
     }
 
     /// Sends a request. Returns an error if no complete response arrived.
-    pub fn ask(&self, entry: net::SocketAddr, ask: &Ask<'_>) -> io::Result<Told> {
+    pub fn send(&self, entry: net::SocketAddr, request: &Request<'_>) -> io::Result<Response> {
         let mut req = ureq::http::Request::builder()
-            .method(ask.method)
-            .uri(format!("http://{entry}{}", ask.path));
-        if let Some(key) = ask.key {
+            .method(request.method)
+            .uri(format!("http://{entry}{}", request.path));
+        if let Some(key) = request.key {
             req = req.header(headers::KEY, key);
         }
-        if let Some(patience) = ask.patience {
-            req = req.header(headers::TIMEOUT, patience.as_millis().to_string());
+        if let Some(stated_timeout) = request.stated_timeout {
+            req = req.header(headers::TIMEOUT, stated_timeout.as_millis().to_string());
         }
-        let timeout = Some(ask.timeout);
-        let res = if ask.body.is_empty() {
+        let timeout = Some(request.timeout);
+        let res = if request.body.is_empty() {
             let req = req.body(()).map_err(io::Error::other)?;
             let req = self.agent.configure_request(req);
             self.agent.run(req.timeout_global(timeout).build())
         } else {
-            let req = req.body(ask.body).map_err(io::Error::other)?;
+            let req = req.body(request.body).map_err(io::Error::other)?;
             let req = self.agent.configure_request(req);
             self.agent.run(req.timeout_global(timeout).build())
         };
@@ -120,7 +120,7 @@
             .map_err(io::Error::other)?;
         let header = |name: &str| res.headers().get(name)?.to_str().ok();
         let outcome = header(headers::OUTCOME);
-        Ok(Told {
+        Ok(Response {
             status: res.status().as_u16(),
             outcome: outcome.and_then(|outcome| serde_json::from_value(outcome.into()).ok()),
             retry_after: header("retry-after")
--- a/src/standin/deployment.rs
+++ b/src/standin/deployment.rs
@@ -92,12 +92,12 @@
     }
 
     /// A client of the store.
-    pub fn platform(&self) -> store_http::Client {
+    pub fn store_client(&self) -> store_http::Client {
         store_http::Client::new(self.store.addr())
     }
 
     /// Replaces the store's active faults.
-    pub fn faults(&self, down: bool, delay_ms: u64, lose_write_replies: u32) -> io::Result<()> {
+    pub fn set_faults(&self, down: bool, delay_ms: u64, lose_write_replies: u32) -> io::Result<()> {
         let faults = control::Control::Faults {
             down,
             delay_ms,
--- a/src/standin/elections.rs
+++ b/src/standin/elections.rs
@@ -54,11 +54,11 @@
     /// Messages sent, per VM and minute.
     pub messages: f64,
     /// Share of time without a useful reader.
-    pub without: f64,
+    pub no_reader_share: f64,
     /// Longest period without a useful reader, in seconds.
-    pub longest_s: f64,
+    pub longest_gap_s: f64,
     /// Share of time with two or more readers.
-    pub doubled: f64,
+    pub multiple_reader_share: f64,
 }
 
 struct Vm<E> {
@@ -81,7 +81,7 @@
 }
 
 /// Simulates `vms` VMs for `span` of virtual time.
-pub fn play<E: Election>(fault: Fault, vms: usize, span: time::Duration, seed: u64) -> Report {
+pub fn simulate<E: Election>(fault: Fault, vms: usize, span: time::Duration, seed: u64) -> Report {
     let mut simulation = Simulation::<E>::new(fault, vms, seed);
     let (mut steps, mut without, mut doubled) = (0_u64, 0_u64, 0_u64);
     let (mut gap, mut longest) = (0_u64, 0_u64);
@@ -103,9 +103,9 @@
     Report {
         changes: per_vm(simulation.changes) / span.as_secs_f64() * 3_600.0,
         messages: per_vm(simulation.fabric.sent()) / span.as_secs_f64() * 60.0,
-        without: share(without),
-        longest_s: share(longest) * span.as_secs_f64(),
-        doubled: share(doubled),
+        no_reader_share: share(without),
+        longest_gap_s: share(longest) * span.as_secs_f64(),
+        multiple_reader_share: share(doubled),
     }
 }
 
--- a/src/standin/nodes.rs
+++ b/src/standin/nodes.rs
@@ -42,7 +42,7 @@
     /// The process is paused and handles no events.
     pub paused: bool,
     /// The process cannot reach the store.
-    pub no_store: bool,
+    pub store_unreachable: bool,
     /// The settings in force.
     pub settings: sync::Arc<settings::Settings>,
     /// Number of calls to the store.
@@ -118,9 +118,9 @@
     /// The store.
     pub store: memory::Memory,
     /// All store calls fail.
-    pub down: bool,
+    pub store_down: bool,
     /// Snapshot that full reads return instead of the store's current entries.
-    pub stale: Option<store::Snapshot>,
+    pub stale_snapshot: Option<store::Snapshot>,
     /// Time that a store call takes.
     pub store_delay: time::Duration,
     cfg: Config,
@@ -146,8 +146,8 @@
             processes: (0..count).map(|i| Process::new(i, cfg.per_az)).collect(),
             fabric: fabric::Fabric::new(cfg.seed, cfg.link),
             store: memory::Memory::default(),
-            down: false,
-            stale: None,
+            store_down: false,
+            stale_snapshot: None,
             store_delay: cfg.store_delay,
             now: policy::Moment::ZERO,
             pending_calls: collections::BTreeMap::new(),
@@ -245,7 +245,7 @@
     }
 
     /// Whether a version of a team's settings is in force on all running processes.
-    pub fn all_have(&self, team: &str, version: u64) -> bool {
+    pub fn all_have_version(&self, team: &str, version: u64) -> bool {
         let running = self.processes.iter().filter(|p| p.node.is_some());
         running
             .into_iter()
@@ -253,7 +253,7 @@
     }
 
     /// The highest rank of a key among the running processes.
-    pub fn highest(&self, key: &str) -> Option<signed_values::Rank> {
+    pub fn highest_rank(&self, key: &str) -> Option<signed_values::Rank> {
         let nodes = self.processes.iter().filter_map(|p| p.node.as_ref());
         nodes.filter_map(|node| node.sync().held().rank(key)).max()
     }
@@ -271,7 +271,7 @@
     }
 
     /// Indexes of the processes inside and outside one availability zone.
-    pub fn split(&self, az: usize) -> (Vec<usize>, Vec<usize>) {
+    pub fn split_by_az(&self, az: usize) -> (Vec<usize>, Vec<usize>) {
         (0..self.processes.len()).partition(|i| self.processes[*i].az == az)
     }
 
@@ -433,7 +433,7 @@
             if process.node.is_none() || process.start_count != call.start_count {
                 continue;
             }
-            let unreachable = self.down || process.no_store;
+            let unreachable = self.store_down || process.store_unreachable;
             match self.answer(&call, unreachable) {
                 Some((event, bytes)) => {
                     let process = &mut self.processes[call.process];
@@ -500,7 +500,7 @@
     }
 
     fn list(&self, prefix: Prefix) -> Result<store::Snapshot, store::Error> {
-        let mut snapshot = match &self.stale {
+        let mut snapshot = match &self.stale_snapshot {
             Some(stale) => stale.clone(),
             None => self.store.list(prefix.as_str())?,
         };
@@ -519,7 +519,7 @@
             vm: row.id,
             az: i / per_az,
             paused: false,
-            no_store: false,
+            store_unreachable: false,
             settings: sync::Arc::default(),
             calls: 0,
             store_bytes: 0,
--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -29,7 +29,10 @@
     });
     let version = operator::publish(&fleet.store, "bays", "# first", NOW_MS).unwrap();
     fleet.run(MAX_DISTRIBUTION_TIME);
-    assert!(fleet.all_have("bays", version), "first version in force");
+    assert!(
+        fleet.all_have_version("bays", version),
+        "first version in force"
+    );
     fleet
 }
 
@@ -47,7 +50,7 @@
     span: time::Duration,
 ) -> time::Duration {
     fleet
-        .run_until(span, |fleet| fleet.all_have("bays", version))
+        .run_until(span, |fleet| fleet.all_have_version("bays", version))
         .unwrap_or_else(|| panic!("version {version} is not in force everywhere after {span:?}"))
 }
 
@@ -98,7 +101,7 @@
 fn an_apply_during_an_outage_fails_and_succeeds_afterwards() {
     let mut fleet = healthy();
     let before = fleet.processes[0].version("bays").unwrap();
-    fleet.down = true;
+    fleet.store_down = true;
     fleet.store.set_faults(memory::Faults {
         down: true,
         ..memory::Faults::default()
@@ -106,8 +109,8 @@
     let refused = operator::apply(&fleet.store, "bays", "# second", 0, NOW_MS + 1);
     assert!(matches!(refused, Err(store::Error::Unavailable(_))));
     fleet.run(RECOVERY_TIME);
-    assert!(fleet.all_have("bays", before));
-    fleet.down = false;
+    assert!(fleet.all_have_version("bays", before));
+    fleet.store_down = false;
     fleet.store.set_faults(memory::Faults::default());
     let version = apply(&fleet, "# second", 2);
     wait_until_in_force(&mut fleet, version, MAX_DISTRIBUTION_TIME);
@@ -119,13 +122,13 @@
 fn a_gap_in_the_watch_is_closed_by_a_full_read() {
     let mut fleet = healthy();
     for process in &mut fleet.processes {
-        process.no_store = true;
+        process.store_unreachable = true;
     }
     fleet.run(MAX_DISTRIBUTION_TIME);
     let version = apply(&fleet, "# second", 1);
     fleet.store.forget_history();
     for process in &mut fleet.processes {
-        process.no_store = false;
+        process.store_unreachable = false;
     }
     wait_until_in_force(&mut fleet, version, MAX_DISTRIBUTION_TIME);
 }
@@ -166,9 +169,9 @@
         (true, true, false),
     ] {
         let mut fleet = healthy();
-        let (inside, outside) = fleet.split(0);
+        let (inside, outside) = fleet.split_by_az(0);
         for i in &inside {
-            fleet.processes[*i].no_store = store_cut;
+            fleet.processes[*i].store_unreachable = store_cut;
         }
         if peers_cut {
             fleet.set_links(&inside, &outside, !one_way, fabric::Link::cut());
@@ -186,7 +189,7 @@
         }
         fleet.fabric.heal();
         for i in &inside {
-            fleet.processes[*i].no_store = false;
+            fleet.processes[*i].store_unreachable = false;
         }
         wait_until_in_force(&mut fleet, version, MAX_DISTRIBUTION_TIME);
     }
@@ -198,8 +201,8 @@
 fn an_availability_zone_that_starts_empty_during_an_outage_gets_its_settings_from_peers() {
     let mut fleet = healthy();
     let version = fleet.processes[0].version("bays").unwrap();
-    fleet.down = true;
-    let (inside, _) = fleet.split(1);
+    fleet.store_down = true;
+    let (inside, _) = fleet.split_by_az(1);
     for i in &inside {
         fleet.kill(*i);
     }
@@ -207,7 +210,7 @@
     for i in &inside {
         fleet.start(*i);
     }
-    assert!(!fleet.all_have("bays", version));
+    assert!(!fleet.all_have_version("bays", version));
     wait_until_in_force(&mut fleet, version, MAX_DISTRIBUTION_TIME);
     let rows = inside.iter().map(|i| {
         let node = fleet.processes[*i].node.as_ref().unwrap();
@@ -226,7 +229,7 @@
     wait_until_in_force(&mut fleet, version, MAX_DISTRIBUTION_TIME);
     fleet.store.restore(&backup);
     fleet.run(MAX_DISTRIBUTION_TIME);
-    assert!(fleet.all_have("bays", version));
+    assert!(fleet.all_have_version("bays", version));
     let (_, stored) = operator::read(&fleet.store, "settings/bays").unwrap();
     assert_eq!(stored, version, "the store was written again");
     assert!(logged(&fleet, |note| matches!(
@@ -249,7 +252,7 @@
     let next = apply(&fleet, "# third", 60_000);
     wait_until_in_force(&mut fleet, next, MAX_DISTRIBUTION_TIME);
     fleet.run(MAX_DISTRIBUTION_TIME);
-    assert!(fleet.all_have("bays", next));
+    assert!(fleet.all_have_version("bays", next));
 }
 
 /// Reads come from a stale replica of the store. Settings must not revert, and the readers' repair
@@ -260,10 +263,10 @@
     let stale = fleet.store.backup();
     let version = apply(&fleet, "# second", 1);
     wait_until_in_force(&mut fleet, version, MAX_DISTRIBUTION_TIME);
-    fleet.stale = Some(stale);
+    fleet.stale_snapshot = Some(stale);
     fleet.store.forget_history();
     fleet.run(RECOVERY_TIME);
-    assert!(fleet.all_have("bays", version));
+    assert!(fleet.all_have_version("bays", version));
     let (_, stored) = operator::read(&fleet.store, "settings/bays").unwrap();
     assert_eq!(stored, version);
 }
@@ -314,7 +317,7 @@
 
     apply(&fleet, "# by the old key", 1);
     fleet.run(MAX_DISTRIBUTION_TIME);
-    assert!(fleet.all_have("bays", first));
+    assert!(fleet.all_have_version("bays", first));
     assert!(logged(&fleet, |note| matches!(
         note,
         action::Note::Refused { .. }
@@ -338,7 +341,7 @@
     let ring = keys::KeyRing::sign("bays".into(), 9, vec![key], &operator::team_key(7)).unwrap();
     operator::put_ring(&fleet.store, &ring).unwrap();
     fleet.run(RECOVERY_TIME);
-    assert!(fleet.all_have("bays", version));
+    assert!(fleet.all_have_version("bays", version));
     assert!(logged(&fleet, |note| matches!(
         note,
         action::Note::Refused { .. }
@@ -354,13 +357,13 @@
     let unsound = "[[service]]\nname = \"x\"\nazs = [\"nowhere\"]\nslots = 1\nconnections = 1\noperation = []\n";
     apply(&fleet, unsound, 1);
     let other = operator::publish(&fleet.store, "records", "# sound", NOW_MS).unwrap();
-    let all_have_other = |fleet: &nodes::Nodes| fleet.all_have("records", other);
+    let all_have_other = |fleet: &nodes::Nodes| fleet.all_have_version("records", other);
     assert!(
         fleet
             .run_until(MAX_DISTRIBUTION_TIME, all_have_other)
             .is_some()
     );
-    assert!(fleet.all_have("bays", version));
+    assert!(fleet.all_have_version("bays", version));
     assert!(logged(&fleet, |note| matches!(
         note,
         action::Note::NotInForce { .. }
--- a/tests/agreement_random.rs
+++ b/tests/agreement_random.rs
@@ -156,20 +156,20 @@
             Event::ApplyBehind(team) => self.apply(team, false, 0),
             Event::Race(team) => self.apply_concurrently(team),
             Event::Rotate(team) => self.rotate(team),
-            Event::StoreDown => self.fleet.down = true,
-            Event::StoreUp => self.fleet.down = false,
+            Event::StoreDown => self.fleet.store_down = true,
+            Event::StoreUp => self.fleet.store_down = false,
             Event::StoreSlow(ms) => {
                 self.fleet.store_delay = time::Duration::from_millis(ms);
             }
             Event::Forget => self.fleet.store.forget_history(),
-            Event::Stale => self.fleet.stale = Some(self.fleet.store.backup()),
+            Event::Stale => self.fleet.stale_snapshot = Some(self.fleet.store.backup()),
             Event::CutStore(az) => {
-                for i in self.fleet.split(az).0 {
-                    self.fleet.processes[i].no_store = true;
+                for i in self.fleet.split_by_az(az).0 {
+                    self.fleet.processes[i].store_unreachable = true;
                 }
             }
             Event::CutPeers(az, both) => {
-                let (inside, outside) = self.fleet.split(az);
+                let (inside, outside) = self.fleet.split_by_az(az);
                 let cut = fabric::Link::cut();
                 self.fleet.set_links(&inside, &outside, both, cut);
             }
@@ -178,7 +178,7 @@
             Event::Kill(i) => self.fleet.kill(i),
             Event::Start(i) => self.start(i),
             Event::Replace(az) => {
-                for i in self.fleet.split(az).0 {
+                for i in self.fleet.split_by_az(az).0 {
                     self.fleet.kill(i);
                     self.start(i);
                 }
@@ -188,7 +188,7 @@
             Event::Restore => {
                 // Stale replicas are restored with it. docs/design/settings.md describes the
                 // effect of a replica that is not restored.
-                self.fleet.stale = None;
+                self.fleet.stale_snapshot = None;
                 self.fleet.store.restore(&self.backup);
                 self.restored = true;
             }
@@ -222,7 +222,7 @@
         let entry = self.fleet.store.get(&at).unwrap().unwrap();
         let ring = keys::KeyRing::decode(&entry.value).unwrap();
         let public = operator::team_key(self.keys[team]).public();
-        self.fleet.down || ring.keys.iter().all(|key| key.public != public)
+        self.fleet.store_down || ring.keys.iter().all(|key| key.public != public)
     }
 
     fn apply(&mut self, team: usize, lose_reply: bool, behind_ms: u64) {
@@ -259,7 +259,7 @@
 
     /// Writes a ring with the new key. Settings that the old key signed before stay valid.
     fn rotate(&mut self, team: usize) {
-        if self.fleet.down || self.restored {
+        if self.fleet.store_down || self.restored {
             return;
         }
         let old = self.keys[team];
@@ -287,11 +287,11 @@
     /// Ends all faults and starts all processes that are down.
     fn heal(&mut self) {
         self.fleet.fabric.heal();
-        self.fleet.down = false;
-        self.fleet.stale = None;
+        self.fleet.store_down = false;
+        self.fleet.stale_snapshot = None;
         self.fleet.store_delay = time::Duration::from_millis(5);
         for i in 0..VM_COUNT {
-            self.fleet.processes[i].no_store = false;
+            self.fleet.processes[i].store_unreachable = false;
             self.fleet.processes[i].paused = false;
             self.start(i);
         }
@@ -304,7 +304,7 @@
         if !self.restored {
             return self.accepted[team];
         }
-        let held = self.fleet.highest(&key).map_or(0, |rank| rank.version);
+        let held = self.fleet.highest_rank(&key).map_or(0, |rank| rank.version);
         held.max(operator::read(&self.fleet.store, &key).unwrap().1)
     }
 }
@@ -323,7 +323,7 @@
             let stored = operator::read(&fleet.store, &key).unwrap().1;
             // A newer version may have been in flight to a process at the time of a restore.
             let allowed = stored == version || (restored && stored > version);
-            allowed && fleet.all_have(team, stored)
+            allowed && fleet.all_have_version(team, stored)
         })
     };
     if run.fleet.run_until(MAX_RECOVERY_TIME, settled).is_some() {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -29,7 +29,7 @@
 fn an_applied_change_reaches_every_entry_vm() {
     let dir = tempfile::tempdir().unwrap();
     let mut fleet = deploy(&dir, 0);
-    let platform = fleet.platform();
+    let platform = fleet.store_client();
     let version = operator::publish(&platform, "bays", "# first", 0).unwrap();
     fleet.start_all().unwrap();
     wait_for("all have the first version", || {
@@ -38,7 +38,7 @@
     wait_for("all are linked", || {
         (0..6).all(|i| fleet.status(i).is_ok_and(|status| status.peers == 5))
     });
-    fleet.faults(false, 0, 1).unwrap();
+    fleet.set_faults(false, 0, 1).unwrap();
     let next = operator::apply(&platform, "bays", "# second", 0, 0).unwrap();
     wait_for("all have the second version", || {
         (0..6).all(|i| fleet.version(i, "bays") == Some(next))
@@ -52,13 +52,13 @@
 fn empty_vms_get_the_settings_from_peers_during_an_outage() {
     let dir = tempfile::tempdir().unwrap();
     let mut fleet = deploy(&dir, 1);
-    let platform = fleet.platform();
+    let platform = fleet.store_client();
     let version = operator::publish(&platform, "bays", "# first", 0).unwrap();
     fleet.start_all().unwrap();
     wait_for("all have the first version", || {
         (0..6).all(|i| fleet.version(i, "bays") == Some(version))
     });
-    fleet.faults(true, 0, 0).unwrap();
+    fleet.set_faults(true, 0, 0).unwrap();
     for i in [4, 5] {
         fleet.kill(i);
         fleet.start(i).unwrap();
@@ -70,7 +70,7 @@
     });
     let refused = operator::apply(&platform, "bays", "# second", 0, 0);
     assert!(refused.is_err(), "nothing is accepted during an outage");
-    fleet.faults(false, 0, 0).unwrap();
+    fleet.set_faults(false, 0, 0).unwrap();
     let next = operator::apply(&platform, "bays", "# second", 0, 0).unwrap();
     wait_for("all have the second version", || {
         (0..6).all(|i| fleet.version(i, "bays") == Some(next))
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -108,11 +108,11 @@
 fn a_refusal_is_explained_by_its_request_id() {
     let env = testenv::TestEnv::new();
     let (entry, addr) = entry(&env, "e2");
-    let ask = caller::Ask {
+    let ask = caller::Request {
         path: "/availability/bays",
-        ..caller::Ask::default()
+        ..caller::Request::default()
     };
-    let told = caller::Caller::default().ask(entry.addr(), &ask).unwrap();
+    let told = caller::Caller::default().send(entry.addr(), &ask).unwrap();
     assert_eq!(told.status, 503);
     let url = format!("http://{}/availability/bays", entry.addr());
     let res = attohttpc::get(url).send().unwrap();
@@ -163,13 +163,13 @@
 fn the_burn_report_exits_with_5_while_a_budget_burns() {
     let env = testenv::TestEnv::new();
     let (entry, addr) = entry(&env, "e5");
-    let ask = caller::Ask {
+    let ask = caller::Request {
         path: "/availability/bays",
-        ..caller::Ask::default()
+        ..caller::Request::default()
     };
     let caller = caller::Caller::default();
     for _ in 0..30 {
-        assert_eq!(caller.ask(entry.addr(), &ask).unwrap().status, 503);
+        assert_eq!(caller.send(entry.addr(), &ask).unwrap().status, 503);
     }
     let run = |format: &str, at: net::SocketAddr| {
         let out = process::Command::new(env!("CARGO_BIN_EXE_bulrushwind-burn"))
--- a/tests/path/answers.rs
+++ b/tests/path/answers.rs
@@ -23,11 +23,11 @@
     format!("/ledger/bays?n={n}")
 }
 
-fn read_request(path: &str) -> caller::Ask<'_> {
-    caller::Ask {
+fn read_request(path: &str) -> caller::Request<'_> {
+    caller::Request {
         path,
-        patience: Some(time::Duration::from_secs(1)),
-        ..caller::Ask::default()
+        stated_timeout: Some(time::Duration::from_secs(1)),
+        ..caller::Request::default()
     }
 }
 
@@ -44,7 +44,7 @@
     let caller = caller::Caller::default();
     for n in 0..5 {
         let path = read_path(n);
-        let reply = caller.ask(entry.addr(), &read_request(&path)).unwrap();
+        let reply = caller.send(entry.addr(), &read_request(&path)).unwrap();
         if reply.outcome == Some(Outcome::Answered) {
             assert_eq!(reply.body, format!("/bays?n={n}"), "{name}: request {n}");
         } else {
@@ -62,16 +62,16 @@
     let caller = caller::Caller::default();
     let ticket = caller.look_up(entry.addr(), "ledger").unwrap().ticket;
     let key = format!("{}.1", ticket.unwrap());
-    let booking = caller::Ask {
+    let booking = caller::Request {
         method: "POST",
         path: "/ledger/book",
         key: Some(&key),
         body: "bay 7",
-        patience: Some(time::Duration::from_secs(1)),
-        ..caller::Ask::default()
+        stated_timeout: Some(time::Duration::from_secs(1)),
+        ..caller::Request::default()
     };
     for _ in 0..2 {
-        let reply = caller.ask(entry.addr(), &booking).unwrap();
+        let reply = caller.send(entry.addr(), &booking).unwrap();
         assert_eq!(reply.outcome, Some(Outcome::Unknown), "{name}: {reply:?}");
         assert!(reply.retry_after.is_some(), "{name}: {reply:?}");
     }
@@ -191,7 +191,7 @@
         let caller = caller::Caller::default();
         for n in 0..50 {
             let path = read_path(n);
-            let reply = caller.ask(entry.addr(), &read_request(&path)).unwrap();
+            let reply = caller.send(entry.addr(), &read_request(&path)).unwrap();
             if reply.outcome == Some(Outcome::Answered) {
                 assert_eq!(reply.body, format!("/bays?n={n}"));
             }
@@ -210,14 +210,14 @@
     let caller = caller::Caller::default();
     let ticket = caller.look_up(entry.addr(), "ledger").unwrap().ticket;
     let key = format!("{}.1", ticket.unwrap());
-    let booking = caller::Ask {
+    let booking = caller::Request {
         method: "POST",
         path: "/ledger/book",
         key: Some(&key),
         body: "bay 7",
-        ..caller::Ask::default()
+        ..caller::Request::default()
     };
-    let reply = caller.ask(entry.addr(), &booking).unwrap();
+    let reply = caller.send(entry.addr(), &booking).unwrap();
     assert_eq!(reply.outcome, Some(Outcome::NotRun), "{reply:?}");
     assert!(reply.retry_after.is_some(), "{reply:?}");
 }
@@ -231,7 +231,7 @@
     });
     let entry = local::entry(&[raw.addr]);
     let reply = caller::Caller::default()
-        .ask(entry.addr(), &read_request("/ledger/bays?n=1"))
+        .send(entry.addr(), &read_request("/ledger/bays?n=1"))
         .unwrap();
     assert_eq!(reply.status, 500);
     assert_eq!(reply.outcome, Some(Outcome::Answered));
--- a/tests/path/cancel.rs
+++ b/tests/path/cancel.rs
@@ -18,14 +18,14 @@
         work_ms: 600_000,
         ..backend::Behaviour::default()
     };
-    backend::behave(ledger.addr(), &slow).unwrap();
-    let short_wait = caller::Ask {
+    backend::set_behaviour(ledger.addr(), &slow).unwrap();
+    let short_wait = caller::Request {
         path: "/ledger/bays",
-        patience: Some(time::Duration::from_secs(600)),
+        stated_timeout: Some(time::Duration::from_secs(600)),
         timeout: time::Duration::from_millis(200),
-        ..caller::Ask::default()
+        ..caller::Request::default()
     };
-    let reply = caller::Caller::default().ask(entry.addr(), &short_wait);
+    let reply = caller::Caller::default().send(entry.addr(), &short_wait);
     assert!(reply.is_err(), "{reply:?}");
     testenv::wait_for("the backend server stops working on it", || {
         backend::read_log(ledger.addr()).unwrap().cancelled >= 1
--- a/tests/path/decisions.rs
+++ b/tests/path/decisions.rs
@@ -7,12 +7,12 @@
 
 use super::testenv;
 
-fn read(entry: net::SocketAddr, path: &str) -> caller::Told {
-    let ask = caller::Ask {
+fn read(entry: net::SocketAddr, path: &str) -> caller::Response {
+    let ask = caller::Request {
         path,
-        ..caller::Ask::default()
+        ..caller::Request::default()
     };
-    caller::Caller::default().ask(entry, &ask).unwrap()
+    caller::Caller::default().send(entry, &ask).unwrap()
 }
 
 /// Starts an entry VM and one backend server per behaviour.
@@ -22,7 +22,7 @@
 ) -> (processes::Process, Vec<processes::Process>) {
     let backends = behaviours.iter().enumerate().map(|(n, behaviour)| {
         let backend = env.backend(&format!("l{n}"), "ledger", &[]);
-        backend::behave(backend.addr(), behaviour).unwrap();
+        backend::set_behaviour(backend.addr(), behaviour).unwrap();
         backend
     });
     let backends = backends.collect();
@@ -80,11 +80,11 @@
     let env = testenv::TestEnv::new();
     let healthy = [0; 3].map(|_| backend::Behaviour::default());
     let (entry, backends) = start(&env, &healthy);
-    let crashing_request = format!("/ledger/bays?{}", backend::CRASH);
+    let crashing_request = format!("/ledger/bays?{}", backend::CRASH_QUERY);
     testenv::wait_for("the request is refused as not run", || {
         let reply = read(entry.addr(), &crashing_request);
         let quarantined = reply
-            .problem()
+            .error_body()
             .is_some_and(|body| body.reason == "quarantined");
         quarantined && reply.outcome == Some(outcome::Outcome::NotRun)
     });
--- a/tests/path/faulty.rs
+++ b/tests/path/faulty.rs
@@ -50,15 +50,15 @@
     let caller = caller::Caller::default();
     let ticket = caller.look_up(entry.addr(), "ledger").unwrap().ticket;
     let key = format!("{}.1", ticket.unwrap());
-    let booking = caller::Ask {
+    let booking = caller::Request {
         method: "POST",
         path: "/ledger/book",
         key: Some(&key),
         body: "bay 7",
-        patience: Some(time::Duration::from_millis(100)),
-        ..caller::Ask::default()
+        stated_timeout: Some(time::Duration::from_millis(100)),
+        ..caller::Request::default()
     };
-    let reply = caller.ask(entry.addr(), &booking).unwrap();
+    let reply = caller.send(entry.addr(), &booking).unwrap();
     assert_eq!(reply.outcome, Some(Outcome::Unknown), "{reply:?}");
     assert_eq!(raw.received().len(), 0);
 }
@@ -80,12 +80,12 @@
         let mut stream = std::net::TcpStream::connect(entry.addr()).unwrap();
         stream.write_all(text.as_bytes()).unwrap();
     }
-    let read = caller::Ask {
+    let read = caller::Request {
         path: "/ledger/bays",
-        ..caller::Ask::default()
+        ..caller::Request::default()
     };
     for _ in 0..PANICKING_REQUEST_COUNT {
-        let reply = caller.ask(entry.addr(), &read).unwrap();
+        let reply = caller.send(entry.addr(), &read).unwrap();
         assert_eq!(reply.outcome, Some(Outcome::Answered), "{reply:?}");
     }
 }
--- a/tests/path/once.rs
+++ b/tests/path/once.rs
@@ -38,7 +38,7 @@
         format!("{}.1", found.unwrap().ticket.unwrap())
     }
 
-    fn book(&self, entry: usize, key: &str) -> caller::Told {
+    fn book(&self, entry: usize, key: &str) -> caller::Response {
         book(&self.caller, self.entries[entry].addr(), key, "bay 7")
     }
 
@@ -50,16 +50,21 @@
     }
 }
 
-fn book(caller: &caller::Caller, entry: net::SocketAddr, key: &str, body: &str) -> caller::Told {
-    let ask = caller::Ask {
+fn book(
+    caller: &caller::Caller,
+    entry: net::SocketAddr,
+    key: &str,
+    body: &str,
+) -> caller::Response {
+    let ask = caller::Request {
         method: "POST",
         path: "/ledger/book",
         key: Some(key),
         body,
-        patience: Some(time::Duration::from_secs(3)),
-        ..caller::Ask::default()
+        stated_timeout: Some(time::Duration::from_secs(3)),
+        ..caller::Request::default()
     };
-    caller.ask(entry, &ask).unwrap()
+    caller.send(entry, &ask).unwrap()
 }
 
 /// A caller misses its answer and retries the booking at the same entry VM and at another one. It
@@ -82,7 +87,7 @@
 fn concurrent_sends_run_once() {
     let ledger = Ledger::new("100");
     let key = ledger.key(0);
-    let replies: Vec<caller::Told> = thread::scope(|scope| {
+    let replies: Vec<caller::Response> = thread::scope(|scope| {
         let send = |n: usize| {
             let (ledger, key) = (&ledger, &key);
             scope.spawn(move || ledger.book(n % 2, key))
@@ -115,7 +120,7 @@
     testenv::wait_answered(ledger.entries[0].addr(), "/ledger/bays");
     let mut reply = ledger.book(0, &key);
     assert_eq!(reply.outcome, Some(Outcome::Unknown), "{reply:?}");
-    assert_eq!(reply.problem().unwrap().reason, "ticket-void");
+    assert_eq!(reply.error_body().unwrap().reason, "ticket-void");
     // The other entry VM may still have the crashed one's address.
     reply = ledger.book(1, &key);
     assert_eq!(reply.outcome, Some(Outcome::Unknown), "{reply:?}");
@@ -150,7 +155,7 @@
         ..backend::Behaviour::default()
     };
     for backend in &ledger.backends {
-        backend::behave(backend.addr(), &slow).unwrap();
+        backend::set_behaviour(backend.addr(), &slow).unwrap();
     }
     let reply = thread::scope(|scope| {
         let sent = scope.spawn(|| ledger.book(0, &key));
@@ -183,7 +188,7 @@
     for entry in &ledger.entries {
         let reply = book(&ledger.caller, entry.addr(), &key, "bay 8");
         assert_eq!(reply.status, 422, "{reply:?}");
-        assert_eq!(reply.problem().unwrap().reason, "key-reused");
+        assert_eq!(reply.error_body().unwrap().reason, "key-reused");
     }
     assert_eq!(ledger.runs(&key), 1);
 }
@@ -194,16 +199,16 @@
 fn a_booking_continues_when_its_caller_disconnects() {
     let ledger = Ledger::new("200");
     let key = ledger.key(0);
-    let short_wait = caller::Ask {
+    let short_wait = caller::Request {
         method: "POST",
         path: "/ledger/book",
         key: Some(&key),
         body: "bay 7",
         timeout: time::Duration::from_millis(50),
-        ..caller::Ask::default()
+        ..caller::Request::default()
     };
     let entry = ledger.entries[0].addr();
-    assert!(ledger.caller.ask(entry, &short_wait).is_err());
+    assert!(ledger.caller.send(entry, &short_wait).is_err());
     let reply = ledger.book(1, &key);
     assert_eq!(reply.outcome, Some(Outcome::Answered), "{reply:?}");
     assert_eq!(ledger.runs(&key), 1);
--- a/tests/path/stop.rs
+++ b/tests/path/stop.rs
@@ -12,13 +12,13 @@
 /// Service time of requests in flight during a shutdown, in milliseconds.
 const LONG_WORK_MS: &str = "1500";
 
-fn booking(key: &str) -> caller::Ask<'_> {
-    caller::Ask {
+fn booking(key: &str) -> caller::Request<'_> {
+    caller::Request {
         method: "POST",
         path: "/ledger/book",
         key: Some(key),
         body: "bay 7",
-        ..caller::Ask::default()
+        ..caller::Request::default()
     }
 }
 
@@ -40,7 +40,7 @@
         work_ms: LONG_WORK_MS.parse().unwrap(),
         ..backend::Behaviour::default()
     };
-    backend::behave(ledger.addr(), &slow).unwrap();
+    backend::set_behaviour(ledger.addr(), &slow).unwrap();
     let running = || {
         let log = backend::read_log(ledger.addr()).unwrap();
         keys[..3].iter().all(|key| log.runs.contains_key(key))
@@ -49,7 +49,7 @@
         let send = |key| {
             let caller = &caller;
             let entry = leaving.addr();
-            scope.spawn(move || caller.ask(entry, &booking(key)).unwrap())
+            scope.spawn(move || caller.send(entry, &booking(key)).unwrap())
         };
         let sent: Vec<_> = keys[..3].iter().map(|key| send(key)).collect();
         testenv::wait_for("the bookings run", running);
@@ -61,9 +61,9 @@
         let kept_open = "GET /lookup/ledger HTTP/1.1\r\nHost: a\r\n\r\n";
         let closing = local::send(leaving.addr(), kept_open).to_ascii_lowercase();
         assert!(closing.contains("connection: close"), "{closing}");
-        let refused = caller.ask(leaving.addr(), &booking(&keys[3])).unwrap();
+        let refused = caller.send(leaving.addr(), &booking(&keys[3])).unwrap();
         assert_eq!(refused.outcome, Some(Outcome::NotRun), "{refused:?}");
-        assert_eq!(refused.problem().unwrap().reason, "stopping");
+        assert_eq!(refused.error_body().unwrap().reason, "stopping");
         for sent in sent {
             let reply = sent.join().unwrap();
             assert_eq!(reply.outcome, Some(Outcome::Answered), "{reply:?}");
@@ -71,7 +71,7 @@
     });
     // The stored answer is still available here and through the other entry VM.
     for entry in [leaving.addr(), staying.addr()] {
-        let again = caller.ask(entry, &booking(&keys[0])).unwrap();
+        let again = caller.send(entry, &booking(&keys[0])).unwrap();
         assert_eq!(again.outcome, Some(Outcome::Answered), "{again:?}");
     }
     assert!(leaving.wait(testenv::WAIT_TIMEOUT).unwrap().success());
@@ -95,13 +95,13 @@
     let entry = env.entry("e1");
     testenv::wait_answered(entry.addr(), "/ledger/bays");
     let caller = caller::Caller::default();
-    let ask = caller::Ask {
+    let ask = caller::Request {
         path: "/ledger/bays",
-        ..caller::Ask::default()
+        ..caller::Request::default()
     };
     let started = |addr| backend::read_log(addr).unwrap().started;
     testenv::wait_for("both get work", || {
-        caller.ask(entry.addr(), &ask).unwrap();
+        caller.send(entry.addr(), &ask).unwrap();
         started(leaving.addr()) > 0 && started(staying.addr()) > 0
     });
     match source {
@@ -114,7 +114,7 @@
                 leaving: true,
                 ..backend::Behaviour::default()
             };
-            backend::behave(leaving.addr(), &behaviour).unwrap();
+            backend::set_behaviour(leaving.addr(), &behaviour).unwrap();
         }
         LeaveSource::Settings => env.change_settings(|all| {
             let team = all.teams.get_mut("places").unwrap();
@@ -130,7 +130,7 @@
     testenv::wait_for("the leaving one gets no more work", || {
         let before = started(leaving.addr());
         for _ in 0..20 {
-            let reply = caller.ask(entry.addr(), &ask).unwrap();
+            let reply = caller.send(entry.addr(), &ask).unwrap();
             assert_eq!(
                 reply.outcome,
                 Some(Outcome::Answered),
@@ -176,9 +176,9 @@
         work_ms: LONG_WORK_MS.parse().unwrap(),
         ..backend::Behaviour::default()
     };
-    backend::behave(ledger.addr(), &slow).unwrap();
+    backend::set_behaviour(ledger.addr(), &slow).unwrap();
     let reply = thread::scope(|scope| {
-        let sent = scope.spawn(|| caller.ask(entry.addr(), &booking(&key)).unwrap());
+        let sent = scope.spawn(|| caller.send(entry.addr(), &booking(&key)).unwrap());
         testenv::wait_for("the booking runs", || {
             backend::read_log(ledger.addr()).unwrap().started > 1
         });
--- a/tests/reader.rs
+++ b/tests/reader.rs
@@ -9,7 +9,7 @@
 const RUN_TIME: time::Duration = time::Duration::from_secs(300);
 
 fn fewest_accusations(fault: Fault) -> elections::Report {
-    elections::play::<reader::FewestAccusations>(fault, 6, RUN_TIME, 3)
+    elections::simulate::<reader::FewestAccusations>(fault, 6, RUN_TIME, 3)
 }
 
 /// The reader can no longer reach the store but its heartbeats still arrive. If it kept the role,
@@ -17,10 +17,11 @@
 #[test]
 fn a_reader_that_cannot_reach_the_store_is_replaced() {
     let report = fewest_accusations(Fault::LowestWithoutStore);
-    assert!(report.longest_s <= 5.0, "{report:?}");
-    let lowest = elections::play::<reader::LowestName>(Fault::LowestWithoutStore, 6, RUN_TIME, 3);
+    assert!(report.longest_gap_s <= 5.0, "{report:?}");
+    let lowest =
+        elections::simulate::<reader::LowestName>(Fault::LowestWithoutStore, 6, RUN_TIME, 3);
     assert!(
-        lowest.without > 0.9,
+        lowest.no_reader_share > 0.9,
         "the lowest name keeps the role: {lowest:?}"
     );
 }
@@ -36,8 +37,8 @@
         Fault::LowestLossy(0.6),
     ] {
         let report = fewest_accusations(fault);
-        assert!(report.without < 0.03, "{fault:?}: {report:?}");
-        assert!(report.doubled < 0.01, "{fault:?}: {report:?}");
+        assert!(report.no_reader_share < 0.03, "{fault:?}: {report:?}");
+        assert!(report.multiple_reader_share < 0.01, "{fault:?}: {report:?}");
     }
 }
 
@@ -46,5 +47,5 @@
 #[test]
 fn a_killed_reader_is_replaced_within_seconds() {
     let report = fewest_accusations(Fault::ReaderKilled);
-    assert!(report.longest_s <= 3.5, "{report:?}");
+    assert!(report.longest_gap_s <= 3.5, "{report:?}");
 }
--- a/tests/steering_path.rs
+++ b/tests/steering_path.rs
@@ -101,12 +101,12 @@
             fleet.add_entry(az);
         }
         for entry in &fleet.entries {
-            let read = caller::Ask {
+            let read = caller::Request {
                 path: "/ledger/bays",
-                ..caller::Ask::default()
+                ..caller::Request::default()
             };
             wait_for("a read is answered", || {
-                let reply = caller::Caller::default().ask(entry.addr(), &read);
+                let reply = caller::Caller::default().send(entry.addr(), &read);
                 reply.is_ok_and(|reply| reply.status == 200)
             });
         }
@@ -174,14 +174,14 @@
         }
         let key = format!("{ticket}.{thread}-{seq}");
         let body = format!("bay {thread} {seq}");
-        let ask = caller::Ask {
+        let ask = caller::Request {
             method: "POST",
             path: "/ledger/book",
             key: Some(&key),
             body: &body,
-            ..caller::Ask::default()
+            ..caller::Request::default()
         };
-        let Ok(reply) = caller.ask(entry, &ask) else {
+        let Ok(reply) = caller.send(entry, &ask) else {
             continue;
         };
         if reply.outcome == Some(outcome::Outcome::Answered) {
@@ -302,24 +302,24 @@
         altered::Make(BanFirstRequest::default()),
     );
     let caller = caller::Caller::default();
-    let crashing_request = caller::Ask {
+    let crashing_request = caller::Request {
         path: "/ledger/bays?kills",
-        ..caller::Ask::default()
+        ..caller::Request::default()
     };
     wait_for("the banning entry VM has received the request", || {
-        let reply = caller.ask(banning_entry.addr(), &crashing_request);
+        let reply = caller.send(banning_entry.addr(), &crashing_request);
         reply.is_ok_and(|reply| reply.status == 200)
     });
     wait_for("the other entry VM refuses it as not run", || {
-        let reply = caller.ask(other.addr(), &crashing_request).unwrap();
+        let reply = caller.send(other.addr(), &crashing_request).unwrap();
         let quarantined = reply
-            .problem()
+            .error_body()
             .is_some_and(|body| body.reason == "quarantined");
         quarantined && reply.outcome == Some(outcome::Outcome::NotRun)
     });
-    let others = caller::Ask {
+    let others = caller::Request {
         path: "/ledger/bays?others",
-        ..caller::Ask::default()
+        ..caller::Request::default()
     };
-    assert_eq!(caller.ask(other.addr(), &others).unwrap().status, 200);
+    assert_eq!(caller.send(other.addr(), &others).unwrap().status, 200);
 }
