--- a/examples/tryout/load.rs
+++ b/examples/tryout/load.rs
@@ -186,9 +186,7 @@
             let entry = entries[at].addr;
             match self.caller.send(entry, request) {
                 Ok(response) => match response.outcome {
-                    Some(outcome::Outcome::Answered) => {
-                        return check_answer(&response, request, service);
-                    }
+                    Some(outcome::Outcome::Answered) => return verify(&response, request, service),
                     Some(outcome::Outcome::NotRun) => {
                         let stopping = response
                             .error_body()
@@ -232,11 +230,7 @@
 }
 
 /// Checks that the answer is complete and belongs to this request.
-fn check_answer(
-    response: &caller::Response,
-    request: &caller::Request<'_>,
-    service: &str,
-) -> RequestEnd {
+fn verify(response: &caller::Response, request: &caller::Request<'_>, service: &str) -> RequestEnd {
     let Ok(echo) = serde_json::from_str::<backend::Echo>(&response.body) else {
         return RequestEnd::Wrong;
     };
--- a/src/standin/nodes.rs
+++ b/src/standin/nodes.rs
@@ -576,7 +576,7 @@
 
 /// The address of process `i`: the port encodes the index.
 fn addr(i: usize) -> net::SocketAddr {
-    let port = u16::try_from(i + 1).expect("simulations have fewer than 65,535 processes");
+    let port = u16::try_from(i + 1).expect("simulations have at most 65,535 processes");
     (net::Ipv4Addr::LOCALHOST, port).into()
 }
 
