--- a/src/entry/executor.rs
+++ b/src/entry/executor.rs
@@ -25,7 +25,7 @@
 use crate::state::keys;
 use crate::transport::{client, server};
 use crate::{id, settings};
-use backend::Wire;
+use backend::Adapter;
 use policy::{Action, AttemptOutcome, Destination, Policy, RequestOutcome};
 
 pub(super) use maintenance::{
@@ -169,7 +169,10 @@
 }
 
 /// Handles the disconnection of a request's caller.
-pub(super) fn handle_caller_gone<M: MakePolicy>(core: &sync::Arc<Core<M>>, req: policy::RequestId) {
+pub(super) fn handle_caller_disconnected<M: MakePolicy>(
+    core: &sync::Arc<Core<M>>,
+    req: policy::RequestId,
+) {
     for executor in core.executors.load().values() {
         let mut inner = executor.inner.lock();
         if inner.pending.contains_key(&req) {
@@ -248,15 +251,15 @@
         headers: answer.headers.clone(),
         body: answer.body.clone(),
     };
-    let Some(reading) = end.wire.read(end.number, &answer) else {
+    let Some(reading) = end.wire.interpret(end.number, &answer) else {
         return (AttemptOutcome::Lost, None, None);
     };
     let valid_answer = matches!(
-        reading.how,
+        reading.attempt_outcome,
         AttemptOutcome::Answered | AttemptOutcome::Failed
     )
     .then_some(answer);
-    (reading.how, reading.report, valid_answer)
+    (reading.attempt_outcome, reading.report, valid_answer)
 }
 
 fn failure_outcome(failure: client::Failure) -> AttemptOutcome {
--- a/src/entry/operator_source.rs
+++ b/src/entry/operator_source.rs
@@ -113,7 +113,7 @@
                 .iter()
                 .map(|s| totals.window(name, now, *s))
                 .collect(),
-            stretches: totals.stretches(name, now, history::STRETCHES),
+            stretches: totals.stretches(name, now, history::PLOT_POINT_COUNT),
         }
     };
     let services = core.observer.with_history(|totals| {
@@ -186,7 +186,7 @@
     }
 }
 
-/// Unit of processor time in Linux's `/proc/self/stat`.
+/// Ticks of processor time per second in Linux's `/proc/self/stat`.
 const CPU_TICKS_PER_S: f64 = 100.0;
 
 /// Page size on the Linux VMs that run the entry process.
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -132,8 +132,8 @@
 ) {
     let id = req.id;
     let settings = core.shared.settings.load();
-    let sent_across = origin(core, &req) != policy::Origin::Caller;
-    let resolved = match resolve(&settings, &req, service, path, sent_across) {
+    let from_other_az = origin(core, &req) != policy::Origin::Caller;
+    let resolved = match resolve(&settings, &req, service, path, from_other_az) {
         Ok(resolved) => resolved,
         Err(problem) => return refuse(core, id, service, req.reply, &problem),
     };
@@ -147,7 +147,7 @@
         return forward_to_home(core, req, &resolved);
     }
     if key.ticket.incarnation != core.incarnation {
-        return refuse(core, id, service, req.reply, &Problem::TicketVoid);
+        return refuse(core, id, service, req.reply, &Problem::IssuerRestarted);
     }
     let request_fingerprint = fingerprint(&req, path);
     let (now, is_stopping) = (core.now(), core.stopping.load(atomic::Ordering::SeqCst));
@@ -170,7 +170,7 @@
             reply.send(answers::backend(&answer));
         }
         keys::Admission::Ended(keys::End::AnswerGone, reply) => {
-            refuse(core, id, service, reply, &Problem::AnswerGone);
+            refuse(core, id, service, reply, &Problem::AnswerExpired);
         }
         keys::Admission::Ended(keys::End::Unknown(problem), reply)
         | keys::Admission::Refused(problem, reply) => refuse(core, id, service, reply, &problem),
@@ -186,7 +186,7 @@
     req: &server::Request,
     service: &str,
     path: &str,
-    sent_across: bool,
+    from_other_az: bool,
 ) -> Result<ResolvedRequest<'a>, Problem> {
     let found = settings.service(service);
     let service = found.ok_or_else(|| Problem::UnknownService(service.to_owned()))?;
@@ -206,7 +206,7 @@
     let key = match headers::text(&req.headers, headers::KEY) {
         // Ignores the key of an idempotent operation, and of a request from another availability
         // zone, whose entry VM has already checked the key.
-        _ if op.idempotent || sent_across => None,
+        _ if op.idempotent || from_other_az => None,
         None => return Err(Problem::NoKey),
         Some(key_text) => {
             let ticket = headers::text(&req.headers, headers::TICKET);
@@ -439,7 +439,7 @@
             req.id,
             resolved.service.name.as_str(),
             req.reply,
-            &Problem::TicketVoid,
+            &Problem::IssuerRestarted,
         );
     };
     let mut outgoing = hyper::Request::new(req.body);
@@ -487,7 +487,7 @@
     result: Result<server::Answer, client::Failure>,
 ) {
     let Ok(answer) = result else {
-        let problem = Problem::HomeSilent;
+        let problem = Problem::IssuerUnreachable;
         return refuse(
             core,
             forwarded.id,
--- a/tests/gateway/customers.rs
+++ b/tests/gateway/customers.rs
@@ -262,7 +262,7 @@
 }
 
 /// Finds a backend server for a request with these homes; returns whether it is in another region.
-fn find_remote(harness: &Harness, homes: routes::Homes<'_>) -> Option<bool> {
+fn find_remote(harness: &Harness, homes: routes::AllowedRegions<'_>) -> Option<bool> {
     let service = id::ServiceId::from("svc");
     let need = placement::Need {
         service: &service,
@@ -305,7 +305,7 @@
             (&there, &here, None),
         ];
         for (route, customer, found) in cases {
-            let homes = routes::Homes { route, customer };
+            let homes = routes::AllowedRegions { route, customer };
             assert_eq!(find_remote(&harness, homes), found, "{homes:?}");
         }
     });
@@ -345,11 +345,11 @@
         with("d", 20.0, &["north", "south"]),
     ];
     let customer_list = customers::Customers::new(list.map(|c| (c, Vec::new()))).unwrap();
-    let part = |name: &str| customer_list.homed().part(Some(&name.into()));
+    let part = |name: &str| customer_list.region_bound().share(Some(&name.into()));
     assert!((part("north") - 0.4).abs() < 1e-9);
     assert!((part("south") - 0.1).abs() < 1e-9);
-    assert!((customer_list.homed().all() - 0.5).abs() < 1e-9);
-    assert_eq!(customer_list.homed().part(None), 0.0);
+    assert!((customer_list.region_bound().total() - 0.5).abs() < 1e-9);
+    assert_eq!(customer_list.region_bound().share(None), 0.0);
 }
 
 /// All VMs have just started and exchanged no reports, while a customer exceeds its quota
@@ -425,6 +425,6 @@
     let route = table.select("example.test", "/read/a").unwrap();
     let service = id::ServiceId::from("svc");
     assert_eq!((route.rank(None), route.rank(Some(&urgent))), (1, 0));
-    assert!(table.is_behind(route.rank(None), &service));
-    assert!(!table.is_behind(route.rank(Some(&urgent)), &service));
+    assert!(table.is_below_top_rank(route.rank(None), &service));
+    assert!(!table.is_below_top_rank(route.rank(Some(&urgent)), &service));
 }
