--- a/benches/capacity/customers.rs
+++ b/benches/capacity/customers.rs
@@ -1,4 +1,4 @@
-//! What customers cost: finding one by its key, counting its requests, and keeping all of them.
+//! Cost of customers: look-up by key, counting requests against quotas, and memory.
 
 use std::fs;
 use std::hint;
@@ -9,11 +9,11 @@
 
 use super::best_of;
 
-/// Customers of today's deployment, and a thousand times as many.
-const SIZES: [usize; 3] = [84, 10_000, 100_000];
+/// Customer counts: the current deployment's 84, up to about a thousand times as many.
+const CUSTOMER_COUNTS: [usize; 3] = [84, 10_000, 100_000];
 
-/// Requests of one measurement.
-const REQUESTS: usize = 100_000;
+/// Number of requests per measurement.
+const REQUEST_COUNT: usize = 100_000;
 
 fn key(i: usize, n: usize) -> String {
     format!("customer-{i}-key-{n}-qrh4jcda9r")
@@ -37,33 +37,33 @@
     Customers::new((0..count).map(|i| (customer(i), keys(i)))).expect("they are distinct")
 }
 
-/// Resident memory of this process, in bytes; 0 where the system does not say.
+/// Resident memory of this process in bytes, or 0 if the system does not report it.
 fn resident() -> usize {
-    const PAGE: usize = 4096;
+    const PAGE_BYTES: usize = 4096;
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm
         .split(' ')
         .nth(1)
         .and_then(|n| n.parse::<usize>().ok());
-    pages.unwrap_or_default() * PAGE
+    pages.unwrap_or_default() * PAGE_BYTES
 }
 
-/// Finding who asks, and whether its quota leaves one more, by the number of customers.
-pub(super) fn who_asks() {
+/// Measures finding a request's customer and admitting it against the quota, by customer count.
+pub(super) fn admission() {
     println!("customers   ns/key without   ns/key found   ns/request counted   MB kept");
-    for count in SIZES {
+    for count in CUSTOMER_COUNTS {
         let before = resident();
         let all = customers(count);
         let kept = resident().saturating_sub(before) as f64 / 1e6;
         let keys: Vec<String> = (0..1000).map(|n| key(n * 7919 % count, n % 2)).collect();
-        let each = |seconds: f64| seconds / REQUESTS as f64 * 1e9;
-        let without = best_of(3, || {
-            for n in 0..REQUESTS {
+        let ns_per_request = |seconds: f64| seconds / REQUEST_COUNT as f64 * 1e9;
+        let baseline = best_of(3, || {
+            for n in 0..REQUEST_COUNT {
                 hint::black_box(keys[n % keys.len()].as_bytes());
             }
         });
         let found = best_of(3, || {
-            for n in 0..REQUESTS {
+            for n in 0..REQUEST_COUNT {
                 let digest = KeyDigest::of(keys[n % keys.len()].as_bytes());
                 hint::black_box(all.find_by_key(digest));
             }
@@ -71,30 +71,30 @@
         let counted = best_of(3, || count_requests(count));
         println!(
             "{count:9}   {:14.1}   {:12.1}   {:18.1}   {kept:7.1}",
-            each(without),
-            each(found),
-            each(counted)
+            ns_per_request(baseline),
+            ns_per_request(found),
+            ns_per_request(counted)
         );
     }
 }
 
-/// Counts requests of all customers in turn, with eight other VMs that tell of 84 of them.
+/// Counts requests of all customers in turn, with usage reports of eight other VMs on 84 customers.
 fn count_requests(customers: usize) {
     let limit = quota::Limit {
         rate: 1e6,
         burst: 1e6,
     };
     let mut ledger = Ledger::<ByDemand>::new(quota::Bound::default(), time::Duration::ZERO, 0);
-    let told = quota::UsageReport {
+    let report = quota::UsageReport {
         used: 10.0,
         rate_per_s: 2.0,
         demand: 2.0,
     };
     let now = time::Duration::from_secs(60);
     for vm in 0..8 {
-        ledger.apply_report(now, 1_000_000 + vm, 0, (0..84).map(|c| (c, told)), true);
+        ledger.apply_report(now, 1_000_000 + vm, 0, (0..84).map(|c| (c, report)), true);
     }
-    for n in 0..REQUESTS {
+    for n in 0..REQUEST_COUNT {
         let now = now + time::Duration::from_micros(n as u64 * 3);
         let customer = (n % customers) as quota::NameHash;
         let _ = hint::black_box(ledger.admit(now, customer, limit, 0.5));
--- a/examples/tryout/deployment.rs
+++ b/examples/tryout/deployment.rs
@@ -1,4 +1,4 @@
-//! The processes of the example: a store, entry VMs and backend servers in two regions.
+//! The example's processes: a store, entry VMs and backend servers in two regions.
 
 use std::collections;
 use std::io;
@@ -9,13 +9,13 @@
 use bulrushwind::standin::{control, operator, processes};
 use bulrushwind::{config, settings};
 
-/// How long a look-up may be kept. Short, so that a planned stop fits into the example.
+/// Time for which a look-up is valid. It is short so that a planned stop fits into the example.
 pub(crate) const LOOKUP_TTL_MS: u64 = 500;
 
-/// How long a ticket takes new keys.
+/// Time for which a ticket accepts new idempotency keys.
 pub(crate) const TICKET_TTL_MS: u64 = 4_000;
 
-/// Everything that runs.
+/// All running processes.
 pub(crate) struct Deployment {
     pub(crate) store: processes::Process,
     settings: settings::Settings,
@@ -27,7 +27,7 @@
 }
 
 impl Deployment {
-    /// Starts the store, with the cooperative's settings in it.
+    /// Starts the store and writes the example's settings to it.
     pub(crate) fn start() -> io::Result<Self> {
         let program = std::env::current_exe()?;
         let store = processes::Process::start(&program, ["standin", "store"])?;
@@ -45,8 +45,13 @@
         })
     }
 
-    /// Starts a backend server and puts it on the list of VMs.
-    pub(crate) fn backend(&mut self, az: &str, service: &str, work_ms: u64) -> io::Result<String> {
+    /// Starts a backend server and adds it to the VM list.
+    pub(crate) fn start_backend(
+        &mut self,
+        az: &str,
+        service: &str,
+        work_ms: u64,
+    ) -> io::Result<String> {
         let name = format!("{service}-{}", self.rows.len());
         let journal = self.dir.path().join(format!("{name}.runs"));
         let work_ms = work_ms.to_string();
@@ -56,7 +61,7 @@
             .map(std::ffi::OsStr::new)
             .chain([journal.as_os_str()]);
         let process = processes::Process::start(&self.program, args)?;
-        self.list(store::Vm {
+        self.put_vm(store::Vm {
             id: name.as_str().into(),
             az: az.into(),
             addr: process.addr(),
@@ -69,10 +74,10 @@
         Ok(name)
     }
 
-    /// Starts an entry VM and puts it on the list of VMs.
-    pub(crate) fn entry(&mut self, az: &str) -> io::Result<String> {
+    /// Starts an entry VM and adds it to the VM list.
+    pub(crate) fn start_entry(&mut self, az: &str) -> io::Result<String> {
         let name = format!("entry-{}", self.rows.len());
-        let any: net::SocketAddr = ([127, 0, 0, 1], 0).into();
+        let unused_addr: net::SocketAddr = ([127, 0, 0, 1], 0).into();
         let cfg = config::Config {
             vm: name.as_str().into(),
             az: az.into(),
@@ -87,32 +92,32 @@
         std::fs::write(&file, toml::to_string(&cfg).map_err(io::Error::other)?)?;
         let args = ["entry".as_ref(), file.as_os_str()];
         let process = processes::Process::start(&self.program, args)?;
-        self.list(store::Vm {
+        self.put_vm(store::Vm {
             id: name.as_str().into(),
             az: az.into(),
             addr: process.addr(),
-            role: store::VmRole::Entry { peers: any },
+            role: store::VmRole::Entry { peers: unused_addr },
             state: store::VmState::Live,
         })?;
         self.entries.insert(name.clone(), process);
         Ok(name)
     }
 
-    fn list(&mut self, vm: store::Vm) -> io::Result<()> {
+    fn put_vm(&mut self, vm: store::Vm) -> io::Result<()> {
         self.rows.insert(vm.id.to_string(), vm.clone());
         control::send(self.store.addr(), &control::Control::PutVm { vm })
     }
 
-    /// Marks a VM as leaving on the platform's list.
-    pub(crate) fn list_leaving(&mut self, name: &str) -> io::Result<()> {
+    /// Marks a VM as leaving in the platform's VM list.
+    pub(crate) fn mark_leaving(&mut self, name: &str) -> io::Result<()> {
         let Some(mut vm) = self.rows.get(name).cloned() else {
             return Ok(());
         };
         vm.state = store::VmState::Leaving;
-        self.list(vm)
+        self.put_vm(vm)
     }
 
-    /// Drains a VM by the settings, from now on.
+    /// Starts draining a VM through the settings.
     pub(crate) fn drain(&mut self, name: &str) -> io::Result<()> {
         let drain = settings::Drain {
             target: settings::DrainTarget::Vm(name.into()),
@@ -125,14 +130,14 @@
         processes::put_settings(self.store.addr(), &self.settings)
     }
 
-    /// Takes a VM off the platform's list.
-    pub(crate) fn unlist(&mut self, name: &str) -> io::Result<()> {
+    /// Removes a VM from the platform's VM list.
+    pub(crate) fn remove_vm(&mut self, name: &str) -> io::Result<()> {
         let vm = name.into();
         control::send(self.store.addr(), &control::Control::RemoveVm { vm })
     }
 
-    /// Switches an outage of the store on or off.
-    pub(crate) fn outage(&self, down: bool) -> io::Result<()> {
+    /// Starts or ends an outage of the store.
+    pub(crate) fn set_outage(&self, down: bool) -> io::Result<()> {
         let control = control::Control::Faults {
             down,
             delay_ms: 0,
@@ -141,8 +146,8 @@
         control::send(self.store.addr(), &control)
     }
 
-    /// How often each key ran, over all backend servers that ever were.
-    pub(crate) fn runs(&self) -> io::Result<collections::HashMap<String, u32>> {
+    /// Number of runs of each idempotency key on all backend servers, including stopped ones.
+    pub(crate) fn run_counts(&self) -> io::Result<collections::HashMap<String, u32>> {
         let mut runs = collections::HashMap::new();
         for file in std::fs::read_dir(self.dir.path())? {
             let path = file?.path();
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a backend server: slots, a short queue, a load report, drain, cold start,
-//! shedding, cancellation and deadlines, and a log of what ran.
+//! A stand-in backend server with slots, a bounded queue, load reports, drain, cold start,
+//! load shedding, cancellation and deadlines. It logs the requests that it ran.
 
 use std::collections;
 use std::fs;
@@ -21,42 +21,42 @@
 use crate::protocol::{backend_http, headers, outcome};
 use crate::transport::server;
 
-/// Changes the behaviour: a POST of a JSON [`Behaviour`].
+/// Path that sets the behaviour from the JSON [`Behaviour`] in the body.
 pub const BEHAVIOUR_PATH: &str = "/_behaviour";
-/// Reads the log: a JSON [`Log`].
+/// Path that returns the JSON [`Log`].
 pub const LOG_PATH: &str = "/_log";
-/// A request with this in its query ends the process that runs it.
-pub const CRASH: &str = "crash=1";
+/// A request with this text in its query makes the server process exit.
+pub const CRASH_QUERY: &str = "crash=1";
 
-/// How often a job looks whether it was cancelled.
-const STEP: time::Duration = time::Duration::from_millis(1);
+/// Interval at which a running job checks for cancellation.
+const CANCEL_POLL_INTERVAL: time::Duration = time::Duration::from_millis(1);
 
 data! {
-    /// How a backend server behaves.
+    /// Configurable behaviour of a backend server.
     #[serde(default)]
     pub struct Behaviour {
-        /// Requests that it works on at a time. Read at the start only.
+        /// Number of requests processed concurrently. Read at startup only.
         pub slots: usize,
-        /// Requests that wait; more are shed.
+        /// Maximum number of queued requests; further requests are shed.
         pub queue: usize,
-        /// How long it works on one, in milliseconds.
+        /// Processing time of one request, in milliseconds.
         pub work_ms: u64,
-        /// How long after its start it works at a third of its speed, in milliseconds.
+        /// Time after startup during which requests take three times as long, in milliseconds.
         pub cold_ms: u64,
-        /// It says that it is about to go.
+        /// Load reports announce that the server is about to leave.
         pub leaving: bool,
-        /// It takes requests and never answers.
+        /// Requests are accepted and never answered.
         pub stuck: bool,
-        /// It answers probes and fails all work.
+        /// Health probes succeed, but all requests fail.
         pub failing: bool,
-        /// It refuses all work, and says so.
+        /// All requests are refused as not run.
         pub shedding: bool,
     }
 
-    /// What ran.
+    /// Counts of the requests that a backend server has processed.
     #[derive(Default)]
     pub struct Log {
-        /// How often each key ran.
+        /// Number of runs of each idempotency key.
         pub runs: collections::BTreeMap<String, u32>,
         /// Requests that were started.
         pub started: u64,
@@ -66,15 +66,15 @@
         pub late: u64,
         /// Requests that were shed.
         pub shed: u64,
-        /// When the last request was started, in milliseconds after it said that it leaves.
+        /// Start of the last request, in milliseconds after the server announced that it leaves.
         pub started_after_leaving_ms: Option<u64>,
     }
 
-    /// The body of its answers: what it was asked, so that a caller can tell its own answer.
+    /// The body of an answer: a copy of the request, so that a caller can verify the answer.
     pub struct Echo {
         /// The path and the query.
         pub path: String,
-        /// The key, where there was one.
+        /// The idempotency key, if any.
         pub key: Option<String>,
         /// The request's body.
         pub body: String,
@@ -114,7 +114,7 @@
     journal: Option<Mutex<fs::File>>,
 }
 
-/// A running backend server. Dropped, it closes all its connections.
+/// A running backend server. All its connections close when it is dropped.
 pub struct Backend {
     shared: sync::Arc<Shared>,
     server: server::Server,
@@ -122,8 +122,8 @@
 }
 
 impl Backend {
-    /// Starts one on `addr`. Each key that runs becomes a line of `journal`, which outlives a
-    /// crash of the process.
+    /// Starts a backend server on `addr`. The key of each request that runs is appended to
+    /// `journal` as a line, which survives a crash of the process.
     pub fn start(
         addr: net::SocketAddr,
         behaviour: Behaviour,
@@ -146,7 +146,7 @@
             jobs,
             journal: journal.map(Mutex::new),
         });
-        shared.behave(behaviour);
+        shared.set_behaviour(behaviour);
         for _ in 0..slots {
             let (shared, rx) = (sync::Arc::downgrade(&shared), rx.clone());
             thread::spawn(move || {
@@ -154,7 +154,7 @@
                     let Some(shared) = shared.upgrade() else {
                         return;
                     };
-                    run(&shared, job);
+                    run_job(&shared, job);
                 }
             });
         }
@@ -168,29 +168,29 @@
         })
     }
 
-    /// Where it listens.
+    /// The address on which the server listens.
     pub fn addr(&self) -> net::SocketAddr {
         self.server.addr()
     }
 
-    /// Changes how it behaves.
-    pub fn behave(&self, behaviour: Behaviour) {
-        self.shared.behave(behaviour);
+    /// Replaces the behaviour.
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        self.shared.set_behaviour(behaviour);
     }
 
-    /// What ran so far.
+    /// A copy of the log.
     pub fn log(&self) -> Log {
         self.shared.log.lock().clone()
     }
 
-    /// Connections that are open now.
-    pub fn open(&self) -> usize {
+    /// Number of open connections.
+    pub fn connection_count(&self) -> usize {
         self.server.open_connections()
     }
 }
 
 impl Shared {
-    fn behave(&self, behaviour: Behaviour) {
+    fn set_behaviour(&self, behaviour: Behaviour) {
         let mut since = self.leaving_since.lock();
         *since = match (behaviour.leaving, *since) {
             (true, None) => Some(time::Instant::now()),
@@ -208,16 +208,21 @@
         }
     }
 
-    fn answer(&self, status: StatusCode, word: outcome::Outcome, body: Vec<u8>) -> server::Answer {
+    fn answer(
+        &self,
+        status: StatusCode,
+        outcome: outcome::Outcome,
+        body: Vec<u8>,
+    ) -> server::Answer {
         let mut answer = server::Answer {
             status,
             body: Bytes::from(body),
             ..server::Answer::default()
         };
         let load = backend_http::format_load(&self.report());
-        if let (Ok(load), Ok(word)) = (load.parse(), word.as_str().parse()) {
+        if let (Ok(load), Ok(outcome)) = (load.parse(), outcome.as_str().parse()) {
             answer.headers.insert(headers::LOAD, load);
-            answer.headers.insert(headers::OUTCOME, word);
+            answer.headers.insert(headers::OUTCOME, outcome);
         }
         answer
     }
@@ -226,10 +231,10 @@
         &self,
         req: server::Request,
         status: StatusCode,
-        word: outcome::Outcome,
+        outcome: outcome::Outcome,
         body: Vec<u8>,
     ) {
-        let mut answer = self.answer(status, word, body);
+        let mut answer = self.answer(status, outcome, body);
         if let Some(attempt) = req.headers.get(headers::REQUEST) {
             answer.headers.insert(headers::REQUEST, attempt.clone());
         }
@@ -254,7 +259,7 @@
             BEHAVIOUR_PATH => {
                 let status = match serde_json::from_slice(&req.body) {
                     Ok(behaviour) => {
-                        shared.behave(behaviour);
+                        shared.set_behaviour(behaviour);
                         StatusCode::OK
                     }
                     Err(_) => StatusCode::BAD_REQUEST,
@@ -300,16 +305,16 @@
     let _ = shared.jobs.send(job);
 }
 
-fn run(shared: &Shared, job: Job) {
+fn run_job(shared: &Shared, job: Job) {
     shared.queued.fetch_sub(1, atomic::Ordering::SeqCst);
     shared.in_flight.fetch_add(1, atomic::Ordering::SeqCst);
     let id = job.req.id;
-    work(shared, job);
+    process_job(shared, job);
     shared.cancels.lock().remove(&id);
     shared.in_flight.fetch_sub(1, atomic::Ordering::SeqCst);
 }
 
-fn work(shared: &Shared, job: Job) {
+fn process_job(shared: &Shared, job: Job) {
     if job.cancelled.load(atomic::Ordering::SeqCst) {
         shared.log.lock().cancelled += 1;
         return;
@@ -320,26 +325,26 @@
         return shared.respond(job.req, status, outcome::Outcome::NotRun, Vec::new());
     }
     let key = headers::text(&job.req.headers, headers::KEY).map(str::to_owned);
-    record(shared, key.as_deref());
+    log_run(shared, key.as_deref());
     if job
         .req
         .uri
         .query()
-        .is_some_and(|query| query.contains(CRASH))
+        .is_some_and(|query| query.contains(CRASH_QUERY))
     {
         process::exit(70);
     }
-    if !hold(shared, &job) {
+    if !execute(shared, &job) {
         shared.log.lock().cancelled += 1;
         return;
     }
-    finish(shared, job.req, key);
+    send_answer(shared, job.req, key);
 }
 
-fn record(shared: &Shared, key: Option<&str>) {
+fn log_run(shared: &Shared, key: Option<&str>) {
     if let (Some(journal), Some(key)) = (&shared.journal, key) {
         let written = journal.lock().write_all(format!("{key}\n").as_bytes());
-        written.expect("a journal that misses a run would hide a second one");
+        written.expect("the journal must record each run, or a duplicate run stays hidden");
     }
     let leaving = shared.leaving_since.lock().map(|since| since.elapsed());
     let mut log = shared.log.lock();
@@ -352,31 +357,31 @@
     }
 }
 
-/// Works for as long as it takes. Returns whether it was left to finish: only work that can be
-/// stopped without harm is.
-fn hold(shared: &Shared, job: &Job) -> bool {
-    let begun = time::Instant::now();
-    let stops = job.req.method == Method::GET;
+/// Waits for the processing time of a request. Returns false if the request was cancelled, which
+/// only a GET can be: it has no side effects.
+fn execute(shared: &Shared, job: &Job) -> bool {
+    let started_at = time::Instant::now();
+    let is_cancellable = job.req.method == Method::GET;
     loop {
         let behaviour = shared.behaviour.lock().clone();
         let cold = shared.started.elapsed() < time::Duration::from_millis(behaviour.cold_ms);
         let work_ms = behaviour.work_ms * if cold { 3 } else { 1 };
-        let left = time::Duration::from_millis(work_ms).saturating_sub(begun.elapsed());
-        if left.is_zero() && !behaviour.stuck {
+        let remaining = time::Duration::from_millis(work_ms).saturating_sub(started_at.elapsed());
+        if remaining.is_zero() && !behaviour.stuck {
             return true;
         }
-        if stops && job.cancelled.load(atomic::Ordering::SeqCst) {
+        if is_cancellable && job.cancelled.load(atomic::Ordering::SeqCst) {
             return false;
         }
         thread::sleep(if behaviour.stuck {
-            STEP
+            CANCEL_POLL_INTERVAL
         } else {
-            left.min(STEP)
+            remaining.min(CANCEL_POLL_INTERVAL)
         });
     }
 }
 
-fn finish(shared: &Shared, req: server::Request, key: Option<String>) {
+fn send_answer(shared: &Shared, req: server::Request, key: Option<String>) {
     if shared.behaviour.lock().failing {
         let status = StatusCode::INTERNAL_SERVER_ERROR;
         return shared.respond(req, status, outcome::Outcome::Answered, Vec::new());
@@ -386,12 +391,12 @@
         key,
         body: String::from_utf8_lossy(&req.body).into_owned(),
     };
-    let body = serde_json::to_vec(&echo).expect("an echo is text");
+    let body = serde_json::to_vec(&echo).expect("an echo can be serialised as JSON");
     shared.respond(req, StatusCode::OK, outcome::Outcome::Answered, body);
 }
 
-/// Asks the backend server at `addr` to behave otherwise.
-pub fn behave(addr: net::SocketAddr, behaviour: &Behaviour) -> io::Result<()> {
+/// Sets the behaviour of the backend server at `addr`.
+pub fn set_behaviour(addr: net::SocketAddr, behaviour: &Behaviour) -> io::Result<()> {
     attohttpc::post(format!("http://{addr}{BEHAVIOUR_PATH}"))
         .header(header::CONTENT_TYPE.as_str(), "application/json")
         .text(serde_json::to_string(behaviour)?)
--- a/src/standin/steering/tally.rs
+++ b/src/standin/steering/tally.rs
@@ -1,50 +1,50 @@
-//! What callers got, and which limits were kept.
+//! Results for callers in one run, and the observed peaks against their limits.
 
 use std::collections;
 
-/// The figures of one run.
+/// Results of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// Worth of all requests.
+    /// Total worth of all requests.
     pub offered: u64,
-    /// Worth of those answered in time.
+    /// Total worth of the requests that were answered before their deadline.
     pub worth: u64,
-    /// Requests refused as not run.
+    /// Requests that were refused without running.
     pub refused: u64,
-    /// Requests that went across.
+    /// Requests that were sent to another availability zone.
     pub spilled: u64,
-    /// Requests that went across and came back refused.
+    /// Requests that another availability zone refused.
     pub bounced: u64,
-    /// Requests whose answer was lost on the way.
+    /// Requests that were lost with a VM, a backend server or a connection.
     pub lost: u64,
-    /// The largest growth from step to step of the share of traffic served in another region.
+    /// Largest increase per step of the share of traffic that other regions serve.
     pub largest_shift: f64,
-    /// The cap on it.
+    /// Limit on `largest_shift`.
     pub cap: f64,
-    /// The highest load of a region in a second in which it served others' callers.
+    /// Highest load of a region, over the seconds in which it served callers of other regions.
     pub peak_load: f64,
-    /// The limit of it.
+    /// Limit on `peak_load`.
     pub max_load: f64,
-    /// Seconds in which a region was over its limit while it served others' callers.
+    /// Seconds in which a region exceeded `max_load` while it served callers of other regions.
     pub seconds_over: u64,
-    /// The share of the first region's callers that it served itself in the last whole step.
+    /// Share of the first region's requests that it served itself in the last complete step.
     pub home_at_end: f64,
-    /// The highest share of a link's limit that was used in a second.
+    /// Highest share of a link's capacity that was used in one second.
     pub peak_link: f64,
     pub(super) latencies_us: Vec<u32>,
     pub(super) served: collections::BTreeMap<u64, collections::BTreeMap<(usize, usize), u64>>,
-    pub(super) asked: collections::BTreeMap<u64, u64>,
+    pub(super) requests: collections::BTreeMap<u64, u64>,
     pub(super) busy_us: collections::BTreeMap<(u64, usize), f64>,
     pub(super) foreign: collections::BTreeMap<(u64, usize), u64>,
     pub(super) link_bytes: collections::BTreeMap<(u64, usize, usize), u64>,
 }
 
-/// What a second may be over the limit by, since arrivals are random. Two hundredths of a region's
-/// twelve slots are a quarter of a slot.
-const RANDOM: f64 = 0.02;
+/// Amount by which the load of one second may exceed the limit, because arrivals are random: 0.02
+/// of a region's twelve slots is a quarter of a slot.
+const LOAD_TOLERANCE_SHARE: f64 = 0.02;
 
 impl Tally {
-    /// The latency below which a share of the answers came, in milliseconds.
+    /// Latency quantile of the answers, in milliseconds. `share` is from 0 to 1.
     pub fn quantile_ms(&self, share: f64) -> f64 {
         let mut sorted = self.latencies_us.clone();
         sorted.sort_unstable();
@@ -54,15 +54,15 @@
             .map_or(0.0, |us| f64::from(*us) / 1e3)
     }
 
-    /// Limits that were not kept: of shifts, of regions, of links.
+    /// Number of violated limits, out of those on shifts, region load and link load.
     pub fn violations(&self) -> u64 {
         let over = |bad: bool| u64::from(bad);
         over(self.largest_shift > self.cap)
-            + over(self.peak_load > self.max_load + RANDOM)
+            + over(self.peak_load > self.max_load + LOAD_TOLERANCE_SHARE)
             + over(self.peak_link > 1.0)
     }
 
-    /// Adds up what was counted by step and second.
+    /// Computes the results from the counters by step and by second.
     pub(super) fn finish(&mut self, region_slots: f64, link_bytes_per_s: f64) {
         self.largest_shift = self.shifts();
         self.home_at_end = self.home_at_end();
@@ -71,11 +71,11 @@
             let foreign = self.foreign.get(at).copied().unwrap_or(0);
             if foreign > 0 {
                 self.peak_load = self.peak_load.max(load);
-                self.seconds_over += u64::from(load > self.max_load + RANDOM);
+                self.seconds_over += u64::from(load > self.max_load + LOAD_TOLERANCE_SHARE);
             }
         }
-        let most = self.link_bytes.values().max().copied().unwrap_or(0);
-        self.peak_link = most as f64 / link_bytes_per_s;
+        let peak_bytes = self.link_bytes.values().max().copied().unwrap_or(0);
+        self.peak_link = peak_bytes as f64 / link_bytes_per_s;
     }
 
     fn home_at_end(&self) -> f64 {
@@ -91,12 +91,12 @@
     fn shifts(&self) -> f64 {
         let mut largest = 0.0f64;
         let mut before = collections::BTreeMap::new();
-        for (step, asked) in &self.asked {
+        for (step, requests) in &self.requests {
             let empty = collections::BTreeMap::new();
             let served = self.served.get(step).unwrap_or(&empty);
             let away = |cells: &collections::BTreeMap<(usize, usize), u64>| {
                 let away = cells.iter().filter(|((from, to), _)| from != to);
-                away.map(|(cell, n)| (*cell, *n as f64 / *asked as f64))
+                away.map(|(cell, n)| (*cell, *n as f64 / *requests as f64))
                     .collect::<collections::BTreeMap<_, _>>()
             };
             let now = away(served);
