--- a/src/decisions/affinity.rs
+++ b/src/decisions/affinity.rs
@@ -153,8 +153,8 @@
 
 /// Maps a hash to a number in `[0, 1)`.
 pub fn unit_interval(hash: u64) -> f64 {
-    const BITS: u32 = 53;
-    (hash >> (u64::BITS - BITS)) as f64 / (1_u64 << BITS) as f64
+    const MANTISSA_BITS: u32 = 53;
+    (hash >> (u64::BITS - MANTISSA_BITS)) as f64 / (1_u64 << MANTISSA_BITS) as f64
 }
 
 /// The weighted rendezvous score of a backend server for an object. A backend server of weight 2
@@ -203,9 +203,9 @@
 
 /// The loads at which a position accepts no more, in requests per slot.
 struct LoadLimits {
-    /// For the first position.
+    /// The limit for the first position.
     first: f64,
-    /// For other positions where the object was handled recently.
+    /// The limit for later positions whose backend server handled the object recently.
     recent: f64,
 }
 
--- a/src/decisions/cold.rs
+++ b/src/decisions/cold.rs
@@ -15,7 +15,7 @@
 
 /// Owners of one cold backend server. A single owner sends nothing while it has no request for
 /// that backend server; each further owner raises the excess rate when VMs disagree on the owners.
-pub const OWNERS: usize = 1;
+pub const OWNER_COUNT: usize = 1;
 
 /// Whether the VM `this_vm` is an owner. `vms` holds the hashes of the eligible VMs.
 pub fn owns(backend: u64, this_vm: u64, vms: &[u64]) -> bool {
@@ -27,7 +27,7 @@
         .iter()
         .filter(|vm| **vm != this_vm && affinity::rank(backend, **vm, 1.0) > own_score)
         .count();
-    higher_ranked < OWNERS
+    higher_ranked < OWNER_COUNT
 }
 
 /// The pacing of one VM's requests to one cold backend server.
@@ -44,7 +44,7 @@
 
     /// Records a sent request, where all owners together may send `rate` requests per second.
     pub fn sent(&mut self, now: policy::Moment, rate: f64) {
-        let own_rate = (rate / OWNERS as f64).max(0.1);
+        let own_rate = (rate / OWNER_COUNT as f64).max(0.1);
         self.next_send = now + time::Duration::from_secs_f64(1.0 / own_rate);
     }
 }
--- a/src/decisions/cross_az.rs
+++ b/src/decisions/cross_az.rs
@@ -29,7 +29,7 @@
 const MIN_TRUST: f64 = 1.0 / 16.0;
 
 /// Trust that one answer restores. Eight answers compensate for one refusal at full trust.
-const TRUST_GAIN: f64 = 1.0 / 16.0;
+const TRUST_GAIN_PER_ANSWER: f64 = 1.0 / 16.0;
 
 /// Share of local slots in use from which a small grant is requested in advance, so that the first
 /// requests of a surge do not wait for a round trip.
@@ -234,7 +234,9 @@
     pub fn ended(&mut self, _now: policy::Moment, az: &id::AzId, how: AttemptOutcome, _bytes: u64) {
         let trust = self.trust.entry(az.clone()).or_insert(1.0);
         *trust = match how {
-            AttemptOutcome::Answered | AttemptOutcome::Failed => (*trust + TRUST_GAIN).min(1.0),
+            AttemptOutcome::Answered | AttemptOutcome::Failed => {
+                (*trust + TRUST_GAIN_PER_ANSWER).min(1.0)
+            }
             AttemptOutcome::Shed
             | AttemptOutcome::NotSent
             | AttemptOutcome::Lost
--- a/src/decisions/departures.rs
+++ b/src/decisions/departures.rs
@@ -25,8 +25,7 @@
 /// different mix of the region's callers.
 const USED_CAP_SHARE: f64 = 0.67;
 
-/// Requests per span that may leave regardless of the share: of few requests, one is already a large
-/// share.
+/// Requests per span that may leave at any share: of few requests, one is already a large share.
 const ALWAYS_ALLOWED_COUNT: f64 = 3.0;
 
 /// Minimum number of requests in a span for its share to be meaningful.
@@ -83,8 +82,7 @@
         );
         let always_allowed_recent =
             ALWAYS_ALLOWED_COUNT * RECENT_STEPS as f64 / STEPS_PER_SPAN as f64;
-        // Requests of customers that have stopped must not make room for others, hence the second
-        // limit.
+        // The second limit keeps earlier requests of idle customers from making room for others.
         leaving + 1.0 <= max_share * (all + 1.0) + ALWAYS_ALLOWED_COUNT
             && leaving_recent + 1.0
                 <= (max_share * (all_recent + 1.0) + always_allowed_recent).max(1.0)
--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -2,9 +2,8 @@
 //!
 //! A new request is refused, queued, sent to a backend server, or sent to another availability
 //! zone. The queue is served again after every event, such as the end of an attempt. This module
-//! holds the state and handles the events; [`super::serve`] sends queued requests, and
-//! [`super::upkeep`] does the periodic work. Each decision has its own module, which names the load
-//! pattern it handles.
+//! holds the state and handles the events; [`super::serve`] sends queued requests, [`super::upkeep`]
+//! does the periodic work. The module of each decision names the load pattern that it handles.
 
 use std::collections;
 use std::time;
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -51,8 +51,8 @@
 mod tests {
     use std::fs;
 
-    /// A decision that reads a clock or a socket cannot be played in virtual time: the benchmark
-    /// would then measure something else than what runs.
+    /// A decision that reads a clock or a socket cannot run in virtual time, so the load model
+    /// would not run the same code as the entry process.
     #[test]
     fn no_clock_and_no_network_in_here() {
         let banned = [
--- a/src/decisions/placement.rs
+++ b/src/decisions/placement.rs
@@ -170,8 +170,7 @@
         room && member.reserved_for.is_none() && !member.leaving(&self.cfg.members, self.now)
     }
 
-    /// Whether it gets regular requests. A backend server on trial gets reads through
-    /// [`Self::pick_trial`], and other requests only if no backend server is healthy.
+    /// Whether a backend server gets regular requests; on trial, only if none is healthy.
     fn takes_regular_work(&self, member: &members::Member) -> bool {
         member.health.state() != ejection::State::Trial || self.healthy().next().is_none()
     }
--- a/src/decisions/plan.rs
+++ b/src/decisions/plan.rs
@@ -48,9 +48,9 @@
 
     /// The last load report of an availability zone for one service.
     pub struct Summary {
-        /// The availability zone.
+        /// The availability zone that reports the load.
         pub az: id::AzId,
-        /// The service.
+        /// The service that the load belongs to.
         pub service: id::ServiceId,
         /// Slots of its backend servers that accept requests.
         pub slots: u32,
@@ -69,8 +69,7 @@
     /// Maximum age at which a summary counts fully. Three seconds: two may be lost.
     pub fresh_max_age: time::Duration,
     /// Summary age from which the availability zone counts as lost. Ten seconds: longer than a
-    /// restart of its elected reader, shorter than two lifetimes of callers' cached look-up
-    /// answers.
+    /// restart of its reader, shorter than two lifetimes of callers' cached look-up answers.
     pub lost_after: time::Duration,
     /// The smallest share of callers that a change must move to be written as a version.
     pub min_change_share: f64,
@@ -109,7 +108,7 @@
 pub struct Inputs<'a> {
     /// The settings in force.
     pub settings: &'a settings::Settings,
-    /// The service.
+    /// The service that the plan is for.
     pub service: &'a settings::Service,
     /// The latest summary of each availability zone.
     pub summaries: &'a [Summary],
@@ -582,8 +581,7 @@
         assert_eq!(plan["khovd"].len(), 2);
     }
 
-    /// Guards against an overloaded region that moves more load to other regions than their local
-    /// callers leave free: one region's load doubles.
+    /// One region's load doubles; it must not move more than other regions' callers leave free.
     #[test]
     fn a_surge_moves_only_into_free_capacity() {
         let mut summaries = all_summaries(4.0);
--- a/src/decisions/policy.rs
+++ b/src/decisions/policy.rs
@@ -46,11 +46,11 @@
     pub struct Arrival {
         /// The request's ID.
         pub id: RequestId,
-        /// Its caller.
+        /// The caller that sent the request.
         pub caller: CallerId,
-        /// The hash of its content.
+        /// A hash of the request's content.
         pub fingerprint: Fingerprint,
-        /// The source that it came from.
+        /// Where the request came from.
         pub origin: Origin,
         /// Whether it may run more than once.
         pub idempotent: bool,
@@ -58,7 +58,7 @@
         pub worth: u32,
         /// The typical service time at a backend server.
         pub typical: time::Duration,
-        /// When its caller stops waiting.
+        /// When the caller stops waiting.
         pub deadline: Moment,
         /// The bytes of the request and the expected answer, which count against link capacity.
         pub bytes: u64,
@@ -93,7 +93,7 @@
         Answer,
         /// It has not run and will not run.
         NotRun {
-            /// The reason.
+            /// Why it did not run.
             why: Refusal,
             /// The delay before a retry is useful.
             retry_after: time::Duration,
@@ -110,30 +110,30 @@
     pub enum Action {
         /// Send the request.
         Send {
-            /// The request.
+            /// The request to send.
             req: RequestId,
-            /// The destination.
+            /// Where to send it.
             to: Destination,
             /// When the attempt times out.
             deadline: Moment,
         },
         /// Cancel an unneeded attempt. It still ends with [`AttemptOutcome::Cancelled`].
         Cancel {
-            /// The request.
+            /// The request that the attempt belongs to.
             req: RequestId,
             /// The destination of the attempt.
             to: Destination,
         },
         /// Send the final outcome to the caller.
         Settle {
-            /// The request.
+            /// The request that is settled.
             req: RequestId,
-            /// The outcome.
+            /// The outcome for the caller.
             fate: RequestOutcome,
         },
         /// Probe a backend server for its state.
         Probe {
-            /// The backend server.
+            /// The backend server to probe.
             to: id::VmId,
         },
     }
--- a/src/decisions/precedence.rs
+++ b/src/decisions/precedence.rs
@@ -5,8 +5,7 @@
 //! Reserving a part of each backend server for bookings at all times would refuse reads needlessly
 //! whenever there are no bookings.
 //!
-//! Capacity is therefore reserved only on demand: for [`RESERVATION_TIME`] after a more urgent
-//! request was refused.
+//! So capacity is reserved only for [`RESERVATION_TIME`] after a more urgent request was refused.
 
 use std::time;
 
--- a/src/decisions/quota.rs
+++ b/src/decisions/quota.rs
@@ -92,7 +92,7 @@
 /// Age from which a report is late. During a surge, each VM reports every 100 ms.
 const REPORT_LATE_AFTER: time::Duration = time::Duration::from_millis(250);
 
-/// Factor applied to the target while peers are silent.
+/// Factor applied to the target while peers are silent; the margin covers reports in transit.
 const PARTITION_TARGET_RATIO: f64 = 0.9;
 
 /// Usual upper bound on the propagation delay of a report.
@@ -503,8 +503,7 @@
         let mut surge = Surge::of(account, now);
         let mut target = self.bound.target(&limit);
         if self.has_silent_peer(now, customer) {
-            // Messages in transit make the two sides of a partition differ in what they know of each
-            // other.
+            // The two sides of a partition know different usage: reports were in transit.
             target *= PARTITION_TARGET_RATIO;
         }
         let unseen_peers = self.unseen_peers();
--- a/src/decisions/split.rs
+++ b/src/decisions/split.rs
@@ -15,10 +15,10 @@
 const MAX_SHARE_EXCESS: f64 = 0.04;
 
 /// The factor applied to counts with each request: shares cover about the last 400 requests.
-const COUNT_DECAY: f64 = 1.0 - 1.0 / 400.0;
+const COUNT_DECAY_FACTOR: f64 = 1.0 - 1.0 / 400.0;
 
 /// Requests before shares are corrected; below this, single requests distort the shares.
-const MIN_REQUESTS: f64 = 20.0;
+const MIN_REQUEST_COUNT: f64 = 20.0;
 
 /// The decaying request counts of one route's parts.
 #[derive(Clone, Debug, Default)]
@@ -35,7 +35,9 @@
         let sum: f64 = weights.iter().sum::<f64>().max(f64::MIN_POSITIVE);
         let preferred = part_at(weights, affinity::unit_interval(point) * sum);
         let chosen = self.corrected(weights, sum, preferred);
-        self.counts.iter_mut().for_each(|n| *n *= COUNT_DECAY);
+        self.counts
+            .iter_mut()
+            .for_each(|n| *n *= COUNT_DECAY_FACTOR);
         if let Some(n) = self.counts.get_mut(chosen) {
             *n += 1.0;
         }
@@ -44,7 +46,7 @@
 
     fn corrected(&self, weights: &[f64], sum: f64, preferred: usize) -> usize {
         let total: f64 = self.counts.iter().sum();
-        if total < MIN_REQUESTS {
+        if total < MIN_REQUEST_COUNT {
             return preferred;
         }
         let excess = |i: usize| self.counts[i] / total - weights[i] / sum;
--- a/src/decisions/upkeep.rs
+++ b/src/decisions/upkeep.rs
@@ -1,5 +1,4 @@
-//! Periodic work: reports load, refuses queued requests that cannot meet their deadline, sends
-//! hedges and probes, and removes expired quarantine entries.
+//! Periodic work: load reports, refusals of late requests, hedges, probes and quarantine expiry.
 
 use std::time;
 
