--- a/src/gateway/advertising.rs
+++ b/src/gateway/advertising.rs
@@ -115,8 +115,7 @@
     /// Whether this VM is neither advertised to its region's callers nor among the next ones in the
     /// order of selection.
     pub fn is_spare(&self) -> bool {
-        /// VMs next in the order. Their registrations must expire as soon as those of advertised
-        /// ones.
+        /// VMs next in the order. Their leases must be as short as those of advertised VMs.
         const STANDBY_COUNT: usize = 6;
         let selected = self.selection_hashes(self.region.as_ref(), STANDBY_COUNT);
         !selected.contains(&self.own_hash)
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,5 +1,4 @@
-//! Sends a request to one backend server and reports whether it was answered, has not run or may
-//! have run. A request that must not run twice uses only a new or recently used connection.
+//! Sends a request to one backend server: it is answered, has not run, or may have run.
 
 use std::rc;
 use std::time;
--- a/src/gateway/fanout.rs
+++ b/src/gateway/fanout.rs
@@ -1,7 +1,5 @@
-//! Sends the store's records to followers, which are entry VMs that do not read the store.
-//!
-//! A follower gets a snapshot or a delta first and then each change. It is refused while the
-//! records here are outdated.
+//! Sends the store's records to followers: entry VMs that do not read the store. Each follower gets
+//! a snapshot or a delta first and then each change. It is refused while this VM's records are old.
 
 use std::time;
 
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -1,8 +1,5 @@
-//! Keeps the records of the platform's store current.
-//!
-//! In each region one VM reads the store and the others follow it, directly or through one another,
-//! so that the store's load stays bounded. If its source fails, a VM follows another or reads the
-//! store itself, in an order that avoids simultaneous reads.
+//! Keeps the records of the platform's store current. To bound the store's load, one VM per region
+//! reads it and the others follow that VM, directly or through one another.
 
 use std::cell;
 use std::net;
@@ -118,7 +115,7 @@
         self.records.borrow().has(key)
     }
 
-    /// Keeps the records current until the process ends.
+    /// Keeps the records current until the process ends: follows a VM, or else reads the store.
     pub async fn run<S: Source>(self, mut source: S, seeds: Vec<net::SocketAddr>) {
         let mut order = follow_order::LeaderOrder::default();
         let started = self.cx.now();
@@ -451,8 +448,7 @@
         updates.cloned().collect()
     }
 
-    /// Replaces all records; missing ones are removed. Returns the changes for followers, which are
-    /// none if this VM had no complete records, since then it has no followers.
+    /// Replaces all records. Returns the changes for followers; a VM without records has none.
     fn replace_all<S: Source>(
         &self,
         source: &S,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,10 +1,9 @@
 //! The gateway process on an entry VM: accepts callers' requests and forwards each to a backend
 //! server according to the routes.
 //!
-//! All work runs on one thread, because on a VM with a fraction of a core a hand-over between
-//! threads costs more than the work itself. The reader of the platform's store reports routes,
-//! backend servers and entry VMs to [`Gateway`]; requests arrive through [`front`];
-//! [`crate::decisions`] holds the decision logic.
+//! All work runs on one thread: with a fraction of a core, a hand-over between threads costs more
+//! than the work itself. The reader of the store reports routes, backend servers and entry VMs to
+//! [`Gateway`]; requests arrive through [`front`]; [`crate::decisions`] holds the decision logic.
 
 mod advertising;
 pub mod attempt;
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -1,7 +1,5 @@
-//! Reserves a backend server for a request, or says why none can take it now.
-//!
-//! Requests for one object, named by a cookie, go to the same few backend servers, which have it
-//! cached. Full, cold and failing backend servers are limited or skipped, so that they recover.
+//! Reserves a backend server for a request, or says why none can take it now. Requests for one
+//! object go to the few servers that cache it. Full, cold and failing ones get fewer, to recover.
 
 use std::rc;
 
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -1,5 +1,4 @@
-//! Pool of idle connections to backend servers, limited in number and idle time, since a backend
-//! server limits its connections and closes idle ones.
+//! Pool of idle connections to backend servers, limited in number and idle time.
 
 use std::collections;
 use std::time;
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -170,7 +170,7 @@
         true
     }
 
-    /// Takes a request that has not run back from the count of those that leave the region.
+    /// Uncounts a departure whose request has not run.
     fn uncount_departure(&self, reach: regions::Reach, admitted_at: policy::Moment) {
         let leaves = reach == regions::Reach::Elsewhere;
         let mut departures = self.departures.borrow_mut();
--- a/src/gateway/thresholds.rs
+++ b/src/gateway/thresholds.rs
@@ -42,9 +42,8 @@
             placement: affinity::Config::default(),
             regions: regions::Config::default(),
             ejection: ejection::Config {
-                // Requests for an object stay with its backend server, so a broken one is noticed
-                // by its own failures rather than by its share of the load. Ten answers suffice for
-                // that.
+                // Requests for an object stay with its backend server, so its own failures and not
+                // its share of the load show that it is broken. Ten answers suffice.
                 consecutive_failures: 3,
                 consecutive_breaks: 1,
                 max_failure_ratio: 0.4,
@@ -60,9 +59,8 @@
 }
 
 impl Thresholds {
-    /// Reads a TOML file. Values that it does not name keep their defaults.
-    ///
-    /// Fails if the file cannot be read, names an unknown threshold or has a value out of range.
+    /// Reads a TOML file; unnamed thresholds keep their defaults. Fails if the file cannot be read,
+    /// names an unknown threshold or has a value out of range.
     pub fn read(path: &path::Path) -> Result<Self, error::Error> {
         let text = fs::read_to_string(path).map_err(|source| error::Error::Read {
             path: path.to_owned(),
