--- a/src/coordination/action.rs
+++ b/src/coordination/action.rs
@@ -43,11 +43,11 @@
     Watch(Prefix, store::Revision),
     /// Write a value if the key's revision is unchanged.
     Write {
-        /// The key.
+        /// The store key to write.
         key: String,
         /// The expected revision of the key.
         expect: store::Revision,
-        /// The value.
+        /// The new value.
         value: sync::Arc<str>,
     },
     /// Read the platform's list of VMs.
@@ -58,14 +58,14 @@
     ToAll {
         /// The peer that sent it to this process.
         except: Option<id::VmId>,
-        /// The message.
+        /// The message to send.
         message: peer::Message,
     },
     /// Send to all linked peers of this availability zone except the sender.
     ToOwnAz {
         /// The peer that sent it to this process.
         except: Option<id::VmId>,
-        /// The message.
+        /// The message to send.
         message: peer::Message,
     },
     /// Link to these entry VMs.
@@ -84,7 +84,7 @@
     /// A value was refused.
     #[error("{key} is refused: {why}")]
     Refused {
-        /// The key.
+        /// The store key of the refused value.
         key: String,
         /// The reason and the remedy.
         why: String,
@@ -94,7 +94,7 @@
         "{key}: the store holds version {stored} but this VM holds version {held}; the store was restored to an older state, and this VM's version is written to it again"
     )]
     StoreBehind {
-        /// The key.
+        /// The store key of the value.
         key: String,
         /// The version in the store; 0: none.
         stored: u64,
@@ -106,9 +106,9 @@
         "{key}: two changes have version {version}, `{one}` and `{other}`; all VMs keep the same one, so check with `bulrushwind status` and apply the other one again"
     )]
     VersionConflict {
-        /// The key.
+        /// The store key of both values.
         key: String,
-        /// The version.
+        /// The version of both values.
         version: u64,
         /// The change that is kept.
         one: String,
@@ -120,7 +120,7 @@
         "team `{team}`'s newest settings do not go with the others', their last good ones stay in force: {why}"
     )]
     NotInForce {
-        /// The team.
+        /// The team whose newest settings are not used.
         team: id::TeamId,
         /// The reason and the remedy.
         why: String,
@@ -128,9 +128,9 @@
     /// A team's settings came into force.
     #[error("team `{team}`'s settings are in force at version {version}")]
     InForce {
-        /// The team.
+        /// The team that owns the settings.
         team: id::TeamId,
-        /// The version.
+        /// The version now in force.
         version: u64,
     },
     /// The availability zone has a new reader: this process or another one.
--- a/src/coordination/driver.rs
+++ b/src/coordination/driver.rs
@@ -1,8 +1,6 @@
 //! Runs a [`node::Node`] in a process. One thread passes events to it and carries out its actions;
 //! three call the store (one per watch, one for other calls), so a slow store delays neither peers
-//! nor timers.
-//!
-//! The request path waits for none of them: results are passed to an [`Observer`].
+//! nor timers. The request path waits for none of them: an [`Observer`] receives the results.
 
 use std::collections;
 use std::net;
--- a/src/coordination/list_ranges.rs
+++ b/src/coordination/list_ranges.rs
@@ -34,9 +34,9 @@
         .collect()
 }
 
-/// A key space: keys with a common stem followed by random digits.
+/// A key space: keys with a common prefix (`stem`) and random digits.
 struct KeySpace<'a> {
-    /// The common stem.
+    /// The common prefix of all keys.
     stem: &'a str,
     /// The digits, in ascending order.
     digits: Vec<u8>,
--- a/src/coordination/loads.rs
+++ b/src/coordination/loads.rs
@@ -202,7 +202,6 @@
     const RATE_SMOOTHING_FACTOR: f64 = 0.5;
 
     /// Records a request with its expected service time, `work`.
-    ///
     /// `region` is that of the caller's address. With `None` the request adds no demand.
     pub fn record(
         &mut self,
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -27,7 +27,7 @@
 /// The greatest number of entry VMs of an availability zone that all link to each other.
 pub const MAX_FULL_MESH_VMS: usize = 12;
 
-/// Links that each entry VM opens in a larger availability zone. Both ends use a link.
+/// Links that each entry VM opens in a larger availability zone. Links carry messages both ways.
 pub const AZ_FANOUT: usize = 6;
 
 /// How many entry VMs of an availability zone link to another zone, and how many links each opens.
@@ -113,7 +113,7 @@
         changed
     }
 
-    /// Records a VM's announced stop. False: it is known, or the VM has restarted since.
+    /// Records a VM's announced stop. False: recorded before, or the VM has restarted since.
     pub fn mark_leaving(&mut self, vm: &id::VmId, incarnation: id::Incarnation) -> bool {
         let restarted = self
             .peers
--- a/src/coordination/reader.rs
+++ b/src/coordination/reader.rs
@@ -2,8 +2,7 @@
 //!
 //! The reader holds the watches and forwards their events, so that the store's load grows with
 //! the number of availability zones and not with the number of VMs. Two readers at a time only
-//! cost calls. Settings are delayed without a reader, and with one whose messages are lost or that
-//! cannot reach the store.
+//! cost calls. A missing or unreachable reader, or one without the store, delays settings.
 //!
 //! [`Election`] has two implementations, compared in docs/design/reader.md. [`LowestName`] picks
 //! the lowest name among the processes with a recent heartbeat. [`FewestAccusations`] follows
--- a/src/coordination/store_http.rs
+++ b/src/coordination/store_http.rs
@@ -21,28 +21,28 @@
     pub enum Call {
         /// Reads one key.
         Get {
-            /// The key.
+            /// The key to read.
             key: String,
         },
         /// Reads everything under a prefix.
         List {
-            /// The prefix.
+            /// The common prefix of the keys to read.
             prefix: String,
         },
         /// Writes one key under a condition.
         CompareAndSwap {
-            /// The key.
+            /// The key to write.
             key: String,
             /// The expected revision of the key.
             expect: store::Revision,
-            /// The value.
+            /// The new value.
             value: Vec<u8>,
             /// The lease that the key depends on.
             lease: Option<store::LeaseId>,
         },
         /// Waits for writes.
         Watch {
-            /// The prefix.
+            /// The common prefix of the watched keys.
             prefix: String,
             /// Return only writes after this revision.
             after: store::Revision,
@@ -56,12 +56,12 @@
         },
         /// Renews a lease.
         Renew {
-            /// The lease.
+            /// The lease to renew.
             lease: store::LeaseId,
         },
         /// Gives up a lease.
         Revoke {
-            /// The lease.
+            /// The lease to end.
             lease: store::LeaseId,
         },
         /// Reads the list of VMs.
