--- a/src/platform/feed.rs
+++ b/src/platform/feed.rs
@@ -1,5 +1,4 @@
-//! Reads and watches the platform's store and applies its records to the gateway. Also keeps this VM
-//! registered in the store and publishes the crashes of backend servers that it observes.
+//! Applies the store's records to the gateway, registers this VM and publishes observed crashes.
 
 use std::rc;
 use std::time;
@@ -17,7 +16,7 @@
 const CRASH_RECORD_TTL: time::Duration = time::Duration::from_secs(90);
 
 /// Pause between attempts while this VM is not registered.
-const RETRY_DELAY: time::Duration = time::Duration::from_millis(300);
+const REGISTRATION_RETRY_DELAY: time::Duration = time::Duration::from_millis(300);
 
 /// Prefix of the watch. All keys in the store concern entry VMs, so a single watch covers them.
 const WATCH_PREFIX: &str = "";
@@ -197,7 +196,7 @@
             self.publish_crashes(&mut client).await;
             let pause = match &active {
                 Some(active) => registration::renewal_interval(active.ttl),
-                None => RETRY_DELAY,
+                None => REGISTRATION_RETRY_DELAY,
             };
             tokio::select! {
                 () = tokio::time::sleep(pause) => {}
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -11,13 +11,11 @@
 
 use super::names;
 
-/// The fields of the file that the gateway uses; others are ignored.
+/// The fields that the gateway uses; others are ignored. `zones` maps availability zones to regions.
 #[derive(Clone, Debug, serde::Deserialize)]
 pub struct File {
-    /// Name of this VM.
     node: String,
     zone: String,
-    /// Region of each availability zone.
     zones: collections::BTreeMap<String, String>,
     listen: Listen,
     platform: StoreAddress,
@@ -50,9 +48,7 @@
 struct Listen {
     front: net::SocketAddr,
     ready: net::SocketAddr,
-    /// For callers that look up entry VMs.
     directory: Option<net::SocketAddr>,
-    /// For other entry VMs.
     control: Option<net::SocketAddr>,
 }
 
@@ -161,7 +157,7 @@
         seeds: file.seeds,
         lookup_ttl: time::Duration::from_secs_f64(bound("ttl_max_s", 5.0).min(MAX_LOOKUP_TTL_S)),
         dead_vm_ttl: time::Duration::from_secs_f64(
-            bound("stability_window_s", 0.0) + DEAD_VM_EXTRA_S,
+            bound("stability_window_s", 0.0) + DEAD_VM_EXTRA_TTL_S,
         ),
     })
 }
@@ -171,7 +167,7 @@
 const MAX_LOOKUP_TTL_S: f64 = 2.0;
 
 /// Time that a dead entry VM may be listed beyond the platform's stability window.
-const DEAD_VM_EXTRA_S: f64 = 3.0;
+const DEAD_VM_EXTRA_TTL_S: f64 = 3.0;
 
 fn parse_bounds(entries: &[String]) -> Result<collections::BTreeMap<String, f64>, String> {
     let mut bounds = collections::BTreeMap::new();
