--- a/src/protocol/customers.rs
+++ b/src/protocol/customers.rs
@@ -17,17 +17,17 @@
 
 /// Truncated SHA-256 digest of a customer's key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct KeyDigest([u8; Self::BYTES]);
+pub struct KeyDigest([u8; Self::DIGEST_BYTES]);
 
 impl KeyDigest {
     /// With 16 bytes, any two of a million keys collide with a probability of less than 1e-26.
-    const BYTES: usize = 16;
+    const DIGEST_BYTES: usize = 16;
 
     /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> Self {
         let full_digest = sha2::Sha256::digest(key);
-        let mut digest = [0; Self::BYTES];
-        digest.copy_from_slice(&full_digest[..Self::BYTES]);
+        let mut digest = [0; Self::DIGEST_BYTES];
+        digest.copy_from_slice(&full_digest[..Self::DIGEST_BYTES]);
         Self(digest)
     }
 
--- a/src/protocol/hello.rs
+++ b/src/protocol/hello.rs
@@ -21,7 +21,7 @@
 pub const MAX_BYTES: usize = 2048;
 
 /// Domain separation from other signatures made with the same key.
-const CONTEXT: &[u8] = b"bulrushwind peer hello 1";
+const HELLO_CONTEXT: &[u8] = b"bulrushwind peer hello 1";
 
 /// Length of a nonce, of a secret and of half a signature.
 const KEY_BYTES: usize = 32;
@@ -139,7 +139,7 @@
 }
 
 fn signed_message(signer: &Hello, reader: &Hello) -> Vec<u8> {
-    let mut message = CONTEXT.to_vec();
+    let mut message = HELLO_CONTEXT.to_vec();
     message.extend(encode(signer));
     message.extend(encode(reader));
     message
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,5 +1,4 @@
-//! Messages and headers exchanged with callers, backend servers, operators and other entry VMs:
-//! types, validation, encoding and decoding.
+//! Messages and headers exchanged with other processes: types, validation, encoding, decoding.
 
 pub mod backend;
 pub mod backend_http;
--- a/src/protocol/names.rs
+++ b/src/protocol/names.rs
@@ -2,7 +2,7 @@
 
 use super::headers;
 
-/// The configured names.
+/// The names of the fields; a deployment may configure them.
 #[derive(Clone, Copy, Debug)]
 pub struct Names {
     /// Id of a request; backend servers echo it.
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -75,7 +75,7 @@
 
     /// Requests of one service that are temporarily refused because they crash backend servers.
     pub struct Bans {
-        /// The service.
+        /// The service of the banned requests.
         pub service: id::ServiceId,
         /// The bans, at most [`MAX_BANS`].
         pub entries: Vec<quarantine::Ban>,
@@ -89,7 +89,7 @@
 
     /// Load of one service on one entry VM.
     pub struct WorkRow {
-        /// The service.
+        /// The service that the row describes.
         pub service: id::ServiceId,
         /// Slots of the backend servers that accept requests from it.
         pub slots: u32,
@@ -103,7 +103,7 @@
 
     /// Load of an availability zone.
     pub struct Loads {
-        /// The availability zone.
+        /// The availability zone that reports its load.
         pub az: id::AzId,
         /// The entry VM that computed the sums.
         pub by: id::VmId,
@@ -117,7 +117,7 @@
 
     /// A request for a grant.
     pub struct AskGrant {
-        /// The service.
+        /// The service whose requests need the grant.
         pub service: id::ServiceId,
         /// Requested rate, in requests per second.
         pub per_s: f64,
@@ -188,9 +188,9 @@
     pub struct Held {
         /// The key in the store.
         pub key: String,
-        /// Its version.
+        /// The version of the value.
         pub version: u64,
-        /// Hash of its text.
+        /// Hash of the value's text.
         pub hash: u64,
     }
 
@@ -198,16 +198,16 @@
     pub struct VmList {
         /// The reader that read the list from the platform.
         pub reader: id::VmId,
-        /// The rows.
+        /// All listed VMs.
         pub rows: Vec<store::Vm>,
     }
 
     /// Announces that an entry process is stopping.
     #[derive(Eq)]
     pub struct Leaving {
-        /// Its VM.
+        /// The VM of the process.
         pub vm: id::VmId,
-        /// Its incarnation. A later incarnation of the same VM is not leaving.
+        /// The incarnation of the process. A later incarnation of the same VM is not leaving.
         pub incarnation: id::Incarnation,
     }
 }
--- a/src/protocol/routes.rs
+++ b/src/protocol/routes.rs
@@ -13,9 +13,9 @@
 /// A service to which a route sends a share of its traffic.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
-    /// The service.
+    /// The service that gets the share.
     pub service: id::ServiceId,
-    /// Its weight relative to the other services of the route.
+    /// The service's weight relative to the other services of the route.
     pub weight: f64,
 }
 
@@ -79,10 +79,10 @@
     }
 }
 
-/// A service.
+/// A service that routes can name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The service's name.
     pub name: id::ServiceId,
     /// Requests per second that a backend server with a cold cache can handle.
     pub cold_rate_per_s: f64,
--- a/src/protocol/ticket.rs
+++ b/src/protocol/ticket.rs
@@ -123,8 +123,9 @@
 
 /// Encodes a VM name, which may contain the dot that separates the fields of a ticket.
 fn encode_vm(text: &str) -> String {
-    const DIGITS: &[u8; 16] = b"0123456789abcdef";
-    let digits = |byte: u8| [byte >> 4, byte & 15].map(|at| char::from(DIGITS[usize::from(at)]));
+    const HEX_DIGITS: &[u8; 16] = b"0123456789abcdef";
+    let digits =
+        |byte: u8| [byte >> 4, byte & 15].map(|at| char::from(HEX_DIGITS[usize::from(at)]));
     text.bytes().flat_map(digits).collect()
 }
 
