--- a/src/transport/callers.rs
+++ b/src/transport/callers.rs
@@ -61,8 +61,7 @@
     /// Set once the request must continue after its caller disconnects. It may be running on a
     /// backend server, and after an abort its outcome would be unknown.
     pub committed: cell::Cell<bool>,
-    /// Set once the caller has disconnected. A request that continues is then sent to no further
-    /// backend server.
+    /// Set once the caller has disconnected; the request then starts at no other backend server.
     pub caller_left: cell::Cell<bool>,
 }
 
@@ -481,8 +480,7 @@
         });
     }
 
-    /// Queues an error answer to a malformed or too large request. No request after it is read,
-    /// because the end of the refused request is unknown.
+    /// Queues an error answer to an invalid request; its end is unknown, so reading stops.
     fn refuse(&mut self, status: u16) -> io::Result<()> {
         let (tx, rx) = oneshot::channel();
         let answer = Answer {
--- a/src/transport/upstream.rs
+++ b/src/transport/upstream.rs
@@ -1,8 +1,7 @@
 //! Sends one request on a connection to a backend server and receives its answer.
 //!
-//! A failure must state whether the request may have run, because that decides about a retry. After
-//! any byte was written the request may have run, whatever error follows. It has certainly not run
-//! only if no byte was written.
+//! A failure must state whether the request may have run, because that decides about a retry. Once
+//! any byte was written, it may have run, whatever error follows.
 
 use bytes::{Bytes, BytesMut};
 use tokio::sync::mpsc;
