--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -2,7 +2,7 @@
 //!
 //! A new request is refused, queued, sent to a backend server, or sent to another availability
 //! zone. The queue is served again after every event, such as the end of an attempt. This module
-//! holds the state and handles the events; [`super::serve`] sends queued requests, [`super::upkeep`]
+//! holds the state and handles events; [`super::serve`] sends queued requests, [`super::upkeep`]
 //! does the periodic work. The module of each decision names the load pattern that it handles.
 
 use std::collections;
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -11,7 +11,7 @@
 
 use super::names;
 
-/// The fields that the gateway uses; others are ignored. `zones` maps availability zones to regions.
+/// The fields that the gateway uses; others are ignored. `zones` maps each AZ to its region.
 #[derive(Clone, Debug, serde::Deserialize)]
 pub struct File {
     node: String,
