--- a/benches/coordination/readers.rs
+++ b/benches/coordination/readers.rs
@@ -1,4 +1,4 @@
-//! Question 3: the lowest name heard against accusation counters, on links with faults.
+//! Compares reader election by lowest name with election by fewest accusations, on faulty links.
 
 use std::time;
 
@@ -7,7 +7,7 @@
 use elections::Fault;
 
 const VMS: usize = 6;
-const SPAN: time::Duration = time::Duration::from_secs(1_800);
+const RUN_TIME: time::Duration = time::Duration::from_secs(1_800);
 const SEEDS: u64 = 5;
 
 const FAULTS: [(&str, Fault); 14] = [
@@ -27,9 +27,11 @@
     ("split 20 s each 60 s", Fault::Split),
 ];
 
-/// Prints the table.
 pub(crate) fn print() {
-    println!("readers: {VMS} VMs, {} s, {SEEDS} seeds", SPAN.as_secs());
+    println!(
+        "readers: {VMS} VMs, {} s, {SEEDS} seeds",
+        RUN_TIME.as_secs()
+    );
     println!(
         "| fault | way | changes/VM/h | messages/VM/min | without % | longest s | doubled % |"
     );
@@ -40,26 +42,26 @@
     }
 }
 
-fn row(fault: &str, way: &str, report: &elections::Report) {
+fn row(fault: &str, election: &str, report: &elections::Report) {
     println!(
-        "| {fault} | {way} | {:.1} | {:.0} | {:.2} | {:.1} | {:.2} |",
+        "| {fault} | {election} | {:.1} | {:.0} | {:.2} | {:.1} | {:.2} |",
         report.changes,
         report.messages,
-        report.without * 100.0,
-        report.longest_s,
-        report.doubled * 100.0,
+        report.no_reader_share * 100.0,
+        report.longest_gap_s,
+        report.multiple_reader_share * 100.0,
     );
 }
 
 fn mean<E: reader::Election>(fault: Fault) -> elections::Report {
     let mut sum = elections::Report::default();
     for seed in 0..SEEDS {
-        let report = elections::play::<E>(fault, VMS, SPAN, seed);
+        let report = elections::simulate::<E>(fault, VMS, RUN_TIME, seed);
         sum.changes += report.changes / SEEDS as f64;
         sum.messages += report.messages / SEEDS as f64;
-        sum.without += report.without / SEEDS as f64;
-        sum.doubled += report.doubled / SEEDS as f64;
-        sum.longest_s = sum.longest_s.max(report.longest_s);
+        sum.no_reader_share += report.no_reader_share / SEEDS as f64;
+        sum.multiple_reader_share += report.multiple_reader_share / SEEDS as f64;
+        sum.longest_gap_s = sum.longest_gap_s.max(report.longest_gap_s);
     }
     sum
 }
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -1,5 +1,5 @@
-//! Plays every load pattern in virtual time, the naive version beside ours, and prints what
-//! callers got. The figures depend on nothing but the code: no clock, fixed seeds.
+//! Runs every load pattern in virtual time with the naive policy and the production policy, and
+//! prints the results for callers. They depend on the code only: no clock, fixed seeds.
 
 use std::path;
 use std::sync::atomic;
@@ -7,7 +7,7 @@
 use bulrushwind::standin::model::{self, patterns, table, tally};
 use parking_lot::Mutex;
 
-/// Patterns that are played side by side.
+/// Number of threads that run patterns in parallel.
 const THREADS: usize = 4;
 
 fn main() {
@@ -16,7 +16,7 @@
         .map(|src| model::Deployment::read(root, &src).expect("the example settings are sound"));
     let cases: Vec<_> = deployments
         .iter()
-        .flat_map(|dep| patterns::local(dep, table::LASTS))
+        .flat_map(|dep| patterns::local(dep, table::PATTERN_DURATION))
         .collect();
     let rows = play(&cases);
     println!("worth: share of the offline best; p50, p99: ms from first asking to the answer");
@@ -37,7 +37,7 @@
     for row in &rows {
         let (naive, ours) = row.shares();
         print(row, "naive", naive, &row.naive);
-        print(row, "ours", ours, &row.ours);
+        print(row, "ours", ours, &row.dispatch);
     }
     println!("{}", table::summary(&rows));
 }
@@ -72,7 +72,7 @@
         row.case.pattern.name,
         t.quantile_ms(0.5),
         t.quantile_ms(0.99),
-        t.hottest(),
+        t.max_run_ratio(),
         t.refused.values().sum::<u64>(),
         t.crashes,
         t.violations(),
--- a/src/standin/caller.rs
+++ b/src/standin/caller.rs
@@ -1,4 +1,4 @@
-//! A caller as the users' clients are: it looks up, sends, and reads what it is told.
+//! A stand-in caller that looks up entry VMs, sends requests and parses the responses.
 
 use std::io;
 use std::net;
@@ -6,27 +6,27 @@
 
 use crate::protocol::{headers, lookup, outcome};
 
-/// The most bytes of an answer that it reads.
-const MAX_BYTES: u64 = 8 << 20;
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: u64 = 8 << 20;
 
-/// What a caller sends.
+/// A request to send.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct Request<'a> {
     /// The method.
     pub method: &'a str,
-    /// The path with the service's name, and the query.
+    /// The path, which begins with the service's name, and the query.
     pub path: &'a str,
-    /// The key, if any.
+    /// The idempotency key, if any.
     pub key: Option<&'a str>,
     /// The body; empty for none.
     pub body: &'a str,
-    /// How long it waits.
+    /// Time after which the caller gives up.
     pub timeout: time::Duration,
-    /// What it states as its patience.
-    pub patience: Option<time::Duration>,
+    /// The timeout sent in the request's header, if any.
+    pub stated_timeout: Option<time::Duration>,
 }
 
-impl Default for Ask<'_> {
+impl Default for Request<'_> {
     fn default() -> Self {
         Self {
             method: "GET",
@@ -34,32 +34,32 @@
             key: None,
             body: "",
             timeout: time::Duration::from_secs(20),
-            patience: None,
+            stated_timeout: None,
         }
     }
 }
 
-/// What a caller is told.
+/// The response to a request.
 #[derive(Clone, Debug)]
-pub struct Told {
-    /// The status.
+pub struct Response {
+    /// The HTTP status.
     pub status: u16,
-    /// What became of the request.
+    /// The outcome stated in the header, if any.
     pub outcome: Option<outcome::Outcome>,
     /// The body.
     pub body: String,
-    /// When to come back.
+    /// Delay after which to retry, if stated.
     pub retry_after: Option<time::Duration>,
 }
 
-impl Told {
-    /// The body of an answer that no backend server gave.
-    pub fn problem(&self) -> Option<outcome::Body> {
+impl Response {
+    /// The error body of a response that an entry VM generated.
+    pub fn error_body(&self) -> Option<outcome::Body> {
         serde_json::from_str(&self.body).ok()
     }
 }
 
-/// A caller. Connections are kept and used again.
+/// A caller that reuses its connections.
 #[derive(Clone, Debug)]
 pub struct Caller {
     agent: ureq::Agent,
@@ -77,37 +77,37 @@
 }
 
 impl Caller {
-    /// Looks a service up.
+    /// Looks a service up at an entry VM.
     pub fn look_up(&self, entry: net::SocketAddr, service: &str) -> io::Result<lookup::Lookup> {
         let path = format!("/lookup/{service}");
-        let told = self.ask(
+        let response = self.send(
             entry,
-            &Ask {
+            &Request {
                 path: &path,
-                ..Ask::default()
+                ..Request::default()
             },
         )?;
-        serde_json::from_str(&told.body).map_err(|_| io::Error::other(told.body))
+        serde_json::from_str(&response.body).map_err(|_| io::Error::other(response.body))
     }
 
-    /// Sends a request. An error: no complete answer came.
-    pub fn ask(&self, entry: net::SocketAddr, ask: &Ask<'_>) -> io::Result<Told> {
+    /// Sends a request. Returns an error if no complete response arrived.
+    pub fn send(&self, entry: net::SocketAddr, request: &Request<'_>) -> io::Result<Response> {
         let mut req = ureq::http::Request::builder()
-            .method(ask.method)
-            .uri(format!("http://{entry}{}", ask.path));
-        if let Some(key) = ask.key {
+            .method(request.method)
+            .uri(format!("http://{entry}{}", request.path));
+        if let Some(key) = request.key {
             req = req.header(headers::KEY, key);
         }
-        if let Some(patience) = ask.patience {
-            req = req.header(headers::TIMEOUT, patience.as_millis().to_string());
+        if let Some(stated_timeout) = request.stated_timeout {
+            req = req.header(headers::TIMEOUT, stated_timeout.as_millis().to_string());
         }
-        let timeout = Some(ask.timeout);
-        let res = if ask.body.is_empty() {
+        let timeout = Some(request.timeout);
+        let res = if request.body.is_empty() {
             let req = req.body(()).map_err(io::Error::other)?;
             let req = self.agent.configure_request(req);
             self.agent.run(req.timeout_global(timeout).build())
         } else {
-            let req = req.body(ask.body).map_err(io::Error::other)?;
+            let req = req.body(request.body).map_err(io::Error::other)?;
             let req = self.agent.configure_request(req);
             self.agent.run(req.timeout_global(timeout).build())
         };
@@ -115,14 +115,14 @@
         let body = res
             .body_mut()
             .with_config()
-            .limit(MAX_BYTES)
+            .limit(MAX_RESPONSE_BYTES)
             .read_to_string()
             .map_err(io::Error::other)?;
         let header = |name: &str| res.headers().get(name)?.to_str().ok();
-        let word = header(headers::OUTCOME);
-        Ok(Told {
+        let outcome = header(headers::OUTCOME);
+        Ok(Response {
             status: res.status().as_u16(),
-            outcome: word.and_then(|word| serde_json::from_value(word.into()).ok()),
+            outcome: outcome.and_then(|outcome| serde_json::from_value(outcome.into()).ok()),
             retry_after: header("retry-after")
                 .and_then(|after| after.parse().ok())
                 .map(time::Duration::from_secs),
--- a/src/standin/elections.rs
+++ b/src/standin/elections.rs
@@ -1,8 +1,8 @@
-//! Plays the picking of a reader on faulty links, in virtual time.
+//! Simulates the election of a store reader over faulty links, in virtual time.
 //!
-//! One availability zone, each pair of VMs linked. A reader counts as useful when it runs, takes
-//! itself for the reader and reaches the store, and when at least half of those that run take it for
-//! the reader too.
+//! All VMs are in one availability zone and each pair is linked. A reader counts as useful if it is
+//! running, considers itself the reader and reaches the store, and if at least half of the running
+//! VMs consider it the reader.
 
 use std::time;
 
@@ -13,52 +13,52 @@
 use crate::protocol::peer;
 use reader::Election;
 
-/// How finely time passes.
-const STEP: time::Duration = time::Duration::from_millis(20);
+/// Duration of one simulation step.
+const TIME_STEP: time::Duration = time::Duration::from_millis(20);
 
-/// How long a reader's calls to the store fail before it says so.
-const STORE_PATIENCE: time::Duration = time::Duration::from_secs(2);
+/// Duration of failed store calls after which a reader reports the store as lost.
+const STORE_LOSS_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// What goes wrong.
+/// The fault to simulate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// Every link loses this share.
+    /// Every link loses this share of its messages.
     Loss(f64),
-    /// Every link delays by up to this many milliseconds.
+    /// Every link delays messages by up to this many milliseconds.
     Delay(u64),
-    /// The VM with the lowest name is heard by nobody, but hears the others.
+    /// All messages from the VM with the lowest name are lost, but those sent to it arrive.
     LowestUnheard,
-    /// Half of the VMs do not hear the lowest.
+    /// Half of the VMs receive nothing from the lowest-named VM.
     LowestHalfHeard,
-    /// What the lowest sends is lost in this share.
+    /// This share of the lowest-named VM's messages is lost.
     LowestLossy(f64),
-    /// The lowest stands still for 4 s every 10 s.
+    /// The lowest-named VM pauses for 4 s every 10 s.
     LowestPauses,
-    /// The lowest starts anew every 10 s and is away for 3 s of it.
+    /// The lowest-named VM restarts every 10 s and is down for 3 s each time.
     LowestRestarts,
-    /// The lowest does not reach the store.
+    /// The lowest-named VM cannot reach the store.
     LowestWithoutStore,
-    /// The reader, whoever it is, is killed every 60 s and is away for 20 s.
+    /// The current reader is killed every 60 s and is down for 20 s.
     ReaderKilled,
-    /// The two halves do not hear each other for 20 s every 60 s.
+    /// The VMs are partitioned into two halves for 20 s every 60 s.
     Split,
 }
 
-/// What a play gave.
+/// Results of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// How often a VM changed its mind, after it had one, a VM and hour.
+    /// Changes from one known reader to another, per VM and hour.
     pub changes: f64,
-    /// Messages a VM and minute.
+    /// Messages sent, per VM and minute.
     pub messages: f64,
-    /// The share of time without a useful reader.
-    pub without: f64,
-    /// The longest time without a useful reader, in seconds.
-    pub longest_s: f64,
-    /// The share of time with two readers or more.
-    pub doubled: f64,
+    /// Share of time without a useful reader.
+    pub no_reader_share: f64,
+    /// Longest period without a useful reader, in seconds.
+    pub longest_gap_s: f64,
+    /// Share of time with two or more readers.
+    pub multiple_reader_share: f64,
 }
 
 struct Vm<E> {
@@ -67,33 +67,33 @@
     starts: u64,
     down: bool,
     paused: bool,
-    held: Vec<fabric::Arrived<peer::Message>>,
-    mind: Option<id::VmId>,
-    store_lost: Option<policy::Moment>,
+    inbox: Vec<fabric::Arrived<peer::Message>>,
+    known_reader: Option<id::VmId>,
+    store_lost_since: Option<policy::Moment>,
 }
 
-struct Play<E> {
+struct Simulation<E> {
     vms: Vec<Vm<E>>,
     fabric: fabric::Fabric<peer::Message>,
     fault: Fault,
-    killed: Option<(usize, policy::Moment)>,
+    killed_reader: Option<(usize, policy::Moment)>,
     changes: u64,
 }
 
-/// Plays `span` with `vms` processes.
-pub fn play<E: Election>(fault: Fault, vms: usize, span: time::Duration, seed: u64) -> Report {
-    let mut play = Play::<E>::new(fault, vms, seed);
+/// Simulates `vms` VMs for `span` of virtual time.
+pub fn simulate<E: Election>(fault: Fault, vms: usize, span: time::Duration, seed: u64) -> Report {
+    let mut simulation = Simulation::<E>::new(fault, vms, seed);
     let (mut steps, mut without, mut doubled) = (0_u64, 0_u64, 0_u64);
     let (mut gap, mut longest) = (0_u64, 0_u64);
     let mut now = policy::Moment::ZERO;
     while now < span {
-        play.step(now);
+        simulation.step(now);
         steps += 1;
-        gap = if play.has_useful() { 0 } else { gap + 1 };
+        gap = if simulation.has_useful() { 0 } else { gap + 1 };
         longest = longest.max(gap);
         without += u64::from(gap > 0);
-        doubled += u64::from(play.readers() > 1);
-        now += STEP;
+        doubled += u64::from(simulation.readers() > 1);
+        now += TIME_STEP;
     }
     #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^52")]
     let (share, per_vm) = (
@@ -101,15 +101,15 @@
         |count: u64| count as f64 / vms as f64,
     );
     Report {
-        changes: per_vm(play.changes) / span.as_secs_f64() * 3_600.0,
-        messages: per_vm(play.fabric.sent()) / span.as_secs_f64() * 60.0,
-        without: share(without),
-        longest_s: share(longest) * span.as_secs_f64(),
-        doubled: share(doubled),
+        changes: per_vm(simulation.changes) / span.as_secs_f64() * 3_600.0,
+        messages: per_vm(simulation.fabric.sent()) / span.as_secs_f64() * 60.0,
+        no_reader_share: share(without),
+        longest_gap_s: share(longest) * span.as_secs_f64(),
+        multiple_reader_share: share(doubled),
     }
 }
 
-impl<E: Election> Play<E> {
+impl<E: Election> Simulation<E> {
     fn new(fault: Fault, vms: usize, seed: u64) -> Self {
         let default = match fault {
             Fault::Loss(loss) => fabric::Link {
@@ -139,34 +139,34 @@
             vms: (0..vms).map(Vm::new).collect(),
             fabric,
             fault,
-            killed: None,
+            killed_reader: None,
             changes: 0,
         }
     }
 
     fn step(&mut self, now: policy::Moment) {
-        self.inject(now);
+        self.inject_faults(now);
         for arrived in self.fabric.arrived(now) {
             let vm = &mut self.vms[arrived.to];
             if vm.down {
                 continue;
             }
-            vm.held.push(arrived);
+            vm.inbox.push(arrived);
         }
         for i in 0..self.vms.len() {
-            self.run(now, i);
+            self.run_vm(now, i);
         }
     }
 
-    fn run(&mut self, now: policy::Moment, i: usize) {
-        let reaches = self.reaches_store(i);
+    fn run_vm(&mut self, now: policy::Moment, i: usize) {
+        let store_reachable = self.reaches_store(i);
         let names: Vec<_> = self.vms.iter().map(|vm| vm.name.clone()).collect();
         let vm = &mut self.vms[i];
         if vm.down || vm.paused {
             return;
         }
         let mut out = Vec::new();
-        for arrived in vm.held.drain(..) {
+        for arrived in vm.inbox.drain(..) {
             let from = &names[arrived.from];
             match arrived.message {
                 peer::Message::Alive(alive) => {
@@ -179,11 +179,11 @@
             }
         }
         vm.election.tick(now, &mut out);
-        vm.watch_store(now, reaches);
-        let mind = vm.election.reader().cloned();
-        if mind != vm.mind {
-            self.changes += u64::from(vm.mind.is_some() && mind.is_some());
-            vm.mind = mind;
+        vm.watch_store(now, store_reachable);
+        let known_reader = vm.election.reader().cloned();
+        if known_reader != vm.known_reader {
+            self.changes += u64::from(vm.known_reader.is_some() && known_reader.is_some());
+            vm.known_reader = known_reader;
         }
         for message in out {
             self.send(now, i, &names, message);
@@ -211,7 +211,7 @@
         }
     }
 
-    fn inject(&mut self, now: policy::Moment) {
+    fn inject_faults(&mut self, now: policy::Moment) {
         let second = now.as_secs();
         match self.fault {
             Fault::LowestPauses => self.vms[0].paused = second % 10 >= 6,
@@ -223,27 +223,27 @@
     }
 
     fn kill_reader(&mut self, now: policy::Moment) {
-        if now.as_secs() % 60 == 40 && self.killed.is_none() {
+        if now.as_secs() % 60 == 40 && self.killed_reader.is_none() {
             let reader = (0..self.vms.len()).find(|i| self.is_reader(*i));
             if let Some(i) = reader {
-                self.killed = Some((i, now));
+                self.killed_reader = Some((i, now));
                 self.set_down(now, i, true);
             }
         }
-        if let Some((i, at)) = self.killed
+        if let Some((i, at)) = self.killed_reader
             && now >= at + time::Duration::from_secs(20)
         {
-            self.killed = None;
+            self.killed_reader = None;
             self.set_down(now, i, false);
         }
     }
 
-    fn split(&mut self, apart: bool) {
+    fn split(&mut self, partitioned: bool) {
         let half = self.vms.len() / 2;
         self.fabric.heal();
         for a in 0..half {
             for b in half..self.vms.len() {
-                if apart {
+                if partitioned {
                     self.fabric.set(a, b, fabric::Link::cut());
                     self.fabric.set(b, a, fabric::Link::cut());
                 }
@@ -258,10 +258,10 @@
             let incarnation = id::Incarnation(vm.starts);
             let timing = reader::Timing::default();
             vm.election = E::new(vm.name.clone(), incarnation, timing, now);
-            vm.mind = None;
+            vm.known_reader = None;
         }
         if down {
-            vm.held.clear();
+            vm.inbox.clear();
         }
         vm.down = down;
     }
@@ -304,21 +304,21 @@
             starts: 1,
             down: false,
             paused: false,
-            held: Vec::new(),
-            mind: None,
-            store_lost: None,
+            inbox: Vec::new(),
+            known_reader: None,
+            store_lost_since: None,
         }
     }
 
-    fn watch_store(&mut self, now: policy::Moment, reaches: bool) {
-        if reaches || self.election.reader() != Some(&self.name) {
-            self.store_lost = None;
+    fn watch_store(&mut self, now: policy::Moment, store_reachable: bool) {
+        if store_reachable || self.election.reader() != Some(&self.name) {
+            self.store_lost_since = None;
             return;
         }
-        let since = *self.store_lost.get_or_insert(now);
-        if now >= since + STORE_PATIENCE {
+        let since = *self.store_lost_since.get_or_insert(now);
+        if now >= since + STORE_LOSS_TIMEOUT {
             self.election.handle_store_loss(now);
-            self.store_lost = None;
+            self.store_lost_since = None;
         }
     }
 }
