--- a/examples/cost.rs
+++ b/examples/cost.rs
@@ -1,8 +1,8 @@
-//! Measures what an entry process costs: processor, memory, and bytes on loopback, idle and loaded.
+//! Measures the CPU time, memory and loopback traffic of entry processes, idle and under load.
 //!
 //! Starts a stand-in store, backend servers and entry processes, leaves them idle, then sends
-//! requests at a steady rate, and reads `/proc` before and after each phase. Bytes are those of the
-//! whole loopback device divided by the entry processes, so run it with nothing else on loopback.
+//! requests at a steady rate. `/proc` is read before and after each phase. Traffic is that of the
+//! whole loopback device divided by the number of entry processes, so no other program may use it.
 
 use std::fs;
 use std::net;
@@ -15,34 +15,34 @@
 use bulrushwind::{config, settings};
 use clap::Parser;
 
-/// Ticks of processor time a second.
-const TICKS_A_SECOND: f64 = 100.0;
+/// Clock ticks per second of CPU time in `/proc`.
+const CLOCK_TICKS_PER_S: f64 = 100.0;
 
-/// Bytes of a page of memory.
+/// Size of a memory page.
 const PAGE_BYTES: f64 = 4096.0;
 
-/// The secret by which the entry processes know each other.
+/// The shared secret by which the entry processes authenticate each other.
 const SECRET: &str = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef";
 
-/// Measures what an entry process costs.
+/// Measures the resource usage of entry processes.
 #[derive(Parser)]
 struct Cli {
-    /// Seconds under load.
+    /// Duration of the loaded phase, in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Seconds idle.
+    /// Duration of the idle phase, in seconds.
     #[arg(long, default_value_t = 20)]
     idle: u64,
-    /// Requests a second that each entry process gets while loaded.
+    /// Requests per second sent to each entry process in the loaded phase.
     #[arg(long, default_value_t = 200)]
     rate: u64,
-    /// Entry processes, in turn in the availability zones of one region.
+    /// Number of entry processes, spread over the availability zones of one region.
     #[arg(long, default_value_t = 4)]
     entries: usize,
-    /// Backend servers of the service in each availability zone.
+    /// Number of backend servers in each availability zone.
     #[arg(long, default_value_t = 4)]
     backends: usize,
-    /// Milliseconds that a backend server works on a request.
+    /// Processing time of a request, in milliseconds.
     #[arg(long, default_value_t = 5)]
     work_ms: u64,
     /// Stop half of the backend servers after this many seconds of load.
@@ -57,11 +57,11 @@
     _dir: tempfile::TempDir,
 }
 
-/// What one entry process used up to now.
+/// Resource usage of one entry process so far.
 #[derive(Clone, Copy)]
-struct Used {
+struct Usage {
     cpu_s: f64,
-    resident: f64,
+    resident_bytes: f64,
 }
 
 fn main() {
@@ -70,7 +70,7 @@
     thread::sleep(time::Duration::from_secs(3));
     println!("| phase | core share of one process, mean / max | memory, max | bytes/s a process |");
     println!("|---|---|---|---|");
-    phase(&cli, "idle", &running, || {
+    measure_phase(&cli, "idle", &running, || {
         thread::sleep(time::Duration::from_secs(cli.idle));
     });
     let addrs: Vec<_> = running
@@ -79,26 +79,32 @@
         .map(processes::Process::addr)
         .collect();
     let pids: Vec<_> = running.entries.iter().map(processes::Process::id).collect();
-    let before = (used(&pids), loopback_bytes());
-    let began = time::Instant::now();
-    let answered = load(&cli, &addrs, &mut running.backends);
-    row(&cli, "loaded", &pids, &before, began.elapsed());
+    let before = (read_usage(&pids), loopback_bytes());
+    let started_at = time::Instant::now();
+    let answered = send_load(&cli, &addrs, &mut running.backends);
+    print_row(&cli, "loaded", &pids, &before, started_at.elapsed());
     println!(
         "\nanswered with 200: {answered} of {}",
         cli.seconds * cli.rate * addrs.len() as u64
     );
 }
 
-fn phase(cli: &Cli, name: &str, running: &Running, work: impl FnOnce()) {
+fn measure_phase(cli: &Cli, name: &str, running: &Running, work: impl FnOnce()) {
     let pids: Vec<_> = running.entries.iter().map(processes::Process::id).collect();
-    let before = (used(&pids), loopback_bytes());
-    let began = time::Instant::now();
+    let before = (read_usage(&pids), loopback_bytes());
+    let started_at = time::Instant::now();
     work();
-    row(cli, name, &pids, &before, began.elapsed());
+    print_row(cli, name, &pids, &before, started_at.elapsed());
 }
 
-fn row(cli: &Cli, name: &str, pids: &[u32], before: &(Vec<Used>, f64), took: time::Duration) {
-    let (after, bytes) = (used(pids), loopback_bytes() - before.1);
+fn print_row(
+    cli: &Cli,
+    name: &str,
+    pids: &[u32],
+    before: &(Vec<Usage>, f64),
+    took: time::Duration,
+) {
+    let (after, bytes) = (read_usage(pids), loopback_bytes() - before.1);
     let took = took.as_secs_f64();
     let shares: Vec<f64> = after
         .iter()
@@ -107,7 +113,10 @@
         .collect();
     let mean = shares.iter().sum::<f64>() / shares.len() as f64;
     let max = shares.iter().copied().fold(0.0, f64::max);
-    let memory = after.iter().map(|used| used.resident).fold(0.0, f64::max);
+    let memory = after
+        .iter()
+        .map(|usage| usage.resident_bytes)
+        .fold(0.0, f64::max);
     println!(
         "| {name} | {mean:.2}% / {max:.2}% | {:.1} MB | {:.0} |",
         memory / 1e6,
@@ -119,14 +128,15 @@
     let bin = |name: &str| {
         let exe = std::env::current_exe().expect("this program has a path");
         let dir = exe.parent().and_then(path::Path::parent);
-        dir.expect("examples stand below the binaries").join(name)
+        dir.expect("the binaries are in the parent of the examples' directory")
+            .join(name)
     };
-    let dir = tempfile::tempdir().expect("a directory for configurations");
+    let dir = tempfile::tempdir().expect("a temporary directory can be created");
     let store = processes::Process::start(&bin("bulrushwind-standin"), ["store"])
         .expect("the stand-in store starts");
     let root = path::Path::new("examples/cooperative");
-    let settings = settings::Settings::read(root).expect("the example's settings are sound");
-    processes::put_settings(store.addr(), &settings).expect("settings are written");
+    let settings = settings::Settings::read(root).expect("the example's settings are valid");
+    processes::put_settings(store.addr(), &settings).expect("the store accepts the settings");
     let azs = ["ub-a", "ub-b"];
     let mut backends = Vec::new();
     for n in 0..cli.backends * azs.len() {
@@ -137,7 +147,7 @@
         let role = store::VmRole::Backend {
             service: "availability".into(),
         };
-        list(
+        put_vm(
             store.addr(),
             &format!("b{n}"),
             azs[n % 2],
@@ -148,7 +158,7 @@
     }
     let mut entries = Vec::new();
     for n in 0..cli.entries {
-        let octet = u8::try_from(n + 1).expect("few entry processes");
+        let octet = u8::try_from(n + 1).expect("at most 255 entry processes");
         let cfg = config::Config {
             vm: format!("e{n}").as_str().into(),
             az: azs[n % 2].into(),
@@ -161,15 +171,15 @@
             ..config::Config::default()
         };
         let file = dir.path().join(format!("e{n}.toml"));
-        let text = toml::to_string(&cfg).expect("a configuration is TOML");
-        fs::write(&file, text).expect("a configuration is written");
+        let text = toml::to_string(&cfg).expect("the configuration can be serialised as TOML");
+        fs::write(&file, text).expect("the configuration file can be written");
         let args = ["--config".as_ref(), file.as_os_str()];
         let entry = processes::Process::start(&bin("bulrushwind-entry"), args)
             .expect("an entry process starts");
         let role = store::VmRole::Entry {
             peers: cfg.peers_listen,
         };
-        list(
+        put_vm(
             store.addr(),
             &format!("e{n}"),
             azs[n % 2],
@@ -187,7 +197,7 @@
     }
 }
 
-fn list(at: net::SocketAddr, name: &str, az: &str, addr: net::SocketAddr, role: store::VmRole) {
+fn put_vm(at: net::SocketAddr, name: &str, az: &str, addr: net::SocketAddr, role: store::VmRole) {
     let vm = store::Vm {
         id: name.into(),
         az: az.into(),
@@ -195,32 +205,33 @@
         role,
         state: store::VmState::Live,
     };
-    control::send(at, &control::Control::PutVm { vm }).expect("the stand-in takes a VM");
+    control::send(at, &control::Control::PutVm { vm }).expect("the stand-in store accepts the VM");
 }
 
 /// Sends requests at a steady rate with a few threads for each entry process.
-fn load(cli: &Cli, addrs: &[net::SocketAddr], backends: &mut [processes::Process]) -> u64 {
+fn send_load(cli: &Cli, addrs: &[net::SocketAddr], backends: &mut [processes::Process]) -> u64 {
     const THREADS: u64 = 8;
-    let began = time::Instant::now();
-    let until = began + time::Duration::from_secs(cli.seconds);
-    let every = time::Duration::from_secs_f64(THREADS as f64 / cli.rate as f64);
+    let started_at = time::Instant::now();
+    let until = started_at + time::Duration::from_secs(cli.seconds);
+    let interval = time::Duration::from_secs_f64(THREADS as f64 / cli.rate as f64);
     thread::scope(|scope| {
         let mut threads = Vec::new();
         for addr in addrs {
             for n in 0..THREADS {
                 threads.push(scope.spawn(move || {
                     let caller = caller::Caller::default();
-                    let mut next = began + every.mul_f64(n as f64 / THREADS as f64);
+                    let mut next = started_at + interval.mul_f64(n as f64 / THREADS as f64);
                     let mut answered = 0;
                     while next < until {
                         thread::sleep(next.saturating_duration_since(time::Instant::now()));
-                        let ask = caller::Ask {
+                        let request = caller::Request {
                             path: "/availability/bays",
-                            ..caller::Ask::default()
+                            ..caller::Request::default()
                         };
-                        let told = caller.ask(*addr, &ask);
-                        answered += u64::from(told.is_ok_and(|told| told.status == 200));
-                        next += every;
+                        let response = caller.send(*addr, &request);
+                        answered +=
+                            u64::from(response.is_ok_and(|response| response.status == 200));
+                        next += interval;
                     }
                     answered
                 }));
@@ -237,8 +248,8 @@
     })
 }
 
-fn used(pids: &[u32]) -> Vec<Used> {
-    let of = |pid: &u32| {
+fn read_usage(pids: &[u32]) -> Vec<Usage> {
+    let read_process = |pid: &u32| {
         let read = |name| fs::read_to_string(format!("/proc/{pid}/{name}")).unwrap_or_default();
         let stat = read("stat");
         let fields: Vec<&str> = stat
@@ -257,16 +268,16 @@
             .split(' ')
             .nth(1)
             .and_then(|f| f.parse::<f64>().ok());
-        Used {
-            // Behind the name stand the state and then field 3 onwards.
-            cpu_s: (ticks(12) + ticks(13)) / TICKS_A_SECOND,
-            resident: pages.unwrap_or(0.0) * PAGE_BYTES,
+        Usage {
+            // The text after the process name starts with a space: index 12 is utime, 13 stime.
+            cpu_s: (ticks(12) + ticks(13)) / CLOCK_TICKS_PER_S,
+            resident_bytes: pages.unwrap_or(0.0) * PAGE_BYTES,
         }
     };
-    pids.iter().map(of).collect()
+    pids.iter().map(read_process).collect()
 }
 
-/// Bytes that loopback carried; each counts once.
+/// Bytes received on the loopback device, so that each byte counts once.
 fn loopback_bytes() -> f64 {
     let text = fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text
--- a/examples/tryout/load.rs
+++ b/examples/tryout/load.rs
@@ -1,4 +1,4 @@
-//! Callers that send steadily and write down what they are told.
+//! Callers that send requests at a steady rate and record the results.
 
 use std::net;
 use std::sync;
@@ -10,97 +10,96 @@
 use bulrushwind::standin::{backend, caller};
 use parking_lot::Mutex;
 
-/// What each service is asked: service, method, path, share of the callers' requests.
-const MIX: [(&str, &str, &str, u64); 4] = [
+/// The request mix: service, method, path and relative weight.
+const REQUEST_MIX: [(&str, &str, &str, u64); 4] = [
     ("availability", "GET", "/availability/", 5),
     ("ledger", "GET", "/ledger/bays", 1),
     ("ledger", "POST", "/ledger/book", 3),
     ("archive", "GET", "/archive/history", 1),
 ];
 
-/// How long a caller rests between requests.
-const REST: time::Duration = time::Duration::from_millis(15);
+/// Pause of a caller between two requests.
+const REQUEST_PAUSE: time::Duration = time::Duration::from_millis(15);
 
-/// How often a caller sends one request under one key.
-const SENDS: u32 = 6;
+/// Maximum number of sends of one request with one idempotency key.
+const MAX_SENDS: u32 = 6;
 
-/// How many tickets a caller takes for one request, one after the other.
-const TICKETS: usize = 3;
+/// Maximum number of consecutive tickets that a caller uses for one request.
+const MAX_TICKETS: usize = 3;
 
-/// How long a caller waits for one answer.
+/// Time that a caller waits for an answer.
 const TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// How a request ended for its caller.
+/// Final result of a request for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Ended {
+pub(crate) enum RequestEnd {
     Answered,
     NotRun,
     Unknown,
-    /// The connection broke where nothing may break.
+    /// The connection broke although its entry VM was not killed.
     Cut,
-    /// It got another request's answer, or a broken one.
+    /// The answer belonged to another request or was malformed.
     Wrong,
 }
 
-/// One request.
+/// The record of one request.
 #[derive(Clone, Debug)]
 pub(crate) struct Record {
     pub(crate) service: &'static str,
     pub(crate) key: Option<String>,
-    /// Keys of it that were told not run before.
+    /// Earlier keys of the request whose outcome was not run.
     pub(crate) refused: Vec<String>,
-    pub(crate) ended: Ended,
-    pub(crate) took: time::Duration,
+    pub(crate) ended: RequestEnd,
+    pub(crate) latency: time::Duration,
 }
 
-/// What callers share.
+/// State shared by all callers.
 #[derive(Default)]
 pub(crate) struct Callers {
     entries: Mutex<Vec<net::SocketAddr>>,
-    /// Entry VMs that were killed: a connection that breaks there is no cut.
+    /// Killed entry VMs: a broken connection to one does not count as cut.
     killed: Mutex<Vec<net::SocketAddr>>,
     records: Mutex<Vec<Record>>,
     stop: atomic::AtomicBool,
 }
 
 impl Callers {
-    /// Tells the callers which entry VMs to begin with.
-    pub(crate) fn know(&self, entries: Vec<net::SocketAddr>) {
+    /// Sets the entry VMs for the first look-up.
+    pub(crate) fn set_entries(&self, entries: Vec<net::SocketAddr>) {
         *self.entries.lock() = entries;
     }
 
-    /// An entry VM is about to be killed.
-    pub(crate) fn will_be_killed(&self, entry: net::SocketAddr) {
+    /// Records that an entry VM is about to be killed.
+    pub(crate) fn mark_killed(&self, entry: net::SocketAddr) {
         self.killed.lock().push(entry);
     }
 
-    /// Takes what was written down so far.
+    /// Removes and returns the records so far.
     pub(crate) fn take(&self) -> Vec<Record> {
         std::mem::take(&mut *self.records.lock())
     }
 
-    /// Ends the load.
+    /// Stops all callers.
     pub(crate) fn stop(&self) {
         self.stop.store(true, atomic::Ordering::SeqCst);
     }
 }
 
-/// Starts `count` callers.
 pub(crate) fn start(callers: &sync::Arc<Callers>, count: u64) -> Vec<thread::JoinHandle<()>> {
     let start = |number| {
         let callers = callers.clone();
         thread::spawn(move || {
-            let mut one = One::new(number, &callers);
+            let mut worker = CallerThread::new(number, &callers);
             while !callers.stop.load(atomic::Ordering::SeqCst) {
-                one.request();
-                thread::sleep(REST);
+                worker.request();
+                thread::sleep(REQUEST_PAUSE);
             }
         })
     };
     (0..count).map(start).collect()
 }
 
-struct One<'a> {
+struct CallerThread<'a> {
     callers: &'a Callers,
     caller: caller::Caller,
     number: u64,
@@ -108,7 +107,7 @@
     found: Option<(lookup::Lookup, time::Instant)>,
 }
 
-impl<'a> One<'a> {
+impl<'a> CallerThread<'a> {
     fn new(number: u64, callers: &'a Callers) -> Self {
         Self {
             callers,
@@ -121,41 +120,44 @@
 
     fn request(&mut self) {
         self.sequence += 1;
-        let total: u64 = MIX.iter().map(|(_, _, _, share)| share).sum();
+        let total: u64 = REQUEST_MIX.iter().map(|(_, _, _, share)| share).sum();
         let mut pick = (self.sequence * 7 + self.number) % total;
-        let (service, method, path, _) = MIX
+        let (service, method, path, _) = REQUEST_MIX
             .into_iter()
             .find(|(_, _, _, share)| {
-                let here = pick < *share;
+                let is_selected = pick < *share;
                 pick = pick.saturating_sub(*share);
-                here
+                is_selected
             })
-            .unwrap_or(MIX[0]);
-        let books = method == "POST";
-        let begun = time::Instant::now();
+            .unwrap_or(REQUEST_MIX[0]);
+        let is_booking = method == "POST";
+        let started_at = time::Instant::now();
         let mut refused = Vec::new();
-        for _ in 0..TICKETS {
+        for _ in 0..MAX_TICKETS {
             let Some(found) = self.look_up() else {
                 continue;
             };
-            let own = format!("{}-{}", self.number, self.sequence);
-            let key = found.ticket.filter(|_| books).map(|t| format!("{t}.{own}"));
-            if books && key.is_none() {
+            let request_id = format!("{}-{}", self.number, self.sequence);
+            let key = found
+                .ticket
+                .filter(|_| is_booking)
+                .map(|t| format!("{t}.{request_id}"));
+            if is_booking && key.is_none() {
                 self.found = None;
                 continue;
             }
-            let path = format!("{path}?n={own}");
-            let ask = caller::Ask {
+            let path = format!("{path}?n={request_id}");
+            let request = caller::Request {
                 method,
                 path: &path,
                 key: key.as_deref(),
-                body: if books { &own } else { "" },
+                body: if is_booking { &request_id } else { "" },
                 timeout: TIMEOUT,
-                patience: None,
+                stated_timeout: None,
             };
-            let ended = self.send(&found.entries, &ask, service);
-            if ended == Ended::NotRun && books && refused.len() + 1 < TICKETS {
-                // Not run is a word to rely on: a new key under a new ticket books nothing twice.
+            let ended = self.send(&found.entries, &request, service);
+            if ended == RequestEnd::NotRun && is_booking && refused.len() + 1 < MAX_TICKETS {
+                // A not-run outcome is reliable: a new key under a new ticket cannot book twice.
                 refused.extend(key);
                 continue;
             }
@@ -164,40 +166,47 @@
                 key,
                 refused,
                 ended,
-                took: begun.elapsed(),
+                latency: started_at.elapsed(),
             };
             return self.callers.records.lock().push(record);
         }
     }
 
-    /// Sends until the outcome is final: a broken connection, or an unknown outcome, is asked
-    /// again at the next entry VM with the same key.
-    fn send(&mut self, entries: &[lookup::EntryVm], ask: &caller::Ask<'_>, service: &str) -> Ended {
-        let mut last = Ended::Unknown;
-        for turn in 0..SENDS {
-            let at = (self.number as usize + turn as usize) % entries.len();
+    /// Sends until the outcome is final. Retries after an unknown outcome or a killed entry VM use
+    /// the next entry VM and the same key.
+    fn send(
+        &mut self,
+        entries: &[lookup::EntryVm],
+        request: &caller::Request<'_>,
+        service: &str,
+    ) -> RequestEnd {
+        let mut last = RequestEnd::Unknown;
+        for attempt in 0..MAX_SENDS {
+            let at = (self.number as usize + attempt as usize) % entries.len();
             let entry = entries[at].addr;
-            match self.caller.ask(entry, ask) {
-                Ok(told) => match told.outcome {
-                    Some(outcome::Outcome::Answered) => return judge(&told, ask, service),
+            match self.caller.send(entry, request) {
+                Ok(response) => match response.outcome {
+                    Some(outcome::Outcome::Answered) => return verify(&response, request, service),
                     Some(outcome::Outcome::NotRun) => {
-                        let stopping = told.problem().is_some_and(|p| p.reason == "stopping");
-                        if stopping && turn == 0 && ask.key.is_some() {
+                        let stopping = response
+                            .error_body()
+                            .is_some_and(|p| p.reason == "stopping");
+                        if stopping && attempt == 0 && request.key.is_some() {
                             self.found = None;
-                            return Ended::NotRun;
+                            return RequestEnd::NotRun;
                         }
-                        // Its word holds for this send; an earlier one may have run.
-                        if turn == 0 || ask.key.is_none() || last == Ended::NotRun {
-                            last = Ended::NotRun;
+                        // The outcome covers only this send; an earlier one may have run.
+                        if attempt == 0 || request.key.is_none() || last == RequestEnd::NotRun {
+                            last = RequestEnd::NotRun;
                         }
                     }
-                    _ => last = Ended::Unknown,
+                    _ => last = RequestEnd::Unknown,
                 },
-                Err(_) if self.callers.killed.lock().contains(&entry) => last = Ended::Unknown,
-                Err(_) => return Ended::Cut,
+                Err(_) if self.callers.killed.lock().contains(&entry) => last = RequestEnd::Unknown,
+                Err(_) => return RequestEnd::Cut,
             }
             self.found = None;
-            thread::sleep(time::Duration::from_millis(100 << turn.min(3)));
+            thread::sleep(time::Duration::from_millis(100 << attempt.min(3)));
         }
         last
     }
@@ -208,8 +217,8 @@
             return Some(found.clone());
         }
         let known = self.callers.entries.lock().clone();
-        for turn in 0..known.len() {
-            let entry = known[(self.number as usize + turn) % known.len()];
+        for attempt in 0..known.len() {
+            let entry = known[(self.number as usize + attempt) % known.len()];
             let found = self.caller.look_up(entry, "ledger");
             if let Some(found) = found.ok().filter(|found| !found.entries.is_empty()) {
                 self.found = Some((found.clone(), time::Instant::now()));
@@ -220,14 +229,14 @@
     }
 }
 
-/// Whether the answer is whole and to this very request.
-fn judge(told: &caller::Told, ask: &caller::Ask<'_>, service: &str) -> Ended {
-    let Ok(echo) = serde_json::from_str::<backend::Echo>(&told.body) else {
-        return Ended::Wrong;
+/// Checks that the answer is complete and belongs to this request.
+fn verify(response: &caller::Response, request: &caller::Request<'_>, service: &str) -> RequestEnd {
+    let Ok(echo) = serde_json::from_str::<backend::Echo>(&response.body) else {
+        return RequestEnd::Wrong;
     };
-    let path = ask.path.strip_prefix(&format!("/{service}"));
-    if Some(echo.path.as_str()) == path && echo.body == ask.body {
-        return Ended::Answered;
+    let path = request.path.strip_prefix(&format!("/{service}"));
+    if Some(echo.path.as_str()) == path && echo.body == request.body {
+        return RequestEnd::Answered;
     }
-    Ended::Wrong
+    RequestEnd::Wrong
 }
--- a/examples/tryout/main.rs
+++ b/examples/tryout/main.rs
@@ -1,8 +1,8 @@
-//! Shows the whole path end to end on this machine, and checks the promises while it does.
+//! Runs a complete deployment on this machine and checks its guarantees under faults.
 //!
-//! It starts a stand-in store, backend servers and entry VMs as processes of their own (this same
-//! program under other arguments), lets callers work through a list of scenes, and prints what
-//! the callers got. It exits with 1 if a promise broke.
+//! Starts a stand-in store, backend servers and entry VMs as child processes (this program with
+//! other arguments), runs a list of scenes under steady load, and prints the callers' results.
+//! Exits with 1 if a guarantee was violated.
 
 mod deployment;
 mod load;
@@ -14,38 +14,38 @@
 use bulrushwind::{config, entry, error, exit_codes, logging, standin};
 use clap::Parser;
 
-/// Shows the whole path end to end on this machine.
+/// Runs a complete deployment on this machine and checks its guarantees.
 #[derive(Parser)]
 struct Cli {
     #[command(subcommand)]
     role: Option<Role>,
 }
 
-/// What a child process is.
+/// Role of a child process.
 #[derive(clap::Subcommand)]
 enum Role {
     /// An entry VM.
     #[command(hide = true)]
     Entry {
-        /// Its configuration.
+        /// Path of the configuration file.
         config: std::path::PathBuf,
     },
     /// A stand-in.
     #[command(hide = true)]
     Standin {
-        /// Which one.
+        /// The stand-in to run.
         #[command(subcommand)]
         which: standin::run::Standin,
     },
 }
 
 fn main() -> process::ExitCode {
-    let done = match Cli::parse().role {
+    let result = match Cli::parse().role {
         Some(Role::Entry { config }) => run_entry(&config),
         Some(Role::Standin { which }) => standin::run::run(&which),
         None => return tryout(),
     };
-    match done {
+    match result {
         Ok(()) => process::ExitCode::SUCCESS,
         Err(err) => {
             eprintln!("tryout: {err}");
@@ -59,10 +59,10 @@
 }
 
 fn tryout() -> process::ExitCode {
-    match scenes::play() {
+    match scenes::run() {
         Ok(report) => {
             report.print();
-            if report.broken() {
+            if report.has_violations() {
                 return exit_codes::ExitCode::Failure.into();
             }
             exit_codes::ExitCode::Success.into()
--- a/src/burn/report.rs
+++ b/src/burn/report.rs
@@ -1,4 +1,4 @@
-//! What the report says, worked out from the entry VMs' answers and the settings.
+//! Computes the burn report from the entry VMs' histories and the settings.
 
 use std::collections;
 
@@ -12,186 +12,185 @@
 /// Burn over both 1 hour and 6 hours that raises an alert.
 pub const SLOW_BURN: f64 = 6.0;
 
-/// Requests in the shorter window without which no alert is raised: below it one failed request
-/// is already a fast burn.
-const FEWEST: u64 = 20;
+/// Minimum requests in the shorter window for an alert; below it, one failure is a fast burn.
+const MIN_ALERT_REQUESTS: u64 = 20;
 
-/// A place that got no request for so long is empty, in seconds.
-const QUIET_S: u64 = 5;
+/// Time without a request after which a drained target counts as empty.
+const MIN_IDLE_S: u64 = 5;
 
 data! {
-    /// The whole report.
+    /// The burn report.
     pub struct Report {
-        /// When it was made, in seconds since 1970.
+        /// Time of the report, in seconds since the Unix epoch.
         pub at_s: u64,
-        /// Entry VMs that answered.
+        /// Number of entry VMs that answered.
         pub entries: usize,
-        /// Those that did not, and why.
+        /// Errors of the entry VMs that did not answer.
         pub silent: Vec<String>,
-        /// Each service.
+        /// Burn by service.
         pub services: Vec<Service>,
-        /// Each drain in force.
+        /// Drains in force.
         pub drains: Vec<Drain>,
     }
 
-    /// One service.
+    /// Burn of one service.
     pub struct Service {
         /// Its name.
         pub name: id::ServiceId,
-        /// What its owners promise.
+        /// Service-level objective.
         pub objective: settings::Objective,
         /// Burn over each window, shortest first.
         pub windows: Vec<Window>,
-        /// What burns too fast, for people.
+        /// Alert messages for objectives that burn too fast.
         pub alerts: Vec<String>,
-        /// Each region's load.
+        /// Load by region.
         pub regions: Vec<Region>,
-        /// The past in equal parts, oldest first.
+        /// History in equal intervals, oldest first.
         pub points: Vec<Point>,
     }
 
     /// Burn over one window.
     pub struct Window {
-        /// How long the window is, in seconds.
+        /// Length of the window, in seconds.
         pub asked_s: u64,
-        /// Entry VMs whose memory reaches as far back.
+        /// Entry VMs whose history covers the entire window.
         pub full: usize,
-        /// Entry VMs that know the service.
+        /// Entry VMs that report the service.
         pub of: usize,
-        /// How far back the shortest memory reaches, in seconds.
+        /// Length of the shortest history, in seconds.
         pub shortest_s: u64,
-        /// All requests.
+        /// Number of requests.
         pub requests: u64,
-        /// The share of requests that were not answered.
+        /// Share of requests that were not answered.
         pub unanswered: f64,
-        /// That share over the share that the objective allows. 1 uses the budget up exactly.
+        /// `unanswered` divided by the share that the objective allows; 1 uses up the budget.
         pub answered_burn: f64,
-        /// The share of answers that came too late.
+        /// Share of answers that exceeded the latency objective.
         pub late: f64,
-        /// That share over the share that the objective allows.
+        /// `late` divided by the share that the objective allows.
         pub in_time_burn: f64,
-        /// Half of the answers came within this, in seconds.
+        /// Median latency of answers, in seconds.
         pub p50_s: Option<f64>,
-        /// 99% of the answers came within this, in seconds.
+        /// 99th percentile of the answers' latency, in seconds.
         pub p99_s: Option<f64>,
-        /// Worth answered.
+        /// Total worth of answered requests.
         pub worth_answered: u64,
-        /// Worth lost: not run, failed, or of unknown fate.
+        /// Total worth of requests that were not run, failed or had an unknown outcome.
         pub worth_lost: u64,
-        /// Requests of unknown fate.
+        /// Requests with an unknown outcome.
         pub unknown: u64,
     }
 
-    /// A region's load by a service.
+    /// Load of one service in one region.
     pub struct Region {
         /// Its name.
         pub name: id::RegionId,
         /// Slots of its backend servers.
         pub slots: u64,
-        /// Requests in flight and waiting.
+        /// Requests in flight and queued.
         pub in_hand: u64,
-        /// The load that no steering decision may exceed.
+        /// Load that no steering decision may exceed.
         pub max_load: f64,
     }
 
-    /// One stretch of the past.
+    /// One interval of the history.
     pub struct Point {
-        /// When it ended, in seconds before the report.
+        /// Age of the interval's end, in seconds before the report.
         pub ago_s: u64,
-        /// All requests.
+        /// Number of requests.
         pub requests: u64,
-        /// The share that was not answered.
+        /// Share of requests that were not answered.
         pub unanswered: f64,
-        /// The share of answers that came too late.
+        /// Share of answers that exceeded the latency objective.
         pub late: f64,
-        /// 99% of the answers came within this, in seconds.
+        /// 99th percentile of the answers' latency, in seconds.
         pub p99_s: Option<f64>,
-        /// The most requests in hand, over the slots.
+        /// Peak of in-flight and queued requests, divided by the slots.
         pub peak_load: f64,
     }
 
-    /// How a drain goes.
+    /// Progress of a drain.
     pub struct Drain {
-        /// The place.
+        /// The drained target.
         pub target: String,
-        /// When it began, in seconds since 1970.
+        /// Start time, in seconds since the Unix epoch.
         pub start_s: u64,
-        /// How long traffic still went there, in seconds since the start.
+        /// Time from the start to the last request to the target, in seconds.
         pub took_s: u64,
-        /// Whether nothing goes there any more.
+        /// Whether the target has neither traffic nor requests in flight.
         pub empty: bool,
-        /// Requests that it still works on.
+        /// Requests in flight on the target.
         pub in_flight: u64,
     }
 }
 
 impl Service {
-    /// Whether any window has requests.
+    /// Whether the service had requests in any window.
     pub fn is_used(&self) -> bool {
         self.windows.iter().any(|window| window.requests > 0)
     }
 }
 
 impl Region {
-    /// In hand over slots.
+    /// In-flight and queued requests divided by the slots.
     pub fn load(&self) -> f64 {
-        share(self.in_hand, self.slots)
+        ratio(self.in_hand, self.slots)
     }
 }
 
 impl Report {
-    /// Adds up what entry VMs told.
-    pub fn make(
+    /// Aggregates the entry VMs' histories.
+    pub fn build(
         settings: &settings::Settings,
-        told: &[history::History],
+        histories: &[history::History],
         silent: Vec<String>,
         at_s: u64,
     ) -> Self {
         let services = settings.services().map(|service| {
-            let found: Vec<_> = told
+            let vm_services: Vec<_> = histories
                 .iter()
                 .filter_map(|vm| Some((vm.az.as_str(), vm.services.get(&service.name)?)))
                 .collect();
-            of_service(settings, service, &found)
+            service_report(settings, service, &vm_services)
         });
         Self {
             at_s,
-            entries: told.len(),
+            entries: histories.len(),
             silent,
             services: services.collect(),
-            drains: drains(told),
+            drains: drains(histories),
         }
     }
 }
 
-type Found<'a> = [(&'a str, &'a history::Service)];
+type VmServices<'a> = [(&'a str, &'a history::Service)];
 
-fn of_service(
+fn service_report(
     settings: &settings::Settings,
     service: &settings::Service,
-    found: &Found<'_>,
+    vm_services: &VmServices<'_>,
 ) -> Service {
     let windows: Vec<Window> = history::DEFAULT_WINDOWS_S
         .iter()
-        .map(|asked_s| window(service, found, *asked_s))
+        .map(|asked_s| window(service, vm_services, *asked_s))
         .collect();
-    let regions = regions(settings, found);
+    let regions = regions(settings, vm_services);
     let slots = regions.iter().map(|region| region.slots).sum();
     Service {
         name: service.name.clone(),
         objective: service.objective.clone(),
         alerts: alerts(&windows),
         windows,
-        points: points(found, slots),
+        points: points(vm_services, slots),
         regions,
     }
 }
 
-fn window(service: &settings::Service, found: &Found<'_>, asked_s: u64) -> Window {
+fn window(service: &settings::Service, vm_services: &VmServices<'_>, asked_s: u64) -> Window {
     let mut all = totals::Totals::default();
     let (mut full, mut of, mut shortest_s) = (0, 0, asked_s);
-    for (_, told) in found {
-        let Some(window) = told.windows.iter().find(|w| w.asked_s == asked_s) else {
+    for (_, vm_service) in vm_services {
+        let Some(window) = vm_service.windows.iter().find(|w| w.asked_s == asked_s) else {
             continue;
         };
         all.add(&window.totals);
@@ -200,8 +199,8 @@
         shortest_s = shortest_s.min(window.covers_s);
     }
     let bad = all.requests() - all.answered;
-    let unanswered = share(bad, all.requests());
-    let late = share(all.answered - all.in_time.min(all.answered), all.answered);
+    let unanswered = ratio(bad, all.requests());
+    let late = ratio(all.answered - all.in_time.min(all.answered), all.answered);
     Window {
         asked_s,
         full,
@@ -220,7 +219,7 @@
     }
 }
 
-/// Reads one objective's burn off a window.
+/// Returns one objective's burn in a window.
 type Burn = fn(&Window) -> f64;
 
 fn alerts(windows: &[Window]) -> Vec<String> {
@@ -235,13 +234,13 @@
             let (Some(short), Some(long)) = (windows.get(short), windows.get(long)) else {
                 continue;
             };
-            if short.requests >= FEWEST && burn(short) > limit && burn(long) > limit {
+            if short.requests >= MIN_ALERT_REQUESTS && burn(short) > limit && burn(long) > limit {
                 found.push(format!(
                     "objective `{name}` burns {:.1} times too fast over {} and {:.1} times over {}; {limit} is the most",
                     burn(short),
-                    span(short.asked_s),
+                    format_window(short.asked_s),
                     burn(long),
-                    span(long.asked_s),
+                    format_window(long.asked_s),
                 ));
             }
         }
@@ -249,13 +248,13 @@
     found
 }
 
-/// Slots of an availability zone count once, however many entry VMs see them.
-fn regions(settings: &settings::Settings, found: &Found<'_>) -> Vec<Region> {
+/// Load by region. An availability zone's slots count once, although each of its VMs reports them.
+fn regions(settings: &settings::Settings, vm_services: &VmServices<'_>) -> Vec<Region> {
     let mut azs = collections::BTreeMap::<&str, (u64, u64)>::new();
-    for (az, told) in found {
+    for (az, vm_service) in vm_services {
         let sum = azs.entry(az).or_default();
-        sum.0 = sum.0.max(told.slots);
-        sum.1 += told.in_hand;
+        sum.0 = sum.0.max(vm_service.slots);
+        sum.1 += vm_service.in_hand;
     }
     let of_region = |region: &settings::Region| {
         let mut sum = Region {
@@ -278,9 +277,13 @@
         .collect()
 }
 
-/// Adds the VMs' stretches up on one grid, as coarse as the coarsest of them.
-fn points(found: &Found<'_>, slots: u64) -> Vec<Point> {
-    let stretches = || found.iter().flat_map(|(_, told)| &told.stretches);
+/// Aggregates the VMs' intervals, using the longest interval as the common resolution.
+fn points(vm_services: &VmServices<'_>, slots: u64) -> Vec<Point> {
+    let stretches = || {
+        vm_services
+            .iter()
+            .flat_map(|(_, vm_service)| &vm_service.stretches)
+    };
     let step_s = stretches().map(|s| s.lasted_s).max().unwrap_or(60).max(60);
     let mut grid = collections::BTreeMap::<u64, (totals::Totals, u64)>::new();
     for stretch in stretches() {
@@ -291,19 +294,19 @@
     let point = |(cell, (all, peak)): (u64, (totals::Totals, u64))| Point {
         ago_s: cell * step_s,
         requests: all.requests(),
-        unanswered: share(all.requests() - all.answered, all.requests()),
-        late: share(all.answered - all.in_time.min(all.answered), all.answered),
+        unanswered: ratio(all.requests() - all.answered, all.requests()),
+        late: ratio(all.answered - all.in_time.min(all.answered), all.answered),
         p99_s: all.quantile(0.99),
-        peak_load: share(peak, slots),
+        peak_load: ratio(peak, slots),
     };
     grid.into_iter().rev().map(point).collect()
 }
 
-fn drains(told: &[history::History]) -> Vec<Drain> {
-    let mut found = collections::BTreeMap::<(&str, u64), Drain>::new();
-    for drain in told.iter().flat_map(|vm| &vm.drains) {
+fn drains(histories: &[history::History]) -> Vec<Drain> {
+    let mut by_target = collections::BTreeMap::<(&str, u64), Drain>::new();
+    for drain in histories.iter().flat_map(|vm| &vm.drains) {
         let key = (drain.target.as_str(), drain.start_s);
-        let sum = found.entry(key).or_insert_with(|| Drain {
+        let sum = by_target.entry(key).or_insert_with(|| Drain {
             target: drain.target.clone(),
             start_s: drain.start_s,
             took_s: 0,
@@ -311,22 +314,22 @@
             in_flight: 0,
         });
         sum.took_s = sum.took_s.max(drain.last_sent_s.unwrap_or(0));
-        sum.empty &= drain.quiet_s >= QUIET_S && drain.in_flight == 0;
+        sum.empty &= drain.quiet_s >= MIN_IDLE_S && drain.in_flight == 0;
         sum.in_flight += drain.in_flight;
     }
-    found.into_values().collect()
+    by_target.into_values().collect()
 }
 
-/// A part of a whole, 0 of nothing.
-fn share(part: u64, whole: u64) -> f64 {
+/// Divides `part` by `whole`; 0 if `whole` is 0.
+fn ratio(part: u64, whole: u64) -> f64 {
     if whole == 0 {
         return 0.0;
     }
     part as f64 / whole as f64
 }
 
-/// A window's length for people.
-pub fn span(s: u64) -> String {
+/// Formats a window's length in the largest unit that divides it.
+pub fn format_window(s: u64) -> String {
     match s {
         s if s % 3600 == 0 => format!("{} h", s / 3600),
         s if s % 60 == 0 => format!("{} min", s / 60),
@@ -372,13 +375,13 @@
         }
     }
 
-    fn ledger(told: &[history::History]) -> Service {
-        let report = Report::make(&settings(), told, Vec::new(), 0);
+    fn ledger(histories: &[history::History]) -> Service {
+        let report = Report::build(&settings(), histories, Vec::new(), 0);
         let ledger = |service: &Service| service.name.as_str() == "ledger";
         report.services.into_iter().find(ledger).unwrap()
     }
 
-    /// A region's backend servers fail and bookings are turned away on one VM of two.
+    /// Backend servers fail in a region, and one of two VMs refuses bookings.
     #[test]
     fn refusals_burn_the_budget_and_raise_an_alert() {
         let service = ledger(&[vm("ub-a", 21_600, 990, 0), vm("ub-b", 21_600, 990, 20)]);
@@ -390,9 +393,9 @@
         assert!(ledger(&[vm("ub-a", 21_600, 990, 0)]).alerts.is_empty());
     }
 
-    /// One VM was replaced ten minutes ago and has forgotten what was before.
+    /// One VM was replaced ten minutes ago, so its history is shorter than the windows.
     #[test]
-    fn a_window_says_how_many_vms_reach_back() {
+    fn a_window_counts_the_vms_that_cover_it() {
         let service = ledger(&[vm("ub-a", 21_600, 10, 0), vm("ub-b", 600, 10, 0)]);
         let reach: Vec<_> = service
             .windows
--- a/src/cli/directory.rs
+++ b/src/cli/directory.rs
@@ -1,10 +1,10 @@
-//! The directory under version control that operators' changes come from.
+//! Reads the directory under version control from which operators apply settings.
 //!
-//! It holds `teams/<team>/*.toml`, and beside `teams` a `deployment.toml` that says where the
-//! store is and which root keys count. A directory can be half written: an editor's leftover, a
-//! merge that was not finished, a checkout that was cut short. What was left out would otherwise
-//! be read as taken out. So a file that is neither settings nor a note is an error, and so is a
-//! team without any file.
+//! It contains `teams/<team>/*.toml` and, next to `teams`, a `deployment.toml` with the store's
+//! address and the root keys. A directory can be incomplete: an editor's temporary file, an
+//! unfinished merge, an interrupted checkout. Missing settings would otherwise be treated as
+//! removed. So a file that is neither settings nor a note is an error, and so is a team without a
+//! settings file.
 
 use std::collections;
 use std::fs;
@@ -14,34 +14,34 @@
 use crate::settings::keys;
 use crate::{error, id, nearest, settings};
 
-/// Names of files that may stand beside a team's settings.
-const NOTES: [&str; 4] = ["md", "txt", "gitkeep", "gitignore"];
+/// Extensions of files that are allowed next to a team's settings and ignored.
+const NOTE_EXTENSIONS: [&str; 4] = ["md", "txt", "gitkeep", "gitignore"];
 
-/// The name of the file that says where a deployment is.
+/// File with the location of the deployment.
 const DEPLOYMENT_FILE: &str = "deployment.toml";
 
 data! {
-    /// Where a deployment is and whom it trusts.
+    /// Location of a deployment, and its root keys.
     #[derive(Default, Eq)]
     #[serde(deny_unknown_fields)]
     pub struct Deployment {
-        /// The platform's store.
+        /// Address of the platform's store.
         #[serde(default)]
         pub store: Option<net::SocketAddr>,
-        /// The public root keys, as in the entry processes' configuration.
+        /// Public root keys, as in the entry VMs' configuration.
         #[serde(default)]
         pub root_keys: Vec<keys::PublicKey>,
-        /// The port of every entry VM's operators' listener.
+        /// Port of the operator listener on every entry VM.
         #[serde(default)]
         pub operators_port: Option<u16>,
-        /// The entry VMs' operators' listeners, where they do not share one port.
+        /// Operator listener addresses of the entry VMs, if they do not share one port.
         #[serde(default)]
         pub entries: Vec<net::SocketAddr>,
     }
 }
 
 impl Deployment {
-    /// Reads `deployment.toml`; a directory without one has none of its values.
+    /// Reads `deployment.toml`. Without the file, all values are unset.
     pub fn read(root: &path::Path) -> Result<Self, error::Error> {
         let path = root.join(DEPLOYMENT_FILE);
         if !path.exists() {
@@ -58,11 +58,11 @@
     }
 }
 
-/// The teams that a directory declares.
+/// The teams declared in a directory.
 #[derive(Clone, Debug)]
 pub struct Directory {
     root: path::PathBuf,
-    /// Each team's part.
+    /// Settings by team.
     pub teams: collections::BTreeMap<id::TeamId, settings::Team>,
 }
 
@@ -70,13 +70,13 @@
     /// Reads every team under `root/teams`.
     pub fn read(root: &path::Path) -> Result<Self, error::Error> {
         let mut teams = collections::BTreeMap::new();
-        for path in children(&root.join("teams"))? {
+        for path in sorted_children(&root.join("teams"))? {
             let name = file_name(&path);
             if !path.is_dir() {
                 if is_note(&path) {
                     continue;
                 }
-                return Err(stray(&path, "move it into its team's directory"));
+                return Err(unexpected_file(&path, "move it into its team's directory"));
             }
             check_files(&path)?;
             teams.insert(name.as_str().into(), settings::Team::read(&path)?);
@@ -85,8 +85,7 @@
         Ok(Self { root, teams })
     }
 
-    /// Checks settings that this directory takes part in. An error names the file and the line
-    /// where the directory has it.
+    /// Validates settings that include this directory's. Errors name the file and line if known.
     pub fn check(&self, all: &settings::Settings) -> Result<(), error::Error> {
         all.check().map_err(|err| match err {
             settings::Error::Value {
@@ -106,10 +105,10 @@
         })
     }
 
-    /// Finds the line that a fault is about, by the names that its text quotes.
+    /// Finds the file and line of an error by the names quoted in its message.
     fn locate(&self, origin: &str, what: &str) -> Option<String> {
         let names: Vec<&str> = what.split('`').skip(1).step_by(2).collect();
-        let files = children(&self.root.join(origin)).ok()?;
+        let files = sorted_children(&self.root.join(origin)).ok()?;
         files
             .iter()
             .filter(|path| path.extension().is_some_and(|ext| ext == "toml"))
@@ -121,8 +120,8 @@
     }
 }
 
-/// The line that holds the last of `names` after the ones before it, or the key below it that
-/// `what` speaks of.
+/// Number of the line with the last of `names`, searching for each name from the previous match on,
+/// or of a key below it that the message `what` mentions.
 fn line_of(text: &str, names: &[&str], what: &str) -> Option<usize> {
     let lines: Vec<&str> = text.lines().collect();
     let mut at = 0;
@@ -144,17 +143,20 @@
 }
 
 fn check_files(dir: &path::Path) -> Result<(), error::Error> {
-    let mut any = false;
-    for path in children(dir)? {
+    let mut has_settings = false;
+    for path in sorted_children(dir)? {
         if path.is_dir() {
-            return Err(stray(&path, "move its files into the team's directory"));
+            return Err(unexpected_file(
+                &path,
+                "move its files into the team's directory",
+            ));
         }
         let toml = path.extension().is_some_and(|ext| ext == "toml");
         let hidden = file_name(&path).starts_with(['.', '#']);
         if !is_note(&path) && (!toml || hidden) {
-            return Err(stray(&path, "finish writing it, or remove it"));
+            return Err(unexpected_file(&path, "finish writing it, or remove it"));
         }
-        any |= toml;
+        has_settings |= toml;
         let len = fs::metadata(&path).map_or(0, |meta| meta.len());
         if toml && len > settings::MAX_TEAM_BYTES as u64 {
             let what = format!("the file has {len} bytes");
@@ -162,31 +164,31 @@
                 "keep all of a team's files under {} bytes",
                 settings::MAX_TEAM_BYTES
             );
-            return Err(half_written(&path, &what, &remedy));
+            return Err(incomplete_error(&path, &what, &remedy));
         }
     }
-    if any {
+    if has_settings {
         return Ok(());
     }
     let what = "the team has no .toml file";
-    Err(half_written(
+    Err(incomplete_error(
         dir,
         what,
-        "finish the checkout, or put an empty `none.toml` there to take all of the team's settings out",
+        "complete the checkout, or add an empty `none.toml` to remove all of the team's settings",
     ))
 }
 
 fn is_note(path: &path::Path) -> bool {
     let name = file_name(path);
     let ext = name.rsplit('.').next().unwrap_or_default();
-    NOTES.contains(&ext)
+    NOTE_EXTENSIONS.contains(&ext)
 }
 
-fn stray(path: &path::Path, remedy: &str) -> error::Error {
-    half_written(path, "this is not a settings file", remedy)
+fn unexpected_file(path: &path::Path, remedy: &str) -> error::Error {
+    incomplete_error(path, "this is not a settings file", remedy)
 }
 
-fn half_written(path: &path::Path, what: &str, remedy: &str) -> error::Error {
+fn incomplete_error(path: &path::Path, what: &str, remedy: &str) -> error::Error {
     settings::Error::Value {
         origin: path.display().to_string(),
         what: what.to_owned(),
@@ -202,7 +204,7 @@
         .into_owned()
 }
 
-fn children(dir: &path::Path) -> Result<Vec<path::PathBuf>, error::Error> {
+fn sorted_children(dir: &path::Path) -> Result<Vec<path::PathBuf>, error::Error> {
     let read = |source| error::Error::Read {
         path: dir.to_owned(),
         source,
@@ -220,7 +222,7 @@
     use super::*;
 
     #[test]
-    fn a_fault_is_found_by_the_names_it_quotes() {
+    fn an_error_is_located_by_the_names_it_quotes() {
         let text = "[[service]]\nname = \"a\"\nslots = 0\n\n[[service]]\nname = \"b\"\nslots = 0\n";
         let what = "service `b`: slots or connections out of range";
         assert_eq!(line_of(text, &["b"], what), Some(7));
--- a/src/cli/keys.rs
+++ b/src/cli/keys.rs
@@ -1,4 +1,5 @@
-//! Commands that make keys and change who may sign a team's settings.
+//! Commands that generate signing keys and edit teams' key rings. A ring is signed with a root key;
+//! a concurrent edit makes the write fail instead of being overwritten.
 
 use std::fs;
 use std::io;
@@ -12,13 +13,13 @@
 use io::Write;
 use store::Store;
 
-/// Only the file's owner may read it.
-const SECRET_MODE: u32 = 0o600;
+/// Only the owner may read and write a secret key file.
+const SECRET_FILE_MODE: u32 = 0o600;
 
-/// What a key's file may hold at most, in bytes.
+/// Largest key file to read, in bytes.
 const MAX_KEY_FILE_BYTES: u64 = 1024;
 
-/// Makes a key.
+/// Generates a key, writes the secret key to a new file and prints the public key.
 pub fn generate(cx: &Context, args: &args::Keygen) -> Result<exit_codes::ExitCode, error::Error> {
     let key = keys::SecretKey::generate();
     let fault = |source| error::Error::Write {
@@ -28,7 +29,7 @@
     let mut f = fs::OpenOptions::new()
         .write(true)
         .create_new(true)
-        .mode(SECRET_MODE)
+        .mode(SECRET_FILE_MODE)
         .open(&args.file)
         .map_err(fault)?;
     f.write_all(key.to_text().as_bytes()).map_err(fault)?;
@@ -40,7 +41,7 @@
     Ok(exit_codes::ExitCode::Success)
 }
 
-/// Reads a secret key's file.
+/// Reads a secret key file.
 pub fn read_secret(path: &path::Path) -> Result<keys::SecretKey, error::Error> {
     let read = |source| error::Error::Read {
         path: path.to_owned(),
@@ -54,7 +55,7 @@
     Ok(keys::SecretKey::parse(&text)?)
 }
 
-/// Shows or changes a team's keys.
+/// Runs a `keys` command.
 pub fn run(cx: &Context, args: &args::Keys) -> Result<exit_codes::ExitCode, error::Error> {
     match args {
         args::Keys::List { team } => list(cx, team.as_ref()),
@@ -63,7 +64,7 @@
             holder,
             public,
             root_secret,
-        } => change(cx, team, root_secret, |keys, _| {
+        } => edit_ring(cx, team, root_secret, |keys, _| {
             keys.retain(|key| key.public != *public);
             keys.push(keys::TeamKey {
                 holder: holder.clone(),
@@ -77,7 +78,7 @@
             key,
             stolen,
             root_secret,
-        } => change(cx, team, root_secret, |keys, next_version| {
+        } => edit_ring(cx, team, root_secret, |keys, next_version| {
             let Some(found) = keys.iter_mut().find(|found| found.public.id() == *key) else {
                 return Err(error::Error::Config(format!(
                     "team `{team}` has no key {key}; `bulrushwind keys list {team}` shows those it has"
@@ -104,7 +105,7 @@
     let mut rows = Vec::new();
     for (name, ring) in rings {
         for key in &ring.ring().keys {
-            let signs = match key.until {
+            let may_sign = match key.until {
                 None => "yes".to_owned(),
                 Some(0) => "no, nor what it signed before".to_owned(),
                 Some(until) => format!("no longer, from version {until} on"),
@@ -113,7 +114,7 @@
                 name.to_string(),
                 key.public.id().to_string(),
                 key.holder.clone(),
-                signs,
+                may_sign,
             ]);
         }
     }
@@ -124,8 +125,8 @@
     Ok(exit_codes::ExitCode::Success)
 }
 
-/// Writes a team's ring anew, by CAS on the one that was read.
-fn change(
+/// Edits, signs and writes a team's key ring, by compare-and-swap on the revision that was read.
+fn edit_ring(
     cx: &Context,
     team: &id::TeamId,
     root_secret: &path::Path,
@@ -133,17 +134,17 @@
 ) -> Result<exit_codes::ExitCode, error::Error> {
     let root = read_secret(root_secret)?;
     if !cx.roots()?.contains(&root.public()) {
-        return Err(keys::Error::NotRoot { team: team.clone() }.into());
+        return Err(keys::Error::UnknownRoot { team: team.clone() }.into());
     }
     let store = cx.store()?;
     let remote = cx.remote()?;
-    let at = keys::store_key(team);
+    let ring_key = keys::store_key(team);
     let base = store
-        .get(&at)?
+        .get(&ring_key)?
         .map_or(store::Revision(0), |entry| entry.revision);
     let now_ms = u64::try_from(super::now().as_millis()).unwrap_or(u64::MAX);
-    let settings_version = remote.held.get(team).map_or(0, |held| held.version);
-    let old = remote.rings.get(team).map(keys::Trusted::ring);
+    let settings_version = remote.stored.get(team).map_or(0, |stored| stored.version);
+    let old = remote.rings.get(team).map(keys::VerifiedRing::ring);
     let mut keys = old.map_or_else(Vec::new, |ring| ring.keys.clone());
     edit(&mut keys, settings_version.saturating_add(1).max(now_ms))?;
     let version = old
@@ -151,7 +152,7 @@
         .saturating_add(1)
         .max(now_ms);
     let ring = keys::KeyRing::sign(team.clone(), version, keys, &root)?;
-    store.compare_and_swap(&at, base, &ring.encode(), None)?;
+    store.compare_and_swap(&ring_key, base, &ring.encode(), None)?;
     cx.out.json(&ring);
     cx.out
         .line(&format!("team {team}'s key ring is at version {version}"));
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! The operators' command line: dispatches commands and implements `check`, `plan` and `apply`.
 
 pub mod apply;
 pub mod args;
@@ -25,19 +25,19 @@
 use crate::settings::keys as signing;
 use crate::{error, exit_codes, settings};
 
-/// What every command works with.
+/// Context shared by all commands.
 #[derive(Debug)]
 pub struct Context {
-    /// Where the operator says that it is.
+    /// Location from the command line.
     pub place: args::Place,
-    /// Where the deployment is.
+    /// Location of the deployment, from `deployment.toml` and the command line.
     pub deployment: directory::Deployment,
-    /// Where results go.
+    /// Output for results.
     pub out: output::Output,
 }
 
 impl Context {
-    /// Puts the options over the directory's `deployment.toml`.
+    /// Reads the directory's `deployment.toml`; command-line options override it.
     pub fn new(place: &args::Place, out: output::Output) -> Result<Self, error::Error> {
         let mut deployment = directory::Deployment::read(&place.dir)?;
         deployment.store = place.store.or(deployment.store);
@@ -54,7 +54,7 @@
         })
     }
 
-    /// A client of the store.
+    /// Creates a store client. Fails if no address is configured.
     pub fn store(&self) -> Result<store_http::Client, error::Error> {
         let addr = self.deployment.store.ok_or_else(|| {
             error::Error::Config(
@@ -65,7 +65,7 @@
         Ok(store_http::Client::new(addr))
     }
 
-    /// The public root keys.
+    /// The public root keys. Fails if none is configured.
     pub fn roots(&self) -> Result<&[signing::PublicKey], error::Error> {
         if self.deployment.root_keys.is_empty() {
             return Err(error::Error::Config(
@@ -76,7 +76,7 @@
         Ok(&self.deployment.root_keys)
     }
 
-    /// What the store holds.
+    /// Reads settings and key rings from the store.
     pub fn remote(&self) -> Result<remote::Remote, error::Error> {
         remote::Remote::read(&self.store()?, self.roots()?)
     }
@@ -87,16 +87,16 @@
     ) -> Result<(plan::Plan, remote::Remote), error::Error> {
         let dir = directory::Directory::read(&self.place.dir)?;
         let remote = self.remote()?;
-        let plan = plan::Plan::make(&dir, &remote, &self.planning(planning))?;
+        let plan = plan::Plan::build(&dir, &remote, &self.planning(planning))?;
         Ok((plan, remote))
     }
 
-    /// What a plan depends on. Loads that are not given are asked of the entry VMs; a plan can be
-    /// made without them.
+    /// Options of a plan. Loads that are not given are queried from the entry VMs. Unreachable VMs
+    /// are ignored, since a plan does not require loads.
     fn planning(&self, planning: &args::Planning) -> plan::Options {
         let addrs = entries::addresses(self).unwrap_or_default();
         let answers = entries::statuses(&addrs).into_iter();
-        let statuses: Vec<_> = answers.filter_map(|answer| answer.got.ok()).collect();
+        let statuses: Vec<_> = answers.filter_map(|answer| answer.result.ok()).collect();
         let mut loads = status::loads(&statuses);
         loads.extend(planning.loads.iter().cloned());
         plan::Options {
@@ -107,15 +107,15 @@
     }
 }
 
-/// Runs a command line and gives the exit code.
+/// Runs a command and returns the exit code.
 pub fn run(cli: &args::Cli) -> exit_codes::ExitCode {
-    match command(cli) {
+    match dispatch(cli) {
         Ok(code) => code,
         Err(err) => output::error(&err),
     }
 }
 
-fn command(cli: &args::Cli) -> Result<exit_codes::ExitCode, error::Error> {
+fn dispatch(cli: &args::Cli) -> Result<exit_codes::ExitCode, error::Error> {
     let out = output::Output::new(cli.shared.format, cli.shared.color);
     let cx = Context::new(&cli.shared.place, out)?;
     match &cli.command {
@@ -168,14 +168,14 @@
             source,
         })?;
         cx.out.line(&format!(
-            "Kept in {}; `bulrushwind apply --plan {0}` writes it.",
+            "Saved to {}; run `bulrushwind apply --plan {0}` to write it.",
             path.display()
         ));
     }
     if plan.excesses.is_empty() {
         return Ok(exit_codes::ExitCode::Success);
     }
-    Err(refusal("an apply would be refused", &plan.excesses))
+    Err(refusal_error("an apply would be refused", &plan.excesses))
 }
 
 fn apply(cx: &Context, args: &args::Apply) -> Result<exit_codes::ExitCode, error::Error> {
@@ -183,10 +183,10 @@
         Some(path) => (read_plan(path)?, cx.remote()?),
         None => cx.plan(&args.planning)?,
     };
-    write(cx, &plan, &remote, &args.signing)
+    confirm_and_write(cx, &plan, &remote, &args.signing)
 }
 
-/// The largest kept plan that is read, in bytes: some teams of the largest size.
+/// Largest saved plan to read, in bytes: enough for several teams of the largest size.
 const MAX_PLAN_BYTES: u64 = 64 << 20;
 
 fn read_plan(path: &path::Path) -> Result<plan::Plan, error::Error> {
@@ -196,7 +196,7 @@
     };
     if fs::metadata(path).map_err(read)?.len() > MAX_PLAN_BYTES {
         return Err(error::Error::Config(format!(
-            "{}: over {MAX_PLAN_BYTES} bytes; this is not a plan that `bulrushwind plan --out` kept",
+            "{}: over {MAX_PLAN_BYTES} bytes; this is not a plan saved by `bulrushwind plan --out`",
             path.display()
         )));
     }
@@ -209,8 +209,8 @@
     })
 }
 
-/// Shows a plan, asks, and writes it.
-fn write(
+/// Shows a plan, asks for confirmation and writes it.
+fn confirm_and_write(
     cx: &Context,
     plan: &plan::Plan,
     remote: &remote::Remote,
@@ -223,7 +223,7 @@
         cx.out.applied(&apply::Outcome::default());
         return Ok(exit_codes::ExitCode::Success);
     }
-    refuse(plan, signing)?;
+    check_allowed(plan, signing)?;
     let key = signing_key(signing)?;
     if !signing.yes && !output::confirm("Write this to the store?")? {
         cx.out.line("Nothing was written.");
@@ -235,27 +235,27 @@
     };
     let outcome = apply::write_all(&cx.store()?, plan, remote, cx.roots()?, &signer);
     cx.out.applied(&outcome);
-    match outcome.fault {
-        Some(fault) => Err(fault),
+    match outcome.error {
+        Some(error) => Err(error),
         None => Ok(exit_codes::ExitCode::Success),
     }
 }
 
-fn refuse(plan: &plan::Plan, signing: &args::Signing) -> Result<(), error::Error> {
+fn check_allowed(plan: &plan::Plan, signing: &args::Signing) -> Result<(), error::Error> {
     if !plan.excesses.is_empty() {
-        return Err(refusal("nothing was written", &plan.excesses));
+        return Err(refusal_error("nothing was written", &plan.excesses));
     }
     if plan.removals.is_empty() || signing.remove {
         return Ok(());
     }
     Err(error::Error::Refused(format!(
-        "nothing was written: the directory no longer has {}; complete the checkout, or give --remove if they are to go",
+        "nothing was written: the directory no longer has {}; complete the checkout, or give --remove to remove them",
         plan.removals.join(", ")
     )))
 }
 
-/// Everything that a change would exceed, as one error.
-fn refusal(outcome: &str, excesses: &[shift::Excess]) -> error::Error {
+/// Combines all excesses of a change into one error.
+fn refusal_error(outcome: &str, excesses: &[shift::Excess]) -> error::Error {
     let lines = excesses
         .iter()
         .map(|excess| format!("\n  service {}: {}", excess.service, excess.what));
@@ -272,7 +272,7 @@
     keys::read_secret(path)
 }
 
-/// The time of day, since 1970.
+/// Current time since the Unix epoch.
 pub fn now() -> time::Duration {
     time::SystemTime::now()
         .duration_since(time::UNIX_EPOCH)
--- a/src/cli/remote.rs
+++ b/src/cli/remote.rs
@@ -1,4 +1,5 @@
-//! What the store holds now: each team's settings, checked as an entry process checks them.
+//! Reads each team's settings and key ring from the store and verifies them as an entry VM does, so
+//! that plans start from the settings that entry VMs accept.
 
 use std::collections;
 
@@ -8,71 +9,73 @@
 
 /// One team's settings in the store.
 #[derive(Clone, Debug)]
-pub struct Held {
-    /// The revision that wrote them.
+pub struct StoredTeam {
+    /// The store revision.
     pub revision: store::Revision,
-    /// What stands there, if it can be read.
+    /// The envelope, if it can be decoded.
     pub envelope: Option<envelope::Envelope>,
-    /// The settings, if entry processes take them.
+    /// The settings, if entry VMs accept them.
     pub team: Option<settings::Team>,
-    /// Why entry processes do not take them.
+    /// Why entry VMs reject them.
     pub fault: Option<String>,
-    /// The version that entry processes may hold: that of settings which some key of the team
-    /// signed, be it rotated out since. A stranger's version counts for nothing, so that it
-    /// cannot use the numbers up.
+    /// Version that entry VMs may hold: that of settings signed by a key of the team, even if the
+    /// key has been retired since. Versions signed by unknown keys are ignored, so that an attacker
+    /// cannot exhaust the version numbers.
     pub version: u64,
 }
 
-/// All that the store holds of settings and keys.
+/// Settings and key rings in the store.
 #[derive(Clone, Debug, Default)]
 pub struct Remote {
-    /// Each team's settings.
-    pub held: collections::BTreeMap<id::TeamId, Held>,
-    /// Each team's keys.
-    pub rings: collections::BTreeMap<id::TeamId, keys::Trusted>,
-    /// Key rings that are not sound.
+    /// Settings by team.
+    pub stored: collections::BTreeMap<id::TeamId, StoredTeam>,
+    /// Verified key rings by team.
+    pub rings: collections::BTreeMap<id::TeamId, keys::VerifiedRing>,
+    /// Errors of the key rings that failed verification.
     pub ring_faults: Vec<String>,
 }
 
 impl Remote {
-    /// Reads the store.
+    /// Reads and verifies all key rings and settings.
     pub fn read<S: store::Store>(
         store: &S,
         roots: &[keys::PublicKey],
     ) -> Result<Self, error::Error> {
-        let snapshot = store.list(keys::STORE_PREFIX)?;
+        let snapshot = store.list(keys::STORE_KEY_PREFIX)?;
         let entries = snapshot.entries.iter();
-        let (rings, faults) =
-            keys::Trusted::all(entries.map(|e| (e.key.as_str(), e.value.as_slice())), roots);
-        let mut held = collections::BTreeMap::new();
-        for entry in store.list(envelope::STORE_PREFIX)?.entries {
-            let Some(team) = entry.key.strip_prefix(envelope::STORE_PREFIX) else {
+        let (rings, faults) = keys::VerifiedRing::verify_all(
+            entries.map(|e| (e.key.as_str(), e.value.as_slice())),
+            roots,
+        );
+        let mut stored = collections::BTreeMap::new();
+        for entry in store.list(envelope::STORE_KEY_PREFIX)?.entries {
+            let Some(team) = entry.key.strip_prefix(envelope::STORE_KEY_PREFIX) else {
                 continue;
             };
             let team = id::TeamId::from(team);
-            let row = Held::read(&team, &entry, rings.get(&team));
-            held.insert(team, row);
+            let row = StoredTeam::read(&team, &entry, rings.get(&team));
+            stored.insert(team, row);
         }
         let ring_faults = faults.iter().map(ToString::to_string).collect();
         Ok(Self {
-            held,
+            stored,
             rings,
             ring_faults,
         })
     }
 
-    /// The settings in force, without those that entry processes do not take.
+    /// The settings in force, without those that entry VMs reject.
     pub fn settings(&self) -> settings::Settings {
         let teams = self
-            .held
+            .stored
             .iter()
-            .filter_map(|(name, held)| Some((name.clone(), held.team.clone()?)));
+            .filter_map(|(name, stored)| Some((name.clone(), stored.team.clone()?)));
         settings::Settings {
             teams: teams.collect(),
         }
     }
 
-    /// Who holds a key, as far as the team's ring tells.
+    /// The holder of a key according to the team's ring.
     pub fn holder(&self, team: &id::TeamId, key: &keys::KeyId) -> String {
         self.rings
             .get(team)
@@ -81,9 +84,9 @@
     }
 }
 
-impl Held {
-    fn read(team: &id::TeamId, entry: &store::Entry, ring: Option<&keys::Trusted>) -> Self {
-        let mut held = Self {
+impl StoredTeam {
+    fn read(team: &id::TeamId, entry: &store::Entry, ring: Option<&keys::VerifiedRing>) -> Self {
+        let mut stored = Self {
             revision: entry.revision,
             envelope: None,
             team: None,
@@ -91,25 +94,25 @@
             version: 0,
         };
         match envelope::Envelope::decode(&entry.value) {
-            Ok(envelope) => held.take(team, envelope, ring),
-            Err(err) => held.fault = Some(err.to_string()),
+            Ok(envelope) => stored.set_envelope(team, envelope, ring),
+            Err(err) => stored.fault = Some(err.to_string()),
         }
-        held
+        stored
     }
 
-    fn take(
+    fn set_envelope(
         &mut self,
         team: &id::TeamId,
         envelope: envelope::Envelope,
-        ring: Option<&keys::Trusted>,
+        ring: Option<&keys::VerifiedRing>,
     ) {
-        let verdict = ring.map(|ring| envelope.verify(team, ring));
-        if let Some(Ok(()) | Err(envelope::Error::RetiredKey { .. })) = verdict {
+        let verification = ring.map(|ring| envelope.verify(team, ring));
+        if let Some(Ok(()) | Err(envelope::Error::RetiredKey { .. })) = verification {
             self.version = envelope.version;
         }
-        let fault = match verdict {
+        let fault = match verification {
             None => Some(format!("team `{team}` has no sound key ring")),
-            Some(verdict) => verdict.err().map(|err| err.to_string()),
+            Some(verification) => verification.err().map(|err| err.to_string()),
         };
         match settings::Team::parse(&envelope::store_key(team), &envelope.text) {
             Ok(parsed) if fault.is_none() => self.team = Some(parsed),
--- a/src/cli/shift.rs
+++ b/src/cli/shift.rs
@@ -1,81 +1,80 @@
-//! How much traffic a change moves, against the caps and the regions' limits.
+//! Computes the traffic that a change moves; checks it against shift caps and the regions' limits.
 //!
-//! Two things move traffic. Settings that no longer let an availability zone run a service move
-//! its callers at once, so their share may not exceed the cap: drain the place first. A drain
-//! moves its callers in steps; [`drain`] plays the steps that entry VMs will take, and a drain that
-//! is dated shorter is refused. Shares are those of the region where most callers move, since the
-//! caps are kept for each region's callers.
+//! Settings that remove an availability zone from a service move its callers at once, so their
+//! share must not exceed the cap: the zone has to be drained first. A drain moves callers in steps;
+//! [`drain`] simulates the steps that entry VMs will take, and a drain with a shorter ramp is
+//! refused. Shares refer to the region where most callers move; the caps apply to each region's
+//! callers.
 //!
-//! The cap that counts is the smaller one of before and after. Otherwise a single change could
-//! raise the cap and use the raised one.
+//! The smaller of the old and the new cap applies, so that a change cannot raise a cap and use it.
 
 use std::collections;
 
 use crate::decisions::{caps, drain, plan};
 use crate::{id, settings};
 
-/// Shares that differ by less are equal; sums of floats are not exact.
+/// Tolerance for comparing shares, since sums of floats are inexact.
 const EPSILON: f64 = 1e-9;
 
 data! {
-    /// Why a shift happens.
+    /// Cause of a shift.
     #[derive(Eq)]
     #[serde(rename_all = "snake_case", tag = "cause")]
     pub enum Cause {
-        /// Settings no longer let places run the service.
+        /// Availability zones are removed from the service.
         Settings,
-        /// A drain that begins at this time, in seconds since 1970.
+        /// A drain starts.
         Drain {
-            /// When.
+            /// Time, in seconds since the Unix epoch.
             start_s: u64,
         },
-        /// A drain that ends at this time, in seconds since 1970.
+        /// A drain is removed and its traffic returns.
         Return {
-            /// When.
+            /// Time, in seconds since the Unix epoch.
             at_s: u64,
         },
     }
 
-    /// Traffic of one service that a change moves.
+    /// Traffic of one service that moves because of a change.
     pub struct Shift {
         /// The service.
         pub service: id::ServiceId,
-        /// Why.
+        /// The cause.
         pub cause: Cause,
-        /// The places that traffic leaves.
+        /// Availability zones that traffic leaves.
         pub leaves: Vec<id::AzId>,
-        /// The share of a region's callers that moves, in the region where most do.
+        /// Share of a region's callers that moves, in the region where most do.
         pub share: f64,
-        /// The largest share that may move at once.
+        /// Largest share that may move at once.
         pub cap: f64,
-        /// The part of it that one step of the plan may move.
+        /// Part of the cap that one step may move.
         pub a_step: f64,
-        /// How many steps it takes.
+        /// Number of steps.
         pub steps: u64,
-        /// How long it takes, in milliseconds.
+        /// Total duration, in milliseconds.
         pub takes_ms: u64,
-        /// The load of the service now, as a share of its slots, where it is known.
+        /// Current load of the service as a share of its slots, if known.
         pub load: Option<f64>,
-        /// The load on the places that stay, as a share of their slots, where the load is known.
+        /// Load on the remaining availability zones as a share of their slots, if known.
         pub load_after: Option<f64>,
-        /// The highest load of the service now at which the places that stay can bear it.
+        /// Highest current load that the remaining availability zones can take over.
         pub fits_below: f64,
     }
 
-    /// Something that a change would exceed.
+    /// A limit that a change would exceed.
     pub struct Excess {
         /// The service.
         pub service: id::ServiceId,
-        /// What, by how much, and what to do.
+        /// The limit, the excess and the remedy.
         pub what: String,
     }
 }
 
-/// Loads of services, as a share of their slots, where they are known.
+/// Known loads by service, as shares of their slots.
 pub type Loads = collections::BTreeMap<id::ServiceId, f64>;
 
-/// Every shift that turning `from` into `to` causes from `now_s` on, and what it would exceed.
-pub fn of_change(
+/// All shifts caused by changing `from` to `to` at `now_s`, and the limits that they exceed.
+pub fn shifts_between(
     from: &settings::Settings,
     to: &settings::Settings,
     now_s: u64,
@@ -85,16 +84,16 @@
     for service in to.services() {
         let before = from.service(service.name.as_str());
         let load = loads.get(&service.name).copied();
-        let found = of_service(before, service, from, to, now_s, load);
+        let found = service_shifts(before, service, from, to, now_s, load);
         for shift in found {
-            excesses.extend(exceeds(&shift, to));
+            excesses.extend(find_excesses(&shift, to));
             shifts.push(shift);
         }
     }
     (shifts, excesses)
 }
 
-fn of_service(
+fn service_shifts(
     before: Option<&settings::Service>,
     after: &settings::Service,
     from: &settings::Settings,
@@ -108,32 +107,32 @@
         ..after.clone()
     };
     let mut found = Vec::new();
-    let mut add = |cause, old: &Place<'_>, new: &Place<'_>| {
+    let mut add = |cause, old: &Placement<'_>, new: &Placement<'_>| {
         found.extend(shift(&capped, cause, old, new, load));
     };
     if let Some(before) = before {
-        // Places that the settings drain already hold nothing that could move at once.
+        // Availability zones that are already drained have no traffic that could move at once.
         let kept = with_azs_of(before, after);
-        let old = Place::new(before, from, now_s);
-        let new = Place::new(&kept, from, now_s);
+        let old = Placement::new(before, from, now_s);
+        let new = Placement::new(&kept, from, now_s);
         add(Cause::Settings, &old, &new);
     }
-    let known = |drain: &&settings::Drain| !from.drains().any(|old| old == *drain);
-    for drain in to.drains().filter(known) {
+    let is_new = |drain: &&settings::Drain| !from.drains().any(|old| old == *drain);
+    for drain in to.drains().filter(is_new) {
         let start_s = drain.start_s.max(now_s);
         if drain.end_s.is_some_and(|end_s| end_s <= now_s) {
             continue;
         }
         let without = without_drain(to, drain);
-        let old = Place::new(&capped, &without, start_s);
-        let new = Place::new(&capped, to, start_s);
+        let old = Placement::new(&capped, &without, start_s);
+        let new = Placement::new(&capped, to, start_s);
         add(Cause::Drain { start_s }, &old, &new);
     }
-    for gone in from.drains() {
-        let in_force = is_on(gone, now_s);
-        if in_force && !to.drains().any(|drain| drain == gone) {
-            let old = Place::new(&capped, from, now_s);
-            let new = Place::new(&capped, to, now_s);
+    for removed in from.drains() {
+        let in_force = is_in_force(removed, now_s);
+        if in_force && !to.drains().any(|drain| drain == removed) {
+            let old = Placement::new(&capped, from, now_s);
+            let new = Placement::new(&capped, to, now_s);
             add(Cause::Return { at_s: now_s }, &old, &new);
         }
     }
@@ -156,16 +155,19 @@
     all
 }
 
-/// Where a service runs at a time, and where each region's callers belong then.
-struct Place<'a> {
+/// Availability zones open to a service at one time, and the weights of each region's callers.
+struct Placement<'a> {
     open: Vec<id::AzId>,
     weights: plan::WeightsByRegion,
     all: &'a settings::Settings,
 }
 
-impl<'a> Place<'a> {
+impl<'a> Placement<'a> {
     fn new(service: &settings::Service, all: &'a settings::Settings, at_s: u64) -> Self {
-        let closed = |az: &id::AzId| all.drains().any(|d| is_on(d, at_s) && empties(d, az, all));
+        let closed = |az: &id::AzId| {
+            all.drains()
+                .any(|d| is_in_force(d, at_s) && covers(d, az, all))
+        };
         let open: Vec<id::AzId> = service
             .azs
             .iter()
@@ -183,18 +185,18 @@
         }
     }
 
-    /// How many availability zones' worth of slots the open places may fill.
-    fn bears(&self) -> f64 {
+    /// Usable capacity of the open availability zones, in units of one zone's slots.
+    fn capacity(&self) -> f64 {
         let limit = |az: &id::AzId| self.all.region_of(az).map_or(0.0, |region| region.max_load);
         self.open.iter().map(limit).sum()
     }
 }
 
-fn is_on(drain: &settings::Drain, at_s: u64) -> bool {
+fn is_in_force(drain: &settings::Drain, at_s: u64) -> bool {
     drain.start_s <= at_s && drain.end_s.is_none_or(|end_s| at_s < end_s)
 }
 
-fn empties(drain: &settings::Drain, az: &id::AzId, all: &settings::Settings) -> bool {
+fn covers(drain: &settings::Drain, az: &id::AzId, all: &settings::Settings) -> bool {
     match &drain.target {
         settings::DrainTarget::Az(target) => target == az,
         settings::DrainTarget::Region(region) => {
@@ -207,8 +209,8 @@
 fn shift(
     service: &settings::Service,
     cause: Cause,
-    old: &Place<'_>,
-    new: &Place<'_>,
+    old: &Placement<'_>,
+    new: &Placement<'_>,
     load: Option<f64>,
 ) -> Option<Shift> {
     let moved = |(region, from): (&id::RegionId, &plan::Weights)| {
@@ -230,7 +232,7 @@
         )),
     };
     let leaves = old.open.iter().filter(|az| !new.open.contains(az));
-    let stays = new.open.len() as f64 / old.open.len().max(1) as f64;
+    let remaining_share = new.open.len() as f64 / old.open.len().max(1) as f64;
     Some(Shift {
         service: service.name.clone(),
         cause,
@@ -241,12 +243,12 @@
         steps,
         takes_ms: steps * service.shift_step_ms,
         load,
-        load_after: load.map(|load| load / stays.max(EPSILON)),
-        fits_below: new.bears() / service.azs.len().max(1) as f64,
+        load_after: load.map(|load| load / remaining_share.max(EPSILON)),
+        fits_below: new.capacity() / service.azs.len().max(1) as f64,
     })
 }
 
-fn exceeds(shift: &Shift, all: &settings::Settings) -> Vec<Excess> {
+fn find_excesses(shift: &Shift, all: &settings::Settings) -> Vec<Excess> {
     let mut found = Vec::new();
     let mut add = |what: String| {
         found.push(Excess {
@@ -256,13 +258,13 @@
     };
     let percent = |share: f64| format!("{:.1}%", share * 100.0);
     if shift.fits_below <= EPSILON {
-        add("no place is left to run it; keep at least one availability zone open".to_owned());
+        add("no availability zone is left to run it; keep at least one open".to_owned());
         return found;
     }
     if shift.cause == Cause::Settings && shift.share > shift.cap + EPSILON {
         add(format!(
             "taking {} out moves {} of a region's callers at once, {} more than the cap of {}; drain first with `bulrushwind drain`",
-            names(&shift.leaves),
+            format_names(&shift.leaves),
             percent(shift.share),
             percent(shift.share - shift.cap),
             percent(shift.cap),
@@ -270,10 +272,10 @@
     }
     if let Cause::Drain { start_s } = shift.cause {
         for drain in all.drains().filter(|d| d.start_s.max(start_s) == start_s) {
-            let has_ms = drain.ramp_s * 1000;
-            if shift.takes_ms > has_ms && drain_leaves(drain, shift, all) {
+            let ramp_ms = drain.ramp_s * 1000;
+            if shift.takes_ms > ramp_ms && drain_covers_shift(drain, shift, all) {
                 let step_ms = shift.takes_ms / shift.steps.max(1);
-                let steps = (has_ms / step_ms.max(1)).max(1);
+                let steps = (ramp_ms / step_ms.max(1)).max(1);
                 let needed = shift.share / steps as f64;
                 add(format!(
                     "a ramp of {} s moves {} of a region's callers in each step, {} more than the {} that the cap leaves to one; give ramp_s = {} or more",
@@ -286,25 +288,25 @@
             }
         }
     }
-    if let Some(now) = shift.load
-        && now > shift.fits_below + EPSILON
+    if let Some(load) = shift.load
+        && load > shift.fits_below + EPSILON
     {
         add(format!(
             "a load of {} leaves no room: without {} the regions' limits hold {}, {} less; wait for a quieter hour or add backend servers",
-            percent(now),
-            names(&shift.leaves),
+            percent(load),
+            format_names(&shift.leaves),
             percent(shift.fits_below),
-            percent(now - shift.fits_below),
+            percent(load - shift.fits_below),
         ));
     }
     found
 }
 
-fn drain_leaves(drain: &settings::Drain, shift: &Shift, all: &settings::Settings) -> bool {
-    shift.leaves.iter().any(|az| empties(drain, az, all))
+fn drain_covers_shift(drain: &settings::Drain, shift: &Shift, all: &settings::Settings) -> bool {
+    shift.leaves.iter().any(|az| covers(drain, az, all))
 }
 
-fn names(azs: &[id::AzId]) -> String {
+fn format_names(azs: &[id::AzId]) -> String {
     let names = azs.iter().map(|az| format!("`{az}`"));
     names.collect::<Vec<_>>().join(", ")
 }
@@ -336,7 +338,7 @@
         all
     }
 
-    /// What a step may move of the ledger's callers in a region.
+    /// Share of a region's ledger callers that one step may move.
     fn a_step() -> f64 {
         caps::Config::of(cooperative().service("ledger").unwrap()).version_share()
     }
@@ -347,24 +349,23 @@
     }
 
     #[test]
-    fn a_drain_takes_the_steps_that_the_plan_will_take() {
+    fn a_drain_takes_the_steps_of_the_plan() {
         let target = settings::DrainTarget::Az("ub-a".into());
         let to = drained(target, 200);
-        let (shifts, excesses) = of_change(&cooperative(), &to, NOW_S, &Loads::new());
+        let (shifts, excesses) = shifts_between(&cooperative(), &to, NOW_S, &Loads::new());
         let shift = ledger(&shifts);
-        // Half of Ulaanbaatar's callers move, a part of the cap in each step.
+        // Half of Ulaanbaatar's callers move, part of the cap in each step.
         assert!((shift.share - 0.5).abs() < EPSILON);
         let steps = (0.5 / a_step() - EPSILON).ceil() as u64;
         assert_eq!((shift.steps, shift.takes_ms), (steps, steps * 10_000));
         assert_eq!(excesses, []);
     }
 
-    /// An operator dates a region's drain shorter than the caps allow. Cold caches elsewhere
-    /// would get the whole region at once.
+    /// A drain shorter than the caps allow would send a region's traffic to cold caches at once.
     #[test]
-    fn too_short_a_ramp_is_refused_with_the_one_it_needs() {
+    fn a_too_short_ramp_is_refused_with_the_required_one() {
         let to = drained(settings::DrainTarget::Region("khovd".into()), 10);
-        let (_, excesses) = of_change(&cooperative(), &to, NOW_S, &Loads::new());
+        let (_, excesses) = shifts_between(&cooperative(), &to, NOW_S, &Loads::new());
         let what = &excesses
             .iter()
             .find(|e| e.service.as_str() == "ledger")
@@ -380,15 +381,14 @@
         assert!(what.contains(&format!("ramp_s = {ramp_s} ")), "{what}");
     }
 
-    /// Somebody takes an availability zone out of a service without a drain, and raises the cap
-    /// in the same change so that it fits.
+    /// A change removes an availability zone without a drain and raises the cap to make that fit.
     #[test]
-    fn a_raised_cap_does_not_count_for_the_change_that_raises_it() {
+    fn a_change_cannot_use_the_cap_that_it_raises() {
         let mut to = cooperative();
         let ledger = &mut to.teams.get_mut("bays").unwrap().services[1];
         ledger.azs.pop();
         ledger.shift_cap = 1.0;
-        let (_, excesses) = of_change(&cooperative(), &to, NOW_S, &Loads::new());
+        let (_, excesses) = shifts_between(&cooperative(), &to, NOW_S, &Loads::new());
         assert!(
             excesses[0]
                 .what
@@ -397,14 +397,14 @@
         );
     }
 
-    /// The estimate that entry VMs' steps are tested against, and ours, must agree.
+    /// The plan must agree with the estimate that the tests of the entry VMs' steps use.
     #[test]
     fn the_steps_are_those_of_the_estimate() {
         let from = cooperative();
         let to = drained(settings::DrainTarget::Az("ub-a".into()), 1000);
-        let (shifts, _) = of_change(&from, &to, NOW_S, &Loads::new());
-        let dated = to.drains().next().unwrap();
-        let estimates = drain::estimate(&from, dated, &collections::BTreeMap::new());
+        let (shifts, _) = shifts_between(&from, &to, NOW_S, &Loads::new());
+        let scheduled = to.drains().next().unwrap();
+        let estimates = drain::estimate(&from, scheduled, &collections::BTreeMap::new());
         assert_eq!(estimates.len(), shifts.len());
         for estimate in estimates {
             let same = |shift: &&Shift| shift.service == estimate.service;
@@ -415,26 +415,26 @@
     }
 
     #[test]
-    fn a_place_that_is_drained_can_be_taken_out() {
+    fn a_drained_az_can_be_removed() {
         let from = drained(settings::DrainTarget::Az("dornod-b".into()), 60);
         let mut to = from.clone();
         to.teams.get_mut("bays").unwrap().services[1].azs.pop();
-        let (_, excesses) = of_change(&from, &to, NOW_S + 600, &Loads::new());
+        let (_, excesses) = shifts_between(&from, &to, NOW_S + 600, &Loads::new());
         assert_eq!(excesses, []);
     }
 
-    /// A region is drained on a busy day, and the other two cannot bear its traffic.
+    /// A region is drained under high load, and the other two lack the capacity for its traffic.
     #[test]
-    fn a_drain_that_the_others_cannot_bear_is_refused() {
+    fn a_drain_beyond_the_remaining_capacity_is_refused() {
         let to = drained(settings::DrainTarget::Region("khovd".into()), 400);
         let loads = Loads::from([("ledger".into(), 0.7)]);
-        let (shifts, excesses) = of_change(&cooperative(), &to, NOW_S, &loads);
+        let (shifts, excesses) = shifts_between(&cooperative(), &to, NOW_S, &loads);
         assert!((ledger(&shifts).fits_below - 0.6).abs() < EPSILON);
         assert!(
             excesses[0].what.contains("hold 60.0%, 10.0% less"),
             "{excesses:?}"
         );
         let loads = Loads::from([("ledger".into(), 0.5)]);
-        assert_eq!(of_change(&cooperative(), &to, NOW_S, &loads).1, []);
+        assert_eq!(shifts_between(&cooperative(), &to, NOW_S, &loads).1, []);
     }
 }
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -1,4 +1,5 @@
-//! Shows what is in force: the store's settings, and what every entry VM holds of them.
+//! Shows the settings in the store, and the state and settings versions of every entry VM, so that
+//! operators can see whether an apply took effect everywhere.
 
 use std::collections;
 use std::net;
@@ -9,19 +10,19 @@
 use crate::protocol::operators;
 use crate::{error, exit_codes, id};
 
-/// How often `--wait` looks.
-const POLL: time::Duration = time::Duration::from_millis(250);
+/// Polling interval of `--wait`.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
 data! {
-    /// The whole status.
+    /// Status of a deployment.
     pub struct Report {
-        /// Each team in the store.
+        /// Teams in the store.
         pub teams: Vec<Team>,
-        /// Each entry VM that answered.
+        /// Status of the entry VMs that answered.
         pub entries: Vec<operators::Status>,
-        /// Those that did not, and why.
+        /// Errors of the entry VMs that did not answer.
         pub silent: Vec<String>,
-        /// What stands in the store and is not taken.
+        /// Errors of settings and key rings in the store that entry VMs reject.
         pub faults: Vec<String>,
     }
 
@@ -32,39 +33,40 @@
         pub team: id::TeamId,
         /// The version in the store.
         pub version: u64,
-        /// The store's revision that holds it.
+        /// The store revision.
         pub revision: u64,
-        /// The change that wrote it.
+        /// Id of the change that wrote it.
         pub change: String,
-        /// Who signed it.
+        /// Holder of the signing key.
         pub holder: String,
-        /// Entry VMs that hold it, of those that answered.
+        /// Number of answering entry VMs that hold this version or a newer one.
         pub held_by: usize,
-        /// Entry VMs that hold another version.
+        /// Answering entry VMs that hold an older version or none.
         pub behind: Vec<String>,
     }
 }
 
-/// Shows the status. Fails while an entry VM is silent or behind.
+/// Shows the status. Fails while a VM does not answer or is behind, or stored settings are
+/// rejected.
 pub fn run(cx: &Context, args: &args::Status) -> Result<exit_codes::ExitCode, error::Error> {
     let addrs = entries::addresses(cx)?;
-    let until = time::Instant::now() + args.wait.unwrap_or_default();
+    let deadline = time::Instant::now() + args.wait.unwrap_or_default();
     let report = loop {
         let report = report(&cx.remote()?, &addrs);
-        if settled(&report) || time::Instant::now() >= until {
+        if is_up_to_date(&report) || time::Instant::now() >= deadline {
             break report;
         }
-        thread::sleep(POLL);
+        thread::sleep(POLL_INTERVAL);
     };
     cx.out.json(&report);
     print(cx, &report);
-    if settled(&report) {
+    if is_up_to_date(&report) {
         return Ok(exit_codes::ExitCode::Success);
     }
     Ok(exit_codes::ExitCode::Failure)
 }
 
-fn settled(report: &Report) -> bool {
+fn is_up_to_date(report: &Report) -> bool {
     let current = report.teams.iter().all(|team| team.behind.is_empty());
     current && report.silent.is_empty() && report.faults.is_empty()
 }
@@ -72,30 +74,30 @@
 fn report(remote: &remote::Remote, addrs: &[net::SocketAddr]) -> Report {
     let (mut answered, mut silent) = (Vec::new(), Vec::new());
     for answer in entries::statuses(addrs) {
-        match answer.got {
+        match answer.result {
             Ok(status) => answered.push(status),
             Err(err) => silent.push(err.to_string()),
         }
     }
     let mut faults = remote.ring_faults.clone();
     let mut teams = Vec::new();
-    for (name, held) in &remote.held {
-        faults.extend(held.fault.clone());
-        let Some(envelope) = &held.envelope else {
+    for (name, stored) in &remote.stored {
+        faults.extend(stored.fault.clone());
+        let Some(envelope) = &stored.envelope else {
             continue;
         };
-        let holds = |status: &&operators::Status| {
+        let is_current = |status: &&operators::Status| {
             status
                 .settings
                 .get(name)
-                .is_some_and(|version| *version >= held.version)
+                .is_some_and(|version| *version >= stored.version)
         };
-        let behind = answered.iter().filter(|status| !holds(status));
+        let behind = answered.iter().filter(|status| !is_current(status));
         let behind: Vec<String> = behind.map(|status| status.vm.clone()).collect();
         teams.push(Team {
             team: name.clone(),
             version: envelope.version,
-            revision: held.revision.0,
+            revision: stored.revision.0,
             change: envelope.change.to_string(),
             holder: remote.holder(name, &envelope.key),
             held_by: answered.len() - behind.len(),
@@ -172,7 +174,7 @@
         status.vm.clone(),
         status.az.clone(),
         ready,
-        output::seconds(status.uptime_s * 1000),
+        output::format_duration(status.uptime_s * 1000),
         if status.store_up { "up" } else { "down" }.to_owned(),
         status.peers.to_string(),
         sum(|service| service.in_flight),
@@ -182,10 +184,10 @@
     ]
 }
 
-/// Loads of services as entry VMs measure them, as shares of their slots.
+/// Loads of services as measured by entry VMs, as shares of their slots.
 ///
-/// The slots of an availability zone are the same backend servers for each of its entry VMs, so
-/// its slots count once and its requests in flight are added up.
+/// All entry VMs of an availability zone report the same backend servers, so the zone's slots count
+/// once, while the requests in flight and queued are summed.
 pub fn loads(statuses: &[operators::Status]) -> collections::BTreeMap<id::ServiceId, f64> {
     let mut slots: collections::BTreeMap<(&id::ServiceId, &str), u64> = Default::default();
     let mut in_flight: collections::BTreeMap<&id::ServiceId, u64> = Default::default();
--- a/src/error.rs
+++ b/src/error.rs
@@ -59,7 +59,7 @@
     },
     /// Another operator changed the same team's settings.
     #[error("{0}")]
-    Changed(Box<apply::Changed>),
+    Changed(Box<apply::ConcurrentChange>),
     /// The result of a write is unknown.
     #[error(
         "the store did not confirm whether team `{team}`'s change {change} was written; when the store is reachable again, run `bulrushwind status`, or apply again: a change already in force is not written twice"
--- a/src/standin/model/load.rs
+++ b/src/standin/model/load.rs
@@ -1,4 +1,4 @@
-//! What callers ask and when, and what fails: the same for every policy that is compared.
+//! Load patterns: seeded arrivals of calls, and faults. All compared policies get the same ones.
 
 use std::time;
 
@@ -7,59 +7,59 @@
 use super::Deployment;
 use crate::decisions::policy::Moment;
 
-/// A stretch of time with a steady rate of calls.
+/// A period with a constant call rate.
 #[derive(Clone, Debug)]
 pub struct Phase {
-    /// How long it lasts.
-    pub lasts: time::Duration,
-    /// The rate in each region, as a share of what that region's slots can bear.
+    /// Length of the phase.
+    pub duration: time::Duration,
+    /// Call rate in each region, as a share of the capacity of the region's slots.
     pub load: Vec<f64>,
 }
 
-/// Something that goes wrong, or is planned.
+/// A failure or a planned event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// A backend server takes this many times as long.
+    /// A backend server's processing time is multiplied by this factor.
     Slow(usize, f64),
-    /// A backend server answers each request at once with a failure.
+    /// A backend server immediately answers each request with a failure.
     FailFast(usize),
-    /// A backend server is as it was before [`Fault::Slow`] or [`Fault::FailFast`].
-    Mend(usize),
-    /// Every backend server starts cold.
+    /// A backend server recovers from [`Fault::Slow`] or [`Fault::FailFast`].
+    Recover(usize),
+    /// Every backend server has cold caches.
     ColdFleet,
-    /// Reports stay as they are now.
+    /// Load reports are no longer refreshed.
     FreezeReports,
-    /// A backend server reports that it is idle, whatever it does.
-    Lie(usize),
-    /// A backend server is about to go; it says so, and the list of VMs says so a little later.
+    /// A backend server always reports that it is idle.
+    FalseReports(usize),
+    /// A backend server announces a planned stop in its reports. The VM list follows after a delay.
     Leave(usize),
-    /// A region's VMs and backend servers die.
+    /// All entry VMs and backend servers of a region fail.
     RegionDown(usize),
-    /// They are back, with empty memories.
+    /// All entry VMs and backend servers of a region restart without their previous state.
     RegionUp(usize),
 }
 
-/// How callers behave.
+/// Behavior of the callers.
 #[derive(Clone, Copy, Debug)]
 pub struct Callers {
-    /// How many there are.
+    /// Number of callers.
     pub count: u64,
-    /// The share of calls that come from [`Callers::HOT`] of them.
+    /// Share of calls that come from the [`Callers::HOT_COUNT`] most active callers.
     pub hot_share: f64,
-    /// They ask again once this share of their patience has passed without an answer. 1 is
-    /// never.
-    pub impatience: f64,
-    /// The share of calls that crash the backend server that runs them.
-    pub killers: f64,
-    /// How often a caller asks again.
-    pub resends: u32,
-    /// Bytes of one request and its answer.
+    /// Share of its timeout after which a caller without an answer resends the request. At 1 it
+    /// never resends for lack of an answer.
+    pub resend_after_share: f64,
+    /// Share of calls that crash the backend server that runs them.
+    pub crash_share: f64,
+    /// Maximum number of resends of one call.
+    pub max_resends: u32,
+    /// Size of one request and its answer, in bytes.
     pub bytes: u64,
 }
 
 impl Callers {
-    /// How many callers the hot share comes from.
-    pub const HOT: u64 = 5;
+    /// Number of callers that send the hot share.
+    pub const HOT_COUNT: u64 = 5;
 }
 
 impl Default for Callers {
@@ -67,37 +67,37 @@
         Self {
             count: 5_000,
             hot_share: 0.0,
-            impatience: 1.0,
-            killers: 0.0,
-            resends: 3,
+            resend_after_share: 1.0,
+            crash_share: 0.0,
+            max_resends: 3,
             bytes: 2_000,
         }
     }
 }
 
-/// One load pattern.
+/// A load pattern.
 #[derive(Clone, Debug)]
 pub struct Pattern {
-    /// Its name in tables.
+    /// Name in result tables.
     pub name: &'static str,
-    /// The seed of its calls.
+    /// Seed from which the calls are drawn.
     pub seed: u64,
-    /// The rates, one after the other.
+    /// Consecutive phases of the load.
     pub phases: Vec<Phase>,
-    /// What goes wrong, in the order of time.
+    /// Faults, ordered by time.
     pub faults: Vec<(Moment, Fault)>,
-    /// How callers behave.
+    /// Behavior of the callers.
     pub callers: Callers,
 }
 
 impl Pattern {
-    /// A steady load in all regions for `lasts`.
-    pub fn steady(name: &'static str, regions: usize, load: f64, lasts: time::Duration) -> Self {
+    /// A pattern with the same constant load in all regions for `duration`.
+    pub fn steady(name: &'static str, regions: usize, load: f64, duration: time::Duration) -> Self {
         Self {
             name,
             seed: 1,
             phases: vec![Phase {
-                lasts,
+                duration,
                 load: vec![load; regions],
             }],
             faults: Vec::new(),
@@ -105,34 +105,34 @@
         }
     }
 
-    /// How long calls come in.
-    pub fn lasts(&self) -> time::Duration {
-        self.phases.iter().map(|phase| phase.lasts).sum()
+    /// Total length of the phases, during which calls arrive.
+    pub fn duration(&self) -> time::Duration {
+        self.phases.iter().map(|phase| phase.duration).sum()
     }
 }
 
-/// One thing that one caller wants.
+/// One call: an operation that a caller requests, including its resends.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// When the caller first asks.
+    /// When the caller sends the first request.
     pub at: Moment,
-    /// When the caller stops waiting for good.
+    /// When the caller abandons the call.
     pub deadline: Moment,
-    /// The index of what it asks for.
+    /// Index of the operation.
     pub op: usize,
-    /// The region that is nearest to the caller.
+    /// Index of the region nearest to the caller.
     pub region: usize,
-    /// Who asks.
+    /// Number of the caller.
     pub caller: u64,
-    /// The time that a warm, sound backend server works on it.
+    /// Processing time on a warm, healthy backend server.
     pub work: time::Duration,
-    /// It crashes the backend server that runs it.
-    pub killer: bool,
-    /// Picks one of the entry VMs.
-    pub pick: usize,
+    /// Whether it crashes the backend server that runs it.
+    pub crashes_backend: bool,
+    /// Random number that selects one of the entry VMs.
+    pub vm_pick: usize,
 }
 
-/// All calls of a pattern, in the order of time.
+/// Draws all calls of a pattern, ordered by arrival time.
 pub fn calls(dep: &Deployment, pattern: &Pattern) -> Vec<Call> {
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(pattern.seed);
     let mut calls = Vec::new();
@@ -140,11 +140,11 @@
         let mut start = Moment::ZERO;
         for phase in &pattern.phases {
             let rate = phase.load[region] * dep.capacity() / dep.regions as f64;
-            let end = start + phase.lasts;
-            let mut at = start + gap(&mut rng, rate);
+            let end = start + phase.duration;
+            let mut at = start + draw_gap(&mut rng, rate);
             while at < end {
-                calls.push(call(&mut rng, dep, pattern, region, at));
-                at += gap(&mut rng, rate);
+                calls.push(draw_call(&mut rng, dep, pattern, region, at));
+                at += draw_gap(&mut rng, rate);
             }
             start = end;
         }
@@ -153,21 +153,21 @@
     calls
 }
 
-fn gap(rng: &mut rand_chacha::ChaCha8Rng, rate: f64) -> time::Duration {
+fn draw_gap(rng: &mut rand_chacha::ChaCha8Rng, rate: f64) -> time::Duration {
     if rate <= 0.0 {
         return time::Duration::from_secs(1 << 20);
     }
-    time::Duration::from_secs_f64(exponential(rng) / rate)
+    time::Duration::from_secs_f64(draw_exponential(rng) / rate)
 }
 
-fn exponential(rng: &mut rand_chacha::ChaCha8Rng) -> f64 {
+fn draw_exponential(rng: &mut rand_chacha::ChaCha8Rng) -> f64 {
     -(1.0 - rng.random::<f64>()).ln()
 }
 
-/// The part of the work that every request needs; the rest is drawn.
-const FIXED_WORK: f64 = 0.7;
+/// Constant share of the mean work of a request. The rest is drawn from an exponential law.
+const FIXED_WORK_SHARE: f64 = 0.7;
 
-fn call(
+fn draw_call(
     rng: &mut rand_chacha::ChaCha8Rng,
     dep: &Deployment,
     pattern: &Pattern,
@@ -186,18 +186,18 @@
     let callers = &pattern.callers;
     let hot = rng.random::<f64>() < callers.hot_share;
     let caller = match hot {
-        true => rng.random_range(0..Callers::HOT),
-        false => rng.random_range(Callers::HOT..callers.count),
+        true => rng.random_range(0..Callers::HOT_COUNT),
+        false => rng.random_range(Callers::HOT_COUNT..callers.count),
     };
-    let factor = FIXED_WORK + (1.0 - FIXED_WORK) * exponential(rng);
+    let factor = FIXED_WORK_SHARE + (1.0 - FIXED_WORK_SHARE) * draw_exponential(rng);
     Call {
         at,
-        deadline: at + dep.ops[op].patience,
+        deadline: at + dep.ops[op].timeout,
         op,
         region,
         caller,
         work: dep.ops[op].typical.mul_f64(factor),
-        killer: rng.random::<f64>() < callers.killers,
-        pick: rng.random::<u32>() as usize,
+        crashes_backend: rng.random::<f64>() < callers.crash_share,
+        vm_pick: rng.random::<u32>() as usize,
     }
 }
--- a/src/standin/model/server.rs
+++ b/src/standin/model/server.rs
@@ -1,4 +1,4 @@
-//! A backend server: slots, a queue before them, cold starts, crashes, and reports that lag.
+//! Model of a backend server: slots behind a queue, cold starts, crashes, and delayed load reports.
 
 use std::collections;
 use std::time;
@@ -6,18 +6,18 @@
 use crate::decisions::policy;
 use crate::id;
 
-/// How many times as long the first request of a cold backend server takes.
+/// Factor by which the first request on a cold backend server takes longer.
 const COLD_FACTOR: f64 = 4.0;
 
-/// After how many requests most of the cold has gone.
-const COLD_REQUESTS: f64 = 150.0;
+/// Decay constant of the cold-start slowdown, in requests served.
+const COLD_DECAY_REQUESTS: f64 = 150.0;
 
-/// What occupies a slot or waits for one.
+/// Work that occupies a slot or waits in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Job {
-    /// An attempt, by its index.
-    Send(usize),
-    /// A probe by an entry VM.
+    /// An attempt at a request, by its index.
+    Attempt(usize),
+    /// A probe from an entry VM, by the VM's index.
     Probe(usize),
 }
 
@@ -31,12 +31,12 @@
     pub(super) waiting: collections::VecDeque<Job>,
     pub(super) up: bool,
     pub(super) epoch: u32,
-    pub(super) slow: f64,
+    pub(super) slowdown: f64,
     pub(super) fail_fast: bool,
-    pub(super) lies: bool,
+    pub(super) false_reports: bool,
     pub(super) leaving: Option<policy::Moment>,
     pub(super) snapshot: policy::Report,
-    served: Option<u32>,
+    served_since_cold: Option<u32>,
 }
 
 impl Server {
@@ -50,35 +50,37 @@
             waiting: collections::VecDeque::new(),
             up: true,
             epoch: 0,
-            slow: 1.0,
+            slowdown: 1.0,
             fail_fast: false,
-            lies: false,
+            false_reports: false,
             leaving: None,
             snapshot: policy::Report {
                 in_flight: 0,
                 queued: 0,
                 leaving: false,
             },
-            served: None,
+            served_since_cold: None,
         }
     }
 
-    pub(super) fn chill(&mut self) {
-        self.served = Some(0);
+    pub(super) fn make_cold(&mut self) {
+        self.served_since_cold = Some(0);
     }
 
-    /// How long the next request takes here, for `work` on a warm and sound backend server.
-    pub(super) fn time_for(&mut self, work: time::Duration) -> time::Duration {
-        let mut factor = self.slow;
-        if let Some(served) = &mut self.served {
-            factor *= 1.0 + (COLD_FACTOR - 1.0) * (-f64::from(*served) / COLD_REQUESTS).exp();
-            *served += 1;
+    /// Processing time of the next request, given its `work` on a warm, healthy backend server.
+    pub(super) fn processing_time(&mut self, work: time::Duration) -> time::Duration {
+        let mut factor = self.slowdown;
+        if let Some(served_since_cold) = &mut self.served_since_cold {
+            factor *= 1.0
+                + (COLD_FACTOR - 1.0)
+                    * (-f64::from(*served_since_cold) / COLD_DECAY_REQUESTS).exp();
+            *served_since_cold += 1;
         }
         work.mul_f64(factor)
     }
 
-    /// Takes the newest state into the report that goes out with answers.
-    pub(super) fn refresh(&mut self) {
+    /// Updates the load report that is attached to answers.
+    pub(super) fn refresh_report(&mut self) {
         self.snapshot = policy::Report {
             in_flight: self.running.len() as u32,
             queued: self.waiting.len() as u32,
@@ -87,7 +89,7 @@
     }
 
     pub(super) fn report(&self) -> policy::Report {
-        if !self.lies {
+        if !self.false_reports {
             return self.snapshot;
         }
         policy::Report {
@@ -97,11 +99,11 @@
         }
     }
 
-    /// Everything that was in it, lost.
+    /// Stops the backend server and returns the running and queued jobs, which are lost.
     pub(super) fn crash(&mut self) -> Vec<Job> {
         self.up = false;
         self.epoch += 1;
-        self.served = Some(0);
+        self.served_since_cold = Some(0);
         let mut lost = std::mem::take(&mut self.running);
         lost.extend(std::mem::take(&mut self.waiting));
         lost
--- a/src/standin/nodes.rs
+++ b/src/standin/nodes.rs
@@ -1,9 +1,9 @@
-//! Entry processes that agree, in virtual time: real [`node::Node`]s over a network and a store
-//! with faults, from one seed.
+//! Simulates coordination between entry VMs in virtual time: real [`node::Node`]s over a network
+//! and a store with faults, reproducible from one seed.
 //!
-//! Only what lies around a node is played here: links that come up, break and are noticed late,
-//! calls to the store that take time, a store that is down, slow, out of reach for some, put back
-//! to an older state or read from a copy that lags.
+//! Only the environment of a node is simulated: links that connect, break and are detected late,
+//! and store calls that take time. The store can be down, slow, unreachable for some processes,
+//! restored to an older state or read from a stale replica.
 
 use std::collections;
 use std::net;
@@ -19,79 +19,79 @@
 use action::{Action, Note, Prefix};
 use store::Store;
 
-/// How finely time passes.
-pub const STEP: time::Duration = time::Duration::from_millis(50);
+/// Duration of one simulation step.
+pub const TIME_STEP: time::Duration = time::Duration::from_millis(50);
 
-/// How long a watch waits.
-const WATCH_WAIT: time::Duration = time::Duration::from_secs(25);
+/// Time after which a watch without events returns.
+const WATCH_TIMEOUT: time::Duration = time::Duration::from_secs(25);
 
-/// A link that carries nothing in one direction is noticed and cut after this.
-const LINK_IDLE: time::Duration = time::Duration::from_secs(10);
+/// Time to detect and close a link that loses all messages in either direction.
+const LINK_FAILURE_DELAY: time::Duration = time::Duration::from_secs(10);
 
-/// A link that could be there is, after this.
-const LINK_UP: time::Duration = time::Duration::from_millis(150);
+/// Time to establish a link once both ends are running and can exchange messages.
+const LINK_SETUP_DELAY: time::Duration = time::Duration::from_millis(150);
 
-/// Where a node is and what it has cost.
+/// A process with its node, location and resource counters.
 pub struct Process {
-    /// The node. None: the process is not running.
+    /// The node, or none while the process is not running.
     pub node: Option<node::Node>,
-    /// Its name.
+    /// The VM's name.
     pub vm: id::VmId,
-    /// Its availability zone.
+    /// Index of the availability zone.
     pub az: usize,
-    /// It stands still.
+    /// The process is paused and handles no events.
     pub paused: bool,
-    /// It cannot reach the store.
-    pub no_store: bool,
+    /// The process cannot reach the store.
+    pub store_unreachable: bool,
     /// The settings in force.
     pub settings: sync::Arc<settings::Settings>,
-    /// Calls to the store.
+    /// Number of calls to the store.
     pub calls: u64,
-    /// Bytes that the store answered with.
+    /// Bytes received from the store.
     pub store_bytes: u64,
-    /// Messages sent to peers.
+    /// Number of messages sent to peers.
     pub messages: u64,
     /// Bytes sent to peers.
     pub peer_bytes: u64,
-    /// What operators were told.
+    /// Notes logged for operators.
     pub notes: Vec<Note>,
-    starts: u64,
+    start_count: u64,
     targets: collections::BTreeSet<usize>,
-    held: Vec<node::Event>,
+    pending_events: Vec<node::Event>,
     versions: collections::BTreeMap<id::TeamId, signed_values::Rank>,
 }
 
-/// A call under way.
+/// A pending store call.
 struct Call {
     process: usize,
-    start: u64,
-    what: What,
-    until: policy::Moment,
+    start_count: u64,
+    request: Request,
+    deadline: policy::Moment,
 }
 
-enum What {
+enum Request {
     List(Prefix),
     Watch(Prefix, store::Revision),
     Write(String, store::Revision, sync::Arc<str>),
     Vms,
 }
 
-/// What a play starts from.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Availability zones.
+    /// Number of availability zones.
     pub azs: usize,
-    /// Entry processes in each.
+    /// Number of entry VMs in each availability zone.
     pub per_az: usize,
-    /// Sets everything that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// The links.
+    /// Default faults and delays of a link.
     pub link: fabric::Link,
-    /// The public root keys.
+    /// Public root keys that the nodes trust.
     pub roots: Vec<keys::PublicKey>,
-    /// How long the store takes to answer.
+    /// Time that a store call takes.
     pub store_delay: time::Duration,
-    /// Whether processes know the others' addresses from their own configuration.
+    /// Whether each process has the other processes' addresses in its configuration.
     pub seeds: bool,
 }
 
@@ -109,7 +109,7 @@
     }
 }
 
-/// The processes, their network and their store.
+/// A simulation of processes with their network and their store.
 pub struct Nodes {
     /// The processes.
     pub processes: Vec<Process>,
@@ -117,41 +117,41 @@
     pub fabric: fabric::Fabric<sync::Arc<peer::Message>>,
     /// The store.
     pub store: memory::Memory,
-    /// The store answers nobody.
-    pub down: bool,
-    /// Full reads show this instead of the truth.
-    pub stale: Option<store::Snapshot>,
-    /// How long the store takes to answer.
+    /// All store calls fail.
+    pub store_down: bool,
+    /// Snapshot that full reads return instead of the store's current entries.
+    pub stale_snapshot: Option<store::Snapshot>,
+    /// Time that a store call takes.
     pub store_delay: time::Duration,
     cfg: Config,
     now: policy::Moment,
-    calls: collections::BTreeMap<(policy::Moment, u64), Call>,
-    numbered: u64,
-    links: collections::BTreeMap<(usize, usize), Pair>,
+    pending_calls: collections::BTreeMap<(policy::Moment, u64), Call>,
+    last_call_number: u64,
+    links: collections::BTreeMap<(usize, usize), LinkState>,
     adjacent: Vec<Vec<usize>>,
 }
 
 #[derive(Default)]
-struct Pair {
-    up: bool,
+struct LinkState {
+    connected: bool,
     since: policy::Moment,
-    good: bool,
+    usable: bool,
 }
 
 impl Nodes {
-    /// Starts all processes at once.
+    /// Creates the simulation and starts all processes.
     pub fn new(cfg: Config) -> Self {
         let count = cfg.azs * cfg.per_az;
         let mut nodes = Self {
             processes: (0..count).map(|i| Process::new(i, cfg.per_az)).collect(),
             fabric: fabric::Fabric::new(cfg.seed, cfg.link),
             store: memory::Memory::default(),
-            down: false,
-            stale: None,
+            store_down: false,
+            stale_snapshot: None,
             store_delay: cfg.store_delay,
             now: policy::Moment::ZERO,
-            calls: collections::BTreeMap::new(),
-            numbered: 0,
+            pending_calls: collections::BTreeMap::new(),
+            last_call_number: 0,
             links: collections::BTreeMap::new(),
             adjacent: vec![Vec::new(); count],
             cfg,
@@ -163,16 +163,16 @@
         nodes
     }
 
-    /// The time.
+    /// The current virtual time.
     pub fn now(&self) -> policy::Moment {
         self.now
     }
 
-    /// Starts a process anew, with nothing.
+    /// Starts or restarts a process without stored state.
     pub fn start(&mut self, i: usize) {
         let process = &mut self.processes[i];
-        process.starts += 1;
-        process.held.clear();
+        process.start_count += 1;
+        process.pending_events.clear();
         process.targets.clear();
         process.versions.clear();
         process.settings = sync::Arc::default();
@@ -180,10 +180,10 @@
         let cfg = node::Config {
             vm: process.vm.clone(),
             az: az_id(process.az),
-            incarnation: id::Incarnation(process.starts),
+            incarnation: id::Incarnation(process.start_count),
             roots: self.cfg.roots.clone(),
             seeds: seeds.filter(|_| self.cfg.seeds).collect(),
-            seed: self.cfg.seed ^ ((i as u64) << 32) ^ process.starts,
+            seed: self.cfg.seed ^ ((i as u64) << 32) ^ process.start_count,
             limits: budget::Limits::default(),
             timing: reader::Timing::default(),
         };
@@ -196,7 +196,7 @@
         self.links.retain(|(a, b), _| *a != i && *b != i);
     }
 
-    /// Lets time pass.
+    /// Advances the simulation by `span`.
     pub fn run(&mut self, span: time::Duration) {
         let until = self.now + span;
         while self.now < until {
@@ -204,15 +204,16 @@
         }
     }
 
-    /// Lets time pass until something holds, at most `span`. None: it did not.
+    /// Advances the simulation by at most `span` until `condition` holds. Returns the time taken,
+    /// or none if the condition did not hold.
     pub fn run_until<F: Fn(&Self) -> bool>(
         &mut self,
         span: time::Duration,
-        holds: F,
+        condition: F,
     ) -> Option<time::Duration> {
         let from = self.now;
         while self.now < from + span {
-            if holds(self) {
+            if condition(self) {
                 return Some(self.now - from);
             }
             self.step();
@@ -220,13 +221,13 @@
         None
     }
 
-    /// Lets one step of time pass.
+    /// Advances the simulation by one [`TIME_STEP`].
     ///
     /// # Panics
     ///
-    /// When a process's settings go back.
+    /// If a running process replaces a team's settings by an older version.
     pub fn step(&mut self) {
-        self.now += STEP;
+        self.now += TIME_STEP;
         self.move_links();
         for arrived in self.fabric.arrived(self.now) {
             let linked = self.is_linked(arrived.from, arrived.to);
@@ -234,30 +235,30 @@
             let to = &mut self.processes[arrived.to];
             if to.node.is_some() && linked {
                 let message = (*arrived.message).clone();
-                to.held.push(node::Event::Message(from, message));
+                to.pending_events.push(node::Event::Message(from, message));
             }
         }
         self.answer_calls();
         for i in 0..self.processes.len() {
-            self.turn(i);
+            self.run_process(i);
         }
     }
 
-    /// Whether all processes that run have a version of a team's settings in force.
-    pub fn all_have(&self, team: &str, version: u64) -> bool {
+    /// Whether a version of a team's settings is in force on all running processes.
+    pub fn all_have_version(&self, team: &str, version: u64) -> bool {
         let running = self.processes.iter().filter(|p| p.node.is_some());
         running
             .into_iter()
             .all(|p| p.version(team) == Some(version))
     }
 
-    /// The highest rank of a key that the store or a running process holds.
-    pub fn highest(&self, key: &str) -> Option<signed_values::Rank> {
+    /// The highest rank of a key among the running processes.
+    pub fn highest_rank(&self, key: &str) -> Option<signed_values::Rank> {
         let nodes = self.processes.iter().filter_map(|p| p.node.as_ref());
         nodes.filter_map(|node| node.sync().held().rank(key)).max()
     }
 
-    /// Sets both directions between two groups of processes.
+    /// Sets the links from one group of processes to another, and back if `both`.
     pub fn set_links(&mut self, from: &[usize], to: &[usize], both: bool, link: fabric::Link) {
         for (a, b) in from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b))) {
             if a != b {
@@ -269,19 +270,19 @@
         }
     }
 
-    /// The processes of one availability zone, and all others.
-    pub fn split(&self, az: usize) -> (Vec<usize>, Vec<usize>) {
+    /// Indexes of the processes inside and outside one availability zone.
+    pub fn split_by_az(&self, az: usize) -> (Vec<usize>, Vec<usize>) {
         (0..self.processes.len()).partition(|i| self.processes[*i].az == az)
     }
 
-    fn turn(&mut self, i: usize) {
-        let linked = self.linked(i);
+    fn run_process(&mut self, i: usize) {
+        let linked = self.linked_peers(i);
         let now = self.now;
         let process = &mut self.processes[i];
         if process.paused {
             return;
         }
-        let mut events = std::mem::take(&mut process.held);
+        let mut events = std::mem::take(&mut process.pending_events);
         events.push(node::Event::Links(linked));
         events.push(node::Event::Tick);
         let Some(node) = &mut process.node else {
@@ -291,25 +292,27 @@
         for event in events {
             node.step(now, event, &mut out);
         }
-        process.check();
+        process.check_versions();
         for action in out {
-            self.act(i, action);
+            self.perform(i, action);
         }
     }
 
-    fn act(&mut self, i: usize, action: Action) {
+    fn perform(&mut self, i: usize, action: Action) {
         let process = &mut self.processes[i];
         match action {
-            Action::List(prefix) => self.call(i, What::List(prefix)),
-            Action::Watch(prefix, after) => self.call(i, What::Watch(prefix, after)),
-            Action::Write { key, expect, value } => self.call(i, What::Write(key, expect, value)),
-            Action::ReadVms => self.call(i, What::Vms),
+            Action::List(prefix) => self.call(i, Request::List(prefix)),
+            Action::Watch(prefix, after) => self.call(i, Request::Watch(prefix, after)),
+            Action::Write { key, expect, value } => {
+                self.call(i, Request::Write(key, expect, value))
+            }
+            Action::ReadVms => self.call(i, Request::Vms),
             Action::InForce(settings) => process.settings = settings,
             Action::Vms(_) => {}
             Action::Log(note) => process.notes.push(note),
             Action::Targets(targets) => {
-                let ports = targets.iter().map(|t| usize::from(t.addr.port()) - 1);
-                process.targets = ports.collect();
+                let indexes = targets.iter().map(|t| usize::from(t.addr.port()) - 1);
+                process.targets = indexes.collect();
             }
             Action::Send(to, message) => {
                 let to = self.processes.iter().position(|p| p.vm == to);
@@ -350,19 +353,19 @@
         self.adjacent[i].iter().copied()
     }
 
-    fn linked(&self, i: usize) -> Vec<peers::Linked> {
+    fn linked_peers(&self, i: usize) -> Vec<peers::Linked> {
         self.neighbours(i)
             .map(|j| peers::Linked {
                 vm: self.processes[j].vm.clone(),
                 az: az_id(self.processes[j].az),
-                incarnation: id::Incarnation(self.processes[j].starts),
+                incarnation: id::Incarnation(self.processes[j].start_count),
             })
             .collect()
     }
 
     fn is_linked(&self, a: usize, b: usize) -> bool {
         let pair = self.links.get(&(a.min(b), a.max(b)));
-        pair.is_some_and(|pair| pair.up)
+        pair.is_some_and(|pair| pair.connected)
     }
 
     fn move_links(&mut self) {
@@ -377,112 +380,127 @@
         }
         self.links.retain(|pair, _| wanted.contains(pair));
         for (a, b) in wanted {
-            let good = self.fabric.link(a, b).loss < 1.0 && self.fabric.link(b, a).loss < 1.0;
+            let usable = self.fabric.link(a, b).loss < 1.0 && self.fabric.link(b, a).loss < 1.0;
             let now = self.now;
-            let pair = self.links.entry((a, b)).or_insert(Pair {
-                up: false,
+            let pair = self.links.entry((a, b)).or_insert(LinkState {
+                connected: false,
                 since: now,
-                good,
+                usable,
             });
-            if pair.good != good {
-                pair.good = good;
+            if pair.usable != usable {
+                pair.usable = usable;
                 pair.since = now;
             }
-            let noticed = if good { LINK_UP } else { LINK_IDLE };
-            if now >= pair.since + noticed {
-                pair.up = good;
+            let delay = if usable {
+                LINK_SETUP_DELAY
+            } else {
+                LINK_FAILURE_DELAY
+            };
+            if now >= pair.since + delay {
+                pair.connected = usable;
             }
         }
         self.adjacent.iter_mut().for_each(Vec::clear);
-        for (a, b) in self.links.iter().filter(|(_, p)| p.up).map(|(ab, _)| ab) {
+        for (a, b) in self
+            .links
+            .iter()
+            .filter(|(_, p)| p.connected)
+            .map(|(ab, _)| ab)
+        {
             self.adjacent[*a].push(*b);
             self.adjacent[*b].push(*a);
         }
     }
 
-    fn call(&mut self, i: usize, what: What) {
+    fn call(&mut self, i: usize, request: Request) {
         self.processes[i].calls += 1;
-        self.numbered += 1;
+        self.last_call_number += 1;
         let call = Call {
             process: i,
-            start: self.processes[i].starts,
-            what,
-            until: self.now + WATCH_WAIT,
+            start_count: self.processes[i].start_count,
+            request,
+            deadline: self.now + WATCH_TIMEOUT,
         };
         let due = self.now + self.store_delay;
-        self.calls.insert((due, self.numbered), call);
+        self.pending_calls
+            .insert((due, self.last_call_number), call);
     }
 
     fn answer_calls(&mut self) {
-        let later = self.calls.split_off(&(self.now, u64::MAX));
-        for ((_, number), call) in std::mem::replace(&mut self.calls, later) {
+        let later = self.pending_calls.split_off(&(self.now, u64::MAX));
+        for ((_, number), call) in std::mem::replace(&mut self.pending_calls, later) {
             let process = &self.processes[call.process];
-            if process.node.is_none() || process.starts != call.start {
+            if process.node.is_none() || process.start_count != call.start_count {
                 continue;
             }
-            let lost = self.down || process.no_store;
-            match self.answer(&call, lost) {
+            let unreachable = self.store_down || process.store_unreachable;
+            match self.answer(&call, unreachable) {
                 Some((event, bytes)) => {
                     let process = &mut self.processes[call.process];
                     process.store_bytes += bytes;
-                    process.held.push(event);
+                    process.pending_events.push(event);
                 }
                 None => {
-                    self.calls.insert((self.now + STEP, number), call);
+                    self.pending_calls
+                        .insert((self.now + TIME_STEP, number), call);
                 }
             }
         }
     }
 
-    fn answer(&self, call: &Call, lost: bool) -> Option<(node::Event, u64)> {
+    fn answer(&self, call: &Call, unreachable: bool) -> Option<(node::Event, u64)> {
         let store = &self.store;
-        let gone = || store::Error::Unavailable("out of reach".to_owned());
-        Some(match &call.what {
-            What::List(prefix) => {
-                let result = if lost {
-                    Err(gone())
+        let unavailable = || store::Error::Unavailable("out of reach".to_owned());
+        Some(match &call.request {
+            Request::List(prefix) => {
+                let result = if unreachable {
+                    Err(unavailable())
                 } else {
                     self.list(*prefix)
                 };
-                let bytes = result.as_ref().map_or(0, |s| size(&s.entries));
+                let bytes = result.as_ref().map_or(0, |s| entries_bytes(&s.entries));
                 (node::Event::Listed(*prefix, result), bytes)
             }
-            What::Watch(prefix, after) => {
+            Request::Watch(prefix, after) => {
                 let zero = time::Duration::ZERO;
-                let result = if lost {
-                    Err(gone())
+                let result = if unreachable {
+                    Err(unavailable())
                 } else {
                     store.watch(prefix.as_str(), *after, zero)
                 };
                 let bytes = match &result {
                     Ok(store::Watch::Events { entries, .. }) => {
-                        if entries.is_empty() && self.now < call.until {
+                        if entries.is_empty() && self.now < call.deadline {
                             return None;
                         }
-                        size(entries)
+                        entries_bytes(entries)
                     }
                     _ => 0,
                 };
                 (node::Event::Watched(*prefix, result), bytes)
             }
-            What::Write(key, expect, value) => {
-                let result = if lost {
-                    Err(gone())
+            Request::Write(key, expect, value) => {
+                let result = if unreachable {
+                    Err(unavailable())
                 } else {
                     store.compare_and_swap(key, *expect, value.as_bytes(), None)
                 };
                 (node::Event::Wrote(key.clone(), result), 0)
             }
-            What::Vms => {
-                let result = if lost { Err(gone()) } else { store.vms() };
-                let bytes = result.as_ref().map_or(0, json);
+            Request::Vms => {
+                let result = if unreachable {
+                    Err(unavailable())
+                } else {
+                    store.vms()
+                };
+                let bytes = result.as_ref().map_or(0, json_bytes);
                 (node::Event::Vms(result), bytes)
             }
         })
     }
 
     fn list(&self, prefix: Prefix) -> Result<store::Snapshot, store::Error> {
-        let mut snapshot = match &self.stale {
+        let mut snapshot = match &self.stale_snapshot {
             Some(stale) => stale.clone(),
             None => self.store.list(prefix.as_str())?,
         };
@@ -501,33 +519,33 @@
             vm: row.id,
             az: i / per_az,
             paused: false,
-            no_store: false,
+            store_unreachable: false,
             settings: sync::Arc::default(),
             calls: 0,
             store_bytes: 0,
             messages: 0,
             peer_bytes: 0,
             notes: Vec::new(),
-            starts: 0,
+            start_count: 0,
             targets: collections::BTreeSet::new(),
-            held: Vec::new(),
+            pending_events: Vec::new(),
             versions: collections::BTreeMap::new(),
         }
     }
 
-    /// The version of a team's settings in force.
+    /// The version of a team's settings in force, if any.
     pub fn version(&self, team: &str) -> Option<u64> {
         self.versions.get(team).map(|rank| rank.version)
     }
 
-    /// Whether this process takes itself for the reader.
+    /// Whether this process considers itself the reader.
     pub fn is_reader(&self) -> bool {
         let node = self.node.as_ref();
         node.is_some_and(|node| node.reader() == Some(&self.vm))
     }
 
-    /// Settings in force never go back while a process runs.
-    fn check(&mut self) {
+    /// Asserts that no team's settings were replaced by an older version since the last check.
+    fn check_versions(&mut self) {
         let Some(node) = &self.node else { return };
         let versions = node.sync().held().versions();
         for (team, before) in &self.versions {
@@ -556,17 +574,17 @@
     format!("az-{az:02}").as_str().into()
 }
 
-/// The port stands for the index of the process.
+/// The address of process `i`: the port encodes the index.
 fn addr(i: usize) -> net::SocketAddr {
-    let port = u16::try_from(i + 1).expect("plays are small");
+    let port = u16::try_from(i + 1).expect("simulations have at most 65,535 processes");
     (net::Ipv4Addr::LOCALHOST, port).into()
 }
 
-fn size(entries: &[store::Entry]) -> u64 {
+fn entries_bytes(entries: &[store::Entry]) -> u64 {
     let bytes = entries.iter().map(|e| e.key.len() + e.value.len() + 32);
     bytes.sum::<usize>() as u64
 }
 
-fn json<T: serde::Serialize>(value: &T) -> u64 {
+fn json_bytes<T: serde::Serialize>(value: &T) -> u64 {
     serde_json::to_vec(value).map_or(0, |text| text.len() as u64)
 }
