--- a/tests/gateway/at_most_once.rs
+++ b/tests/gateway/at_most_once.rs
@@ -46,7 +46,7 @@
     });
 }
 
-/// All backend servers refuse. The caller must be told that nothing ran, and a retry delay.
+/// All backend servers refuse. The answer must state that nothing ran, and a retry delay.
 #[test]
 fn a_booking_that_ran_nowhere_is_refused_with_a_retry_delay() {
     run_test(|| async {
--- a/tests/gateway/callers.rs
+++ b/tests/gateway/callers.rs
@@ -24,7 +24,7 @@
     });
 }
 
-/// A caller disconnects during a read. If the read continued, it would hold a slot for nobody.
+/// A caller disconnects during a read. If the read continued, it would occupy a slot needlessly.
 #[test]
 fn a_read_is_cancelled_when_its_caller_disconnects() {
     run_test(|| async {
@@ -62,7 +62,7 @@
 }
 
 /// A booking is queued at a full backend server when its caller disconnects. The backend server
-/// then reports that it did not run; a resend would book for nobody.
+/// then reports that it did not run; a resend would make an unwanted booking.
 #[test]
 fn a_booking_is_not_resent_after_its_caller_disconnects() {
     run_test(|| async {
--- a/tests/gateway/following.rs
+++ b/tests/gateway/following.rs
@@ -14,7 +14,7 @@
 use super::harness::{LONG, run_test};
 use super::support::proxy;
 
-/// A store that answers until it is silenced.
+/// A store that answers until a test stops its answers.
 #[derive(Clone, Default)]
 struct SilenceableStore(rc::Rc<cell::Cell<bool>>);
 
