--- a/tests/quota/small.rs
+++ b/tests/quota/small.rs
@@ -1,6 +1,6 @@
 //! Exhaustive test of all sequences of a few steps of two VMs.
 //!
-//! A customer at its limit begins to send several times as much. In each second one step is played:
+//! A customer at its limit begins to send several times as much. In each second one step occurs:
 //! both VMs receive reports, only one does, neither does, or one restarts. At most one step is a
 //! restart.
 
@@ -17,7 +17,7 @@
 
 const SECONDS: u32 = 6;
 
-/// Requests per 100 ms that the limit allows permanently, and far more.
+/// Requests per 100 ms: the rate that the limit allows permanently, and a far higher one.
 const WITHIN_LIMIT_COUNT: usize = 7;
 const BEYOND_LIMIT_COUNT: usize = 40;
 
@@ -63,7 +63,7 @@
         self.ledgers[1 - from].apply_report(now, from as u64, start, rows, true);
     }
 
-    /// Plays one second: the step and `requests` requests in each tenth of it.
+    /// Simulates one second: the step and `requests` requests in each tenth of it.
     fn play_second(&mut self, begin: time::Duration, step: Step, requests: usize) {
         if let Step::Restart = step {
             // The VM is down for this second.
@@ -113,7 +113,7 @@
     steps
 }
 
-/// Plays a sequence of steps. Returns the request count of its busiest window.
+/// Simulates a sequence of steps. Returns the request count of its busiest window.
 fn play<S: Sharing>(steps: &[Step]) -> usize {
     let mut pair = Pair::<S>::new();
     // Before, both have exchanged reports for long, and the customer kept to its limit.
