--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -6,8 +6,8 @@
 
 const CAP: f64 = 0.15;
 
-/// Plays two kinds of requests at the rates that `rates` returns for each millisecond. Returns the
-/// share of those that ran elsewhere in each span of 2 s, and how many of them were refused.
+/// Simulates two kinds of requests at the rates that `rates` returns for each millisecond. Returns
+/// the share of those that ran elsewhere in each span of 2 s, and how many of them were refused.
 fn shares(seconds: u64, rates: impl Fn(u64) -> (u64, u64)) -> (Vec<f64>, u64) {
     let mut departures = departures::Departures::default();
     let mut spans = vec![(0_u64, 0_u64); (seconds / 2) as usize];
