--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,7 +6,7 @@
 
 use bulrushwind::standin::{deployment, operator};
 
-/// Far more time than any machine needs.
+/// Timeout of a condition, ample even on a slow machine.
 const WAIT_TIMEOUT: time::Duration = time::Duration::from_secs(90);
 
 fn deploy(dir: &tempfile::TempDir, series: u8) -> deployment::Deployment {
