--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -235,7 +235,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(4);
     let mut precedence = precedence::Precedence::default();
     let mut fleet = Fleet::new(4);
-    // Requests asked and placed, for reads and for bookings.
+    // Requests attempted and placed, for reads and for bookings.
     let mut counts = [[0.0; 2]; 2];
     for n in 0..4000 {
         let now = f64::from(n) * 8.0;
