--- a/tests/steering.rs
+++ b/tests/steering.rs
@@ -1,4 +1,4 @@
-//! Property tests: traffic that moves keeps its limits under restarts, lag and reordering.
+//! Property tests: shifted traffic stays within its limits under restarts, lag and reordering.
 
 use std::collections;
 use std::path;
@@ -21,7 +21,7 @@
     }
 }
 
-/// The times at which requests arrived at one sender and moved, in milliseconds.
+/// The times at which requests arrived at one sender and were shifted, in milliseconds.
 #[derive(Default)]
 struct Trace {
     arrived: Vec<u32>,
@@ -32,7 +32,7 @@
     times.iter().filter(|t| (from..to).contains(*t)).count()
 }
 
-/// Plays arrivals at 12 senders, each of which tries to move all of its requests.
+/// Simulates arrivals at 12 senders, each of which tries to shift all of its requests.
 fn play_senders(cfg: &caps::Config, arrivals: &[(usize, u32)], restarts: &[u32]) -> Vec<Trace> {
     let mut senders: Vec<_> = (0..12)
         .map(|_| (caps::Caps::new(cfg.clone()), Trace::default()))
