--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -66,7 +66,7 @@
     });
 }
 
-/// For a few seconds, four times as many requests arrive as can be answered.
+/// For a few seconds, four times as many requests arrive as can be answered. Most get an answer.
 #[test]
 fn a_burst_is_mostly_answered() {
     check(&["burst"], |row| ours(row) >= 0.87);
@@ -91,7 +91,7 @@
     check(&["slow backend server"], |row| ours(row) >= 0.995);
 }
 
-/// A backend server fails each request at once and therefore always has free slots.
+/// A backend server fails each request at once. Its free slots must not attract more requests.
 #[test]
 fn a_failing_backend_server_costs_few_answers() {
     check(&["fast-failing backend server"], |row| {
