--- a/tests/steering_model.rs
+++ b/tests/steering_model.rs
@@ -6,7 +6,7 @@
 
 use bulrushwind::standin::steering::{self, Variant, scenarios};
 
-/// Plays the first minute of a scenario with one policy.
+/// Simulates the first minute of a scenario with one policy.
 fn play(name: &str, variant: Variant) -> steering::Tally {
     let root = path::Path::new(env!("CARGO_MANIFEST_DIR"));
     let dep = steering::Deployment::ledger(root).unwrap();
