--- a/tests/gateway/answers.rs
+++ b/tests/gateway/answers.rs
@@ -6,7 +6,7 @@
 fn an_answer_reaches_its_caller_unchanged() {
     run_test(|| async {
         let harness = Harness::new(2, &[Reaction::Answer("hello")]).await;
-        let answer = harness.caller().await.ask(&get("/read/a", "r1")).await;
+        let answer = harness.caller().await.request(&get("/read/a", "r1")).await;
         assert_eq!((answer.status, answer.text()), (200, "hello"));
         assert!(
             answer
@@ -36,7 +36,7 @@
     ] {
         run_test(|| async {
             let harness = Harness::new(3, &[act.clone(), Reaction::Answer("whole")]).await;
-            let answer = harness.caller().await.ask(&get("/read/a", "r1")).await;
+            let answer = harness.caller().await.request(&get("/read/a", "r1")).await;
             assert_eq!((answer.status, answer.text()), (200, "whole"), "{act:?}");
             assert_eq!(harness.runs("r1"), 2);
             let seen = harness.seen.borrow();
@@ -49,7 +49,7 @@
 fn a_body_that_ends_with_its_connection_is_whole_after_an_orderly_close() {
     run_test(|| async {
         let harness = Harness::new(1, &[Reaction::Unframed("to the end")]).await;
-        let answer = harness.caller().await.ask(&get("/read/a", "r1")).await;
+        let answer = harness.caller().await.request(&get("/read/a", "r1")).await;
         assert_eq!((answer.status, answer.text()), (200, "to the end"));
     });
 }
@@ -60,9 +60,9 @@
 fn an_answer_to_another_request_is_skipped() {
     run_test(|| async {
         let harness = Harness::new(1, &[Reaction::StrayFirst("mine")]).await;
-        let answer = harness.caller().await.ask(&get("/read/a", "r1")).await;
+        let answer = harness.caller().await.request(&get("/read/a", "r1")).await;
         assert_eq!((answer.status, answer.text()), (200, "mine"));
-        let answer = harness.caller().await.ask(&get("/read/a", "r2")).await;
+        let answer = harness.caller().await.request(&get("/read/a", "r2")).await;
         assert_eq!(answer.text(), "ok");
     });
 }
@@ -76,8 +76,8 @@
         )
         .await;
         let mut caller = harness.caller().await;
-        assert_eq!(caller.ask(&get("/read/a", "r1")).await.text(), "abcde");
-        let answer = caller.ask(&get("/read/a", "r2")).await;
+        assert_eq!(caller.request(&get("/read/a", "r1")).await.text(), "abcde");
+        let answer = caller.request(&get("/read/a", "r2")).await;
         assert_eq!(answer.body.len(), 1 << 20);
     });
 }
@@ -90,7 +90,7 @@
         let answer = harness
             .caller()
             .await
-            .ask(&post("/book/a", "b1", "x"))
+            .request(&post("/book/a", "b1", "x"))
             .await;
         assert_eq!((answer.status, answer.text()), (500, "bad"));
         assert_eq!(harness.runs("b1"), 1);
--- a/tests/gateway/at_most_once.rs
+++ b/tests/gateway/at_most_once.rs
@@ -21,7 +21,7 @@
             let answer = harness
                 .caller()
                 .await
-                .ask(&post("/book/a", "b1", "bay 4"))
+                .request(&post("/book/a", "b1", "bay 4"))
                 .await;
             assert_eq!(harness.runs("b1"), 1);
             assert_eq!(answer.status, 502, "{act:?}");
@@ -38,7 +38,7 @@
         let answer = harness
             .caller()
             .await
-            .ask(&post("/book/a", "b1", "bay 4"))
+            .request(&post("/book/a", "b1", "bay 4"))
             .await;
         assert_eq!((answer.status, answer.text()), (200, "booked"));
         assert_eq!(harness.runs("b1"), 1);
@@ -55,7 +55,7 @@
         let answer = harness
             .caller()
             .await
-            .ask(&post("/book/a", "b1", "bay 4"))
+            .request(&post("/book/a", "b1", "bay 4"))
             .await;
         assert_eq!(answer.status, 503);
         assert_eq!(harness.runs("b1"), 0);
@@ -83,7 +83,7 @@
             ..route("/read/", true)
         };
         harness.cx.update_routes(table(2, vec![quick]));
-        let answer = harness.caller().await.ask(&get("/read/a", "r1")).await;
+        let answer = harness.caller().await.request(&get("/read/a", "r1")).await;
         assert_eq!(answer.status, 503);
         assert_eq!(harness.runs("r1"), 0);
         assert!(harness.seen.borrow().arrived >= 2);
@@ -94,7 +94,7 @@
 fn without_a_backend_server_requests_are_refused_at_once() {
     run_test(|| async {
         let harness = Harness::new(0, &[]).await;
-        let answer = harness.caller().await.ask(&get("/read/a", "r1")).await;
+        let answer = harness.caller().await.request(&get("/read/a", "r1")).await;
         assert_eq!(answer.status, 503);
         assert!(answer.head.fields.get("retry-after").is_some());
     });
@@ -117,8 +117,8 @@
                 .update_routes(table(4, vec![route("/read/", true)]))
         );
         let mut caller = harness.caller().await;
-        assert_eq!(caller.ask(&get("/new/a", "r1")).await.status, 200);
-        assert_eq!(caller.ask(&get("/read/a", "r2")).await.status, 404);
+        assert_eq!(caller.request(&get("/new/a", "r1")).await.status, 200);
+        assert_eq!(caller.request(&get("/read/a", "r2")).await.status, 404);
         assert_eq!(harness.runs("r2"), 0);
     });
 }
@@ -129,10 +129,10 @@
     run_test(|| async {
         let harness = Harness::new(2, &[]).await;
         let mut caller = harness.caller().await;
-        let answer = caller.ask(&get("/read/a", "r1")).await;
+        let answer = caller.request(&get("/read/a", "r1")).await;
         let first = answer.head.fields.text("x-proof").unwrap().to_owned();
         harness.cx.remove_backend(&first.as_str().into());
-        let answer = caller.ask(&get("/read/a", "r2")).await;
+        let answer = caller.request(&get("/read/a", "r2")).await;
         assert_ne!(answer.head.fields.text("x-proof"), Some(first.as_str()));
     });
 }
@@ -143,9 +143,9 @@
         let harness = Harness::new(2, &[]).await;
         harness.cx.evacuate(&"az".into(), true);
         let mut caller = harness.caller().await;
-        assert_eq!(caller.ask(&get("/read/a", "r1")).await.status, 503);
+        assert_eq!(caller.request(&get("/read/a", "r1")).await.status, 503);
         harness.cx.evacuate(&"az".into(), false);
         // After an evacuation backend servers count as cold and get a few requests at least.
-        assert_eq!(caller.ask(&get("/read/a", "r2")).await.status, 200);
+        assert_eq!(caller.request(&get("/read/a", "r2")).await.status, 200);
     });
 }
--- a/tests/gateway/bodies.rs
+++ b/tests/gateway/bodies.rs
@@ -9,7 +9,7 @@
         let mut caller = harness.caller().await;
         let head = "POST /book/a HTTP/1.1\r\nHost: example.test\r\nx-id: b1\r\nTransfer-Encoding: chunked\r\n\r\n";
         let answer = caller
-            .ask(&format!("{head}3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n"))
+            .request(&format!("{head}3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n"))
             .await;
         assert_eq!(answer.status, 200);
         assert_eq!(harness.seen.borrow().bodies, [7]);
@@ -28,7 +28,7 @@
         let mut caller = harness.caller().await;
         let head = "POST /book/a HTTP/1.1\r\nHost: example.test\r\nx-id: b1\r\nTransfer-Encoding: chunked\r\n\r\n";
         let answer = caller
-            .ask(&format!(
+            .request(&format!(
                 "{head}8\r\nabcdefgh\r\n8\r\nabcdefgh\r\n0\r\n\r\n"
             ))
             .await;
@@ -44,9 +44,15 @@
         let harness = Harness::new(1, &[]).await;
         let mut caller = harness.caller().await;
         let body = "y".repeat(3 << 20);
-        assert_eq!(caller.ask(&post("/book/a", "b1", &body)).await.status, 200);
+        assert_eq!(
+            caller.request(&post("/book/a", "b1", &body)).await.status,
+            200
+        );
         assert_eq!(harness.seen.borrow().bodies, [3 << 20]);
-        assert_eq!(caller.ask(&post("/book/a", "b2", "z")).await.status, 200);
+        assert_eq!(
+            caller.request(&post("/book/a", "b2", "z")).await.status,
+            200
+        );
     });
 }
 
@@ -58,12 +64,12 @@
         let harness = Harness::new(1, &[Reaction::Early("no need")]).await;
         let mut caller = harness.caller().await;
         let body = "y".repeat(3 << 20);
-        let answer = caller.ask(&post("/book/a", "b1", &body)).await;
+        let answer = caller.request(&post("/book/a", "b1", &body)).await;
         assert_eq!((answer.status, answer.text()), (200, "no need"));
         let answer = harness
             .caller()
             .await
-            .ask(&post("/book/a", "b2", "z"))
+            .request(&post("/book/a", "b2", "z"))
             .await;
         assert_eq!(answer.status, 200);
         assert_eq!(harness.seen.borrow().bodies, [1]);
@@ -84,7 +90,7 @@
         let answer = harness
             .caller()
             .await
-            .ask(&post("/book/a", "b2", "z"))
+            .request(&post("/book/a", "b2", "z"))
             .await;
         assert_eq!(answer.status, 200);
         assert_eq!(harness.runs("b1"), 0);
--- a/tests/gateway/callers.rs
+++ b/tests/gateway/callers.rs
@@ -54,7 +54,7 @@
             .until("the booking runs", |seen| seen.ran.len() == 1)
             .await;
         drop(caller);
-        let answer = harness.caller().await.ask(&get("/read/a", "r1")).await;
+        let answer = harness.caller().await.request(&get("/read/a", "r1")).await;
         assert_eq!(answer.text(), "ok");
         harness.until("both ran", |seen| seen.ran.len() == 2).await;
         assert_eq!(harness.seen.borrow().dropped, 0);
@@ -77,7 +77,7 @@
         tokio::time::sleep(std::time::Duration::from_millis(100)).await;
         let mut other = harness.caller().await;
         for n in 0..20 {
-            let answer = other.ask(&get("/read/a", &format!("r{n}"))).await;
+            let answer = other.request(&get("/read/a", &format!("r{n}"))).await;
             assert_eq!(answer.status, 200);
         }
         assert_eq!(harness.runs("b1"), 0);
@@ -101,7 +101,7 @@
         let harness = Harness::new(1, &[]).await;
         for (text, status) in bad {
             let mut caller = harness.caller().await;
-            let answer = caller.ask(&text).await;
+            let answer = caller.request(&text).await;
             assert_eq!(answer.status, status, "{text:.60}");
             assert!(caller.is_closed().await);
         }
@@ -115,11 +115,11 @@
         let harness = Harness::new(1, &[]).await;
         let mut caller = harness.caller().await;
         let no_host = "GET /read/a HTTP/1.1\r\nx-id: r\r\n\r\n";
-        assert_eq!(caller.ask(no_host).await.status, 400);
+        assert_eq!(caller.request(no_host).await.status, 400);
         let no_id = "GET /read/a HTTP/1.1\r\nHost: example.test\r\n\r\n";
-        assert_eq!(caller.ask(no_id).await.status, 400);
-        assert_eq!(caller.ask(&get("/none/a", "r1")).await.status, 404);
-        assert_eq!(caller.ask(&get("/read/a", "r2")).await.status, 200);
+        assert_eq!(caller.request(no_id).await.status, 400);
+        assert_eq!(caller.request(&get("/none/a", "r1")).await.status, 404);
+        assert_eq!(caller.request(&get("/read/a", "r2")).await.status, 200);
         assert_eq!(harness.seen.borrow().arrived, 1);
     });
 }
@@ -130,7 +130,7 @@
         let harness = Harness::new(1, &[]).await;
         let mut caller = harness.caller().await;
         let text = get("/read/a", "r1").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
-        let answer = caller.ask(&text).await;
+        let answer = caller.request(&text).await;
         assert!(answer.head.fields.contains_token("connection", "close"));
         assert!(caller.is_closed().await);
     });
--- a/tests/gateway/customers.rs
+++ b/tests/gateway/customers.rs
@@ -68,16 +68,16 @@
             &long,
         ];
         for (n, lines) in bad.into_iter().enumerate() {
-            let answer = caller.ask(&with(&get("/read/a", "r"), lines)).await;
+            let answer = caller.request(&with(&get("/read/a", "r"), lines)).await;
             assert_eq!(answer.status, 401, "{n}");
             let answer = caller
-                .ask(&with(&post("/book/a", "b", "body"), lines))
+                .request(&with(&post("/book/a", "b", "body"), lines))
                 .await;
             assert_eq!(answer.status, 401, "{n}");
         }
         assert_eq!(harness.seen.borrow().arrived, 0);
         let answer = caller
-            .ask(&with(&get("/read/a", "r"), "x-key: k2\r\n"))
+            .request(&with(&get("/read/a", "r"), "x-key: k2\r\n"))
             .await;
         assert_eq!(answer.status, 200);
     });
@@ -139,7 +139,7 @@
         let harness = harness(&[]).await;
         let mut caller = harness.caller().await;
         let lines = "x-key: k1\r\nx-customer: others\r\nX-Customer: others\r\nx_customer: others\r\nX_KEY: k1\r\n";
-        let answer = caller.ask(&with(&get("/read/a", "r1"), lines)).await;
+        let answer = caller.request(&with(&get("/read/a", "r1"), lines)).await;
         assert_eq!(answer.status, 200);
         let seen = harness.seen.borrow().fields.clone();
         assert_eq!(seen.get("x-customer").map(String::as_str), Some("pilots"));
@@ -159,7 +159,7 @@
         let text = "POST /book/a HTTP/1.1\r\nHost: example.test\r\nx-id: b1\r\nx-key: k1\r\n\
             Transfer-Encoding: chunked\r\nTrailer: x-customer\r\n\r\n\
             3\r\nabc\r\n0\r\nx-customer: others\r\nx-key: k1\r\n\r\n";
-        assert_eq!(caller.ask(text).await.status, 200);
+        assert_eq!(caller.request(text).await.status, 200);
         let seen = harness.seen.borrow();
         assert_eq!(seen.fields["x-customer"], "pilots");
         assert!(!seen.fields.contains_key("trailer"));
@@ -175,7 +175,7 @@
         let harness = harness(&[]).await;
         let mut caller = harness.caller().await;
         for lines in ["", "x-key: no\r\nx-customer: pilots\r\n"] {
-            let answer = caller.ask(&with(&get("/open/a", "r1"), lines)).await;
+            let answer = caller.request(&with(&get("/open/a", "r1"), lines)).await;
             assert_eq!(answer.status, 200);
             let seen = harness.seen.borrow().fields.clone();
             assert!(!seen.contains_key("x-customer") && !seen.contains_key("x-key"));
@@ -191,19 +191,19 @@
         let harness = Harness::new(1, &[]).await;
         let customers = customer_list(&[(&customer("pilots"), &["k1"])]);
         harness.cx.update_routes(routes_for(2, customers));
-        let answer = ask(&harness, "x-key: new\r\n").await;
+        let answer = read_status(&harness, "x-key: new\r\n").await;
         assert_eq!(answer.0, 503);
         assert!(answer.1, "it says when to come back");
-        assert_eq!(ask(&harness, "x-key: k1\r\n").await.0, 200);
+        assert_eq!(read_status(&harness, "x-key: k1\r\n").await.0, 200);
         harness.cx.record_store_answer();
-        assert_eq!(ask(&harness, "x-key: new\r\n").await.0, 401);
+        assert_eq!(read_status(&harness, "x-key: new\r\n").await.0, 401);
     });
 }
 
 /// The status of a read with these lines, and whether the answer has a retry delay.
-async fn ask(harness: &Harness, lines: &str) -> (u16, bool) {
+async fn read_status(harness: &Harness, lines: &str) -> (u16, bool) {
     let mut caller: Caller = harness.caller().await;
-    let answer = caller.ask(&with(&get("/read/a", "r1"), lines)).await;
+    let answer = caller.request(&with(&get("/read/a", "r1"), lines)).await;
     (
         answer.status,
         answer.head.fields.get("retry-after").is_some(),
@@ -225,7 +225,7 @@
         harness.cx.update_routes(routes_for(3, left));
         let mut other = harness.caller().await;
         let answer = other
-            .ask(&with(&get("/read/b", "r2"), "x-key: k2\r\n"))
+            .request(&with(&get("/read/b", "r2"), "x-key: k2\r\n"))
             .await;
         assert_eq!(answer.status, 200);
         assert_eq!(first.receive().await.unwrap().status, 401);
@@ -249,7 +249,7 @@
         harness.cx.update_routes(routes_for(3, moved));
         let mut other = harness.caller().await;
         let answer = other
-            .ask(&with(&get("/read/b", "r2"), "x-key: k2\r\n"))
+            .request(&with(&get("/read/b", "r2"), "x-key: k2\r\n"))
             .await;
         assert_eq!(answer.status, 200);
         assert_eq!(first.receive().await.unwrap().status, 200);
@@ -324,7 +324,7 @@
         harness
             .cx
             .update_routes(routes_for(2, customer_list(&[(&homed, &["k1"])])));
-        assert_eq!(ask(&harness, "x-key: k1\r\n").await, (503, true));
+        assert_eq!(read_status(&harness, "x-key: k1\r\n").await, (503, true));
         assert_eq!(harness.seen.borrow().arrived, 0);
     });
 }
@@ -382,7 +382,7 @@
         }
         let mut admitted = 0;
         for _ in 0..80 {
-            let (status, has_retry_delay) = ask(&harness, "x-key: k1\r\n").await;
+            let (status, has_retry_delay) = read_status(&harness, "x-key: k1\r\n").await;
             assert!(
                 status == 200 || (status == 429 && has_retry_delay),
                 "{status}"
--- a/tests/gateway/following.rs
+++ b/tests/gateway/following.rs
@@ -50,21 +50,21 @@
     }
 }
 
-async fn ask(addr: std::net::SocketAddr) -> mirror::Message {
+async fn follow(addr: std::net::SocketAddr) -> mirror::Message {
     let mut link = links::Link::open(addr, LONG).await.unwrap();
-    let ask = mirror::encode(&mirror::FollowRequest {
+    let request = mirror::encode(&mirror::FollowRequest {
         fresh: true,
         wait_ms: 0,
         since: 0,
     })
     .unwrap();
-    link.send(ask.into()).await.unwrap();
+    link.send(request.into()).await.unwrap();
     link.receive(LONG).await.unwrap()
 }
 
 async fn wait_until(addr: std::net::SocketAddr, what: &str, is: impl Fn(&mirror::Message) -> bool) {
     let started = time::Instant::now();
-    while !is(&ask(addr).await) {
+    while !is(&follow(addr).await) {
         assert!(started.elapsed() < LONG, "never: {what}");
         tokio::time::sleep(time::Duration::from_millis(50)).await;
     }
--- a/tests/gateway/harness.rs
+++ b/tests/gateway/harness.rs
@@ -437,7 +437,7 @@
         })
     }
 
-    pub(crate) async fn ask(&mut self, text: &str) -> CallerAnswer {
+    pub(crate) async fn request(&mut self, text: &str) -> CallerAnswer {
         self.send(text).await;
         self.receive().await.unwrap()
     }
--- a/tests/gateway/restart.rs
+++ b/tests/gateway/restart.rs
@@ -46,11 +46,16 @@
         harness.cx.update_backend(&"i-0".into(), listed);
         let mut caller = harness.caller().await;
         for n in 0..2 {
-            let answer = caller.ask(&post("/book/a", &format!("b{n}"), "x")).await;
+            let answer = caller
+                .request(&post("/book/a", &format!("b{n}"), "x"))
+                .await;
             assert_eq!(answer.status, 503);
         }
         harness.start_backend("i-0", Some(200)).await;
-        assert_eq!(caller.ask(&post("/book/a", "b2", "x")).await.status, 200);
+        assert_eq!(
+            caller.request(&post("/book/a", "b2", "x")).await.status,
+            200
+        );
     });
 }
 
@@ -98,14 +103,14 @@
         for start in 1..=3 {
             harness.start_backend("i-0", Some(start)).await;
             let id = format!("b{start}");
-            let answer = caller.ask(&post("/book/bad", &id, "x")).await;
+            let answer = caller.request(&post("/book/bad", &id, "x")).await;
             assert_eq!(answer.status, 502);
         }
         harness.start_backend("i-0", Some(4)).await;
-        let answer = caller.ask(&post("/book/bad", "b4", "x")).await;
+        let answer = caller.request(&post("/book/bad", "b4", "x")).await;
         assert_eq!((answer.status, harness.runs("b4")), (503, 0));
         let mut caller = harness.caller().await;
-        let other = caller.ask(&post("/book/good", "b5", "x")).await;
+        let other = caller.request(&post("/book/good", "b5", "x")).await;
         assert_eq!(other.status, 200);
     });
 }
--- a/tests/gateway/stop.rs
+++ b/tests/gateway/stop.rs
@@ -13,7 +13,7 @@
         harness.cx.stop();
         assert!(!harness.cx.is_ready());
         assert!(harness.cx.entries_for(Some("region")).len() <= 1);
-        let other = harness.caller().await.ask(&get("/read/a", "r2")).await;
+        let other = harness.caller().await.request(&get("/read/a", "r2")).await;
         assert_eq!(
             other.status, 200,
             "callers who have not heard are still served"
@@ -37,7 +37,7 @@
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
         let mut caller = harness.caller().await;
-        let answer = caller.ask(&get("/read/a", "r1")).await;
+        let answer = caller.request(&get("/read/a", "r1")).await;
         assert_eq!(answer.status, 503);
         assert!(answer.head.fields.get("retry-after").is_some());
         assert!(caller.is_closed().await);
