--- a/tests/path/callers.rs
+++ b/tests/path/callers.rs
@@ -124,13 +124,13 @@
     for _ in 0..2000 {
         held.push(net::TcpStream::connect(entry.addr()).unwrap());
     }
-    let ask = caller::Request {
+    let request = caller::Request {
         path: "/ledger/bays",
         ..caller::Request::default()
     };
     let caller = caller::Caller::default();
     for _ in 0..20 {
-        let reply = caller.send(entry.addr(), &ask).unwrap();
+        let reply = caller.send(entry.addr(), &request).unwrap();
         assert_eq!(reply.outcome, Some(outcome::Outcome::Answered), "{reply:?}");
     }
 }
@@ -178,12 +178,14 @@
 fn the_remaining_timeout_is_forwarded() {
     let raw = echo();
     let entry = local::entry(&[raw.addr]);
-    let ask = caller::Request {
+    let request = caller::Request {
         path: "/ledger/bays",
         stated_timeout: Some(time::Duration::from_millis(700)),
         ..caller::Request::default()
     };
-    caller::Caller::default().send(entry.addr(), &ask).unwrap();
+    caller::Caller::default()
+        .send(entry.addr(), &request)
+        .unwrap();
     let remaining_ms: u64 = raw.received()[0].headers["bulrushwind-timeout-ms"]
         .parse()
         .unwrap();
--- a/tests/path/decisions.rs
+++ b/tests/path/decisions.rs
@@ -8,11 +8,11 @@
 use super::testenv;
 
 fn read(entry: net::SocketAddr, path: &str) -> caller::Response {
-    let ask = caller::Request {
+    let request = caller::Request {
         path,
         ..caller::Request::default()
     };
-    caller::Caller::default().send(entry, &ask).unwrap()
+    caller::Caller::default().send(entry, &request).unwrap()
 }
 
 /// Starts an entry VM and one backend server per behaviour.
--- a/tests/path/end_to_end.rs
+++ b/tests/path/end_to_end.rs
@@ -17,14 +17,14 @@
         for seq in 0..10 {
             let key = format!("{ticket}.{seq}");
             let body = format!("bay {seq}");
-            let ask = caller::Request {
+            let request = caller::Request {
                 method: "POST",
                 path: "/ledger/book?member=7",
                 key: Some(&key),
                 body: &body,
                 ..caller::Request::default()
             };
-            let reply = caller.send(entry.addr(), &ask).unwrap();
+            let reply = caller.send(entry.addr(), &request).unwrap();
             assert_eq!(reply.outcome, Some(outcome::Outcome::Answered), "{reply:?}");
             let echo: backend::Echo = serde_json::from_str(&reply.body).unwrap();
             assert_eq!(echo.path, "/book?member=7");
--- a/tests/path/once.rs
+++ b/tests/path/once.rs
@@ -56,7 +56,7 @@
     key: &str,
     body: &str,
 ) -> caller::Response {
-    let ask = caller::Request {
+    let request = caller::Request {
         method: "POST",
         path: "/ledger/book",
         key: Some(key),
@@ -64,7 +64,7 @@
         stated_timeout: Some(time::Duration::from_secs(3)),
         ..caller::Request::default()
     };
-    caller.send(entry, &ask).unwrap()
+    caller.send(entry, &request).unwrap()
 }
 
 /// A caller misses its answer and retries the booking at the same entry VM and at another one. It
--- a/tests/path/stop.rs
+++ b/tests/path/stop.rs
@@ -95,13 +95,13 @@
     let entry = env.entry("e1");
     testenv::wait_answered(entry.addr(), "/ledger/bays");
     let caller = caller::Caller::default();
-    let ask = caller::Request {
+    let request = caller::Request {
         path: "/ledger/bays",
         ..caller::Request::default()
     };
     let started = |addr| backend::read_log(addr).unwrap().started;
     testenv::wait_for("both get work", || {
-        caller.send(entry.addr(), &ask).unwrap();
+        caller.send(entry.addr(), &request).unwrap();
         started(leaving.addr()) > 0 && started(staying.addr()) > 0
     });
     match source {
@@ -130,7 +130,7 @@
     testenv::wait_for("the leaving one gets no more work", || {
         let before = started(leaving.addr());
         for _ in 0..20 {
-            let reply = caller.send(entry.addr(), &ask).unwrap();
+            let reply = caller.send(entry.addr(), &request).unwrap();
             assert_eq!(
                 reply.outcome,
                 Some(Outcome::Answered),
--- a/tests/path/testenv.rs
+++ b/tests/path/testenv.rs
@@ -169,12 +169,12 @@
 pub(crate) fn wait_answered(entry: net::SocketAddr, path: &str) {
     let caller = caller::Caller::default();
     wait_for("a request is answered", || {
-        let ask = caller::Request {
+        let request = caller::Request {
             path,
             ..caller::Request::default()
         };
         caller
-            .send(entry, &ask)
+            .send(entry, &request)
             .is_ok_and(|reply| reply.status == 200)
     });
 }
--- a/tests/steering_path.rs
+++ b/tests/steering_path.rs
@@ -174,14 +174,14 @@
         }
         let key = format!("{ticket}.{thread}-{seq}");
         let body = format!("bay {thread} {seq}");
-        let ask = caller::Request {
+        let request = caller::Request {
             method: "POST",
             path: "/ledger/book",
             key: Some(&key),
             body: &body,
             ..caller::Request::default()
         };
-        let Ok(reply) = caller.send(entry, &ask) else {
+        let Ok(reply) = caller.send(entry, &request) else {
             continue;
         };
         if reply.outcome == Some(outcome::Outcome::Answered) {
