--- a/tests/platform/explaining.rs
+++ b/tests/platform/explaining.rs
@@ -8,25 +8,25 @@
 use serde_json::json;
 
 use super::processes::{
-    Scene, TEST_TIMEOUT, config, get, get_with_headers, run_scenario, wait_for_status,
+    Deployment, TEST_TIMEOUT, config, get, get_with_headers, run_scenario, wait_for_status,
 };
 use super::support::store;
 
 /// Output of `bulrushwind explain` for a request.
-fn explain(scene: &Scene, request: &str) -> String {
-    let out = process::Command::new(env!("CARGO_BIN_EXE_bulrushwind"))
-        .current_dir(scene.dir.path())
+fn explain(deployment: &Deployment, request: &str) -> String {
+    let output = process::Command::new(env!("CARGO_BIN_EXE_bulrushwind"))
+        .current_dir(deployment.dir.path())
         .args(["explain", request, "vm-1.log"])
         .output()
         .unwrap();
-    String::from_utf8_lossy(&out.stdout).into_owned()
+    String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
 /// Waits until the explanation of a request contains all `wanted` texts in this order.
-async fn wait_for_explanation(scene: &Scene, request: &str, wanted: &[&str]) {
+async fn wait_for_explanation(deployment: &Deployment, request: &str, wanted: &[&str]) {
     let begun = time::Instant::now();
     loop {
-        let explanation = explain(scene, request);
+        let explanation = explain(deployment, request);
         let mut remaining = explanation.as_str();
         let all_found = wanted.iter().all(|text| match remaining.find(text) {
             Some(at) => {
@@ -39,7 +39,7 @@
             println!("{explanation}");
             return;
         }
-        let log = || fs::read_to_string(scene.dir.path().join("vm-1.log")).unwrap_or_default();
+        let log = || fs::read_to_string(deployment.dir.path().join("vm-1.log")).unwrap_or_default();
         assert!(
             begun.elapsed() < TEST_TIMEOUT,
             "{wanted:?} is not explained:\n{explanation}\nof\n{}",
@@ -53,11 +53,11 @@
 #[test]
 fn a_request_refused_while_backend_servers_were_idle() {
     run_scenario(|| async {
-        let scene = Scene::new();
-        let (ports, _gateway) = scene.start("vm-1", scene.store.addr, &[]);
+        let deployment = Deployment::new();
+        let (ports, _gateway) = deployment.start("vm-1", deployment.store.addr, &[]);
         wait_for_status(ports.front, "/read/a", 200).await;
         for az in ["az-a", "az-b", "az-c"] {
-            scene
+            deployment
                 .store
                 .write(&format!("op/evacuate/{az}"), &serde_json::json!({}));
         }
@@ -73,7 +73,7 @@
             "fate=not_run",
             "why=no usable backend server",
         ];
-        wait_for_explanation(&scene, "refused-1", &wanted).await;
+        wait_for_explanation(&deployment, "refused-1", &wanted).await;
     });
 }
 
@@ -81,10 +81,10 @@
 #[test]
 fn a_booking_whose_outcome_is_unknown() {
     run_scenario(|| async {
-        let scene = Scene::new();
-        let (ports, _gateway) = scene.start("vm-1", scene.store.addr, &[]);
+        let deployment = Deployment::new();
+        let (ports, _gateway) = deployment.start("vm-1", deployment.store.addr, &[]);
         wait_for_status(ports.front, "/read/a", 200).await;
-        scene
+        deployment
             .backends
             .iter()
             .for_each(|b| b.drops_responses.set(true));
@@ -97,7 +97,7 @@
             "sends=1",
             "why=time is up",
         ];
-        wait_for_explanation(&scene, "unknown-1", &wanted).await;
+        wait_for_explanation(&deployment, "unknown-1", &wanted).await;
     });
 }
 
@@ -105,43 +105,43 @@
 #[test]
 fn a_late_read() {
     run_scenario(|| async {
-        let scene = Scene::new();
-        let (ports, _gateway) = scene.start("vm-1", scene.store.addr, &[]);
+        let deployment = Deployment::new();
+        let (ports, _gateway) = deployment.start("vm-1", deployment.store.addr, &[]);
         wait_for_status(ports.front, "/read/a", 200).await;
-        scene.store.set_mode(store::Mode::Busy);
+        deployment.store.set_mode(store::Mode::Busy);
         let begun = time::Instant::now();
-        while !fs::read_to_string(scene.dir.path().join("vm-1.log"))
+        while !fs::read_to_string(deployment.dir.path().join("vm-1.log"))
             .unwrap()
             .contains("store does not serve")
         {
             assert!(begun.elapsed() < TEST_TIMEOUT);
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
-        scene
+        deployment
             .backends
             .iter()
             .for_each(|b| b.set_service_time(time::Duration::from_millis(1300)));
         let (status, _) = get(ports.front, "/read/a", "late-1").await.unwrap();
         assert_eq!(status, 200);
         let wanted = ["store does not serve: ", "request: ", "fate=late"];
-        wait_for_explanation(&scene, "late-1", &wanted).await;
+        wait_for_explanation(&deployment, "late-1", &wanted).await;
     });
 }
 
 const KEY_HEADER: &str = "Bulrushwind-Key: right-secret-1\r\n";
 
-/// A scene with one customer, whose quota allows a few requests.
-async fn scene_with_customer() -> (Scene, std::net::SocketAddr, impl Sized) {
-    let scene = Scene::new();
-    let (ports, gateway) = scene.start("vm-1", scene.store.addr, &[]);
+/// A deployment with one customer, whose quota allows a few requests.
+async fn deployment_with_customer() -> (Deployment, std::net::SocketAddr, impl Sized) {
+    let deployment = Deployment::new();
+    let (ports, gateway) = deployment.start("vm-1", deployment.store.addr, &[]);
     wait_for_status(ports.front, "/read/a", 200).await;
     let mut config = config(9, &["/read/"]);
     config["tenants"] = json!([
         {"name": "pilots", "keys": ["right-secret-1"], "rate_per_s": 0.2, "burst": 1},
     ]);
-    scene.store.write("op/config", &config);
+    deployment.store.write("op/config", &config);
     wait_for_status(ports.front, "/read/a", 401).await;
-    (scene, ports.front, gateway)
+    (deployment, ports.front, gateway)
 }
 
 /// A caller is rejected since its key belongs to no customer. The log must name the cause but not
@@ -149,7 +149,7 @@
 #[test]
 fn a_caller_with_an_unknown_key() {
     run_scenario(|| async {
-        let (scene, front, _gateway) = scene_with_customer().await;
+        let (deployment, front, _gateway) = deployment_with_customer().await;
         let wrong_key_header = "Bulrushwind-Key: wrong-secret-1\r\n";
         let (status, _) = get_with_headers(front, "/read/a", "away-1", wrong_key_header)
             .await
@@ -161,7 +161,7 @@
             "turned away: ",
             "why=no customer has the key",
         ];
-        wait_for_explanation(&scene, "away-1", &wanted).await;
+        wait_for_explanation(&deployment, "away-1", &wanted).await;
         assert_eq!(
             get_with_headers(front, "/read/a", "in-1", KEY_HEADER)
                 .await
@@ -169,7 +169,7 @@
                 .0,
             200
         );
-        let log = fs::read_to_string(scene.dir.path().join("vm-1.log")).unwrap();
+        let log = fs::read_to_string(deployment.dir.path().join("vm-1.log")).unwrap();
         assert!(!log.contains("-secret-1"));
     });
 }
@@ -178,7 +178,7 @@
 #[test]
 fn a_request_beyond_its_customers_quota() {
     run_scenario(|| async {
-        let (scene, front, _gateway) = scene_with_customer().await;
+        let (deployment, front, _gateway) = deployment_with_customer().await;
         let begun = time::Instant::now();
         while get_with_headers(front, "/read/a", "beyond-1", KEY_HEADER)
             .await
@@ -194,6 +194,6 @@
             "own=1",
             "version=9",
         ];
-        wait_for_explanation(&scene, "beyond-1", &wanted).await;
+        wait_for_explanation(&deployment, "beyond-1", &wanted).await;
     });
 }
--- a/tests/platform/processes.rs
+++ b/tests/platform/processes.rs
@@ -17,13 +17,13 @@
 
 pub(crate) const TEST_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-pub(crate) fn run_scenario<F: Future<Output = ()>>(scene: impl FnOnce() -> F) {
+pub(crate) fn run_scenario<F: Future<Output = ()>>(deployment: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     task::LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(TEST_TIMEOUT * 2, scene())
+        tokio::time::timeout(TEST_TIMEOUT * 2, deployment())
             .await
             .expect("the scenario did not end in time");
     });
@@ -48,13 +48,13 @@
     })
 }
 
-pub(crate) struct Scene {
+pub(crate) struct Deployment {
     pub(crate) store: store::Store,
     pub(crate) backends: Vec<backend::Backend>,
     pub(crate) dir: tempfile::TempDir,
 }
 
-impl Scene {
+impl Deployment {
     pub(crate) fn new() -> Self {
         let store = store::Store::start();
         store.write("op/config", &config(1, &["/read/", "/book/"]));
@@ -155,13 +155,13 @@
 #[test]
 fn a_process_registers_serves_follows_the_configuration_and_deregisters() {
     run_scenario(|| async {
-        let scene = Scene::new();
-        let (ports, mut gateway) = scene.start("vm-1", scene.store.addr, &[]);
+        let deployment = Deployment::new();
+        let (ports, mut gateway) = deployment.start("vm-1", deployment.store.addr, &[]);
         wait_for_status(ports.ready, "/ready", 200).await;
         let (status, body) = get(ports.front, "/read/a", "r1").await.unwrap();
         assert_eq!((status, body.as_str()), (200, "answer to r1"));
         assert_eq!(get(ports.front, "/new/a", "r2").await.unwrap().0, 404);
-        scene
+        deployment
             .store
             .write("op/config", &config(2, &["/read/", "/new/"]));
         wait_for_status(ports.front, "/new/a", 200).await;
@@ -176,13 +176,13 @@
         assert_eq!(status, 200);
         assert!(body.contains(&ports.front.to_string()), "{body}");
         let begun = time::Instant::now();
-        while scene.store.keys("bulrushwind/entry/").is_empty() {
+        while deployment.store.keys("bulrushwind/entry/").is_empty() {
             assert!(begun.elapsed() < TEST_TIMEOUT, "never registered");
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
         gateway.signal(rustix::process::Signal::TERM);
         wait_for_status(ports.ready, "/ready", 503).await;
-        while !scene.store.keys("bulrushwind/entry/").is_empty() || !gateway.has_ended() {
+        while !deployment.store.keys("bulrushwind/entry/").is_empty() || !gateway.has_ended() {
             assert!(
                 begun.elapsed() < TEST_TIMEOUT,
                 "the process did not deregister and exit"
@@ -198,17 +198,17 @@
 fn a_process_serves_during_a_store_outage_and_catches_up() {
     for mode in [store::Mode::Silent, store::Mode::Busy] {
         run_scenario(|| async {
-            let scene = Scene::new();
-            let (ports, _gateway) = scene.start("vm-1", scene.store.addr, &[]);
+            let deployment = Deployment::new();
+            let (ports, _gateway) = deployment.start("vm-1", deployment.store.addr, &[]);
             wait_for_status(ports.ready, "/ready", 200).await;
-            scene.store.set_mode(mode);
-            scene.store.write("op/config", &config(2, &["/new/"]));
-            scene.store.discard_history();
+            deployment.store.set_mode(mode);
+            deployment.store.write("op/config", &config(2, &["/new/"]));
+            deployment.store.discard_history();
             for n in 0..20 {
                 let (status, _) = get(ports.front, "/read/a", &format!("r{n}")).await.unwrap();
                 assert_eq!(status, 200);
             }
-            scene.store.set_mode(store::Mode::Up);
+            deployment.store.set_mode(store::Mode::Up);
             wait_for_status(ports.front, "/new/a", 200).await;
         });
     }
@@ -218,15 +218,15 @@
 #[test]
 fn a_process_that_starts_without_the_store_reads_from_another_vm() {
     run_scenario(|| async {
-        let scene = Scene::new();
-        let (first, _gateway) = scene.start("vm-1", scene.store.addr, &[]);
+        let deployment = Deployment::new();
+        let (first, _gateway) = deployment.start("vm-1", deployment.store.addr, &[]);
         wait_for_status(first.ready, "/ready", 200).await;
-        let store_proxy = proxy::Proxy::start(scene.store.addr);
+        let store_proxy = proxy::Proxy::start(deployment.store.addr);
         store_proxy.set(proxy::Fault::Resets);
-        let (second, _other) = scene.start("vm-2", store_proxy.addr, &[first.control]);
+        let (second, _other) = deployment.start("vm-2", store_proxy.addr, &[first.control]);
         wait_for_status(second.front, "/read/a", 200).await;
         store_proxy.set(proxy::Fault::None);
-        scene.store.write("op/config", &config(2, &["/new/"]));
+        deployment.store.write("op/config", &config(2, &["/new/"]));
         wait_for_status(second.front, "/new/a", 200).await;
     });
 }
@@ -236,13 +236,13 @@
 #[test]
 fn a_follower_reads_the_store_when_the_followed_vm_dies() {
     run_scenario(|| async {
-        let scene = Scene::new();
-        let (first, gateway) = scene.start("vm-1", scene.store.addr, &[]);
-        let (second, other) = scene.start("vm-2", scene.store.addr, &[]);
+        let deployment = Deployment::new();
+        let (first, gateway) = deployment.start("vm-1", deployment.store.addr, &[]);
+        let (second, other) = deployment.start("vm-2", deployment.store.addr, &[]);
         wait_for_status(first.ready, "/ready", 200).await;
         wait_for_status(second.ready, "/ready", 200).await;
         let follows = |node: &str| {
-            let log = std::fs::read_to_string(scene.dir.path().join(format!("{node}.log")))
+            let log = std::fs::read_to_string(deployment.dir.path().join(format!("{node}.log")))
                 .unwrap_or_default();
             log.contains("\"following\"")
         };
@@ -258,12 +258,14 @@
             true => (other, first),
             false => (gateway, second),
         };
-        scene.store.write("op/config", &config(2, &["/two/"]));
+        deployment.store.write("op/config", &config(2, &["/two/"]));
         wait_for_status(follower.front, "/two/a", 200).await;
         drop(followed);
-        scene.store.write("op/config", &config(3, &["/three/"]));
+        deployment
+            .store
+            .write("op/config", &config(3, &["/three/"]));
         wait_for_status(follower.front, "/three/a", 200).await;
-        assert!(scene.store.calls() > 0);
+        assert!(deployment.store.calls() > 0);
     });
 }
 
@@ -272,11 +274,11 @@
 #[test]
 fn a_process_without_the_store_reads_from_a_seed_that_starts_later() {
     run_scenario(|| async {
-        let scene = Scene::new();
-        let store_proxy = proxy::Proxy::start(scene.store.addr);
+        let deployment = Deployment::new();
+        let store_proxy = proxy::Proxy::start(deployment.store.addr);
         store_proxy.set(proxy::Fault::Resets);
-        let first = scene.options("vm-1", scene.store.addr, &[]);
-        let (second, _other) = scene.start("vm-2", store_proxy.addr, &[first.ports.control]);
+        let first = deployment.options("vm-1", deployment.store.addr, &[]);
+        let (second, _other) = deployment.start("vm-2", store_proxy.addr, &[first.ports.control]);
         wait_for_status(second.ready, "/ready", 503).await;
         let _gateway = first.spawn().unwrap();
         wait_for_status(first.ports.ready, "/ready", 200).await;
@@ -288,12 +290,12 @@
 #[test]
 fn vms_follow_the_first_of_them_on_a_first_start() {
     run_scenario(|| async {
-        let scene = Scene::new();
+        let deployment = Deployment::new();
         let names = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5", "vm-6"];
         let started = names.map(|node| {
             let options = process::GatewayOptions {
                 bootstrap: true,
-                ..scene.options(node, scene.store.addr, &[])
+                ..deployment.options(node, deployment.store.addr, &[])
             };
             (options.ports, options.spawn().unwrap())
         });
@@ -301,7 +303,7 @@
             wait_for_status(ports.front, "/read/a", 200).await;
         }
         let follows_completely = |node: &&&str| {
-            let log = scene.dir.path().join(format!("{node}.log"));
+            let log = deployment.dir.path().join(format!("{node}.log"));
             let log = std::fs::read_to_string(log).unwrap_or_default();
             log.lines()
                 .any(|line| line.contains("\"following\"") && line.contains("\"whole\":true"))
@@ -323,14 +325,15 @@
 #[test]
 fn a_backend_server_removed_while_the_store_is_slow_is_dropped_in_time() {
     run_scenario(|| async {
-        let scene = Scene::new();
-        let store_proxy = proxy::Proxy::start(scene.store.addr);
+        let deployment = Deployment::new();
+        let store_proxy = proxy::Proxy::start(deployment.store.addr);
         store_proxy.set(proxy::Fault::Delay(time::Duration::from_millis(100)));
-        let (ports, _gateway) = scene.start("vm-1", store_proxy.addr, &[]);
+        let (ports, _gateway) = deployment.start("vm-1", store_proxy.addr, &[]);
         wait_for_status(ports.front, "/read/a", 200).await;
-        let removed = &scene.backends[0];
-        scene.store.remove(&format!("servers/{}", removed.id));
-        let log = || std::fs::read_to_string(scene.dir.path().join("vm-1.log")).unwrap_or_default();
+        let removed = &deployment.backends[0];
+        deployment.store.remove(&format!("servers/{}", removed.id));
+        let log =
+            || std::fs::read_to_string(deployment.dir.path().join("vm-1.log")).unwrap_or_default();
         let begun = time::Instant::now();
         while !log().contains("\"backend server gone\"") {
             assert!(
@@ -352,14 +355,14 @@
 #[test]
 fn a_long_configuration_is_read_over_a_slow_link() {
     run_scenario(|| async {
-        let scene = Scene::new();
+        let deployment = Deployment::new();
         let many: Vec<String> = (0..2_000).map(|n| format!("/read/{n}/")).collect();
         let mut prefixes: Vec<&str> = many.iter().map(String::as_str).collect();
         prefixes.push("/late/");
-        scene.store.write("op/config", &config(2, &prefixes));
-        let store_proxy = proxy::Proxy::start(scene.store.addr);
+        deployment.store.write("op/config", &config(2, &prefixes));
+        let store_proxy = proxy::Proxy::start(deployment.store.addr);
         store_proxy.set(proxy::Fault::Delay(time::Duration::from_millis(20)));
-        let (ports, _gateway) = scene.start("vm-1", store_proxy.addr, &[]);
+        let (ports, _gateway) = deployment.start("vm-1", store_proxy.addr, &[]);
         wait_for_status(ports.front, "/late/a", 200).await;
     });
 }
@@ -369,17 +372,19 @@
 #[test]
 fn a_process_with_a_full_log_pipe_continues_to_serve() {
     run_scenario(|| async {
-        let scene = Scene::new();
-        let options = scene.options("vm-1", scene.store.addr, &[]);
+        let deployment = Deployment::new();
+        let options = deployment.options("vm-1", deployment.store.addr, &[]);
         let _gateway = options.spawn_to(std::process::Stdio::piped()).unwrap();
         wait_for_status(options.ports.front, "/read/a", 200).await;
         // One log line per record, 600 KB in total: more than the pipe and the process's buffer hold.
         for n in 0..3000 {
             let entry = json!({"service": "other", "addr": "127.0.0.1:9", "zone": "az-a", "slots": 1,
                 "state": "ready", "cold_left_s": 0.0});
-            scene.store.write(&format!("servers/other-{n}"), &entry);
+            deployment
+                .store
+                .write(&format!("servers/other-{n}"), &entry);
         }
-        scene.store.write("op/config", &config(2, &["/new/"]));
+        deployment.store.write("op/config", &config(2, &["/new/"]));
         wait_for_status(options.ports.front, "/new/a", 200).await;
         for n in 0..20 {
             let (status, _) = get(options.ports.front, "/new/a", &format!("r{n}"))
@@ -395,17 +400,17 @@
 #[test]
 fn a_registration_with_lost_responses_is_repaired() {
     run_scenario(|| async {
-        let scene = Scene::new();
-        scene.store.set_mode(store::Mode::DropsResponses);
-        let (ports, _gateway) = scene.start("vm-1", scene.store.addr, &[]);
+        let deployment = Deployment::new();
+        deployment.store.set_mode(store::Mode::DropsResponses);
+        let (ports, _gateway) = deployment.start("vm-1", deployment.store.addr, &[]);
         wait_for_status(ports.front, "/read/a", 200).await;
-        scene.store.set_mode(store::Mode::Up);
+        deployment.store.set_mode(store::Mode::Up);
         let begun = time::Instant::now();
-        while scene.store.keys("bulrushwind/entry/") != ["bulrushwind/entry/az-a/vm-1"] {
+        while deployment.store.keys("bulrushwind/entry/") != ["bulrushwind/entry/az-a/vm-1"] {
             assert!(begun.elapsed() < TEST_TIMEOUT, "never registered");
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
-        assert!(scene.backends.iter().all(|b| !b.drops_responses.get()));
+        assert!(deployment.backends.iter().all(|b| !b.drops_responses.get()));
     });
 }
 
@@ -414,14 +419,14 @@
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("local.toml");
     std::fs::write(&file, "node = \"vm-1\"\n").unwrap();
-    let out = std::process::Command::new(env!("CARGO_BIN_EXE_bulrushwind-gateway"))
+    let output = std::process::Command::new(env!("CARGO_BIN_EXE_bulrushwind-gateway"))
         .arg("--check")
         .arg("--settings")
         .arg(&file)
         .output()
         .unwrap();
-    assert_eq!(out.status.code(), Some(2));
-    let text = String::from_utf8_lossy(&out.stderr);
+    assert_eq!(output.status.code(), Some(2));
+    let text = String::from_utf8_lossy(&output.stderr);
     assert!(
         text.contains("zone") && text.contains("local.toml"),
         "{text}"
