--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -56,7 +56,7 @@
 
     /// Runs the program.
     fn run(&self, args: &[&str]) -> CommandOutput {
-        let out = process::Command::new(env!("CARGO_BIN_EXE_bulrushwind"))
+        let output = process::Command::new(env!("CARGO_BIN_EXE_bulrushwind"))
             .args(args)
             .env_clear()
             .env("BULRUSHWIND_DIR", self.dir.path())
@@ -65,9 +65,9 @@
             .output()
             .unwrap();
         CommandOutput {
-            code: out.status.code().unwrap(),
-            out: String::from_utf8(out.stdout).unwrap(),
-            err: String::from_utf8(out.stderr).unwrap(),
+            code: output.status.code().unwrap(),
+            out: String::from_utf8(output.stdout).unwrap(),
+            err: String::from_utf8(output.stderr).unwrap(),
         }
     }
 
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -108,11 +108,13 @@
 fn a_refusal_is_explained_by_its_request_id() {
     let env = testenv::TestEnv::new();
     let (entry, addr) = entry(&env, "e2");
-    let ask = caller::Request {
+    let request = caller::Request {
         path: "/availability/bays",
         ..caller::Request::default()
     };
-    let answer = caller::Caller::default().send(entry.addr(), &ask).unwrap();
+    let answer = caller::Caller::default()
+        .send(entry.addr(), &request)
+        .unwrap();
     assert_eq!(answer.status, 503);
     let url = format!("http://{}/availability/bays", entry.addr());
     let res = attohttpc::get(url).send().unwrap();
@@ -142,14 +144,14 @@
     let (entry, addr) = entry(&env, "e4");
     let root = bulrushwind::settings::keys::SecretKey::generate().public();
     let run = |args: &[&str]| {
-        let out = process::Command::new(env!("CARGO_BIN_EXE_bulrushwind"))
+        let output = process::Command::new(env!("CARGO_BIN_EXE_bulrushwind"))
             .args(args)
             .env("BULRUSHWIND_STORE", env.store.addr().to_string())
             .env("BULRUSHWIND_ENTRIES", addr.to_string())
             .env("BULRUSHWIND_ROOT_KEYS", root.to_string())
             .output()
             .unwrap();
-        String::from_utf8(out.stdout).unwrap()
+        String::from_utf8(output.stdout).unwrap()
     };
     let at = entry.addr().to_string();
     let found = run(&["lookup", "ledger", "--at", &at]);
@@ -163,23 +165,23 @@
 fn the_burn_report_exits_with_5_while_a_budget_burns() {
     let env = testenv::TestEnv::new();
     let (entry, addr) = entry(&env, "e5");
-    let ask = caller::Request {
+    let request = caller::Request {
         path: "/availability/bays",
         ..caller::Request::default()
     };
     let caller = caller::Caller::default();
     for _ in 0..30 {
-        assert_eq!(caller.send(entry.addr(), &ask).unwrap().status, 503);
+        assert_eq!(caller.send(entry.addr(), &request).unwrap().status, 503);
     }
     let run = |format: &str, at: net::SocketAddr| {
-        let out = process::Command::new(env!("CARGO_BIN_EXE_bulrushwind-burn"))
+        let output = process::Command::new(env!("CARGO_BIN_EXE_bulrushwind-burn"))
             .args(["--dir", "examples/cooperative", "--format", format])
             .args(["--entry", &at.to_string()])
             .output()
             .unwrap();
         (
-            out.status.code().unwrap(),
-            String::from_utf8(out.stdout).unwrap(),
+            output.status.code().unwrap(),
+            String::from_utf8(output.stdout).unwrap(),
         )
     };
     let (code, text) = run("text", addr);
