--- a/tests/route_decisions.rs
+++ b/tests/route_decisions.rs
@@ -93,7 +93,7 @@
 
 /// Simulates a load that fits only if objects are warm; by least load, almost no answer is in time.
 /// Returns the share of requests that were in time.
-fn play_warm_objects(by_object: bool) -> f64 {
+fn simulate_warm_objects(by_object: bool) -> f64 {
     const OBJECTS: u64 = 144;
     const PER_S: f64 = 82.0;
     let cfg = affinity::Config::default();
@@ -136,7 +136,7 @@
 
 /// Starts with cold caches and twice the usual load for four seconds, then the usual load. Returns
 /// the share of requests in time during the twelve seconds after the surge.
-fn play_after_surge(pick: impl Fn(u64, &[affinity::Candidate]) -> Option<usize>) -> f64 {
+fn simulate_after_surge(pick: impl Fn(u64, &[affinity::Candidate]) -> Option<usize>) -> f64 {
     const OBJECTS: u64 = 110;
     const PER_S: f64 = 64.0;
     let mut rng = ChaCha8Rng::seed_from_u64(8);
@@ -162,19 +162,20 @@
 #[test]
 fn a_cold_fleet_warms_up_after_a_surge() {
     let cfg = affinity::Config::default();
-    let ours = play_after_surge(|key, all| affinity::pick(&cfg, &request(Some(key)), all));
-    let before = play_after_surge(place_anywhere);
+    let two_positions =
+        simulate_after_surge(|key, all| affinity::pick(&cfg, &request(Some(key)), all));
+    let anywhere = simulate_after_surge(place_anywhere);
     // With this seed the shares are 0.000 and 0.936.
-    assert!(before < 0.5, "wherever there is room: {before}");
-    assert!(ours > 0.8, "at two places: {ours}");
+    assert!(anywhere < 0.5, "wherever there is room: {anywhere}");
+    assert!(two_positions > 0.8, "at two positions: {two_positions}");
 }
 
 #[test]
 fn placement_by_object_answers_in_time_where_least_load_does_not() {
-    let (naive, ours) = (play_warm_objects(false), play_warm_objects(true));
+    let (least_load, by_object) = (simulate_warm_objects(false), simulate_warm_objects(true));
     // With this seed the shares are 0.000 by least load and 0.966 by object.
-    assert!(naive < 0.3, "least loaded: {naive}");
-    assert!(ours > 0.9, "by object: {ours}");
+    assert!(least_load < 0.3, "least loaded: {least_load}");
+    assert!(by_object > 0.9, "by object: {by_object}");
 }
 
 /// Guards against cold caches on each release: a backend server that leaves must not move the
@@ -558,24 +559,24 @@
                 busy: busy.get(),
                 ..entry(true, &az, capacity.requests_per_s(), n)
             });
-        let told = entry_selection::select(entry_selection::DEFAULT_VM_COUNT, all);
-        let each = crowd / told.len() as f64;
+        let advertised = entry_selection::select(entry_selection::DEFAULT_VM_COUNT, all);
+        let each = crowd / advertised.len() as f64;
         for (n, busy) in busy.iter_mut().enumerate() {
-            let part = if told.contains(&(n as u64)) {
+            let part = if advertised.contains(&(n as u64)) {
                 each
             } else {
                 0.0
             };
             busy.update(capacity.utilization(part, part * 5_000.0));
         }
-        (told.len(), capacity.utilization(each, each * 5_000.0))
+        (advertised.len(), capacity.utilization(each, each * 5_000.0))
     };
     let crowded: Vec<(usize, f64)> = (0..40).map(|_| step(12_000.0)).collect();
-    let (told, used) = crowded[39];
-    assert!(used <= 0.5 && told <= 14, "{crowded:?}");
+    let (advertised_count, used) = crowded[39];
+    assert!(used <= 0.5 && advertised_count <= 14, "{crowded:?}");
     assert_eq!(
         crowded[20..],
-        [(told, used); 20],
+        [(advertised_count, used); 20],
         "the number of VMs stabilizes"
     );
     let calm: Vec<(usize, f64)> = (0..40).map(|_| step(500.0)).collect();
