--- a/tests/steering.rs
+++ b/tests/steering.rs
@@ -33,7 +33,7 @@
 }
 
 /// Simulates arrivals at 12 senders, each of which tries to shift all of its requests.
-fn play_senders(cfg: &caps::Config, arrivals: &[(usize, u32)], restarts: &[u32]) -> Vec<Trace> {
+fn simulate_senders(cfg: &caps::Config, arrivals: &[(usize, u32)], restarts: &[u32]) -> Vec<Trace> {
     let mut senders: Vec<_> = (0..12)
         .map(|_| (caps::Caps::new(cfg.clone()), Trace::default()))
         .collect();
@@ -72,7 +72,7 @@
             .map(|(s, gap)| (if s >= 12 { s % 4 } else { s }, gap))
             .collect();
         let cfg = caps::Config { cap, step: MS * step, ..caps::Config::default() };
-        let traces = play_senders(&cfg, &arrivals, &restarts);
+        let traces = simulate_senders(&cfg, &arrivals, &restarts);
         for trace in &traces {
             for end in &trace.moved {
                 let from = (end + 1).saturating_sub(step);
@@ -136,9 +136,9 @@
                             };
                             prop_assert!(over(who) == 0.0, "one entry VM lets in over its share");
                             // With lagging reports, only later local callers may exceed the limit.
-                            let late = if lag == 0 { 0.0 } else { (0..members).map(over).sum() };
+                            let over_limit = if lag == 0 { 0.0 } else { (0..members).map(over).sum() };
                             let all = local_requests.iter().sum::<u32>() + held.len() as u32;
-                            prop_assert!(f64::from(all) <= limit + late, "{all} in hand");
+                            prop_assert!(f64::from(all) <= limit + over_limit, "{all} in hand");
                         }
                     }
                 }
@@ -148,12 +148,12 @@
                 },
             }
             if what == 1 || what == 2 {
-                let lent: u32 = granters.iter().map(grants::Granter::granted_slots).sum();
-                prop_assert!(f64::from(lent) <= limit, "{lent} lent");
-                let most = granters[who].headroom().max(f64::from(granters[who].in_flight()));
-                let lent = f64::from(granters[who].granted_slots());
+                let granted: u32 = granters.iter().map(grants::Granter::granted_slots).sum();
+                prop_assert!(f64::from(granted) <= limit, "{granted} granted");
+                let max_slots = granters[who].headroom().max(f64::from(granters[who].in_flight()));
+                let granted = f64::from(granters[who].granted_slots());
                 // Grants issued before the local load grew expire within their lifetime.
-                prop_assert!(lent <= most || lent <= limit / members as f64, "{lent} of {most}");
+                prop_assert!(granted <= max_slots || granted <= limit / members as f64, "{granted} of {max_slots}");
             }
         }
     }
