--- a/tests/places.rs
+++ b/tests/places.rs
@@ -59,7 +59,7 @@
 
 /// Simulates a region for 30 s at three tenths of its warm capacity. From 12 to 15 s the load is 1.7
 /// times as high, and after 20 s a third of the backend servers is gone.
-fn play(cfg: &affinity::Config, n: usize) -> Results {
+fn simulate(cfg: &affinity::Config, n: usize) -> Results {
     let per_s = 0.3 * (n * SLOTS) as f64 / WARM_S;
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     let mut backends = vec![Backend::default(); n];
@@ -128,8 +128,8 @@
 fn a_busy_object_gets_further_replicas_where_caches_have_room() {
     for n in [96, 258] {
         let (before, now) = (
-            play(&two_replicas(), n),
-            play(&affinity::Config::default(), n),
+            simulate(&two_replicas(), n),
+            simulate(&affinity::Config::default(), n),
         );
         println!("{n}: {before:?} {now:?}");
         let refused = |results: &Results| results.refused / results.requests;
@@ -145,8 +145,8 @@
 #[test]
 fn objects_keep_to_two_replicas_where_caches_are_full() {
     let (before, now) = (
-        play(&two_replicas(), 12),
-        play(&affinity::Config::default(), 12),
+        simulate(&two_replicas(), 12),
+        simulate(&affinity::Config::default(), 12),
     );
     println!("12: {before:?} {now:?}");
     assert!(now.in_time / now.requests > before.in_time / before.requests - 0.01);
--- a/tests/rest.rs
+++ b/tests/rest.rs
@@ -19,7 +19,7 @@
 
 /// Sends a request every 0.2 to 9 s to backend servers that state an idle timeout of 10 s and drop
 /// idle connections after `dropped_after_s` seconds.
-fn play(dropped_after_s: f64) -> Outcome {
+fn simulate(dropped_after_s: f64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let mut rest = idle_limit::IdleLimit::default();
     let mut outcome = Outcome::default();
@@ -41,7 +41,7 @@
 /// every few seconds, and a new connection costs callers of another region one more round trip.
 #[test]
 fn connections_stay_idle_as_long_as_backend_servers_state() {
-    let outcome = play(10.0);
+    let outcome = simulate(10.0);
     assert_eq!((outcome.dialled, outcome.broke), (0, 0));
 }
 
@@ -49,7 +49,7 @@
 /// after the other on these; bookings among them end with unknown outcome.
 #[test]
 fn where_connections_are_dropped_the_limit_soon_falls() {
-    let outcome = play(0.3);
+    let outcome = simulate(0.3);
     // With a fixed idle limit of 4 s, 420 of 1,000 would break.
     assert!(outcome.broke <= 20, "{outcome:?}");
 }
