--- a/tests/own_keys.rs
+++ b/tests/own_keys.rs
@@ -100,8 +100,8 @@
     }
 
     fn store_up(&self) -> bool {
-        let out = matches!(self.fault, Fault::StoreOut | Fault::StoreOutAndVmDies);
-        !out || !self.in_fault()
+        let store_fails = matches!(self.fault, Fault::StoreOut | Fault::StoreOutAndVmDies);
+        !store_fails || !self.in_fault()
     }
 
     /// Moves the slots of VMs with expired leases, if the store is available.
