--- a/src/entry/executor.rs
+++ b/src/entry/executor.rs
@@ -513,7 +513,7 @@
     );
 }
 
-/// Replies to the caller and to all waiting requests with the same key. No `end`: it did not run.
+/// Replies to the caller and all waiters with the same key. Without `end`, the request did not run.
 fn reply_to_callers<M: MakePolicy>(
     core: &Core<M>,
     reply: Option<server::Reply>,
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -1,7 +1,5 @@
-//! Routes incoming requests: answers look-ups, and validates and admits requests to services.
-//!
-//! Only the home VM of a key, which is the entry VM that issued the key's ticket, decides whether a
-//! request with the key may run. Other entry VMs forward the request to it.
+//! Routes incoming requests: answers look-ups, and validates and admits requests to services. Only
+//! the home VM of a key, which issued the key's ticket, decides whether a request with it may run.
 
 use std::hash;
 use std::hash::Hasher;
@@ -413,8 +411,7 @@
     }
 }
 
-/// Forwards a request to its key's home VM, which alone knows whether the key is new. If the home
-/// does not answer, it is unknown whether an earlier request with the key ran.
+/// Forwards a request to its key's home VM. Without an answer, an earlier request may have run.
 fn forward_to_home<M: MakePolicy>(
     core: &sync::Arc<Core<M>>,
     req: server::Request,
--- a/src/entry/steering.rs
+++ b/src/entry/steering.rs
@@ -1,8 +1,7 @@
 //! Global steering on one entry VM: availability zones for look-ups, grants, loads and the plan.
 //!
-//! The decisions are made in [`crate::decisions`]; this module supplies settings, loads and peers'
-//! messages, and sends the results. Lock order: its locks are taken one at a time, after an
-//! executor's lock and never before it.
+//! [`crate::decisions`] decides; this module supplies settings, loads and messages, and sends the
+//! results. Its locks are taken one at a time, after an executor's lock and never before it.
 
 use std::collections;
 use std::net;
