--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,5 +1,4 @@
-//! Validates settings before they are accepted: value ranges, references to regions and
-//! availability zones, and names that must be unique across teams.
+//! Validates settings: value ranges, references to regions and availability zones, unique names.
 
 use std::collections;
 
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -2,7 +2,7 @@
 //!
 //! A team's [`KeyRing`] is stored under `keys/<team>` and signed by a root key. The public root
 //! keys are in each entry VM's own configuration, so neither the store nor a peer can substitute
-//! its own. Only a [`VerifiedRing`] ring is used, which can be created only by verification.
+//! its own. Only a [`VerifiedRing`] is used, which can be created only by verification.
 //!
 //! [`TeamKey::until`], the first settings version that a key may no longer sign, expresses rotation
 //! and revocation. Earlier versions stay valid, so that a new VM can verify settings that have not
