--- a/src/transport/peer.rs
+++ b/src/transport/peer.rs
@@ -3,8 +3,8 @@
 //! A link never blocks the rest of the process. Outgoing messages wait in a bounded [`Queue`]. If
 //! the peer or the network is too slow, the oldest messages are dropped, because each message
 //! carries state that a later one replaces. `bulrushwind_peer_dropped_total` counts the dropped
-//! messages, and the settings digests repair the losses. A link is closed if the peer neither
-//! sends nor receives for a while; the side that dialled it then dials again.
+//! messages, and the settings digests repair the losses. A link is closed if the peer sends nothing
+//! or receives nothing for a while; the side that dialled it then dials again.
 
 use std::collections;
 use std::net;
