--- a/src/coordination/loads.rs
+++ b/src/coordination/loads.rs
@@ -103,7 +103,7 @@
         self.work_by_vm.len() as u32 + 1
     }
 
-    /// In-flight requests of a service in this availability zone.
+    /// Requests of a service that are in flight or queued in this availability zone.
     pub fn az_in_flight(&self, service: &id::ServiceId) -> u32 {
         self.rows(service).map(|row| row.in_hand).sum()
     }
