--- a/src/config.rs
+++ b/src/config.rs
@@ -1,9 +1,8 @@
 //! Configuration of one entry process, from a file, environment variables and flags.
 //!
-//! Each key can be set in the file, in an environment variable of its name (`BULRUSHWIND_VM` for
-//! `vm`) and in a flag (`--set vm=e1`). Flags override the environment, which overrides the file.
-//! An unknown key in the file or a flag is an error that suggests the nearest name; otherwise a
-//! mistyped limit would silently leave the default in force.
+//! Each key can be set in the file, in an environment variable (`BULRUSHWIND_VM` for `vm`) and in a
+//! flag (`--set vm=e1`); the last of these wins. An unknown key in the file or a flag is an error
+//! with the nearest name: a mistyped limit would otherwise silently leave the default in force.
 
 use std::fmt;
 use std::fs;
--- a/src/error.rs
+++ b/src/error.rs
@@ -48,8 +48,7 @@
         /// The team.
         team: id::TeamId,
     },
-    /// The teams' changes depend on each other, so that every order of writes passes through an
-    /// invalid state.
+    /// The teams' changes depend on each other: every order of writes has an invalid state between.
     #[error(
         "the changes of teams {teams} depend on each other and cannot be written one by one; split them: first add what the other teams need and apply, then remove what is no longer needed"
     )]
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,7 +1,5 @@
-//! Structured logs, one JSON object per line, and a rate limiter for repeated events.
-//!
-//! A slow log reader never blocks a request: lines that do not fit in a buffer are dropped and
-//! counted.
+//! Structured logs, one JSON object per line, and a rate limiter for repeated events. Lines that do
+//! not fit in a buffer are dropped and counted, so that a slow log reader never blocks a request.
 
 use std::collections;
 use std::io;
