--- a/src/entry.rs
+++ b/src/entry.rs
@@ -390,7 +390,7 @@
     }
 }
 
-/// Catches a panic of `work`, so that the thread goes on. Without this, each panic would end one
+/// Catches a panic of `handler`, so that the thread goes on. Without this, each panic would end one
 /// worker, and a retried request could end them all: the process would accept connections and
 /// answer nothing. The request that panicked ends as unknown because its reply is dropped.
 fn catch_panics(log: &slog::Logger, handler: impl FnOnce()) {
