--- a/tests/quota/small.rs
+++ b/tests/quota/small.rs
@@ -114,7 +114,7 @@
 }
 
 /// Simulates a sequence of steps. Returns the request count of its busiest window.
-fn simulate<S: Sharing>(steps: &[Step]) -> usize {
+fn play<S: Sharing>(steps: &[Step]) -> usize {
     let mut pair = Pair::<S>::new();
     // Before, both have exchanged reports for long, and the customer kept to its limit.
     for second in 50..60 {
@@ -137,7 +137,7 @@
     (0..STEPS.len().pow(SECONDS))
         .map(steps)
         .filter(|steps| restarts(steps) <= MAX_RESTARTS)
-        .map(|steps| (simulate::<S>(&steps), steps))
+        .map(|steps| (play::<S>(&steps), steps))
         .find(|(busiest_window, _)| *busiest_window as f64 > max_admitted)
 }
 
