--- a/src/burn/text.rs
+++ b/src/burn/text.rs
@@ -1,4 +1,4 @@
-//! The report as tables for a terminal.
+//! Renders the burn report as tables for a terminal.
 
 use super::report;
 use crate::cli::output;
@@ -11,7 +11,7 @@
         text.push_str(&format!("{}\n", styled(WARN, &format!("silent: {silent}"))));
     }
     for service in &report.services {
-        text.push_str(&of_service(service));
+        text.push_str(&render_service(service));
     }
     if !report.drains.is_empty() {
         let rows: Vec<_> = report.drains.iter().map(drain_row).collect();
@@ -24,7 +24,7 @@
     text
 }
 
-fn of_service(service: &report::Service) -> String {
+fn render_service(service: &report::Service) -> String {
     let objective = &service.objective;
     let mut text = format!(
         "\nservice {}: {} answered, {} of them within {} ms\n",
@@ -70,11 +70,11 @@
     text
 }
 
-/// The cells of a window.
+/// Table row for a window.
 pub(super) fn window_row(window: &report::Window) -> Vec<String> {
     vec![
-        report::span(window.asked_s),
-        reach(window),
+        report::format_window(window.asked_s),
+        coverage(window),
         window.requests.to_string(),
         percent_exact(window.unanswered),
         format!("{:.1}", window.answered_burn),
@@ -88,8 +88,8 @@
     ]
 }
 
-/// How far back the VMs' memories reach.
-pub fn reach(window: &report::Window) -> String {
+/// Describes how many VMs' histories cover the window.
+pub fn coverage(window: &report::Window) -> String {
     if window.of == 0 {
         return "no VM knows it".to_owned();
     }
@@ -100,11 +100,11 @@
         "{} of {} VMs; shortest {}",
         window.full,
         window.of,
-        output::seconds(window.shortest_s * 1000)
+        output::format_duration(window.shortest_s * 1000)
     )
 }
 
-/// A latency for people. It is a bucket's upper bound.
+/// Formats a latency, which is the upper bound of a histogram bucket.
 pub fn latency(s: Option<f64>) -> String {
     match s {
         None => "-".to_owned(),
@@ -113,14 +113,14 @@
     }
 }
 
-/// A share with as many digits as objectives need.
+/// Formats a share as a percentage with up to three decimals, as objectives need.
 pub fn percent_exact(share: f64) -> String {
     let text = format!("{:.3}", share * 100.0);
     let text = text.trim_end_matches('0').trim_end_matches('.');
     format!("{text}%")
 }
 
-/// The cells of a region.
+/// Table row for a region.
 pub(super) fn region_row(region: &report::Region) -> Vec<String> {
     vec![
         region.name.to_string(),
@@ -132,7 +132,7 @@
     ]
 }
 
-/// The cells of a drain.
+/// Table row for a drain.
 pub(super) fn drain_row(drain: &report::Drain) -> Vec<String> {
     let state = if drain.empty {
         "empty"
@@ -142,7 +142,7 @@
     vec![
         drain.target.clone(),
         state.to_owned(),
-        output::seconds(drain.took_s * 1000),
+        output::format_duration(drain.took_s * 1000),
         drain.in_flight.to_string(),
     ]
 }
--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -1,9 +1,10 @@
-//! Writes a plan to the store: all or nothing for each team, and never over another's change.
+//! Writes a plan to the store: each team's change is written completely or not at all, and never
+//! over a concurrent change.
 //!
-//! A write can take effect and lose its reply. Taken for a failure, the operator would tell the
-//! team that nothing changed. So each write carries a change id, and whoever gets no reply reads
-//! back whose change stands there. Writing the same bytes again is harmless, since the revision
-//! that was planned on lets at most one of them in.
+//! A write can take effect although its reply is lost. Reporting it as failed would mislead the
+//! operator, so each write carries a change id, and a writer without a reply reads the store to see
+//! whether its change is there. Retrying the same bytes is safe, because compare-and-swap on the
+//! planned revision lets at most one attempt succeed.
 
 use std::thread;
 use std::time;
@@ -13,48 +14,48 @@
 use crate::settings::{envelope, keys};
 use crate::{error, id, settings};
 
-/// How often a write whose fate is not known is looked into before the operator is told so.
-const TRIES: u32 = 5;
+/// Attempts at one write before its outcome is reported as unresolved.
+const MAX_WRITE_ATTEMPTS: u32 = 5;
 
-/// How long the first wait between two looks is; each further one is twice as long.
-const FIRST_PAUSE: time::Duration = time::Duration::from_millis(50);
+/// Delay after the first attempt; it doubles after each further attempt.
+const INITIAL_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
 
 data! {
-    /// A team's change that was written.
+    /// A change that was written to the store.
     #[derive(Eq)]
     pub struct Written {
         /// The team.
         pub team: id::TeamId,
-        /// The version that is in force now.
+        /// The version now in force.
         pub version: u64,
-        /// The change's id.
+        /// Id of the change.
         pub change: envelope::ChangeId,
-        /// The store's revision that holds it.
+        /// The store revision of the write.
         pub revision: store::Revision,
     }
 }
 
-/// What an apply did before it ended.
+/// Result of an apply, complete or partial.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// The teams that were written.
+    /// Changes that were written.
     pub written: Vec<Written>,
-    /// The teams that were not reached.
-    pub left: Vec<id::TeamId>,
-    /// What ended it early.
-    pub fault: Option<error::Error>,
+    /// Teams that were not written.
+    pub not_written: Vec<id::TeamId>,
+    /// The error that stopped the apply.
+    pub error: Option<error::Error>,
 }
 
-/// Who signs and when.
+/// Signing key and time of an apply.
 #[derive(Debug)]
 pub struct Signer {
     /// The signing key.
     pub key: keys::SecretKey,
-    /// The time, in milliseconds since 1970.
+    /// Current time, in milliseconds since the Unix epoch.
     pub now_ms: u64,
 }
 
-/// Writes every change of a plan, in its order, until one fails.
+/// Writes the changes of a plan in order and stops at the first failure.
 pub fn write_all<S: store::Store>(
     store: &S,
     plan: &plan::Plan,
@@ -67,29 +68,29 @@
     let signed = match signed.collect::<Result<Vec<_>, _>>() {
         Ok(signed) => signed,
         Err(err) => {
-            outcome.left = plan.changes.iter().map(|c| c.team.clone()).collect();
-            outcome.fault = Some(err);
+            outcome.not_written = plan.changes.iter().map(|c| c.team.clone()).collect();
+            outcome.error = Some(err);
             return outcome;
         }
     };
     for (change, envelope) in plan.changes.iter().zip(signed) {
-        if outcome.fault.is_some() {
-            outcome.left.push(change.team.clone());
+        if outcome.error.is_some() {
+            outcome.not_written.push(change.team.clone());
             continue;
         }
         match write(store, change, &envelope, roots) {
             Ok(written) => outcome.written.push(written),
             Err(err) => {
-                outcome.left.push(change.team.clone());
-                outcome.fault = Some(err);
+                outcome.not_written.push(change.team.clone());
+                outcome.error = Some(err);
             }
         }
     }
     outcome
 }
 
-/// Signs a change, and checks it as an entry process will. A key that may not sign is found out
-/// here, before anything is written.
+/// Signs a change and verifies it as an entry VM will, so that an unauthorised key is rejected
+/// before anything is written.
 fn sign(
     change: &plan::Change,
     remote: &remote::Remote,
@@ -100,9 +101,9 @@
         .rings
         .get(team)
         .ok_or_else(|| error::Error::NoKeyRing { team: team.clone() })?;
-    // The time of day keeps versions growing when the store was put back to an older backup.
+    // Using the clock keeps versions increasing after the store is restored from a backup.
     let version = change.base_version.saturating_add(1).max(signer.now_ms);
-    let id = envelope::ChangeId::draw();
+    let id = envelope::ChangeId::random();
     let text = change.text.clone();
     let envelope = envelope::Envelope::sign(team.clone(), version, id, text, &signer.key);
     envelope.verify(team, ring)?;
@@ -124,25 +125,25 @@
         change: envelope.change.clone(),
         revision,
     };
-    let mut unsure = false;
-    let mut pause = FIRST_PAUSE;
-    for _ in 0..TRIES {
+    let mut maybe_written = false;
+    let mut delay = INITIAL_RETRY_DELAY;
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         match store.compare_and_swap(&key, change.base, &value, None) {
             Ok(revision) => return Ok(written(revision)),
-            Err(store::Error::Conflict { .. }) => match mine(store, &key, envelope) {
+            Err(store::Error::Conflict { .. }) => match find_change(store, &key, envelope) {
                 Ok(Some(revision)) => return Ok(written(revision)),
-                Ok(None) => return Err(conflict(store, change, envelope, unsure, roots)),
+                Ok(None) => return Err(conflict(store, change, envelope, maybe_written, roots)),
                 Err(_) => {}
             },
-            Err(store::Error::Unknown(_)) => unsure = true,
-            Err(store::Error::Unavailable(_)) if unsure => {}
+            Err(store::Error::Unknown(_)) => maybe_written = true,
+            Err(store::Error::Unavailable(_)) if maybe_written => {}
             Err(err) => return Err(err.into()),
         }
-        if let Ok(Some(revision)) = mine(store, &key, envelope) {
+        if let Ok(Some(revision)) = find_change(store, &key, envelope) {
             return Ok(written(revision));
         }
-        thread::sleep(pause);
-        pause *= 2;
+        thread::sleep(delay);
+        delay *= 2;
     }
     Err(error::Error::Unresolved {
         team: change.team.clone(),
@@ -150,8 +151,8 @@
     })
 }
 
-/// The revision that holds this very change, if it stands in the store.
-fn mine<S: store::Store>(
+/// The revision at which the store holds this change, if it does.
+fn find_change<S: store::Store>(
     store: &S,
     key: &str,
     envelope: &envelope::Envelope,
@@ -159,17 +160,17 @@
     let Some(entry) = store.get(key)? else {
         return Ok(None);
     };
-    let held = envelope::Envelope::decode(&entry.value);
-    let same = held.is_ok_and(|held| held.change == envelope.change);
+    let stored = envelope::Envelope::decode(&entry.value);
+    let same = stored.is_ok_and(|stored| stored.change == envelope.change);
     Ok(same.then_some(entry.revision))
 }
 
-/// Tells who changed the team since the plan, and what.
+/// Builds the error that names who changed the team since the plan, and what changed.
 fn conflict<S: store::Store>(
     store: &S,
     change: &plan::Change,
     envelope: &envelope::Envelope,
-    unsure: bool,
+    maybe_written: bool,
     roots: &[keys::PublicKey],
 ) -> error::Error {
     let team = change.team.clone();
@@ -177,35 +178,43 @@
         Ok(remote) => remote,
         Err(err) => return err,
     };
-    let Some(held) = remote.held.get(&team) else {
-        return error::Error::Changed(Box::new(Changed {
+    let Some(stored) = remote.stored.get(&team) else {
+        return error::Error::Changed(Box::new(ConcurrentChange {
             team,
             holder: "somebody".to_owned(),
-            what: "took all of the team's settings out".to_owned(),
-            ..Changed::default_of(change, envelope, unsure)
+            what: "removed all of the team's settings".to_owned(),
+            ..ConcurrentChange::from_plan(change, envelope, maybe_written)
         }));
     };
-    let theirs = held.envelope.as_ref();
-    let holder = theirs.map_or_else(
+    let current = stored.envelope.as_ref();
+    let holder = current.map_or_else(
         || "somebody".to_owned(),
-        |theirs| format!("{} (key {})", remote.holder(&team, &theirs.key), theirs.key),
+        |current| {
+            format!(
+                "{} (key {})",
+                remote.holder(&team, &current.key),
+                current.key
+            )
+        },
     );
-    error::Error::Changed(Box::new(Changed {
+    error::Error::Changed(Box::new(ConcurrentChange {
         team,
         holder,
-        what: what_they_did(change, held),
-        revision: held.revision,
-        ..Changed::default_of(change, envelope, unsure)
+        what: describe_difference(change, stored),
+        revision: stored.revision,
+        ..ConcurrentChange::from_plan(change, envelope, maybe_written)
     }))
 }
 
-/// What differs between the directory's settings and those that stand in the store now.
-fn what_they_did(change: &plan::Change, held: &remote::Held) -> String {
-    let (Ok(mine), Some(theirs)) = (settings::Team::parse("the plan", &change.text), &held.team)
-    else {
-        return "wrote settings that are not sound".to_owned();
+/// Describes the differences between the planned settings and those now in the store.
+fn describe_difference(change: &plan::Change, stored: &remote::StoredTeam) -> String {
+    let (Ok(planned), Some(current)) = (
+        settings::Team::parse("the plan", &change.text),
+        &stored.team,
+    ) else {
+        return "wrote invalid settings".to_owned();
     };
-    let mut differences = difference::teams(&mine, theirs)
+    let mut differences = difference::between(&planned, current)
         .iter()
         .map(|difference| format!("\n  {difference}"))
         .collect::<Vec<_>>();
@@ -221,27 +230,31 @@
     )
 }
 
-/// Somebody else's change that an apply found.
+/// A concurrent change that prevented a write.
 #[derive(Debug)]
-pub struct Changed {
+pub struct ConcurrentChange {
     /// The team.
     pub team: id::TeamId,
-    /// Who made it.
+    /// Holder of the key that signed it.
     pub holder: String,
-    /// What it did.
+    /// Description of the change.
     pub what: String,
-    /// The revision that was planned on.
+    /// The store revision that the plan is based on.
     pub planned: store::Revision,
-    /// The revision that stands now.
+    /// The current store revision.
     pub revision: store::Revision,
-    /// The change that was not written, or not for long.
+    /// Id of the operator's own change, which was not written or was replaced.
     pub change: envelope::ChangeId,
-    /// Whether this change may have been in force before the other one.
-    pub unsure: bool,
+    /// Whether the operator's change may have been in force before the concurrent one.
+    pub maybe_written: bool,
 }
 
-impl Changed {
-    fn default_of(change: &plan::Change, envelope: &envelope::Envelope, unsure: bool) -> Self {
+impl ConcurrentChange {
+    fn from_plan(
+        change: &plan::Change,
+        envelope: &envelope::Envelope,
+        maybe_written: bool,
+    ) -> Self {
         Self {
             team: change.team.clone(),
             holder: String::new(),
@@ -249,19 +262,19 @@
             planned: change.base,
             revision: change.base,
             change: envelope.change.clone(),
-            unsure,
+            maybe_written,
         }
     }
 }
 
-impl std::fmt::Display for Changed {
+impl std::fmt::Display for ConcurrentChange {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         writeln!(
             f,
             "team `{}` was changed by {} after you planned (revision {}, planned on {}); {}",
             self.team, self.holder, self.revision.0, self.planned.0, self.what
         )?;
-        if self.unsure {
+        if self.maybe_written {
             write!(
                 f,
                 "a reply was lost, so your change {} may have been in force before theirs; ",
--- a/src/cli/entries.rs
+++ b/src/cli/entries.rs
@@ -1,4 +1,4 @@
-//! Asks entry VMs over their operators' listeners.
+//! Queries entry VMs through their operator listeners, with limits on time, size and concurrency.
 
 use std::io::Read;
 use std::net;
@@ -10,32 +10,32 @@
 use crate::protocol::operators;
 use store::Store;
 
-/// How long one entry VM may take to answer.
-const TIMEOUT: time::Duration = time::Duration::from_secs(3);
+/// Timeout for one entry VM's answer.
+const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
-/// The longest answer that is read, in bytes. A process that is not ours could send without end.
+/// Largest answer to read. An unrelated process on the address could send an endless one.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
 
-/// How many entry VMs are asked at a time.
-const AT_A_TIME: usize = 32;
+/// Maximum number of entry VMs queried concurrently.
+const MAX_CONCURRENT_REQUESTS: usize = 32;
 
 /// One entry VM's answer.
 #[derive(Debug)]
 pub struct Answer<T> {
-    /// Its operators' listener.
+    /// The queried address.
     pub addr: net::SocketAddr,
-    /// What it answered.
-    pub got: Result<T, error::Error>,
+    /// The answer, or the error.
+    pub result: Result<T, error::Error>,
 }
 
-/// The operators' listeners of all entry VMs.
+/// Operator listener addresses of all entry VMs.
 pub fn addresses(cx: &Context) -> Result<Vec<net::SocketAddr>, error::Error> {
     if !cx.deployment.entries.is_empty() {
         return Ok(cx.deployment.entries.clone());
     }
     let port = cx.deployment.operators_port.ok_or_else(|| {
         error::Error::Config(
-            "it is not known where entry VMs answer operators; set `operators_port` or `entries` in deployment.toml, BULRUSHWIND_ENTRIES or --entry"
+            "no operator listener address is configured; set `operators_port` or `entries` in deployment.toml, BULRUSHWIND_ENTRIES or --entry"
                 .to_owned(),
         )
     })?;
@@ -48,9 +48,9 @@
         .collect())
 }
 
-/// Asks every address for its status.
+/// Queries the status at every address.
 pub fn statuses(addrs: &[net::SocketAddr]) -> Vec<Answer<operators::Status>> {
-    ask(addrs, |addr| {
+    query_all(addrs, |addr| {
         let body = get(addr, "/status", "operators'")?;
         serde_json::from_slice(&body).map_err(|err| error::Error::Entry {
             addr: addr.to_string(),
@@ -60,28 +60,28 @@
     })
 }
 
-/// Asks every address, many at a time, and keeps their order.
-pub fn ask<T: Send>(
+/// Queries every address with limited concurrency; answers are in the order of `addrs`.
+pub fn query_all<T: Send>(
     addrs: &[net::SocketAddr],
-    one: impl Fn(net::SocketAddr) -> Result<T, error::Error> + Sync,
+    query: impl Fn(net::SocketAddr) -> Result<T, error::Error> + Sync,
 ) -> Vec<Answer<T>> {
     let mut answers = Vec::new();
-    for chunk in addrs.chunks(AT_A_TIME) {
+    for chunk in addrs.chunks(MAX_CONCURRENT_REQUESTS) {
         std::thread::scope(|scope| {
-            let asked: Vec<_> = chunk
+            let threads: Vec<_> = chunk
                 .iter()
-                .map(|addr| (*addr, scope.spawn(|| one(*addr))))
+                .map(|addr| (*addr, scope.spawn(|| query(*addr))))
                 .collect();
-            for (addr, thread) in asked {
-                let got = thread.join().expect("asking does not panic");
-                answers.push(Answer { addr, got });
+            for (addr, thread) in threads {
+                let result = thread.join().expect("a query does not panic");
+                answers.push(Answer { addr, result });
             }
         });
     }
     answers
 }
 
-/// Gets a page of an entry VM.
+/// Sends a GET request to an entry VM and returns the body. Only a success status is accepted.
 pub fn get(
     addr: net::SocketAddr,
     path: &str,
@@ -93,8 +93,8 @@
         listener,
     };
     let res = attohttpc::get(format!("http://{addr}{path}"))
-        .timeout(TIMEOUT)
-        .connect_timeout(TIMEOUT)
+        .timeout(REQUEST_TIMEOUT)
+        .connect_timeout(REQUEST_TIMEOUT)
         .follow_redirects(false)
         .send()
         .map_err(|err| fault(err.to_string()))?;
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -1,8 +1,8 @@
-//! Tells the story of one request from the logs of entry VMs.
+//! Explains one request from the logs of entry VMs.
 //!
-//! The logs are all that is left once a request has failed. Beside the request's own lines the
-//! story holds what was last believed, before each, of what they name: the backend servers, the
-//! routes, the store.
+//! Logs are the only record of a request that failed. The output contains the request's own log
+//! lines and, for each entry VM that handled it, the latest logged state of its backend servers,
+//! the routes and the store.
 
 use std::collections;
 use std::fs;
@@ -15,17 +15,18 @@
 use super::{Context, args};
 use crate::{error, exit_codes};
 
-/// A line of a log.
+/// A parsed log line.
 #[derive(Clone, Debug)]
 struct Line {
-    at: String,
-    on: String,
-    what: String,
+    time: String,
+    vm: String,
+    message: String,
     fields: serde_json::Map<String, Value>,
 }
 
-/// Lines that say what an entry VM believes, and the field that names what about.
-const BELIEFS: [(&str, Option<&str>); 12] = [
+/// Messages of log lines that record an entry VM's state. If a field is given, the line matters
+/// only if that field names one of the request's backend servers.
+const STATE_MESSAGES: [(&str, Option<&str>); 12] = [
     ("start", None),
     ("routes", None),
     ("routes not taken", None),
@@ -42,7 +43,7 @@
 
 impl Line {
     fn parse(text: &str) -> Option<Self> {
-        // Whoever gathers logs may put a prefix of its own before each line.
+        // Log collectors may put a prefix before each line.
         let json = &text[text.find('{')?..];
         let Value::Object(mut fields) = serde_json::from_str(json).ok()? else {
             return None;
@@ -52,9 +53,9 @@
             _ => String::new(),
         };
         let line = Self {
-            at: take("ts"),
-            on: take("on"),
-            what: take("msg"),
+            time: take("ts"),
+            vm: take("on"),
+            message: take("msg"),
             fields: serde_json::Map::new(),
         };
         fields.remove("process");
@@ -69,22 +70,26 @@
             .unwrap_or_default()
     }
 
-    fn is_of(&self, request: &str) -> bool {
+    fn belongs_to(&self, request: &str) -> bool {
         self.text("request") == request
     }
 
-    /// Whether it says what is believed of one of these backend servers, or of all.
-    fn is_belief(&self, backends: &collections::BTreeSet<String>) -> bool {
-        BELIEFS.iter().any(|(what, about)| {
-            *what == self.what && about.is_none_or(|field| backends.contains(self.text(field)))
+    /// Whether the line records state of one of these backend servers, or state that concerns all.
+    fn is_state_of(&self, backends: &collections::BTreeSet<String>) -> bool {
+        STATE_MESSAGES.iter().any(|(message, subject)| {
+            *message == self.message
+                && subject.is_none_or(|field| backends.contains(self.text(field)))
         })
     }
 }
 
-/// The lines that explain a request, in the order of time.
-fn story(lines: &[Line], request: &str) -> Vec<Line> {
-    let own: Vec<&Line> = lines.iter().filter(|line| line.is_of(request)).collect();
-    let backends: collections::BTreeSet<String> = own
+/// Log lines that explain a request, in order of time.
+fn timeline(lines: &[Line], request: &str) -> Vec<Line> {
+    let request_lines: Vec<&Line> = lines
+        .iter()
+        .filter(|line| line.belongs_to(request))
+        .collect();
+    let backends: collections::BTreeSet<String> = request_lines
         .iter()
         .flat_map(|line| [line.text("backend"), line.text("backends")])
         .flat_map(|text| text.split(','))
@@ -92,33 +97,34 @@
         .map(str::to_owned)
         .collect();
     let mut found: Vec<Line> = Vec::new();
-    for vm in own
+    for vm in request_lines
         .iter()
-        .map(|line| &line.on)
+        .map(|line| &line.vm)
         .collect::<collections::BTreeSet<_>>()
     {
-        let last = own
+        let last = request_lines
             .iter()
-            .filter(|line| line.on == *vm)
-            .map(|line| &line.at)
+            .filter(|line| line.vm == *vm)
+            .map(|line| &line.time)
             .max();
-        let mut beliefs: collections::BTreeMap<(&str, &str), &Line> = collections::BTreeMap::new();
+        let mut latest_state: collections::BTreeMap<(&str, &str), &Line> =
+            collections::BTreeMap::new();
         for line in lines
             .iter()
-            .filter(|line| line.on == *vm && Some(&line.at) <= last)
+            .filter(|line| line.vm == *vm && Some(&line.time) <= last)
         {
-            if line.is_belief(&backends) {
-                let about = match line.text("backend") {
+            if line.is_state_of(&backends) {
+                let subject = match line.text("backend") {
                     "" => line.text("az"),
                     backend => backend,
                 };
-                beliefs.insert((line.what.as_str(), about), line);
+                latest_state.insert((line.message.as_str(), subject), line);
             }
         }
-        found.extend(beliefs.into_values().cloned());
+        found.extend(latest_state.into_values().cloned());
     }
-    found.extend(own.into_iter().cloned());
-    found.sort_by(|a, b| a.at.cmp(&b.at));
+    found.extend(request_lines.into_iter().cloned());
+    found.sort_by(|a, b| a.time.cmp(&b.time));
     found
 }
 
@@ -138,7 +144,7 @@
     read(io::BufReader::new(f), into).map_err(failed)
 }
 
-/// Runs `explain`.
+/// Runs `explain`. Fails if no log line mentions the request.
 pub fn run(cx: &Context, args: &args::Explain) -> Result<exit_codes::ExitCode, error::Error> {
     let mut lines = Vec::new();
     for path in &args.logs {
@@ -150,30 +156,34 @@
             source,
         })?;
     }
-    let story = story(&lines, &args.request);
-    if story.is_empty() {
+    let timeline = timeline(&lines, &args.request);
+    if timeline.is_empty() {
         return Err(error::Error::Config(format!(
-            "no line tells of request `{}`; give the logs of all entry VMs of that time, and note that of the requests that were answered in time only one in 64 leaves a line",
+            "no log line mentions request `{}`; give the logs of all entry VMs for that time, and note that only one in 64 requests answered in time is logged",
             args.request
         )));
     }
-    print(cx, &story);
+    print(cx, &timeline);
     Ok(exit_codes::ExitCode::Success)
 }
 
-fn print(cx: &Context, story: &[Line]) {
-    let json: Vec<Value> = story
+fn print(cx: &Context, timeline: &[Line]) {
+    let json: Vec<Value> = timeline
         .iter()
         .map(|line| {
             let mut fields = line.fields.clone();
-            for (name, value) in [("at", &line.at), ("on", &line.on), ("what", &line.what)] {
+            for (name, value) in [
+                ("at", &line.time),
+                ("on", &line.vm),
+                ("what", &line.message),
+            ] {
                 fields.insert(name.to_owned(), Value::String(value.clone()));
             }
             Value::Object(fields)
         })
         .collect();
     cx.out.json(&json);
-    for line in story {
+    for line in timeline {
         let fields: Vec<String> = line
             .fields
             .iter()
@@ -184,9 +194,9 @@
             .collect();
         cx.out.line(&format!(
             "{} {} {}: {}",
-            line.at,
-            line.on,
-            line.what,
+            line.time,
+            line.vm,
+            line.message,
             fields.join(" ")
         ));
     }
--- a/src/cli/lookup.rs
+++ b/src/cli/lookup.rs
@@ -1,4 +1,4 @@
-//! Asks entry VMs what they tell callers of a service.
+//! Shows the answer that callers get to a look-up of a service.
 
 use std::net;
 
@@ -7,19 +7,20 @@
 use crate::{error, exit_codes};
 use store::Store;
 
-/// Asks one entry VM after the other until one answers.
+/// Queries entry VMs one by one until one answers. Fails with the last error.
 pub fn run(cx: &Context, args: &args::Lookup) -> Result<exit_codes::ExitCode, error::Error> {
     let path = format!("/lookup/{}", args.service);
-    let mut last = error::Error::Config(
-        "the platform lists no entry VM; give the callers' address of one with --at".to_owned(),
+    let mut last_error = error::Error::Config(
+        "the platform lists no entry VM; give the address of a caller listener with --at"
+            .to_owned(),
     );
     for addr in addresses(cx, args)? {
         match entries::get(addr, &path, "callers'") {
             Ok(body) => return print(cx, addr, &body),
-            Err(err) => last = err,
+            Err(err) => last_error = err,
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
 fn addresses(cx: &Context, args: &args::Lookup) -> Result<Vec<net::SocketAddr>, error::Error> {
--- a/src/cli/plan.rs
+++ b/src/cli/plan.rs
@@ -1,8 +1,7 @@
-//! What an apply would do, worked out before anything is written.
+//! Computes what an apply would write, before anything is written.
 //!
-//! A plan names for each team the revision of the store that it was worked out from. An apply
-//! writes only where that revision still stands, so that two operators cannot undo each other's
-//! change without seeing it.
+//! For each team, a plan records the store revision that it is based on. An apply writes only if
+//! the store still has that revision, so that operators cannot unknowingly overwrite each other.
 
 use std::collections;
 
@@ -11,52 +10,52 @@
 use crate::{error, id, settings};
 
 data! {
-    /// The change of one team.
+    /// Change of one team's settings.
     pub struct Change {
         /// The team.
         pub team: id::TeamId,
-        /// The revision that the change was planned on; 0 if the team is new.
+        /// The store revision that the change is based on; 0 if the team is new.
         pub base: store::Revision,
-        /// The version in force when it was planned.
+        /// The version in force at planning time.
         pub base_version: u64,
-        /// What it does.
+        /// Differences from the settings in the store.
         pub differences: Vec<difference::Difference>,
-        /// Why the team is written although nothing differs.
+        /// Why the stored settings are rejected; the team is then written even without differences.
         pub rewrite: Option<String>,
-        /// The settings that it writes.
+        /// The settings to write, as TOML.
         pub text: String,
     }
 
-    /// What an apply would do.
+    /// Changes that an apply would write, and their effects.
     #[derive(Default)]
     pub struct Plan {
-        /// The changes, in the order in which they are to be written.
+        /// Changes, in the order of writing.
         pub changes: Vec<Change>,
-        /// Teams of the directory that stay as they are.
+        /// Teams of the directory without changes.
         pub unchanged: Vec<id::TeamId>,
-        /// The traffic that the changes move.
+        /// Traffic that the changes move.
         pub shifts: Vec<shift::Shift>,
-        /// What the changes would exceed. An apply refuses while there is any.
+        /// Limits that the changes would exceed. An apply is refused if there are any.
         pub excesses: Vec<shift::Excess>,
-        /// Services and places that go away.
+        /// Services, regions and links that the changes remove.
         pub removals: Vec<String>,
     }
 }
 
-/// What a plan depends on beside the directory and the store.
+/// Options of a plan.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// Only this team.
+    /// Limits the plan to this team.
     pub team: Option<id::TeamId>,
-    /// The time, in seconds since 1970.
+    /// Current time, in seconds since the Unix epoch.
     pub now_s: u64,
-    /// Loads of services, where they are known.
+    /// Known loads by service.
     pub loads: shift::Loads,
 }
 
 impl Plan {
-    /// Works out what turns the store's settings into the directory's.
-    pub fn make(
+    /// Computes the changes from the store's settings to the directory's.
+    pub fn build(
         dir: &directory::Directory,
         remote: &remote::Remote,
         options: &Options,
@@ -64,22 +63,23 @@
         let from = remote.settings();
         let mut to = from.clone();
         let mut plan = Self::default();
-        for (name, team) in chosen(dir, options)? {
+        for (name, team) in selected_teams(dir, options)? {
             to.teams.insert(name.clone(), team.clone());
-            match change(name, team, remote.held.get(name)) {
+            match change(name, team, remote.stored.get(name)) {
                 Some(change) => plan.changes.push(change),
                 None => plan.unchanged.push(name.clone()),
             }
         }
         dir.check(&to)?;
-        plan.changes = in_order(plan.changes, &from)?;
+        plan.changes = order_for_writing(plan.changes, &from)?;
         plan.removals = removals(&plan.changes);
-        (plan.shifts, plan.excesses) = shift::of_change(&from, &to, options.now_s, &options.loads);
+        (plan.shifts, plan.excesses) =
+            shift::shifts_between(&from, &to, options.now_s, &options.loads);
         Ok(plan)
     }
 }
 
-fn chosen<'a>(
+fn selected_teams<'a>(
     dir: &'a directory::Directory,
     options: &Options,
 ) -> Result<Vec<(&'a id::TeamId, &'a settings::Team)>, error::Error> {
@@ -96,63 +96,77 @@
     })
 }
 
-fn change(name: &id::TeamId, team: &settings::Team, held: Option<&remote::Held>) -> Option<Change> {
-    let none = settings::Team::default();
-    let before = held.and_then(|held| held.team.as_ref()).unwrap_or(&none);
-    let differences = difference::teams(before, team);
-    let rewrite = held.and_then(|held| held.fault.clone());
-    if differences.is_empty() && rewrite.is_none() && held.is_some() {
+fn change(
+    name: &id::TeamId,
+    team: &settings::Team,
+    stored: Option<&remote::StoredTeam>,
+) -> Option<Change> {
+    let empty = settings::Team::default();
+    let before = stored
+        .and_then(|stored| stored.team.as_ref())
+        .unwrap_or(&empty);
+    let differences = difference::between(before, team);
+    let rewrite = stored.and_then(|stored| stored.fault.clone());
+    if differences.is_empty() && rewrite.is_none() && stored.is_some() {
         return None;
     }
     Some(Change {
         team: name.clone(),
-        base: held.map_or(store::Revision(0), |held| held.revision),
-        base_version: held.map_or(0, |held| held.version),
+        base: stored.map_or(store::Revision(0), |stored| stored.revision),
+        base_version: stored.map_or(0, |stored| stored.version),
         differences,
         rewrite,
         text: team.to_toml(),
     })
 }
 
-/// Orders changes so that the settings are sound after each write. Entry processes check the
-/// whole, and between two writes they see the first only.
-fn in_order(mut rest: Vec<Change>, from: &settings::Settings) -> Result<Vec<Change>, error::Error> {
-    let mut now = from.clone();
+/// Orders changes so that the settings are valid after each write: entry VMs validate all teams
+/// together, and between two writes they see only the first.
+fn order_for_writing(
+    mut remaining: Vec<Change>,
+    from: &settings::Settings,
+) -> Result<Vec<Change>, error::Error> {
+    let mut current = from.clone();
     let mut ordered = Vec::new();
-    while !rest.is_empty() {
-        let next = rest.iter().position(|change| {
-            let mut after = now.clone();
-            after.teams.insert(change.team.clone(), parsed(change));
+    while !remaining.is_empty() {
+        let next = remaining.iter().position(|change| {
+            let mut after = current.clone();
+            after
+                .teams
+                .insert(change.team.clone(), parse_change(change));
             after.check().is_ok()
         });
         let Some(next) = next else {
-            let teams = rest.iter().map(|change| format!("`{}`", change.team));
+            let teams = remaining.iter().map(|change| format!("`{}`", change.team));
             return Err(error::Error::InterdependentTeams {
                 teams: teams.collect::<Vec<_>>().join(" and "),
             });
         };
-        let change = rest.remove(next);
-        now.teams.insert(change.team.clone(), parsed(&change));
+        let change = remaining.remove(next);
+        current
+            .teams
+            .insert(change.team.clone(), parse_change(&change));
         ordered.push(change);
     }
     Ok(ordered)
 }
 
-fn parsed(change: &Change) -> settings::Team {
-    settings::Team::parse("the plan", &change.text).expect("a printed part parses back")
+fn parse_change(change: &Change) -> settings::Team {
+    settings::Team::parse("the plan", &change.text).expect("printed settings parse back")
 }
 
 fn removals(changes: &[Change]) -> Vec<String> {
-    let whole = |at: &str| {
+    let is_whole_item = |at: &str| {
         let item = at.split_once(' ').map(|(kind, _)| kind);
         matches!(item, Some("service" | "region" | "link")) && !at.contains(": ")
     };
     let differences = changes.iter().flat_map(|change| &change.differences);
-    let gone = differences.filter_map(|difference| match difference {
-        difference::Difference::Remove { at, .. } if whole(at) => Some(at.clone()),
+    let removed = differences.filter_map(|difference| match difference {
+        difference::Difference::Remove { at, .. } if is_whole_item(at) => Some(at.clone()),
         _ => None,
     });
-    gone.collect::<collections::BTreeSet<_>>()
+    removed
+        .collect::<collections::BTreeSet<_>>()
         .into_iter()
         .collect()
 }
--- a/src/coordination/loads.rs
+++ b/src/coordination/loads.rs
@@ -103,7 +103,7 @@
         self.work_by_vm.len() as u32 + 1
     }
 
-    /// In-flight requests of a service in this availability zone.
+    /// Requests of a service that are in flight or queued in this availability zone.
     pub fn az_in_flight(&self, service: &id::ServiceId) -> u32 {
         self.rows(service).map(|row| row.in_hand).sum()
     }
@@ -202,7 +202,6 @@
     const RATE_SMOOTHING_FACTOR: f64 = 0.5;
 
     /// Records a request with its expected service time, `work`.
-    ///
     /// `region` is that of the caller's address. With `None` the request adds no demand.
     pub fn record(
         &mut self,
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -1,4 +1,4 @@
-//! Every example in the documents is what the programs take.
+//! Checks that the programs accept every example in the documentation.
 
 use std::fs;
 use std::path;
@@ -6,7 +6,7 @@
 use bulrushwind::{burn, cli, config, entry, settings};
 use clap::Parser;
 
-/// A fenced block of a document.
+/// A fenced code block of a page.
 struct Fence {
     at: String,
     kind: String,
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_page_of_the_configuration_has_every_key_and_default() {
+fn the_configuration_page_lists_every_key_and_default() {
     let page = fs::read_to_string("docs/operators/configuration.md").unwrap();
     let known = toml::Table::try_from(config::Config::default()).unwrap();
     for (key, value) in &known {
@@ -116,11 +116,11 @@
         );
     }
     let rows = page.lines().filter(|line| line.starts_with("| `")).count();
-    assert_eq!(rows, known.len(), "the page has rows for gone keys");
+    assert_eq!(rows, known.len(), "the page has rows for removed keys");
 }
 
 #[test]
-fn links_between_pages_lead_somewhere() {
+fn links_between_pages_resolve() {
     for page in pages() {
         let text = fs::read_to_string(&page).unwrap();
         for link in text.split("](").skip(1) {
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,5 +1,5 @@
-//! What operators see of a running entry process: status, readiness, metrics, the past, and why a
-//! request was refused.
+//! The operator listener of a running entry process: status, readiness, metrics, history and
+//! explanations of refused requests.
 
 #[path = "path/testenv.rs"]
 #[expect(dead_code, reason = "the tests of the path use more of it")]
@@ -19,18 +19,18 @@
 use bulrushwind::state::explain;
 use io::BufRead;
 
-/// A process that does not outlive its test.
-struct Killed(process::Child);
+/// A child process that is killed when the test ends.
+struct KillOnDrop(process::Child);
 
-impl Drop for Killed {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// An address that no other test listens on: loopback has more than one.
-fn own_addr() -> net::SocketAddr {
+/// A loopback address that no other test uses.
+fn unused_addr() -> net::SocketAddr {
     static NEXT: atomic::AtomicU8 = atomic::AtomicU8::new(1);
     let [_, _, high, low] = process::id().to_be_bytes();
     let next = NEXT.fetch_add(1, atomic::Ordering::Relaxed);
@@ -49,12 +49,12 @@
 }
 
 fn entry(env: &testenv::TestEnv, name: &str) -> (processes::Process, net::SocketAddr) {
-    let addr = own_addr();
+    let addr = unused_addr();
     let entry = env.entry_with(name, |cfg| cfg.operators_listen = addr);
     (entry, addr)
 }
 
-/// The status once something holds.
+/// Polls the status until a condition holds.
 fn status_when(
     addr: net::SocketAddr,
     holds: impl Fn(&operators::Status) -> bool,
@@ -74,13 +74,13 @@
 }
 
 #[test]
-fn answers_are_counted_and_remembered() {
+fn answers_appear_in_status_metrics_and_history() {
     let env = testenv::TestEnv::new();
     let _backend = env.backend("b1", "availability", &[]);
     let (entry, addr) = entry(&env, "e1");
     testenv::wait_answered(entry.addr(), "/availability/bays");
     assert_eq!(get(addr, "/ready"), (200, "ready\n".to_owned()));
-    // What is shown is worked out once a second, and the first answer may come before.
+    // The status is recomputed once a second, so the first answer may be older.
     let status = status_when(addr, |status| status.store_up);
     assert!(status.vm == "e1", "{status:?}");
     assert!(status.settings.contains_key("bays"), "{status:?}");
@@ -102,18 +102,20 @@
     );
 }
 
-/// A caller asks why its booking was refused, and has only the id from its answer. The log may
-/// have held the line back.
+/// A caller knows only the request id of its refused booking, and the log line may have been
+/// suppressed.
 #[test]
 fn a_refusal_is_explained_by_its_request_id() {
     let env = testenv::TestEnv::new();
     let (entry, addr) = entry(&env, "e2");
-    let ask = caller::Request {
+    let request = caller::Request {
         path: "/availability/bays",
         ..caller::Request::default()
     };
-    let told = caller::Caller::default().send(entry.addr(), &ask).unwrap();
-    assert_eq!(told.status, 503);
+    let answer = caller::Caller::default()
+        .send(entry.addr(), &request)
+        .unwrap();
+    assert_eq!(answer.status, 503);
     let url = format!("http://{}/availability/bays", entry.addr());
     let res = attohttpc::get(url).send().unwrap();
     let id = res.headers()["bulrushwind-request-id"].to_str().unwrap();
@@ -126,7 +128,7 @@
     assert!(last.detail.starts_with("no-backend"), "{last:?}");
 }
 
-/// The callers' listener must not answer what is for operators only.
+/// The caller listener must not serve operator paths.
 #[test]
 fn callers_cannot_read_what_is_for_operators() {
     let env = testenv::TestEnv::new();
@@ -142,14 +144,14 @@
     let (entry, addr) = entry(&env, "e4");
     let root = bulrushwind::settings::keys::SecretKey::generate().public();
     let run = |args: &[&str]| {
-        let out = process::Command::new(env!("CARGO_BIN_EXE_bulrushwind"))
+        let output = process::Command::new(env!("CARGO_BIN_EXE_bulrushwind"))
             .args(args)
             .env("BULRUSHWIND_STORE", env.store.addr().to_string())
             .env("BULRUSHWIND_ENTRIES", addr.to_string())
             .env("BULRUSHWIND_ROOT_KEYS", root.to_string())
             .output()
             .unwrap();
-        String::from_utf8(out.stdout).unwrap()
+        String::from_utf8(output.stdout).unwrap()
     };
     let at = entry.addr().to_string();
     let found = run(&["lookup", "ledger", "--at", &at]);
@@ -158,28 +160,28 @@
     assert!(shown.contains("e4") && shown.contains("ub-a"), "{shown}");
 }
 
-/// Bookings are refused because no backend server is left, and a timer asks for the report.
+/// Bookings are refused because no backend server is left, while a scheduled job runs the report.
 #[test]
 fn the_burn_report_exits_with_5_while_a_budget_burns() {
     let env = testenv::TestEnv::new();
     let (entry, addr) = entry(&env, "e5");
-    let ask = caller::Request {
+    let request = caller::Request {
         path: "/availability/bays",
         ..caller::Request::default()
     };
     let caller = caller::Caller::default();
     for _ in 0..30 {
-        assert_eq!(caller.send(entry.addr(), &ask).unwrap().status, 503);
+        assert_eq!(caller.send(entry.addr(), &request).unwrap().status, 503);
     }
     let run = |format: &str, at: net::SocketAddr| {
-        let out = process::Command::new(env!("CARGO_BIN_EXE_bulrushwind-burn"))
+        let output = process::Command::new(env!("CARGO_BIN_EXE_bulrushwind-burn"))
             .args(["--dir", "examples/cooperative", "--format", format])
             .args(["--entry", &at.to_string()])
             .output()
             .unwrap();
         (
-            out.status.code().unwrap(),
-            String::from_utf8(out.stdout).unwrap(),
+            output.status.code().unwrap(),
+            String::from_utf8(output.stdout).unwrap(),
         )
     };
     let (code, text) = run("text", addr);
@@ -199,11 +201,10 @@
         page.starts_with("<!doctype html>") && !page.contains("http"),
         "{page}"
     );
-    assert_eq!(run("text", own_addr()).0, 1);
+    assert_eq!(run("text", unused_addr()).0, 1);
 }
 
-/// An operator sends a log to somebody else. It must not carry what opens a door, or what a caller
-/// told in confidence.
+/// Operators may pass logs on, so logs must contain neither secrets nor callers' confidential data.
 #[test]
 fn the_log_holds_no_secret() {
     let (peer_secret, password, body) = (
@@ -214,7 +215,7 @@
     let dir = tempfile::tempdir().unwrap();
     let log = dir.path().join("log");
     let store = testenv::TestEnv::new();
-    let addr = own_addr();
+    let addr = unused_addr();
     let child = process::Command::new(env!("CARGO_BIN_EXE_bulrushwind-entry"))
         .args([
             "--set",
@@ -236,7 +237,7 @@
         .stderr(fs::File::create(&log).unwrap())
         .spawn()
         .unwrap();
-    let mut child = Killed(child);
+    let mut child = KillOnDrop(child);
     let mut lines = io::BufReader::new(child.0.stdout.take().unwrap()).lines();
     let line = lines.next().unwrap().unwrap();
     let entry = line.strip_prefix("listening ").unwrap().to_owned();
