--- a/benches/capacity/customers.rs
+++ b/benches/capacity/customers.rs
@@ -87,7 +87,7 @@
     let mut ledger = Ledger::<ByDemand>::new(quota::Bound::default(), time::Duration::ZERO, 0);
     let report = quota::UsageReport {
         used: 10.0,
-        rate_per_s: 2.0,
+        admitted_per_s: 2.0,
         demand: 2.0,
     };
     let now = time::Duration::from_secs(60);
--- a/src/decisions/quota.rs
+++ b/src/decisions/quota.rs
@@ -113,7 +113,7 @@
     /// Requests admitted in the window that ends with the report.
     pub used: f64,
     /// Requests admitted per second since the previous report.
-    pub rate_per_s: f64,
+    pub admitted_per_s: f64,
     /// Requests in the last fifth of the window, admitted or refused.
     pub demand: f64,
 }
@@ -280,7 +280,7 @@
 
     /// Requests admitted per second since the previous call, without those that chance alone
     /// explains. Resets the measurement.
-    fn take_rate_per_s(&mut self, now: policy::Moment) -> f64 {
+    fn take_admitted_per_s(&mut self, now: policy::Moment) -> f64 {
         /// Minimum span in seconds; a shorter one gives no meaningful rate.
         const MIN_RATE_SPAN_S: f64 = 0.05;
         /// Number of requests that may arrive close together by chance.
@@ -646,10 +646,10 @@
             return time::Duration::ZERO;
         };
         let window = self.bound.window.as_secs_f64();
-        let rate_per_s = (state.target * state.share / window).max(0.1);
+        let share_per_s = (state.target * state.share / window).max(0.1);
         let demand = account.demand.last(now, DEMAND_WINDOW_STEPS);
         let refused = (demand - account.used.last(now, DEMAND_WINDOW_STEPS)).max(1.0);
-        time::Duration::from_secs_f64((refused / rate_per_s).min(window))
+        time::Duration::from_secs_f64((refused / share_per_s).min(window))
     }
 
     /// Applies a peer's report. `rows` replace its earlier usage of these customers; if `whole`, its
@@ -784,7 +784,7 @@
         let account = self.accounts.get_mut(&name)?;
         let report = UsageReport {
             used: state.own_used,
-            rate_per_s: account.take_rate_per_s(now),
+            admitted_per_s: account.take_admitted_per_s(now),
             demand: account.demand.last(now, DEMAND_WINDOW_STEPS),
         };
         let used_share = (state.own_used + state.peers_used) / state.target.max(1.0);
@@ -798,7 +798,7 @@
             // Peers extrapolate with the last reported rate until they receive another one.
             false => {
                 difference > f64::max(remaining * MAX_UNREPORTED_SHARE / admitting_vms, tolerated)
-                    || account.report.rate_per_s > 0.0
+                    || account.report.admitted_per_s > 0.0
             }
         };
         is_due.then_some((used_share, name, report))
@@ -827,7 +827,7 @@
     /// Estimated current usage of the peer, extrapolated at its last reported rate.
     fn extrapolated_used(&self, age: time::Duration, window: time::Duration) -> f64 {
         let leaves = self.report.used / window.as_secs_f64();
-        let grows = (self.report.rate_per_s - leaves).max(0.0);
+        let grows = (self.report.admitted_per_s - leaves).max(0.0);
         self.report.used + grows * (age + REPORT_PROPAGATION_DELAY).as_secs_f64()
     }
 }
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -317,7 +317,7 @@
         self.table
             .borrow()
             .as_ref()
-            .and_then(|table| Some(table.services.get(service)?.cold_rate_per_s))
+            .and_then(|table| Some(table.services.get(service)?.cold_requests_per_s))
             .filter(|rate| *rate > 0.0)
             .unwrap_or(DEFAULT_RATE_PER_S)
     }
--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -195,7 +195,7 @@
         let row = |(customer, reported): &(quota::NameHash, quota::UsageReport)| usage::Row {
             customer: *customer,
             used: count(reported.used),
-            pace: count(reported.rate_per_s),
+            pace: count(reported.admitted_per_s),
             asked: count(reported.demand),
         };
         let mut parts: Vec<Vec<usage::Row>> = rows
@@ -340,7 +340,7 @@
         let rows = usage.rows.iter().map(|row| {
             let reported = quota::UsageReport {
                 used: f64::from(row.used),
-                rate_per_s: f64::from(row.pace),
+                admitted_per_s: f64::from(row.pace),
                 demand: f64::from(row.asked),
             };
             (row.customer, reported)
--- a/src/platform/decode.rs
+++ b/src/platform/decode.rs
@@ -241,7 +241,7 @@
 fn service(service: Service) -> routes::Service {
     routes::Service {
         name: service.name.as_str().into(),
-        cold_rate_per_s: service.cold_per_s,
+        cold_requests_per_s: service.cold_per_s,
     }
 }
 
--- a/src/protocol/customers.rs
+++ b/src/protocol/customers.rs
@@ -94,18 +94,18 @@
 impl RegionBoundShares {
     fn of<'a>(customers: impl Iterator<Item = &'a Customer>) -> Self {
         let mut shares = collections::BTreeMap::new();
-        let mut total_rate_per_s = 0.0;
+        let mut total_quota_per_s = 0.0;
         for customer in customers {
-            let rate_per_s = customer.quota.map_or(0.0, |quota| quota.rate);
-            total_rate_per_s += rate_per_s;
+            let quota_per_s = customer.quota.map_or(0.0, |quota| quota.rate);
+            total_quota_per_s += quota_per_s;
             for region in &customer.regions {
                 *shares.entry(region.clone()).or_insert(0.0) +=
-                    rate_per_s / customer.regions.len() as f64;
+                    quota_per_s / customer.regions.len() as f64;
             }
         }
         shares
             .values_mut()
-            .for_each(|share| *share /= total_rate_per_s.max(1.0));
+            .for_each(|share| *share /= total_quota_per_s.max(1.0));
         Self { shares }
     }
 
--- a/src/protocol/routes.rs
+++ b/src/protocol/routes.rs
@@ -85,7 +85,7 @@
     /// The service's name.
     pub name: id::ServiceId,
     /// Requests per second that a backend server with a cold cache can handle.
-    pub cold_rate_per_s: f64,
+    pub cold_requests_per_s: f64,
 }
 
 /// Limits on callers' requests and connections.
--- a/tests/gateway/harness.rs
+++ b/tests/gateway/harness.rs
@@ -132,7 +132,7 @@
 pub(crate) fn table(version: u64, routes: Vec<routes::Route>) -> routes::Table {
     let service = routes::Service {
         name: "svc".into(),
-        cold_rate_per_s: 3.0,
+        cold_requests_per_s: 3.0,
     };
     let limits = routes::Limits {
         max_body_bytes: 4 << 20,
