--- a/src/decisions/drain.rs
+++ b/src/decisions/drain.rs
@@ -61,7 +61,8 @@
         .any(|drain| remaining_share(drain, now_s) < 1.0)
 }
 
-/// The share of its target's capacity that a drain leaves at `now_s`, in seconds since 1970.
+/// The share of its target's capacity that a drain leaves at `now_s`, in seconds since 1970. It
+/// falls from 1 to 0 over the ramp.
 pub fn remaining_share(drain: &Drain, now_s: f64) -> f64 {
     let start = drain.start_s as f64;
     let ramp = (drain.ramp_s as f64).max(1.0);
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -20,7 +20,7 @@
 /// Pieces of a long answer that may wait for a slow caller.
 const RELAY_QUEUE_PIECES: usize = 8;
 
-/// Connect timeout. A round trip across the widest link takes 0.11 s; the rest is margin.
+/// Connect timeout: a round trip across the widest link (0.11 s), as much again, and a margin.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(350);
 
 /// Longest idle time of a connection that carries a non-idempotent request. If the backend server
--- a/src/protocol/customers.rs
+++ b/src/protocol/customers.rs
@@ -1,8 +1,8 @@
 //! Customers: their keys, quotas, priorities and the regions in which their requests may run.
 //!
 //! Only the digest of a key is stored. Logs, errors, memory dumps and messages to other entry VMs
-//! therefore cannot disclose a key. The cost of finding the customer of a key does not depend on
-//! the number of customers.
+//! therefore cannot disclose a key. Finding the customer of a key costs the same with a hundred
+//! customers and with a hundred thousand.
 
 use std::collections;
 use std::rc;
